--- a/merlintrestle/requests/load/acceptance.py
+++ b/merlintrestle/requests/load/acceptance.py
@@ -43,25 +43,25 @@
         age_s = self._get_time() - self._noted_at
         return max(_LEAST, 1.0 - self._refused * math.exp(-age_s / _MEMORY_S))
 
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Returns whether nearly all calls were taken."""
         # Most backend servers take all calls, and are asked about it at each.
         return not self._refused or self.get() >= _SOUND
 
-    def note(self, taken: bool) -> None:
+    def record(self, taken: bool) -> None:
         """Notes a call that was given to the backend server."""
         if taken and not self._refused:
             return
-        was_sound = self.is_sound()
+        was_sound = self.is_healthy()
         refused = 1.0 - self.get()
         self._noted_at = self._get_time()
         self._refused = refused + _NEWEST * ((not taken) - refused)
-        if self.is_sound() != was_sound:
+        if self.is_healthy() != was_sound:
             self._tell_change()
 
     def _tell_change(self) -> None:
         accepted = round(self.get(), 2)
-        if self.is_sound():
+        if self.is_healthy():
             events.note("backend server takes its calls", accepted=accepted)
         else:
             events.note("backend server sheds", accepted=accepted)
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -51,17 +51,17 @@
         """Calls that hold a slot."""
         return self._slots.in_flight
 
-    def is_working(self) -> bool:
+    def is_busy(self) -> bool:
         """Returns whether the own backend server is at work on some call."""
         return self._slots.in_flight > 0
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Returns whether some slot is free, so that work may stay here."""
         backend = self._backend
         return (
             self._slots.in_flight < backend.slots
             and backend.state == control_pb2.READY
-            and self._acceptance.is_sound()
+            and self._acceptance.is_healthy()
         )
 
     def get_load(self) -> loads.Load:
@@ -73,7 +73,7 @@
             accepted=self._acceptance.get(),
         )
 
-    async def enter(self, call: calls.Call) -> outcomes.NotRun | None:
+    async def acquire(self, call: calls.Call) -> outcomes.NotRun | None:
         """Takes a slot, waiting as long as the latency target allows.
 
         Returns:
@@ -99,18 +99,18 @@
         call.admitted_at = self._get_time()
         return refusal
 
-    def leave(self, call: calls.Call) -> None:
+    def release(self, call: calls.Call) -> None:
         """Gives a slot back."""
         queue = self._slots.get_queue(call)
         held_s = self._get_time() - call.admitted_at
         queue.hold_s += _NEWEST * (held_s - queue.hold_s)
         self._slots.give_back(queue)
 
-    def note_given(self, taken: bool) -> None:
+    def record_acceptance(self, taken: bool) -> None:
         """Notes whether the backend server took a call that had a slot."""
-        self._acceptance.note(taken)
+        self._acceptance.record(taken)
 
-    def estimate_turnover(self, call: calls.Call) -> float:
+    def estimate_retry_delay(self, call: calls.Call) -> float:
         """Returns when it is worth asking the backend server again, in s.
 
         It refused though a slot was given out: by the time that a call holds
--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -16,8 +16,8 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.load import promises
 from merlintrestle.requests.load import rates
+from merlintrestle.requests.load import reservations
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,11 +34,11 @@
 _LEAST_RETRY_S = 0.05
 
 
-class Link:
+class OutgoingLink:
     """The outgoing link to other daemons.
 
     Attributes:
-        promised: Bytes of long answers that have not left yet.
+        reserved_bytes: Bytes of long answers that have not left yet.
         unsent: Those of them that were handed over.
         rate: Bytes per second that it carries; 0: it was never full.
         get_time: The clock, in seconds.
@@ -46,17 +46,19 @@
 
     def __init__(self, get_time: Callable[[], float] = time.monotonic):
         """Sets the clock; it is that of deadlines."""
-        self.promised = 0
+        self.reserved_bytes = 0
         self.unsent = 0
         self.rate = 0.0
         self.get_time = get_time
-        self._drain_rate = rates.DrainRate()
-        self._promises: set[promises.Transfer] = set()
+        self._measured_rate = rates.DrainRate()
+        self._promises: set[reservations.Transfer] = set()
         self._sent = 0
         self._busy_since: float | None = None
-        self._means: dict[tuple[str, str], promises.Means] = {}
+        self._means: dict[tuple[str, str], reservations.Means] = {}
         self._full_until = 0.0
-        self._waiting: list[tuple[promises.Transfer, asyncio.Future[None]]] = []
+        self._waiting: list[
+            tuple[reservations.Transfer, asyncio.Future[None]]
+        ] = []
 
     def get_backlog_s(self) -> float:
         """Returns how long calls in time keep the link busy, in seconds."""
@@ -68,11 +70,13 @@
 
     def get_slow_s(self) -> float:
         """Returns after what time what was handed over is slow, in seconds."""
-        least = self._drain_rate.get_least()
-        ahead_s = self._get_ahead() / least if least else promises.AHEAD_S
+        least = self._measured_rate.get_least()
+        ahead_s = self._get_ahead() / least if least else reservations.AHEAD_S
         return _SLOW_TIMES * ahead_s
 
-    def admit(self, call: calls.Call) -> promises.Transfer | outcomes.NotRun:
+    def admit(
+        self, call: calls.Call
+    ) -> reservations.Transfer | outcomes.NotRun:
         """Promises a call its part of the link, or refuses it.
 
         An answer that would not be through in time only makes others late. A
@@ -81,18 +85,18 @@
         shows what it carries.
         """
         key = (call.organisation, call.plan.name)
-        means = self._means.setdefault(key, promises.Means())
+        means = self._means.setdefault(key, reservations.Means())
         own_s = self.get_seconds(means.size + means.spread)
         least_s = means.head_s + own_s
         # Judged by progress, a long transfer has no latency target to miss.
         late = call.plan.large or self.get_time() + least_s > call.due
-        before = self._count_before(promises.get_order(call, late))
+        before = self._count_before(reservations.get_order(call, late))
         before_s = self.get_seconds(before)
         # Only its claim tells whether a call with a key has run before; by
         # itself, the link must not call it "not run".
         claimed = bool(call.key) and not call.plan.repeatable
         if (
-            means.size > promises.PIECE_BYTES
+            means.size > reservations.CHUNK_BYTES
             and sum(not one.slow for one in self._promises) > 1
             and not claimed
             and not self._has_room(
@@ -105,13 +109,13 @@
                 elsewhere=True,
                 overloaded=True,
             )
-        return promises.Transfer(self, means, call, late)
+        return reservations.Transfer(self, means, call, late)
 
     def change_promise(
-        self, transfer: promises.Transfer, before: int, after: int
+        self, transfer: reservations.Transfer, before: int, after: int
     ) -> None:
         """Changes the bytes that are promised to a transfer."""
-        self.promised += after - before
+        self.reserved_bytes += after - before
         if after:
             self._promises.add(transfer)
         else:
@@ -121,7 +125,7 @@
         """Notes that bytes have left."""
         self._sent += count
 
-    def note_look(self) -> None:
+    def update_rate(self) -> None:
         """Notes that all transfers have told what has left by now.
 
         A time at whose end nothing waits says nothing of the rate: the link
@@ -139,11 +143,13 @@
         self._wake()
 
     def _note_drain(self, now: float, since_s: float) -> None:
-        if since_s <= promises.AHEAD_S:
-            self._drain_rate.note(now, since_s, self._sent, self._is_shared())
-            self.rate = self._drain_rate.get()
+        if since_s <= reservations.AHEAD_S:
+            self._measured_rate.record(
+                now, since_s, self._sent, self._is_shared()
+            )
+            self.rate = self._measured_rate.get()
 
-    async def take_room(self, transfer: promises.Transfer) -> None:
+    async def wait_for_turn(self, transfer: reservations.Transfer) -> None:
         """Waits until it is a transfer's turn to hand over a piece.
 
         It waits no longer than the link needs for all that is promised, late
@@ -167,8 +173,11 @@
 
     def _get_patience_s(self) -> float:
         """Returns how long one waits for room at most, in seconds."""
-        least = self._drain_rate.get_least()
-        return max(promises.STALLED_S, self.promised / least if least else 0.0)
+        least = self._measured_rate.get_least()
+        return max(
+            reservations.STALLED_S,
+            self.reserved_bytes / least if least else 0.0,
+        )
 
     def _wake(self) -> None:
         """Has transfers go on that wait, as far as there is room."""
@@ -179,12 +188,14 @@
                 continue
             self._waiting.remove(waiting)
             turn.set_result(None)
-            room -= promises.PIECE_BYTES
+            room -= reservations.CHUNK_BYTES
 
-    def _may_hand_over(self, transfer: promises.Transfer, room: float) -> bool:
+    def _may_hand_over(
+        self, transfer: reservations.Transfer, room: float
+    ) -> bool:
         """Returns whether the link has room, and the receiver takes more."""
         return room > 0 and not (
-            transfer.slow and transfer.unsent >= promises.PIECE_BYTES
+            transfer.slow and transfer.unsent >= reservations.CHUNK_BYTES
         )
 
     def _is_shared(self) -> bool:
@@ -247,7 +258,7 @@
         Where one receiver is all that was seen, it is by what that one takes:
         it loses nothing by that, and others have their part besides.
         """
-        least = self._drain_rate.get_least()
+        least = self._measured_rate.get_least()
         if not least:
             return math.inf
-        return max(2 * promises.PIECE_BYTES, least * promises.AHEAD_S)
+        return max(2 * reservations.CHUNK_BYTES, least * reservations.AHEAD_S)
--- a/merlintrestle/requests/load/loads.py
+++ b/merlintrestle/requests/load/loads.py
@@ -25,32 +25,32 @@
         calls: Calls that hold a slot of the backend server or wait for one.
         slots: Calls that it runs at once.
         hold_s: How long a call holds a slot on the average, in seconds.
-        link_s: How long the link needs for the long answers that are promised
-            to other daemons, in seconds.
+        link_backlog_s: How long the link needs for the long answers that are
+            promised to other daemons, in seconds.
         accepted: Part of the calls that the backend server took lately.
-        spent_s: How long the call that is answered was there, in seconds; None:
-            not told. The rest of its time it was on its way.
+        server_time_s: How long the call that is answered was there, in seconds;
+            None: not told. The rest of its time it was on its way.
     """
 
     calls: int
     slots: int
     hold_s: float
-    link_s: float = 0.0
+    link_backlog_s: float = 0.0
     accepted: float = 1.0
-    spent_s: float | None = None
+    server_time_s: float | None = None
 
 
 def encode_load(load: Load) -> str:
     """Returns a load as the text of a header."""
     hold_ms = min(round(load.hold_s * 1000), _MAX_FIGURE)
-    link_ms = min(round(load.link_s * 1000), _MAX_FIGURE)
+    link_ms = min(round(load.link_backlog_s * 1000), _MAX_FIGURE)
     calls = min(load.calls, _MAX_FIGURE)
     slots = min(load.slots, _MAX_FIGURE)
     accepted = round(load.accepted * _WHOLE)
     text = f"{calls},{slots},{hold_ms},{link_ms},{accepted}"
-    if load.spent_s is None:
+    if load.server_time_s is None:
         return text
-    return f"{text},{min(round(load.spent_s * 1000), _MAX_FIGURE)}"
+    return f"{text},{min(round(load.server_time_s * 1000), _MAX_FIGURE)}"
 
 
 def decode_load(text: str) -> Load | None:
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -142,7 +142,7 @@
         """
         if self.load is None:
             return 0.0
-        return max(0.0, self.load.link_s - (now - self.load_at))
+        return max(0.0, self.load.link_backlog_s - (now - self.load_at))
 
     def begin(self, now: float, work_s: float) -> None:
         """Counts a call that is being sent and takes `work_s` as expected."""
--- a/merlintrestle/requests/load/rates.py
+++ b/merlintrestle/requests/load/rates.py
@@ -54,7 +54,7 @@
         """Returns bytes per second that were seen, if to one receiver only."""
         return self.get() or max(self._least, self._get_running())
 
-    def note(
+    def record(
         self, now: float, waited_s: float, drained: int, shared: bool = True
     ) -> None:
         """Notes what left in a time in which something waited throughout.
--- a/merlintrestle/requests/load/promises.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -11,7 +11,7 @@
 
 # Answers up to this size are small, in bytes: a dozen packets. They wait for no
 # transfer, and transfers are sent in pieces of this size.
-PIECE_BYTES = 16 * 1024
+CHUNK_BYTES = 16 * 1024
 # Weight of the newest answer in the means of a class.
 _NEWEST = 0.1
 # What may wait on its way at once, in seconds of the link: a check finds it
@@ -42,7 +42,7 @@
     def note_sent(self, count: int) -> None:
         """Notes that bytes have left."""
 
-    async def take_room(self, transfer: Transfer) -> None:
+    async def wait_for_turn(self, transfer: Transfer) -> None:
         """Waits until it is a transfer's turn to hand over a piece."""
 
 
@@ -131,14 +131,14 @@
         self._stalled = False
         self._old = 0
         self._old_at = self._began
-        if means.size > PIECE_BYTES:
+        if means.size > CHUNK_BYTES:
             self._set_left(round(means.size))
 
     def __lt__(self, other: Transfer) -> bool:
         """Returns whether it goes before another: late calls go last."""
         return self.order < other.order
 
-    def note_head(self, typical: bool = True) -> None:
+    def record_head(self, typical: bool = True) -> None:
         """Notes that an answer begins whose size only its end shows.
 
         Args:
@@ -147,7 +147,7 @@
         self._head_s = self._link.get_time() - self._began
         self._open = typical
 
-    def note_whole(self, size: int) -> None:
+    def record_size(self, size: int) -> None:
         """Notes how many bytes an answer had, unless it said so before."""
         if self._open:
             self._open = False
@@ -160,8 +160,8 @@
             size: The bytes.
             typical: As for `note_head`.
         """
-        self.note_head(typical)
-        self.note_whole(size)
+        self.record_head(typical)
+        self.record_size(size)
         if (
             self._link.get_time() + self._link.get_seconds(size)
             > self._call.due
@@ -169,13 +169,13 @@
             # Larger than others of its class, it misses its target in any
             # case; going first, it would have all others miss theirs.
             self.order = get_order(self._call, True)
-        self._set_left(size if size > PIECE_BYTES else 0)
+        self._set_left(size if size > CHUNK_BYTES else 0)
 
-    async def take_room(self) -> None:
+    async def wait_for_turn(self) -> None:
         """Waits until the link has room for the next piece."""
-        await self._link.take_room(self)
+        await self._link.wait_for_turn(self)
 
-    def hand_over(self, count: int) -> None:
+    def record_written(self, count: int) -> None:
         """Notes that bytes were handed over to be sent."""
         if not self.unsent:
             self._moved_at = self._old_at = self._link.get_time()
@@ -185,7 +185,7 @@
             # An answer without a stated length is longer than its class.
             self._set_left(self.unsent)
 
-    def note_unsent(self, unsent: int) -> None:
+    def update_unsent(self, unsent: int) -> None:
         """Notes how many of the bytes handed over have not left yet.
 
         What waits for a receiver that takes nothing is not the link's work.
@@ -212,7 +212,7 @@
         More than a piece before a slow receiver waits for that one, not for
         the link, and takes nothing from others.
         """
-        return min(self.unsent, PIECE_BYTES) if self.slow else self.unsent
+        return min(self.unsent, CHUNK_BYTES) if self.slow else self.unsent
 
     def _note_pace(self, now: float, sent: int) -> None:
         """Notes whether what was on its way has left in good time."""
--- a/merlintrestle/requests/load/waits.py
+++ b/merlintrestle/requests/load/waits.py
@@ -42,7 +42,7 @@
         again, there or elsewhere; it takes that much longer until one has been
         taken.
         """
-        sound = self._acceptance.is_sound()
+        sound = self._acceptance.is_healthy()
         if room and sound:
             return None
         if not self._slots.count:
--- a/merlintrestle/requests/reports/traffic.py
+++ b/merlintrestle/requests/reports/traffic.py
@@ -70,7 +70,7 @@
     def __init__(
         self,
         traffics: Traffics,
-        link: links.Link,
+        link: links.OutgoingLink,
         get_held_back: Callable[[], int],
         get_time: Callable[[], float],
     ):
@@ -101,7 +101,7 @@
         """
         self._lateness_s = lateness_s
         self._most_lateness_s = max(self._most_lateness_s, lateness_s)
-        waiting = self._get_held_back() + self._link.promised
+        waiting = self._get_held_back() + self._link.reserved_bytes
         self._most_waiting = max(self._most_waiting, waiting)
         now = self._get_time()
         if now - self._told_at < _LINE_S:
@@ -138,7 +138,7 @@
             (
                 "merlintrestle_link_promised_bytes",
                 "Bytes of long answers to other daemons still to be sent.",
-                link.promised,
+                link.reserved_bytes,
             ),
             (
                 "merlintrestle_held_back_bytes",
--- a/merlintrestle/requests/serving/beside.py
+++ b/merlintrestle/requests/serving/beside.py
@@ -78,21 +78,21 @@
     async def _run(self, call: calls.Call) -> outcomes.Outcome:
         if call.key and not call.plan.repeatable:
             return await self.once.run(call)
-        refusal = await self._admission.enter(call)
+        refusal = await self._admission.acquire(call)
         if refusal is not None:
             return refusal
         try:
             outcome = await self._forward(call)
         except BaseException:
-            self._admission.leave(call)
+            self._admission.release(call)
             raise
         if isinstance(outcome, outcomes.NotRun) and outcome.reached:
-            turnover_s = self._admission.estimate_turnover(call)
+            turnover_s = self._admission.estimate_retry_delay(call)
             outcome = dataclasses.replace(outcome, retry_after_s=turnover_s)
         if isinstance(outcome, outcomes.Answered):
-            outcome.hold(lambda: self._admission.leave(call))
+            outcome.hold(lambda: self._admission.release(call))
         else:
-            self._admission.leave(call)
+            self._admission.release(call)
         return outcome
 
     async def _forward(self, call: calls.Call) -> outcomes.Outcome:
@@ -129,9 +129,9 @@
     def _note_given(self, outcome: outcomes.Outcome) -> None:
         """Notes whether the backend server took a call that reached it."""
         if not isinstance(outcome, outcomes.NotRun):
-            self._admission.note_given(taken=True)
+            self._admission.record_acceptance(taken=True)
         elif outcome.reached:
-            self._admission.note_given(taken=False)
+            self._admission.record_acceptance(taken=False)
 
     def _note(self, call: calls.Call, outcome: outcomes.Outcome) -> None:
         crashes = self._crashes
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -23,7 +23,7 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.load import admission
     from merlintrestle.requests.load import links
-    from merlintrestle.requests.load import promises
+    from merlintrestle.requests.load import reservations
     from merlintrestle.requests.serving import beside as besides
     from merlintrestle.requests.serving import standing as standings
 
@@ -47,7 +47,7 @@
         standing: standings.Standing,
         beside: besides.Beside,
         slots: admission.Admission,
-        link: links.Link,
+        link: links.OutgoingLink,
     ):
         """Sets the parts; the link is that to other daemons."""
         self._link = link
@@ -140,7 +140,7 @@
         return response
 
     async def _run(
-        self, call: calls.Call, transfer: promises.Transfer, method: str
+        self, call: calls.Call, transfer: reservations.Transfer, method: str
     ) -> outcomes.Outcome:
         """Runs a call; what it holds comes free once its answer is read.
 
@@ -152,7 +152,7 @@
             return outcome
         response, held = outcome.response, outcome.body
         _note_answer(outcome, transfer, method)
-        if held is None and self._link.promised <= _MAX_AHEAD_BYTES:
+        if held is None and self._link.reserved_bytes <= _MAX_AHEAD_BYTES:
             response.content.on_eof(functools.partial(_release_soon, outcome))
         return outcome
 
@@ -161,8 +161,8 @@
     ) -> tuple[tuple[str, str], ...]:
         """Returns what tells a daemon which call is answered, and the load."""
         load = self._slots.get_load()._replace(
-            link_s=self._link.get_backlog_s(),
-            spent_s=self._get_time() - began,
+            link_backlog_s=self._link.get_backlog_s(),
+            server_time_s=self._get_time() - began,
         )
         return (
             (headers.CALL, call_id),
@@ -171,7 +171,7 @@
 
 
 def _note_answer(
-    answered: outcomes.Answered, transfer: promises.Transfer, method: str
+    answered: outcomes.Answered, transfer: reservations.Transfer, method: str
 ) -> None:
     """Tells a transfer what is known of its answer once that begins.
 
@@ -186,7 +186,7 @@
     size = response.content_length if held is None else len(held)
     typical = response.status in _SUCCESSFUL
     if size is None:
-        transfer.note_head(typical)
+        transfer.record_head(typical)
     else:
         transfer.set_size(size, typical)
 
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -107,7 +107,7 @@
             settings.retry_ratio, settings.retry_slack, settings.retry_window_s
         )
         self._traffics = traffic.build_traffics()
-        self._link = links.Link()
+        self._link = links.OutgoingLink()
         self._forwarder = forwarding.Forwarder(
             self._beside_budgets,
             dialects.accepts_unframed(dialect),
@@ -144,7 +144,7 @@
             picking.Picker(
                 settings.zone,
                 self._get_member_id,
-                slots.has_room,
+                slots.has_capacity,
                 time.monotonic,
             ),
             self._beside,
@@ -177,7 +177,7 @@
             self._dispatch,
             self.statistics,
             self.latencies,
-            self._slots.is_working,
+            self._slots.is_busy,
         )
         self._peer_side = peers.Peers(
             self._standing, self._beside, self._slots, self._link
--- a/merlintrestle/requests/serving/sending.py
+++ b/merlintrestle/requests/serving/sending.py
@@ -216,8 +216,8 @@
         """Notes what a daemon reported with its answer to a call."""
         now = self._get_time()
         self._picker.observe(upstream.member_id).note_load(now, load)
-        if load.spent_s is not None:
-            self._way.note(max(0.0, now - began - load.spent_s))
+        if load.server_time_s is not None:
+            self._way.note(max(0.0, now - began - load.server_time_s))
 
     def _build_headers(
         self, one: tries_.Try, call: calls.Call
--- a/merlintrestle/requests/transport/streams.py
+++ b/merlintrestle/requests/transport/streams.py
@@ -11,7 +11,7 @@
 from aiohttp import http
 from aiohttp import web
 
-from merlintrestle.requests.load import promises
+from merlintrestle.requests.load import reservations
 from merlintrestle.requests.transport import answers
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import headers
@@ -104,7 +104,7 @@
     if (
         held is not None
         and not bodiless
-        and (send is None or len(held) <= promises.PIECE_BYTES)
+        and (send is None or len(held) <= reservations.CHUNK_BYTES)
     ):
         return answers.build_held(request, response, copied, held)
     framed = has_clear_end(response, request.method)
--- a/merlintrestle/requests/transport/transfers.py
+++ b/merlintrestle/requests/transport/transfers.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle.requests.load import links
-from merlintrestle.requests.load import promises
+from merlintrestle.requests.load import reservations
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -31,7 +31,7 @@
     and only while something is on its way.
     """
 
-    def __init__(self, link: links.Link):
+    def __init__(self, link: links.OutgoingLink):
         """Sets what decides when something is sent."""
         self._link = link
         self._loop = asyncio.get_running_loop()
@@ -50,7 +50,7 @@
         answer: web.StreamResponse,
         answered: outcomes.Answered,
         progress: probes.Progress,
-        transfer: promises.Transfer,
+        transfer: reservations.Transfer,
     ) -> None:
         """Sends a body in pieces, each as soon as the link has room for it.
 
@@ -74,16 +74,16 @@
         began_at = progress.written
         try:
             while piece := await _read(answered):
-                for start in range(0, len(piece), promises.PIECE_BYTES):
-                    part = piece[start : start + promises.PIECE_BYTES]
-                    await transfer.take_room()
+                for start in range(0, len(piece), reservations.CHUNK_BYTES):
+                    part = piece[start : start + reservations.CHUNK_BYTES]
+                    await transfer.wait_for_turn()
                     progress.written += len(part)
-                    transfer.hand_over(len(part))
+                    transfer.record_written(len(part))
                     self._look_later()
                     await answer.write(part)
                 if answered.body is not None:
                     return
-            transfer.note_whole(progress.written - began_at)
+            transfer.record_size(progress.written - began_at)
         finally:
             sending.written = True
 
@@ -95,7 +95,7 @@
         """
         for sending in self._sending:
             if sending.transport is transport:
-                sending.transfer.note_unsent(0)
+                sending.transfer.update_unsent(0)
                 sending.transfer.end()
                 sending.written = True
 
@@ -114,7 +114,7 @@
             else:
                 still.append(sending)
         self._sending = still
-        self._link.note_look()
+        self._link.update_rate()
         if any(sending.transfer.unsent for sending in still):
             self._look_later()
 
@@ -130,7 +130,7 @@
     """
 
     transport: asyncio.Transport
-    transfer: promises.Transfer
+    transfer: reservations.Transfer
     written: bool = False
 
     def look(self) -> None:
@@ -144,7 +144,7 @@
             self.transfer.end()
             return
         held_back = self.transport.get_write_buffer_size()
-        self.transfer.note_unsent(held_back + _get_queued(self.transport))
+        self.transfer.update_unsent(held_back + _get_queued(self.transport))
 
 
 async def _read(answered: outcomes.Answered) -> bytes:
--- a/merlintrestle/requests/unrepeatable/once.py
+++ b/merlintrestle/requests/unrepeatable/once.py
@@ -57,17 +57,17 @@
             return known.answer or _build_ran()
         revision = 0
         for _ in range(_MAX_ROUNDS):
-            refusal = await self._admission.enter(call)
+            refusal = await self._admission.acquire(call)
             if refusal is not None:
                 return refusal
             try:
                 claim = await claims.acquire(call, claim_key, revision)
             except BaseException:
-                self._admission.leave(call)
+                self._admission.release(call)
                 raise
             if isinstance(claim, claims_.Held):
                 return await self._run_claimed(call, claim)
-            self._admission.leave(call)
+            self._admission.release(call)
             if isinstance(claim, (outcomes.NotRun, outcomes.Unknown)):
                 return claim
             settled: object = claim
@@ -144,7 +144,7 @@
             nonlocal left
             if not left:
                 left = True
-                self._admission.leave(call)
+                self._admission.release(call)
 
         return leave
 
--- a/tests/requests/interleaving.py
+++ b/tests/requests/interleaving.py
@@ -161,10 +161,10 @@
 
 
 class _AdmitAll:
-    async def enter(self, call: calls.Call) -> None:
+    async def acquire(self, call: calls.Call) -> None:
         return None
 
-    def leave(self, call: calls.Call) -> None:
+    def release(self, call: calls.Call) -> None:
         pass
 
 
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -73,7 +73,7 @@
     async def run(self, call: calls.Call) -> outcomes.Outcome:
         """Admits a call and runs it, or refuses it."""
         began = self._loop.time()
-        refusal = await self.slots.enter(call)
+        refusal = await self.slots.acquire(call)
         if refusal is not None:
             return refusal
         self.calls += 1
@@ -82,10 +82,12 @@
         try:
             await asyncio.sleep(self._server.work_s * spread)
         finally:
-            self.slots.leave(call)
+            self.slots.release(call)
         if self._chance.random() < self._server.broken:
             return outcomes.Unknown("the connection broke", broken=True)
-        load = self.slots.get_load()._replace(spent_s=self._loop.time() - began)
+        load = self.slots.get_load()._replace(
+            server_time_s=self._loop.time() - began
+        )
         answer: Any = _Answer(loads.encode_load(load))
         return outcomes.Answered(answer, b"", [])
 
@@ -135,7 +137,9 @@
         answer = outcomes.render(outcome)
         load = self._daemons[address].slots.get_load()
         spent_s = asyncio.get_running_loop().time() - now - self._way_s / 2
-        read: Any = _Answer(loads.encode_load(load._replace(spent_s=spent_s)))
+        read: Any = _Answer(
+            loads.encode_load(load._replace(server_time_s=spent_s))
+        )
         read.status = answer.status
         read.headers.update(answer.headers)
         body: Any = answer.body
--- a/tests/requests/load/plays.py
+++ b/tests/requests/load/plays.py
@@ -85,14 +85,14 @@
     async def take(self, plan: snapshot.ClassPlan, due_s: float) -> calls.Call:
         """Has a call take a slot, which must be free."""
         call = self._build_call(plan, due_s)
-        assert await self._admission.enter(call) is None
+        assert await self._admission.acquire(call) is None
         return call
 
     async def ask(
         self, plan: snapshot.ClassPlan, due_s: float
     ) -> outcomes.NotRun | None:
         """Has a call ask for a slot; its target is over in `due_s`."""
-        return await self._admission.enter(self._build_call(plan, due_s))
+        return await self._admission.acquire(self._build_call(plan, due_s))
 
     async def wait(
         self, plan: snapshot.ClassPlan, due_s: float, turns: list[float]
@@ -104,7 +104,7 @@
 
     def give_back(self, call: calls.Call) -> None:
         """Gives a slot back."""
-        self._admission.leave(call)
+        self._admission.release(call)
 
     def _build_call(self, plan: snapshot.ClassPlan, due_s: float) -> calls.Call:
         now = self._loop.time()
@@ -141,12 +141,12 @@
             deadline=began + callers.limit_s,
             due=began + callers.plan.latency_s,
         )
-        refusal = await self._admission.enter(call)
+        refusal = await self._admission.acquire(call)
         if refusal is not None:
             return refusal.retry_after_s or 1.0
         spread = self._chance.lognormvariate(-(_SPREAD**2) / 2, _SPREAD)
         await asyncio.sleep(callers.work_s * spread)
-        self._admission.leave(call)
+        self._admission.release(call)
         return None
 
 
--- a/tests/requests/load/thinlinks.py
+++ b/tests/requests/load/slowlinks.py
@@ -14,7 +14,7 @@
 
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.load import links
-from merlintrestle.requests.load import promises
+from merlintrestle.requests.load import reservations
 from merlintrestle.requests.transport import probes
 from merlintrestle.requests.transport import transfers
 from tests.requests import builders
@@ -118,7 +118,7 @@
         self._chance = random.Random(seed)
         self._thin = ThinLink(rate)
         self._decides = decides
-        self._link = links.Link(self._loop.time)
+        self._link = links.OutgoingLink(self._loop.time)
         self._transfers = transfers.Transfers(self._link)
 
     def get_part(self, name: str, result: str) -> float:
@@ -170,15 +170,15 @@
         self._note(call, self._loop.time() - began)
 
     async def _send(
-        self, connection: Connection, size: int, transfer: promises.Transfer
+        self, connection: Connection, size: int, transfer: reservations.Transfer
     ) -> None:
         if not self._decides:
-            piece = promises.PIECE_BYTES
+            piece = reservations.CHUNK_BYTES
             for start in range(0, size, piece):
                 await connection.write(bytes(min(size - start, piece)))
             return
         transfer.set_size(size)
-        if size <= promises.PIECE_BYTES:
+        if size <= reservations.CHUNK_BYTES:
             await connection.write(bytes(size))
             transfer.end()
             return
--- a/tests/requests/load/test_acceptance.py
+++ b/tests/requests/load/test_acceptance.py
@@ -24,14 +24,14 @@
 
     def test_every_second_call_is_turned_away(self) -> None:
         for number in range(20):
-            self.acceptance.note(number % 2 == 0)
-        self.assertFalse(self.acceptance.is_sound())
+            self.acceptance.record(number % 2 == 0)
+        self.assertFalse(self.acceptance.is_healthy())
         self.assertAlmostEqual(self.acceptance.get(), 0.5, delta=0.1)
 
     def test_one_in_twenty_is_turned_away(self) -> None:
         for number in range(100):
-            self.acceptance.note(number % 20 != 0)
-            self.assertTrue(self.acceptance.is_sound())
+            self.acceptance.record(number % 20 != 0)
+            self.assertTrue(self.acceptance.is_healthy())
 
     def test_it_is_given_calls_again_after_some_seconds(self) -> None:
         """A backend server that is well again does not stay idle for good.
@@ -40,10 +40,10 @@
         would show that it takes them again.
         """
         for _ in range(100):
-            self.acceptance.note(False)
+            self.acceptance.record(False)
         self.assertGreater(self.acceptance.get(), 0.0)
         self.clock.now += 5.0
-        self.assertTrue(self.acceptance.is_sound())
+        self.assertTrue(self.acceptance.is_healthy())
 
 
 class SheddingTest(unittest.IsolatedAsyncioTestCase):
@@ -59,7 +59,7 @@
             fakes.Clock().get_time,
         )
         for number in range(20):
-            self.slots.note_given(number % 2 == 0)
+            self.slots.record_acceptance(number % 2 == 0)
 
     async def test_call_that_may_go_elsewhere_is_sent_on(self) -> None:
         """The caller's call goes to a backend server that takes it.
@@ -69,16 +69,16 @@
         """
         call = builders.build_call()
         call.wait = calls.Wait.NONE
-        refusal = await self.slots.enter(call)
+        refusal = await self.slots.acquire(call)
         assert refusal is not None
         self.assertTrue(refusal.unqueued)
         self.assertEqual(self.slots.in_flight, 0)
 
     async def test_call_that_has_asked_elsewhere_is_taken(self) -> None:
-        self.assertIsNone(await self.slots.enter(builders.build_call()))
+        self.assertIsNone(await self.slots.acquire(builders.build_call()))
 
     async def test_own_calls_do_not_stay(self) -> None:
-        self.assertFalse(self.slots.has_room())
+        self.assertFalse(self.slots.has_capacity())
 
     async def test_other_daemons_hear_of_it(self) -> None:
         """A daemon that has sent it no call lately knows with one answer."""
--- a/tests/requests/load/test_admission.py
+++ b/tests/requests/load/test_admission.py
@@ -53,7 +53,7 @@
     ) -> calls.Call:
         """Has a call take a slot, which must be free."""
         call = builders.build_call(plan=plan, deadline=self.deadline)
-        self.assertIsNone(await slots.enter(call))
+        self.assertIsNone(await slots.acquire(call))
         return call
 
     def queue(
@@ -61,7 +61,7 @@
     ) -> asyncio.Task[outcomes.NotRun | None]:
         """Has a call ask for a slot."""
         call = builders.build_call(plan=plan, deadline=self.deadline)
-        return asyncio.create_task(slots.enter(call))
+        return asyncio.create_task(slots.acquire(call))
 
     async def asyncSetUp(self) -> None:
         self.deadline = asyncio.get_running_loop().time() + 60
@@ -82,7 +82,7 @@
         await asyncio.sleep(0)
         self.assertFalse(any(task.done() for task in waiting))
         for call in held[:2]:
-            slots.leave(call)
+            slots.release(call)
         self.assertEqual([await task for task in waiting], [None, None])
 
     async def test_time_of_the_way_back_is_no_time_to_work_in(self) -> None:
@@ -91,7 +91,7 @@
         call = builders.build_call(
             plan=_LOOKUP, deadline=self.deadline, way_back_s=60.0
         )
-        refusal = await slots.enter(call)
+        refusal = await slots.acquire(call)
         assert refusal is not None
         self.assertEqual(slots.in_flight, 0)
 
@@ -113,7 +113,7 @@
             deadline=self.deadline,
             way_back_s=60.0 - 0.9 * hold_s,
         )
-        asking = asyncio.create_task(slots.enter(call))
+        asking = asyncio.create_task(slots.acquire(call))
         await asyncio.sleep(0)
         self.assertTrue(asking.done())
         self.assertIsNotNone(await asking)
@@ -135,8 +135,8 @@
         await asyncio.sleep(0)
         checks = [self.queue(slots, check) for _ in range(2)]
         await asyncio.sleep(0)
-        slots.leave(held[0])
-        slots.leave(held[1])
+        slots.release(held[0])
+        slots.release(held[1])
         self.assertEqual([await task for task in checks], [None, None])
         self.assertFalse(any(task.done() for task in payouts))
         for task in payouts:
@@ -154,7 +154,7 @@
             "lookup", rate=0.0, work_s=0.0, latency_s=0.4, importance=3
         )
         payout = lookup._replace(name="payout", importance=4)
-        slots.leave(await self.enter(slots, payout))
+        slots.release(await self.enter(slots, payout))
         for _ in range(_SLOTS):
             await self.enter(slots, lookup)
 
@@ -187,7 +187,7 @@
         await asyncio.sleep(0)
         foreign = self.queue(slots, _FOREIGN)
         await asyncio.sleep(0)
-        slots.leave(held.pop())
+        slots.release(held.pop())
         self.assertIsNone(await foreign)
         self.assertFalse(any(task.done() for task in waiting))
         for task in waiting:
@@ -261,7 +261,7 @@
         slots._backend.announce(
             "kassa", "127.0.0.1:1", _SLOTS, control_pb2.DRAINING
         )
-        slots.leave(held.pop())
+        slots.release(held.pop())
         self.assertIsInstance(await waiting, outcomes.NotRun)
         self.assertEqual(slots.in_flight, len(held))
 
@@ -284,14 +284,14 @@
             if running and chance.random() < 0.5:
                 call, task = running.pop(chance.randrange(len(running)))
                 if task.done() and not task.result():
-                    slots.leave(call)
+                    slots.release(call)
                 else:
                     task.cancel()
             else:
                 call = builders.build_call(
                     plan=chance.choice(plans), deadline=deadline
                 )
-                task = asyncio.create_task(slots.enter(call))
+                task = asyncio.create_task(slots.acquire(call))
                 running.append((call, task))
             if chance.random() < 0.7:
                 await asyncio.sleep(0)
@@ -303,7 +303,7 @@
         )
         for call, task in running:
             if not task.cancelled() and task.result() is None:
-                slots.leave(call)
+                slots.release(call)
         await asyncio.sleep(0)
         self.assertEqual(slots.in_flight, 0)
         self.assertEqual(slots._slots.waiting, 0)
--- a/tests/requests/load/test_links.py
+++ b/tests/requests/load/test_links.py
@@ -8,8 +8,8 @@
 
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.load import links
-from merlintrestle.requests.load import promises
 from merlintrestle.requests.load import rates
+from merlintrestle.requests.load import reservations
 from tests.requests import builders
 from tests.requests import fakes
 
@@ -31,32 +31,32 @@
 
     def test_first_figure_comes_soon(self) -> None:
         rate = rates.DrainRate()
-        rate.note(1000.1, 0.1, 40_000)
+        rate.record(1000.1, 0.1, 40_000)
         self.assertEqual(rate.get(), 400_000)
 
     def test_slow_receivers_do_not_lower_it_at_once(self) -> None:
         """What a slow receiver takes says little of the own link."""
         rate = rates.DrainRate()
-        rate.note(1000.0, 1.0, 400_000)
-        rate.note(1003.0, 3.0, 90_000)
+        rate.record(1000.0, 1.0, 400_000)
+        rate.record(1003.0, 3.0, 90_000)
         self.assertEqual(rate.get(), 400_000)
 
     def test_link_that_became_thinner(self) -> None:
         rate = rates.DrainRate()
-        rate.note(1000.0, 1.0, 400_000)
+        rate.record(1000.0, 1.0, 400_000)
         for second in range(1, 12):
-            rate.note(1000.0 + second, 1.0, 100_000)
+            rate.record(1000.0 + second, 1.0, 100_000)
         self.assertEqual(rate.get(), 100_000)
 
     def test_one_receiver_alone(self) -> None:
         """It shows what the link carries at least."""
         rate = rates.DrainRate()
-        rate.note(1000.0, 1.0, 400_000, shared=False)
+        rate.record(1000.0, 1.0, 400_000, shared=False)
         self.assertEqual(rate.get(), 0.0)
-        rate.note(1001.0, 1.0, 400_000)
-        rate.note(1020.0, 1.0, 5000, shared=False)
+        rate.record(1001.0, 1.0, 400_000)
+        rate.record(1020.0, 1.0, 5000, shared=False)
         self.assertEqual(rate.get(), 400_000)
-        rate.note(1021.0, 1.0, 500_000, shared=False)
+        rate.record(1021.0, 1.0, 500_000, shared=False)
         self.assertEqual(rate.get(), 500_000)
 
 
@@ -65,7 +65,7 @@
 
     async def asyncSetUp(self) -> None:
         self.clock = fakes.Clock()
-        self.link = links.Link(self.clock.get_time)
+        self.link = links.OutgoingLink(self.clock.get_time)
 
     def ask(
         self,
@@ -73,7 +73,7 @@
         due_s: float,
         limit_s: float = 3.0,
         way_back_s: float = 0.0,
-    ) -> promises.Transfer | outcomes.NotRun:
+    ) -> reservations.Transfer | outcomes.NotRun:
         """Asks for a call whose target is over in `due_s`."""
         now = self.clock.now
         call = builders.build_call(
@@ -84,30 +84,32 @@
         )
         return self.link.admit(call)
 
-    def begin(self, size: int = _SIZE, due_s: float = 1.0) -> promises.Transfer:
+    def begin(
+        self, size: int = _SIZE, due_s: float = 1.0
+    ) -> reservations.Transfer:
         """Has a download admitted whose size is known."""
         transfer = self.ask(_DOWNLOAD, due_s)
-        assert isinstance(transfer, promises.Transfer)
+        assert isinstance(transfer, reservations.Transfer)
         transfer.set_size(size)
         return transfer
 
     def drain(
-        self, running: list[promises.Transfer], length_s: float, rate: float
+        self, running: list[reservations.Transfer], length_s: float, rate: float
     ) -> None:
         """Has what was handed over leave in equal parts, with looks at it."""
-        self.link.note_look()
+        self.link.update_rate()
         for _ in range(round(length_s / _LOOK_S)):
             self.clock.now += _LOOK_S
             for transfer in running:
                 part = round(rate * _LOOK_S / len(running))
-                transfer.note_unsent(transfer.unsent - part)
-            self.link.note_look()
+                transfer.update_unsent(transfer.unsent - part)
+            self.link.update_rate()
 
     def learn(self) -> None:
         """Has the link find out its rate and the size of downloads."""
         running = [self.begin(10 * _SIZE) for _ in range(2)]
         for transfer in running:
-            transfer.hand_over(10 * _SIZE)
+            transfer.record_written(10 * _SIZE)
         self.drain(running, 1.0, _RATE)
         self.assertEqual(self.link.rate, _RATE)
         for transfer in running:
@@ -140,16 +142,16 @@
         self.begin()
         refusal = self.ask(late, -1.0, 1.0, way_back_s=0.9)
         self.assertIsInstance(refusal, outcomes.NotRun)
-        self.assertIsInstance(self.ask(late, -1.0, 1.0), promises.Transfer)
+        self.assertIsInstance(self.ask(late, -1.0, 1.0), reservations.Transfer)
 
     def test_checks_are_admitted_behind_downloads(self) -> None:
         self.learn()
         for _ in range(3):
             self.begin()
         check = self.ask(_CHECK, 0.3)
-        assert isinstance(check, promises.Transfer)
+        assert isinstance(check, reservations.Transfer)
         check.set_size(1000)
-        self.assertEqual(self.link.promised, 3 * _SIZE)
+        self.assertEqual(self.link.reserved_bytes, 3 * _SIZE)
 
     def test_late_calls_get_what_those_in_time_leave(self) -> None:
         """One that comes back late is served if the link has little to do.
@@ -159,7 +161,7 @@
         self.learn()
         self.begin()
         late = self.ask(_DOWNLOAD, -0.5, 1.0)
-        assert isinstance(late, promises.Transfer)
+        assert isinstance(late, reservations.Transfer)
         late.end()
         self.begin()
         self.begin()
@@ -176,7 +178,7 @@
         payout = builders.build_plan("payout", repeatable=False, latency_s=1.0)
         for _ in range(10):
             transfer = self.ask(payout, 1.0)
-            assert isinstance(transfer, promises.Transfer)
+            assert isinstance(transfer, reservations.Transfer)
             transfer.set_size(_SIZE)
 
     def test_idle_link_takes_any_call(self) -> None:
@@ -184,21 +186,27 @@
         self.learn()
         self.begin(100 * _SIZE).end()
         first = self.ask(_DOWNLOAD, 0.01)
-        assert isinstance(first, promises.Transfer)
+        assert isinstance(first, reservations.Transfer)
         first.end()
-        self.assertEqual(self.link.promised, 0)
+        self.assertEqual(self.link.reserved_bytes, 0)
 
     def test_long_transfers_have_no_target_to_miss(self) -> None:
         self.learn()
         first = self.ask(_ARCHIVE, 1.0, 60.0)
-        assert isinstance(first, promises.Transfer)
+        assert isinstance(first, reservations.Transfer)
         first.set_size(8 * _SIZE)
-        self.assertIsInstance(self.ask(_ARCHIVE, 1.0, 60.0), promises.Transfer)
+        self.assertIsInstance(
+            self.ask(_ARCHIVE, 1.0, 60.0), reservations.Transfer
+        )
         # It takes 2 s, and goes before those that have a minute.
-        self.assertIsInstance(self.ask(_ARCHIVE, 1.0, 3.0), promises.Transfer)
+        self.assertIsInstance(
+            self.ask(_ARCHIVE, 1.0, 3.0), reservations.Transfer
+        )
         # It would end after 4 s.
         self.assertIsInstance(self.ask(_ARCHIVE, 1.0, 3.0), outcomes.NotRun)
-        self.assertIsInstance(self.ask(_ARCHIVE, 1.0, 5.0), promises.Transfer)
+        self.assertIsInstance(
+            self.ask(_ARCHIVE, 1.0, 5.0), reservations.Transfer
+        )
 
     def test_large_transfer_does_not_shut_the_link(self) -> None:
         """Downloads come in time beside an archive that takes 20 s.
@@ -209,9 +217,9 @@
         """
         self.learn()
         archive = self.ask(_ARCHIVE, 1.0, 60.0)
-        assert isinstance(archive, promises.Transfer)
+        assert isinstance(archive, reservations.Transfer)
         archive.set_size(80 * _SIZE)
-        archive.hand_over(_SIZE // 4)
+        archive.record_written(_SIZE // 4)
         for _ in range(3):
             self.begin()
         self.assertEqual(self.link.get_backlog_s(), 0.0625 + 0.75)
@@ -230,7 +238,7 @@
         self.learn()
         self.begin(80 * _SIZE, due_s=0.9)
         self.begin()
-        self.assertIsInstance(self.ask(_CHECK, 0.3), promises.Transfer)
+        self.assertIsInstance(self.ask(_CHECK, 0.3), reservations.Transfer)
         self.assertLess(self.link.get_backlog_s(), 1.0)
 
     def test_errors_do_not_tell_what_a_class_is_like(self) -> None:
@@ -238,9 +246,9 @@
         self.learn()
         for _ in range(40):
             failed = self.ask(_DOWNLOAD, 1.0)
-            assert isinstance(failed, promises.Transfer)
+            assert isinstance(failed, reservations.Transfer)
             failed.set_size(200, typical=False)
-            failed.note_whole(200)
+            failed.record_size(200)
             failed.end()
         for _ in range(3):
             self.begin()
@@ -254,35 +262,39 @@
         self.learn()
         report = builders.build_plan("report", latency_s=1.0, work_s=0.0)
         first = self.ask(report, 1.0)
-        assert isinstance(first, promises.Transfer)
-        first.note_head()
-        first.hand_over(_SIZE)
-        self.assertEqual(self.link.promised, _SIZE)
-        first.note_unsent(0)
-        first.note_whole(_SIZE)
+        assert isinstance(first, reservations.Transfer)
+        first.record_head()
+        first.record_written(_SIZE)
+        self.assertEqual(self.link.reserved_bytes, _SIZE)
+        first.update_unsent(0)
+        first.record_size(_SIZE)
         first.end()
         # The fourth ends just when its second is over.
         for _ in range(4):
-            self.assertIsInstance(self.ask(report, 1.0), promises.Transfer)
-        self.assertEqual(self.link.promised, 4 * _SIZE)
+            self.assertIsInstance(self.ask(report, 1.0), reservations.Transfer)
+        self.assertEqual(self.link.reserved_bytes, 4 * _SIZE)
         self.assertIsInstance(self.ask(report, 1.0), outcomes.NotRun)
 
     def test_bytes_are_given_back_as_they_leave(self) -> None:
         """What a connection has taken is promised until it has left."""
         transfer = self.begin()
-        transfer.hand_over(_SIZE)
-        self.assertEqual((self.link.promised, self.link.unsent), (_SIZE, _SIZE))
-        transfer.note_unsent(30_000)
-        self.assertEqual((self.link.promised, self.link.unsent), (30_000,) * 2)
+        transfer.record_written(_SIZE)
+        self.assertEqual(
+            (self.link.reserved_bytes, self.link.unsent), (_SIZE, _SIZE)
+        )
+        transfer.update_unsent(30_000)
+        self.assertEqual(
+            (self.link.reserved_bytes, self.link.unsent), (30_000,) * 2
+        )
         transfer.end()
-        self.assertEqual((self.link.promised, self.link.unsent), (0, 0))
+        self.assertEqual((self.link.reserved_bytes, self.link.unsent), (0, 0))
 
-    async def fill(self) -> promises.Transfer:
+    async def fill(self) -> reservations.Transfer:
         """Returns a transfer that has taken all the room of the link."""
         self.learn()
         running = self.begin()
-        await running.take_room()
-        running.hand_over(_SIZE)
+        await running.wait_for_turn()
+        running.record_written(_SIZE)
         return running
 
     async def test_pieces_go_by_whose_target_is_over_first(self) -> None:
@@ -296,11 +308,11 @@
             _take_turn(turns, "first", self.begin(due_s=0.8))
         )
         await asyncio.sleep(0)
-        self.link.note_look()
+        self.link.update_rate()
         await asyncio.sleep(0)
         self.assertEqual(turns, [])
-        running.note_unsent(0)
-        self.link.note_look()
+        running.update_unsent(0)
+        self.link.update_rate()
         await asyncio.gather(first, second)
         self.assertEqual(turns, ["first", "second"])
 
@@ -315,25 +327,25 @@
             _take_turn(turns, "in time", self.begin())
         )
         await asyncio.sleep(0)
-        running.note_unsent(0)
-        self.link.note_look()
+        running.update_unsent(0)
+        self.link.update_rate()
         await asyncio.gather(late, in_time)
         self.assertEqual(turns, ["in time", "late"])
 
     async def test_transfer_that_is_given_up_while_it_waits(self) -> None:
         self.learn()
         running = self.begin()
-        running.hand_over(_SIZE)
+        running.record_written(_SIZE)
         waiting = self.begin()
-        task = asyncio.create_task(waiting.take_room())
+        task = asyncio.create_task(waiting.wait_for_turn())
         await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         waiting.end()
         running.end()
-        self.link.note_look()
-        await self.begin().take_room()
-        self.assertEqual(self.link.promised, _SIZE)
+        self.link.update_rate()
+        await self.begin().wait_for_turn()
+        self.assertEqual(self.link.reserved_bytes, _SIZE)
 
     def test_first_receiver_is_slow(self) -> None:
         """One caller behind a slow link of its own does not stop the others.
@@ -342,11 +354,11 @@
         kilobytes a second. The next download shows more at once.
         """
         slow = self.begin()
-        slow.hand_over(_SIZE)
+        slow.record_written(_SIZE)
         self.drain([slow], 12.0, 6400)
         self.assertEqual(self.link.rate, 0.0)
         quick = self.begin()
-        quick.hand_over(_SIZE)
+        quick.record_written(_SIZE)
         self.drain([quick], 0.25, _RATE)
         self.assertGreaterEqual(self.link.rate, _RATE / 2)
 
@@ -360,9 +372,9 @@
         """
         self.learn()
         slow = self.ask(_ARCHIVE, 1.0, 3600.0)
-        assert isinstance(slow, promises.Transfer)
+        assert isinstance(slow, reservations.Transfer)
         slow.set_size(50 * _SIZE)
-        slow.hand_over(2 * _SIZE)
+        slow.record_written(2 * _SIZE)
         self.drain([slow], 12.0, 6400)
         self.assertEqual(self.link.rate, _RATE)
         for _ in range(3):
@@ -376,14 +388,14 @@
         self.learn()
         slow = [self.begin(50 * _SIZE) for _ in range(2)]
         for transfer in slow:
-            transfer.hand_over(2 * _SIZE)
+            transfer.record_written(2 * _SIZE)
         self.drain(slow, 12.0, 12_800)
         self.assertLess(self.link.rate, _RATE / 10)
         quick = self.begin()
-        quick.hand_over(_SIZE)
+        quick.record_written(_SIZE)
         self.drain([quick], 0.25, _RATE)
         quick = self.begin(4 * _SIZE)
-        quick.hand_over(4 * _SIZE)
+        quick.record_written(4 * _SIZE)
         self.drain([quick], 1.0, _RATE)
         self.assertGreater(self.link.rate, _RATE / 2)
 
@@ -397,10 +409,10 @@
         self.learn()
         slow = self.begin(5 * _SIZE, due_s=2.0)
         while slow.unsent < _RATE // 10:
-            await slow.take_room()
-            slow.hand_over(promises.PIECE_BYTES)
-        waiting = asyncio.create_task(slow.take_room())
-        quick = asyncio.create_task(self.begin(due_s=2.5).take_room())
+            await slow.wait_for_turn()
+            slow.record_written(reservations.CHUNK_BYTES)
+        waiting = asyncio.create_task(slow.wait_for_turn())
+        quick = asyncio.create_task(self.begin(due_s=2.5).wait_for_turn())
         await asyncio.sleep(0)
         self.drain([slow], 0.625, 6400)
         await quick
@@ -418,12 +430,12 @@
         running = [self.begin(50 * _SIZE) for _ in range(2)]
         for _ in range(40):
             for transfer in running:
-                transfer.hand_over(_RATE // 20)
-            self.link.note_look()
+                transfer.record_written(_RATE // 20)
+            self.link.update_rate()
             self.clock.now += 0.3
             for transfer in running:
-                transfer.note_unsent(1)
-            self.link.note_look()
+                transfer.update_unsent(1)
+            self.link.update_rate()
         self.assertEqual(self.link.rate, _RATE)
 
     async def test_receiver_that_takes_nothing(self) -> None:
@@ -435,50 +447,52 @@
         """
         self.learn()
         stuck = self.begin(5 * _SIZE, due_s=3.0)
-        stuck.hand_over(_SIZE)
-        self.link.note_look()
-        task = asyncio.create_task(self.begin(due_s=2.0).take_room())
+        stuck.record_written(_SIZE)
+        self.link.update_rate()
+        task = asyncio.create_task(self.begin(due_s=2.0).wait_for_turn())
         await asyncio.sleep(0)
         for _ in range(30):
             self.assertFalse(task.done())
             self.clock.now += 0.02
-            stuck.note_unsent(_SIZE)
-            self.link.note_look()
+            stuck.update_unsent(_SIZE)
+            self.link.update_rate()
             if not self.link.unsent:
                 break
         await task
-        self.assertEqual(self.link.promised, _SIZE)
+        self.assertEqual(self.link.reserved_bytes, _SIZE)
         # Nothing more is handed to it at once.
-        more = asyncio.create_task(stuck.take_room())
+        more = asyncio.create_task(stuck.wait_for_turn())
         await asyncio.sleep(0)
         self.assertFalse(more.done())
         more.cancel()
         await asyncio.gather(more, return_exceptions=True)
         # It takes something after all, and leaves.
-        stuck.note_unsent(_SIZE // 2)
+        stuck.update_unsent(_SIZE // 2)
         self.assertEqual(self.link.unsent, _SIZE // 2)
-        self.assertEqual(self.link.promised, _SIZE + 9 * _SIZE // 2)
+        self.assertEqual(self.link.reserved_bytes, _SIZE + 9 * _SIZE // 2)
         stuck.end()
-        self.assertEqual((self.link.promised, self.link.unsent), (_SIZE, 0))
+        self.assertEqual(
+            (self.link.reserved_bytes, self.link.unsent), (_SIZE, 0)
+        )
 
     async def test_link_that_carries_more_than_was_thought(self) -> None:
         """All has left at each look and transfers wait: it is quicker."""
         self.learn()
         transfer = self.begin(50 * _SIZE)
         for _ in range(60):
-            transfer.hand_over(_RATE // 10)
-            task = asyncio.create_task(transfer.take_room())
+            transfer.record_written(_RATE // 10)
+            task = asyncio.create_task(transfer.wait_for_turn())
             await asyncio.sleep(0)
             self.clock.now += 0.02
-            transfer.note_unsent(0)
-            self.link.note_look()
+            transfer.update_unsent(0)
+            self.link.update_rate()
             await task
         self.assertGreater(self.link.rate, 4 * _RATE)
 
 
 async def _take_turn(
-    turns: list[str], name: str, transfer: promises.Transfer
+    turns: list[str], name: str, transfer: reservations.Transfer
 ) -> None:
     """Notes when it is a transfer's turn."""
-    await transfer.take_room()
+    await transfer.wait_for_turn()
     turns.append(name)
--- a/tests/requests/load/test_thinlinks.py
+++ b/tests/requests/load/test_slowlinks.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from tests.requests.load import thinlinks
+from tests.requests.load import slowlinks
 
 _SEEDS = (1, 2, 3)
 _LOAD = 2.2
@@ -41,7 +41,7 @@
         """
         for seed in _SEEDS:
             with self.subTest(seed=seed):
-                played = thinlinks.play(seed, _LOAD)
+                played = slowlinks.play(seed, _LOAD)
                 in_time = played.get_part("download", "in time")
                 self.assertGreater(in_time, 0.75 / _LOAD)
                 self.assertEqual(played.counts["download", "failed"], 0)
@@ -53,7 +53,7 @@
 
         Of the downloads 0.03 are in time, and of the checks 0.005.
         """
-        played = thinlinks.play(_SEEDS[0], _LOAD, decides=False)
+        played = slowlinks.play(_SEEDS[0], _LOAD, decides=False)
         self.assertLess(played.get_part("download", "in time"), 0.1)
         self.assertLess(played.get_part("check", "in time"), 0.1)
 
@@ -64,7 +64,7 @@
         """
         for seed in _SEEDS:
             with self.subTest(seed=seed):
-                played = thinlinks.play(seed, 0.5)
+                played = slowlinks.play(seed, 0.5)
                 in_time = played.get_part("download", "in time")
                 self.assertGreater(in_time, _HALF_IN_TIME)
                 checks = played.get_part("check", "in time")
--- a/tests/requests/reports/test_traffic.py
+++ b/tests/requests/reports/test_traffic.py
@@ -17,7 +17,7 @@
         self.held_back = 0
         self.report = traffic.TrafficReport(
             self.traffics,
-            links.Link(self.clock.get_time),
+            links.OutgoingLink(self.clock.get_time),
             lambda: self.held_back,
             self.clock.get_time,
         )
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -16,7 +16,7 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.calls import plans
 from merlintrestle.requests.load import links
-from merlintrestle.requests.load import promises
+from merlintrestle.requests.load import reservations
 from merlintrestle.requests.transport import probes
 from merlintrestle.requests.transport import transfers
 from tests.requests import builders
@@ -109,8 +109,8 @@
     def learn_rate(self) -> None:
         """Has the daemon know what its link carries."""
         link = self.node.proxy._link
-        link._drain_rate.note(link.get_time(), 1.0, _RATE)
-        link.note_look()
+        link._measured_rate.record(link.get_time(), 1.0, _RATE)
+        link.update_rate()
         link.rate = _RATE
 
     async def test_check_is_not_behind_downloads(self) -> None:
@@ -133,7 +133,7 @@
             reader, writer = await self.ask("/check")
             self.assertTrue((await reader.read()).endswith(b"well"))
             writer.close()
-            self.assertLess(self.count_unsent(), 4 * promises.PIECE_BYTES)
+            self.assertLess(self.count_unsent(), 4 * reservations.CHUNK_BYTES)
         for _, writer in asked:
             writer.close()
 
@@ -168,7 +168,7 @@
             for answer in answers:
                 self.assertEqual(answer.partition(b"\r\n\r\n")[2], _BODY)
             link = self.node.proxy._link
-            while link.promised or link.unsent:
+            while link.reserved_bytes or link.unsent:
                 await asyncio.sleep(0)
         for _, writer in asked:
             writer.close()
@@ -183,7 +183,7 @@
             for _, writer in asked:
                 writer.transport.abort()
             link = self.node.proxy._link
-            while link.promised or link.unsent:
+            while link.reserved_bytes or link.unsent:
                 await asyncio.sleep(0)
 
     async def test_answers_without_a_stated_length_wait_too(self) -> None:
@@ -201,8 +201,8 @@
             link = self.node.proxy._link
             while len(link._waiting) < _DOWNLOADS:
                 await asyncio.sleep(0)
-            self.assertLess(self.count_unsent(), 4 * promises.PIECE_BYTES)
-            self.assertGreaterEqual(link.promised, link.unsent)
+            self.assertLess(self.count_unsent(), 4 * reservations.CHUNK_BYTES)
+            self.assertGreaterEqual(link.reserved_bytes, link.unsent)
         for _, writer in asked:
             writer.close()
 
@@ -237,7 +237,7 @@
 
     async def asyncSetUp(self) -> None:
         self.clock = fakes.Clock()
-        self.link = links.Link(self.clock.get_time)
+        self.link = links.OutgoingLink(self.clock.get_time)
         self.transfers = transfers.Transfers(self.link)
         self.addCleanup(self.transfers.close)
         self.transport = mock.Mock()
@@ -246,14 +246,14 @@
         self.request: Any = mock.Mock(transport=self.transport)
         self.answer: Any = mock.Mock(write=mock.AsyncMock())
 
-    async def send(self, size: int) -> promises.Transfer:
+    async def send(self, size: int) -> reservations.Transfer:
         """Sends an answer of that size, which stays in the write buffer."""
         now = self.clock.now
         call = builders.build_call(
             plan=_DOWNLOAD, due=now + 5.0, deadline=now + 60.0
         )
         transfer = self.link.admit(call)
-        assert isinstance(transfer, promises.Transfer)
+        assert isinstance(transfer, reservations.Transfer)
         transfer.set_size(size)
         self.transport.get_write_buffer_size.return_value = size
         nobody: Any = None
@@ -269,7 +269,7 @@
         await self.send(32_000)
         self.transfers._look()
         self.assertEqual(self.link.unsent, 32_000)
-        self.assertEqual(self.link.promised, 32_000)
+        self.assertEqual(self.link.reserved_bytes, 32_000)
 
     async def test_connection_that_was_aborted(self) -> None:
         """What it had taken is given back, but did not leave."""
@@ -278,4 +278,4 @@
             self.transport.is_closing.return_value = True
             self.transfers._look()
         note_sent.assert_not_called()
-        self.assertEqual((self.link.promised, self.link.unsent), (0, 0))
+        self.assertEqual((self.link.reserved_bytes, self.link.unsent), (0, 0))
--- a/tools/model.py
+++ b/tools/model.py
@@ -227,7 +227,7 @@
         picker = picking.Picker(
             self.server.zone,
             lambda: member_id,
-            self._slots.has_room,
+            self._slots.has_capacity,
             loop.time,
             play.chance,
         )
@@ -270,26 +270,26 @@
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
         """Admits a call and runs it, or refuses it."""
-        refusal = await self._slots.enter(call)
+        refusal = await self._slots.acquire(call)
         if refusal is not None:
             return refusal
         self._play.count_arrival(self.server.service, call)
         shed = self._play.chance.random() < self.server.turns_away
-        self._slots.note_given(not shed)
+        self._slots.record_acceptance(not shed)
         if shed:
-            self._slots.leave(call)
+            self._slots.release(call)
             return outcomes.NotRun(
                 "the backend server sheds",
                 elsewhere=True,
                 overloaded=True,
                 reached=True,
-                retry_after_s=self._slots.estimate_turnover(call),
+                retry_after_s=self._slots.estimate_retry_delay(call),
             )
         repeat = self.repeats.begin(call)
         try:
             status = await self._work(call)
         finally:
-            self._slots.leave(call)
+            self._slots.release(call)
             self.repeats.end(repeat)
         answer: Any = _Answer(status, loads.encode_load(self._slots.get_load()))
         return outcomes.Answered(answer, b"", [])
