--- a/merlintrestle/requests/load/budgets.py
+++ b/merlintrestle/requests/load/budgets.py
@@ -128,22 +128,22 @@
         self._retries = 0.0
 
     @property
-    def left(self) -> float:
+    def balance(self) -> float:
         """Retries that may be made now."""
         self._turn()
         # The oldest part is partly outside of the window: its retries count,
         # its calls do not.
         return self._bounds.ratio * self._calls + self.slack - self._retries
 
-    def earn(self) -> None:
+    def record_call(self) -> None:
         """Counts a first try."""
         self._turn()
         self._parts[-1][0] += 1
         self._calls += 1
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Takes one retry; False if the budget is used up."""
-        if self.left < 1:
+        if self.balance < 1:
             return False
         self._parts[-1][1] += 1
         self._retries += 1
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -48,9 +48,9 @@
         ejected_until: No work before; 0: not ejected.
         ejections: Ejections since it last answered.
         probing: True while one call tries whether it is well again.
-        refused_until: Others are preferred before.
+        backoff_until: Others are preferred before.
         slowness: Mean of latency over expected work time; 0: not known.
-        soundness: Part of the calls lately that it ran and answered well.
+        success_rate: Part of the calls lately that it ran and answered well.
         answered_at: When it last answered.
         quiet_since: Since when nothing came though a call was waiting.
         load: What its daemon reported last; None: nothing yet.
@@ -69,10 +69,10 @@
         "load_at",
         "probing",
         "quiet_since",
-        "refused_until",
+        "backoff_until",
         "sent_at_load",
         "slowness",
-        "soundness",
+        "success_rate",
     )
 
     def __init__(self) -> None:
@@ -82,16 +82,16 @@
         self.ejected_until = 0.0
         self.ejections = 0
         self.probing = False
-        self.refused_until = 0.0
+        self.backoff_until = 0.0
         self.slowness = 0.0
-        self.soundness = 1.0
+        self.success_rate = 1.0
         self.answered_at = 0.0
         self.quiet_since = 0.0
         self.load: loads.Load | None = None
         self.load_at = 0.0
         self.sent_at_load = 0
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Forgets what was seen: another process is at its place.
 
         Its failures, its speed and its load are not those of the one before.
@@ -101,13 +101,13 @@
         Observation.__init__(self)
         self.in_flight, self.awaiting = in_flight, awaiting
 
-    def note_load(self, now: float, load: loads.Load) -> None:
+    def record_load(self, now: float, load: loads.Load) -> None:
         """Notes what the daemon of the upstream reported with an answer."""
         self.load = load
         self.load_at = now
         self.sent_at_load = self.in_flight
 
-    def knows_load(self, now: float) -> bool:
+    def has_recent_load(self, now: float) -> bool:
         """Returns whether its load was reported lately."""
         return self.load is not None and now - self.load_at <= LOAD_AGE_S
 
@@ -115,7 +115,7 @@
         """Returns the calls that the upstream has, those of others too."""
         return self.estimate(now)[0]
 
-    def estimate_soundness(self, now: float) -> float:
+    def estimate_success_rate(self, now: float) -> float:
         """Returns the part of the calls lately that ended well there.
 
         What its daemon tells is of all calls, those of others too.
@@ -126,11 +126,11 @@
         """Returns `estimate_calls` and `estimate_soundness`."""
         load = self.load
         if load is None or now - self.load_at > LOAD_AGE_S:
-            return self.in_flight, self.soundness
+            return self.in_flight, self.success_rate
         calls = self.in_flight
         if load.calls > self.sent_at_load:
             calls += load.calls - self.sent_at_load
-        soundness = self.soundness
+        soundness = self.success_rate
         if load.accepted < soundness:
             soundness = max(_LEAST_SOUNDNESS, load.accepted)
         return calls, soundness
@@ -154,7 +154,9 @@
         if self.ejected_until:
             self.probing = True
 
-    def note_answer(self, now: float, latency_s: float, work_s: float) -> None:
+    def record_answer(
+        self, now: float, latency_s: float, work_s: float
+    ) -> None:
         """Notes that a call was answered; the upstream is well."""
         self._note_byte(now, work_s)
         self.failures = 0
@@ -166,19 +168,19 @@
         else:
             self.slowness = slowness
 
-    def note_refusal(self, now: float, work_s: float) -> None:
+    def record_refusal(self, now: float, work_s: float) -> None:
         """Notes that it refused a call: it lives, but takes no work now."""
         self._note_byte(now, work_s)
-        self.refused_until = now + _REFUSED_S
+        self.backoff_until = now + _REFUSED_S
 
-    def note_failure(
+    def record_failure(
         self, now: float, work_s: float, failures: int = 1
     ) -> None:
         """Notes a failure; some prove more than one."""
-        self.note_cancellation(work_s)
+        self.record_cancellation(work_s)
         self._count_failures(now, failures)
 
-    def note_doubt(self, now: float) -> None:
+    def record_doubt(self, now: float) -> None:
         """Notes that a call gets no answer in reasonable time.
 
         The call goes on. Were that noted at its end alone, a frozen upstream
@@ -195,16 +197,16 @@
         self.ejected_until = now + min(length_s, _MAX_EJECTION_S)
         self.ejections = min(self.ejections + 1, 10)
 
-    def note_cancellation(self, work_s: float) -> None:
+    def record_cancellation(self, work_s: float) -> None:
         """Notes that the caller left before an answer: proves nothing."""
         self.probing = False
         if work_s <= _QUICK_S:
             self.awaiting -= 1
 
-    def note_result(self, good: bool) -> None:
+    def record_result(self, good: bool) -> None:
         """Notes whether a call that reached it was run and answered well."""
-        self.soundness += _NEWEST_RESULT * (good - self.soundness)
-        self.soundness = max(_LEAST_SOUNDNESS, self.soundness)
+        self.success_rate += _NEWEST_RESULT * (good - self.success_rate)
+        self.success_rate = max(_LEAST_SOUNDNESS, self.success_rate)
 
     def end(self) -> None:
         """Counts a call as ended, its answer included."""
@@ -220,7 +222,7 @@
 
     def may_take(self, now: float) -> bool:
         """Returns whether it may be sent work before the others are tried."""
-        if self.ejected_until or now < self.refused_until:
+        if self.ejected_until or now < self.backoff_until:
             return False
         return not (self.awaiting and self.is_stalled(now))
 
@@ -230,14 +232,14 @@
         return ended and not self.probing
 
     def _note_byte(self, now: float, work_s: float) -> None:
-        self.note_cancellation(work_s)
+        self.record_cancellation(work_s)
         self.answered_at = now
         self.quiet_since = now
 
 
 @generics.remember_choices
 @functools.singledispatch
-def note(
+def record(
     outcome: object,
     observation: Observation,
     now: float,
@@ -248,7 +250,7 @@
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
-@note.register
+@record.register
 def _note_answered(
     outcome: outcomes.Answered,
     observation: Observation,
@@ -256,14 +258,14 @@
     began: float,
     work_s: float,
 ) -> None:
-    observation.note_result(outcome.response.status < outcomes.SERVER_ERROR)
+    observation.record_result(outcome.response.status < outcomes.SERVER_ERROR)
     if outcome.response.status == outcomes.SHEDDING:
-        observation.note_refusal(now, work_s)
+        observation.record_refusal(now, work_s)
     else:
-        observation.note_answer(now, now - began, work_s)
+        observation.record_answer(now, now - began, work_s)
 
 
-@note.register
+@record.register
 def _note_replayed(
     outcome: outcomes.Replayed,
     observation: Observation,
@@ -271,11 +273,11 @@
     began: float,
     work_s: float,
 ) -> None:
-    observation.note_refusal(now, work_s)
-    observation.refused_until = 0.0
+    observation.record_refusal(now, work_s)
+    observation.backoff_until = 0.0
 
 
-@note.register
+@record.register
 def _note_not_run(
     outcome: outcomes.NotRun,
     observation: Observation,
@@ -284,18 +286,18 @@
     work_s: float,
 ) -> None:
     if outcome.unreachable:
-        observation.note_failure(now, work_s, _MAX_FAILURES)
+        observation.record_failure(now, work_s, _MAX_FAILURES)
         return
     if outcome.reached:
-        observation.note_result(False)
-    observation.note_refusal(now, work_s)
+        observation.record_result(False)
+    observation.record_refusal(now, work_s)
     if not outcome.elsewhere:
         # The call is at fault, not the upstream.
-        observation.refused_until = 0.0
+        observation.backoff_until = 0.0
 
 
-@note.register(outcomes.Ran)
-@note.register(outcomes.Unknown)
+@record.register(outcomes.Ran)
+@record.register(outcomes.Unknown)
 def _note_failure(
     outcome: outcomes.Ran | outcomes.Unknown,
     observation: Observation,
@@ -303,5 +305,5 @@
     began: float,
     work_s: float,
 ) -> None:
-    observation.note_result(False)
-    observation.note_failure(now, work_s)
+    observation.record_result(False)
+    observation.record_failure(now, work_s)
--- a/merlintrestle/requests/load/picking.py
+++ b/merlintrestle/requests/load/picking.py
@@ -5,7 +5,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from merlintrestle.requests.load import weighing
+from merlintrestle.requests.load import ranking
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Sequence
@@ -66,14 +66,16 @@
         self._own_has_room = own_has_room
         self._get_time = get_time
         self._chance = chance or random.Random()
-        self._scales = weighing.Scales()
+        self._scales = ranking.Ranking()
         self._pools: dict[str, Pool] = {}
 
-    def observe(self, member_id: str) -> observations.Observation:
+    def get_observation(self, member_id: str) -> observations.Observation:
         """Returns what was seen of an upstream."""
         return self._scales.observe(member_id)
 
-    def view(self, upstream: tables.Upstream, count: int) -> weighing.View:
+    def get_details(
+        self, upstream: tables.Upstream, count: int
+    ) -> ranking.PickDetails:
         """Returns what decided that an upstream was picked.
 
         Args:
@@ -82,7 +84,7 @@
         """
         return self._scales.view(upstream, count, self._get_time())
 
-    def is_near(self, upstream: tables.Upstream) -> bool:
+    def is_zone_peer(self, upstream: tables.Upstream) -> bool:
         """Returns whether an upstream is another one in the own zone."""
         return (
             upstream.zone == self._zone and upstream.member_id != self._own_id()
@@ -113,7 +115,7 @@
             and own.member_id not in tried
             and self._own_has_room()
             and self._scales.may_take(own, now)
-            and self._scales.observe(own.member_id).soundness >= _SOUND
+            and self._scales.observe(own.member_id).success_rate >= _SOUND
         ):
             return own
         if probe:
--- a/merlintrestle/requests/load/polls.py
+++ b/merlintrestle/requests/load/polls.py
@@ -33,11 +33,11 @@
     def __init__(self) -> None:
         self._asked: list[tuple[float, tables.Upstream]] = []
 
-    def note(self, upstream: tables.Upstream, expected_s: float) -> None:
+    def add(self, upstream: tables.Upstream, expected_s: float) -> None:
         """Notes that an upstream is full, and how long a call would wait."""
         self._asked.append((expected_s, upstream))
 
-    def is_over(self, count: int) -> bool:
+    def is_complete(self, count: int) -> bool:
         """Returns whether enough of `count` upstreams were asked."""
         return len(self._asked) >= min(_MOST, count)
 
@@ -48,7 +48,7 @@
         return best
 
 
-def is_worth(way_s: float, latency_s: float) -> bool:
+def is_worthwhile(way_s: float, latency_s: float) -> bool:
     """Returns whether another daemon may be asked before a call waits there.
 
     Args:
--- a/merlintrestle/requests/load/weighing.py
+++ b/merlintrestle/requests/load/ranking.py
@@ -15,7 +15,7 @@
 _LEAST_SHARE = 0.1
 
 
-class View(NamedTuple):
+class PickDetails(NamedTuple):
     """What decided that an upstream was picked; times are in seconds.
 
     Attributes:
@@ -61,7 +61,7 @@
         }
 
 
-class Scales:
+class Ranking:
     """Weighs upstreams against each other; times are in seconds."""
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
 
     def renew(self, member_id: str, now: float) -> None:
         """Notes that a backend server has started anew."""
-        self.observe(member_id).renew()
+        self.observe(member_id).reset()
         self._ready_at[member_id] = now
 
     def forget(self, member_id: str) -> None:
@@ -98,7 +98,9 @@
             return
         del self._observations[member_id]
 
-    def view(self, upstream: tables.Upstream, count: int, now: float) -> View:
+    def view(
+        self, upstream: tables.Upstream, count: int, now: float
+    ) -> PickDetails:
         """Returns what decided that an upstream was picked.
 
         Args:
@@ -107,12 +109,12 @@
             now: Time of the pick, in seconds.
         """
         seen = self.observe(upstream.member_id)
-        return View(
+        return PickDetails(
             upstream,
             count,
             seen.in_flight,
             seen.failures,
-            seen.soundness,
+            seen.success_rate,
             seen.load,
             seen.load_at,
             seen.answered_at,
--- a/merlintrestle/requests/load/urgency.py
+++ b/merlintrestle/requests/load/refused_callers.py
@@ -34,7 +34,7 @@
     since: float
 
 
-class Returns:
+class RefusedCallers:
     """Callers that were turned away here and still wait.
 
     Callers of one route need not wait equally long. Judged by the time that it
@@ -48,7 +48,7 @@
         self._callers: dict[tuple[str, str], list[_Caller]] = {}
         self._order: collections.deque[_Caller] = collections.deque()
 
-    def note(
+    def add(
         self, asks_for: tuple[str, str], until: float, since: float
     ) -> None:
         """Remembers a caller that was turned away.
@@ -63,7 +63,7 @@
         self._order.append(caller)
         self._callers.setdefault(asks_for, []).append(caller)
 
-    def find(self, asks_for: tuple[str, str], until: float) -> float | None:
+    def pop(self, asks_for: tuple[str, str], until: float) -> float | None:
         """Returns since when a caller has been asking; None: it is new.
 
         It comes back once for each time that it was turned away.
--- a/merlintrestle/requests/load/repeats.py
+++ b/merlintrestle/requests/load/repeats.py
@@ -36,6 +36,6 @@
         self._running -= 1
         self._repeats -= repeat
 
-    def get_part(self) -> float:
+    def get_ratio(self) -> float:
         """Returns the part of the running calls that are repeats."""
         return self._repeats / self._running if self._repeats else 0.0
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -79,7 +79,7 @@
     return Retry.NO if call.attempt else Retry.BUDGETED
 
 
-def limit_first_try(call: calls.Call, now: float) -> float:
+def compute_hedge_time(call: calls.Call, now: float) -> float:
     """Returns when a first try is in doubt, so that another one is left.
 
     A frozen upstream would otherwise use up the whole deadline of each call
--- a/merlintrestle/requests/load/ways.py
+++ b/merlintrestle/requests/load/round_trips.py
@@ -23,7 +23,7 @@
 _MOST_PART = 0.25
 
 
-class Way:
+class RoundTripTime:
     """What hops to other daemons took lately."""
 
     def __init__(self, get_time: Callable[[], float]):
@@ -39,13 +39,13 @@
         age_s = self._get_time() - self._noted_at
         return self._mean_s * math.exp(-age_s / _MEMORY_S)
 
-    def note(self, took_s: float) -> None:
+    def record(self, took_s: float) -> None:
         """Takes in a hop that the other daemon answered at once."""
         mean_s = self.get() or took_s
         self._noted_at = self._get_time()
         self._mean_s = mean_s + _NEWEST * (took_s - mean_s)
 
-    def keep(self, left_s: float) -> float:
+    def reserve(self, left_s: float) -> float:
         """Returns what a refusal needs to come back in time, in seconds.
 
         Args:
--- a/merlintrestle/requests/load/joining.py
+++ b/merlintrestle/requests/load/startup.py
@@ -13,7 +13,7 @@
 
 # Time after its start in which a daemon still hears of upstreams that have
 # long been there, in seconds.
-JOIN_S = 2.0
+STARTUP_S = 2.0
 # Part of the latency target for which a call may wait: what is left is enough
 # for a call that takes no longer than usual.
 _PART = 0.5
@@ -24,7 +24,7 @@
 _RETRY_LATER_S = 1.0
 
 
-class Joining:
+class StartupWait:
     """Has calls wait for the first upstream of their service, not for long.
 
     A daemon opens as soon as it has a version. All that come in the next
@@ -40,7 +40,7 @@
 
     def begin(self) -> None:
         """Notes that the daemon opens now."""
-        self._until = self._get_time() + JOIN_S
+        self._until = self._get_time() + STARTUP_S
 
     @property
     def retry_after_s(self) -> float:
--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -8,7 +8,7 @@
 from merlintrestle.requests.calls import dialect as dialects
 from merlintrestle.requests.calls import intake
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.load import urgency
+from merlintrestle.requests.load import refused_callers
 from merlintrestle.requests.reports import stories
 from merlintrestle.requests.serving import answering
 
@@ -54,7 +54,7 @@
         self._statistics = statistics
         self._latencies = latencies
         self._get_time = asyncio.get_running_loop().time
-        self._returns = urgency.Returns(self._get_time)
+        self._returns = refused_callers.RefusedCallers(self._get_time)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers a request."""
@@ -97,7 +97,7 @@
         asked = dialects.read_asked(self._dialect, request)
         if asked.limit_ms is None or not asked.comes_back:
             return asked
-        since = self._returns.find(
+        since = self._returns.pop(
             (match.route, request.raw_path), began + asked.limit_ms / 1000
         )
         if since is None:
@@ -114,7 +114,7 @@
         """Remembers a caller that got no answer, as it may come back."""
         if asked.limit_ms is None or not asked.comes_back:
             return
-        self._returns.note(
+        self._returns.add(
             (call.route, request.raw_path),
             began + asked.limit_ms / 1000,
             began - asked.waited_ms / 1000,
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -12,10 +12,10 @@
 
 from merlintrestle.requests.calls import call as calls
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.load import joining
 from merlintrestle.requests.load import polls
 from merlintrestle.requests.load import retries
-from merlintrestle.requests.load import ways
+from merlintrestle.requests.load import round_trips
+from merlintrestle.requests.load import startup
 from merlintrestle.requests.serving import progress as progress_
 from merlintrestle.requests.serving import sending
 from merlintrestle.requests.serving import tries as tries_
@@ -55,11 +55,11 @@
         self._get_time = get_time
         self._budgets = budgets
         self._beside = beside
-        self._way = ways.Way(get_time)
+        self._way = round_trips.RoundTripTime(get_time)
         self._sending = sending.Sending(
             member_id, table, picker, beside, forwarder, get_time, self._way
         )
-        self.joining = joining.Joining(table, get_time)
+        self.joining = startup.StartupWait(table, get_time)
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
         """Returns the answer of an upstream, or the failure to state.
@@ -68,8 +68,8 @@
         then, and all of them at once when the caller leaves.
         """
         budget = self._budgets.get(call.service)
-        budget.earn()
-        budget.charge(self._beside.repeats.get_part())
+        budget.record_call()
+        budget.charge(self._beside.repeats.get_ratio())
         if not await self.joining.wait(call):
             return self._refuse(call)
         tries = tries_.Tries()
@@ -106,7 +106,7 @@
         latest = ended.outcome
         progress.note(latest)
         if isinstance(latest, outcomes.NotRun) and latest.unqueued:
-            progress.polls.note(ended.one.upstream, latest.retry_after_s or 0.0)
+            progress.polls.add(ended.one.upstream, latest.retry_after_s or 0.0)
             if self._poll_on(progress):
                 return None
         if _counts(latest):
@@ -121,7 +121,7 @@
                 "given up",
                 tries=len(progress.tried),
                 reached=progress.reached,
-                budget=round(progress.budget.left, 1),
+                budget=round(progress.budget.balance, 1),
                 left_ms=progress.call.get_left_ms(),
             )
         return progress.outcome
@@ -156,7 +156,7 @@
             return False
         count = len(self._table.get_upstreams(call.service))
         if (
-            not progress.polls.is_over(count)
+            not progress.polls.is_complete(count)
             and progress.may_try(count)
             and self._try_another(progress)
         ):
@@ -226,20 +226,22 @@
         if upstream is None:
             return None
         if progress.tried:
-            left = round(progress.budget.left, 1)
+            left = round(progress.budget.balance, 1)
             call.story.add("sent again", budget=left)
         progress.tried.add(upstream.member_id)
-        view = self._picker.view(upstream, len(upstreams))
+        view = self._picker.get_details(upstream, len(upstreams))
         call.story.add_later("picked", view.describe)
         # A body that is passed on in pieces cannot be offered to others.
         wait = calls.Wait.USUAL
         way_s = self._way.get()
-        if call.body.held is not None and polls.is_worth(
+        if call.body.held is not None and polls.is_worthwhile(
             way_s, call.plan.latency_s
         ):
-            seen = self._picker.observe(upstream.member_id)
-            known = len(upstreams) == 1 or seen.knows_load(self._get_time())
-            wait = polls.choose_wait(known, self._picker.is_near(upstream))
+            seen = self._picker.get_observation(upstream.member_id)
+            known = len(upstreams) == 1 or seen.has_recent_load(
+                self._get_time()
+            )
+            wait = polls.choose_wait(known, self._picker.is_zone_peer(upstream))
         return tries_.Try(upstream, wait=wait)
 
     def _start(self, one: tries_.Try, progress: progress_.Progress) -> None:
--- a/merlintrestle/requests/serving/progress.py
+++ b/merlintrestle/requests/serving/progress.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.load import budgets as budgets_
-    from merlintrestle.requests.load import ways
+    from merlintrestle.requests.load import round_trips
     from merlintrestle.requests.serving import tries as tries_
 
 # Each further one is free (it did not run) or paid from the budget.
@@ -43,7 +43,7 @@
     call: calls.Call
     budget: budgets_.Budget
     tries: tries_.Tries
-    way: ways.Way
+    way: round_trips.RoundTripTime
     tried: set[str] = dataclasses.field(default_factory=set)
     reached: int = 0
     refusals: int = 0
@@ -91,7 +91,7 @@
         nothing was called on its behalf.
         """
         again = self.call.attempt and not self._was_turned_away()
-        if again or not self.budget.spend():
+        if again or not self.budget.try_spend():
             return False
         self.call.attempt += 1
         self.call.repeat = True
--- a/merlintrestle/requests/serving/sending.py
+++ b/merlintrestle/requests/serving/sending.py
@@ -28,7 +28,7 @@
     from merlintrestle.requests import parts
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.load import picking
-    from merlintrestle.requests.load import ways
+    from merlintrestle.requests.load import round_trips
     from merlintrestle.requests.serving import beside as besides
     from merlintrestle.requests.serving import tries as tries_
     from merlintrestle.requests.transport import forwarding
@@ -63,13 +63,13 @@
         if doubt.of_connection or self._blamed:
             return
         self._blamed = True
-        self._observation.note_doubt(self._get_time())
+        self._observation.record_doubt(self._get_time())
 
     def note_cancellation(self) -> None:
         """Notes that nobody waits for the answer any more."""
-        self._observation.note_cancellation(self._work_s)
+        self._observation.record_cancellation(self._work_s)
         if self._blamed:
-            self._observation.note_result(False)
+            self._observation.record_result(False)
         self._observation.end()
 
     def note(self, outcome: outcomes.Outcome) -> None:
@@ -79,7 +79,7 @@
             self.note_cancellation()
             return
         observation = self._observation
-        observations.note(
+        observations.record(
             outcome, observation, self._get_time(), self.began, self._work_s
         )
         if isinstance(outcome, outcomes.Answered):
@@ -99,7 +99,7 @@
         beside: besides.Beside,
         forwarder: forwarding.Forwarder,
         get_time: Callable[[], float],
-        way: ways.Way,
+        way: round_trips.RoundTripTime,
     ):
         """Sets the parts; `member_id` gives the id of this daemon."""
         self._way = way
@@ -121,7 +121,7 @@
             tries: Hears if the try is in doubt.
         """
         record = _Record(
-            self._picker.observe(one.upstream.member_id),
+            self._picker.get_observation(one.upstream.member_id),
             call.plan.work_s,
             self._get_time,
         )
@@ -175,7 +175,7 @@
         """Has a first try that takes too long reported."""
         if not self._has_others(call):
             return None
-        limit = retries.limit_first_try(call, self._get_time())
+        limit = retries.compute_hedge_time(call, self._get_time())
         if limit >= call.deadline:
             return None
         loop = asyncio.get_running_loop()
@@ -215,9 +215,9 @@
     ) -> None:
         """Notes what a daemon reported with its answer to a call."""
         now = self._get_time()
-        self._picker.observe(upstream.member_id).note_load(now, load)
+        self._picker.get_observation(upstream.member_id).record_load(now, load)
         if load.server_time_s is not None:
-            self._way.note(max(0.0, now - began - load.server_time_s))
+            self._way.record(max(0.0, now - began - load.server_time_s))
 
     def _build_headers(
         self, one: tries_.Try, call: calls.Call
@@ -238,7 +238,7 @@
             suspect=call.suspect,
             wait=one.wait,
             repeat=call.repeat,
-            way_back_ms=round(self._way.keep(left_s) * 1000),
+            way_back_ms=round(self._way.reserve(left_s) * 1000),
         )
         sent = call.headers.copy()
         sent[headers.PLAN] = plans.encode_plan(call.plan)
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -129,7 +129,7 @@
     ) -> outcomes.Outcome:
         """Sends a call over a kept connection, and anew if that is doubtful."""
         budget = self._budgets.get(call.service)
-        budget.earn()
+        budget.record_call()
         second = seconds.Second(
             pooled, lambda: self._send_second(own, call, side)
         )
@@ -148,7 +148,7 @@
             broke = results.broke_while_idle(
                 outcome, idle_s, self._loop.time() - began
             )
-            if broke and call.body.repeatable and budget.spend():
+            if broke and call.body.repeatable and budget.try_spend():
                 call.story.add(
                     "connection was gone", idle_ms=round(idle_s * 1000)
                 )
@@ -205,7 +205,7 @@
             await own.check()
             and not call.attempt
             and call.body.held is not None
-            and budget.spend()
+            and budget.try_spend()
         ):
             call.attempt += 1
             call.repeat = True
--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -190,7 +190,7 @@
     def use_up_budget(self) -> None:
         """Leaves no budget for further tries."""
         budget = self.budget
-        while budget.spend():
+        while budget.try_spend():
             pass
 
     def know(self, other: Node) -> None:
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -35,7 +35,7 @@
 
 if TYPE_CHECKING:
     from merlintrestle.requests.calls import call as calls
-    from tests.requests.load import plays
+    from tests.requests.load import simulations
 
 
 class Server(NamedTuple):
@@ -153,7 +153,7 @@
         self.repeats = repeats.Repeats()
 
 
-class FleetPlay:
+class FleetSimulation:
     """Daemons without a backend server of their own, and some upstreams.
 
     Attributes:
@@ -188,7 +188,7 @@
         }
         self._daemons = [self._build_daemon(table) for _ in range(daemons)]
 
-    def get_part(self, result: str) -> float:
+    def get_ratio(self, result: str) -> float:
         """Returns the part of the calls with one result."""
         return self.counts[result] / self.counts.total()
 
@@ -196,7 +196,7 @@
         """Returns how many calls each backend server ran."""
         return [beside.calls for beside in self._besides.values()]
 
-    async def run(self, callers: plays.Callers, length_s: float) -> None:
+    async def run(self, callers: simulations.Callers, length_s: float) -> None:
         """Plays the load of some callers for a time."""
         until = self._loop.time() + length_s
         async with asyncio.TaskGroup() as group:
@@ -226,7 +226,7 @@
             lanes.Lanes(books.Book(table.get_upstreams)),
         )
 
-    async def _make_call(self, callers: plays.Callers) -> None:
+    async def _make_call(self, callers: simulations.Callers) -> None:
         began = self._loop.time()
         daemon = self._chance.choice(self._daemons)
         for _ in range(callers.retries + 1):
@@ -234,16 +234,18 @@
             outcome = await daemon.run(call)
             if not isinstance(outcome, outcomes.NotRun):
                 break
-            left_s = began + callers.limit_s - self._loop.time()
+            left_s = began + callers.patience_s - self._loop.time()
             wait_s = min(outcome.retry_after_s or 1.0, left_s / 3)
             await asyncio.sleep(wait_s)
         self.counts[self._judge(call, outcome, callers, began)] += 1
 
-    def _build_call(self, callers: plays.Callers, began: float) -> calls.Call:
+    def _build_call(
+        self, callers: simulations.Callers, began: float
+    ) -> calls.Call:
         limit = self._loop.time() + callers.plan.deadline_s
         call = builders.build_call(
             plan=callers.plan,
-            deadline=min(began + callers.limit_s, limit),
+            deadline=min(began + callers.patience_s, limit),
             due=began + callers.plan.latency_s,
         )
         call.request_id = str(next(self._numbers))
@@ -258,7 +260,7 @@
         self,
         call: calls.Call,
         outcome: outcomes.Outcome,
-        callers: plays.Callers,
+        callers: simulations.Callers,
         began: float,
     ) -> str:
         if isinstance(outcome, outcomes.NotRun):
@@ -270,14 +272,14 @@
         return "in time" if took_s <= callers.plan.latency_s else "late"
 
 
-def play(
+def simulate(
     servers: list[Server],
-    callers: plays.Callers,
+    callers: simulations.Callers,
     length_s: float,
     daemons: int = 11,
     slots: int = 12,
     way_s: float = 0.0,
-) -> FleetPlay:
+) -> FleetSimulation:
     """Plays the load of some callers over some daemons.
 
     Args:
@@ -289,8 +291,8 @@
         way_s: What a hop to another daemon and back takes, in seconds.
     """
 
-    async def run() -> FleetPlay:
-        played = FleetPlay(servers, daemons, slots, way_s)
+    async def run() -> FleetSimulation:
+        played = FleetSimulation(servers, daemons, slots, way_s)
         await played.run(callers, length_s)
         return played
 
--- a/tests/requests/load/plays.py
+++ b/tests/requests/load/simulations.py
@@ -35,18 +35,18 @@
         plan: The class.
         rate: Calls that they make a second.
         work_s: Mean time that the backend server needs for one, in seconds.
-        limit_s: How long they wait from the first attempt on, in seconds.
+        patience_s: How long they wait from the first attempt on, in seconds.
         retries: How often they come back after a refusal.
     """
 
     plan: snapshot.ClassPlan
     rate: float
     work_s: float
-    limit_s: float
+    patience_s: float
     retries: int
 
 
-class Play:
+class Simulation:
     """One backend server and its callers.
 
     Attributes:
@@ -75,34 +75,36 @@
             for one in callers:
                 group.create_task(self._make_calls(one, length_s, group))
 
-    def get_part(self, name: str, result: str) -> float:
+    def get_ratio(self, name: str, result: str) -> float:
         """Returns the part of the calls of a class with one result."""
         all_calls = sum(
             count for key, count in self.counts.items() if key[0] == name
         )
         return self.counts[name, result] / all_calls
 
-    async def take(self, plan: snapshot.ClassPlan, due_s: float) -> calls.Call:
+    async def occupy(
+        self, plan: snapshot.ClassPlan, due_s: float
+    ) -> calls.Call:
         """Has a call take a slot, which must be free."""
         call = self._build_call(plan, due_s)
         assert await self._admission.acquire(call) is None
         return call
 
-    async def ask(
+    async def request_slot(
         self, plan: snapshot.ClassPlan, due_s: float
     ) -> outcomes.NotRun | None:
         """Has a call ask for a slot; its target is over in `due_s`."""
         return await self._admission.acquire(self._build_call(plan, due_s))
 
-    async def wait(
+    async def wait_for_slot(
         self, plan: snapshot.ClassPlan, due_s: float, turns: list[float]
     ) -> None:
         """Has a call take a slot, adds `due_s` to the turns, gives it back."""
-        call = await self.take(plan, due_s)
+        call = await self.occupy(plan, due_s)
         turns.append(due_s)
-        self.give_back(call)
+        self.release(call)
 
-    def give_back(self, call: calls.Call) -> None:
+    def release(self, call: calls.Call) -> None:
         """Gives a slot back."""
         self._admission.release(call)
 
@@ -130,7 +132,7 @@
                 in_time = took_s <= callers.plan.latency_s
                 result = "in time" if in_time else "late"
                 break
-            left_s = began + callers.limit_s - self._loop.time()
+            left_s = began + callers.patience_s - self._loop.time()
             await asyncio.sleep(min(refused_for_s, left_s / 3))
         self.counts[callers.plan.name, result] += 1
 
@@ -138,7 +140,7 @@
         """Makes one attempt; returns when to come back if it is refused."""
         call = builders.build_call(
             plan=callers.plan,
-            deadline=began + callers.limit_s,
+            deadline=began + callers.patience_s,
             due=began + callers.plan.latency_s,
         )
         refusal = await self._admission.acquire(call)
@@ -150,11 +152,13 @@
         return None
 
 
-def play(slots: int, length_s: float, *callers: Callers, seed: int = 1) -> Play:
+def simulate(
+    slots: int, length_s: float, *callers: Callers, seed: int = 1
+) -> Simulation:
     """Plays the load of some callers on one backend server."""
 
-    async def run() -> Play:
-        played = Play(slots, seed)
+    async def run() -> Simulation:
+        played = Simulation(slots, seed)
         await played.run(length_s, *callers)
         return played
 
--- a/tests/requests/load/test_acceptance.py
+++ b/tests/requests/load/test_acceptance.py
@@ -85,6 +85,6 @@
         told = loads.decode_load(loads.encode_load(self.slots.get_load()))
         assert told is not None
         seen = observations.Observation()
-        seen.note_load(10.0, told)
-        self.assertLess(seen.estimate_soundness(10.5), 0.7)
-        self.assertEqual(seen.estimate_soundness(20.0), 1.0)
+        seen.record_load(10.0, told)
+        self.assertLess(seen.estimate_success_rate(10.5), 0.7)
+        self.assertEqual(seen.estimate_success_rate(20.0), 1.0)
--- a/tests/requests/load/test_budgets.py
+++ b/tests/requests/load/test_budgets.py
@@ -22,12 +22,12 @@
         """Makes calls, evenly over five seconds."""
         for _ in range(count):
             self.clock.now += 5.0 / count
-            self.budgets.get("kassa").earn()
+            self.budgets.get("kassa").record_call()
 
     def retry(self) -> int:
         """Makes as many retries as there may be; returns their number."""
         count = 0
-        while self.budgets.get("kassa").spend():
+        while self.budgets.get("kassa").try_spend():
             count += 1
         return count
 
@@ -60,7 +60,7 @@
         nothing of the bound for others.
         """
         for _ in range(20):
-            self.budgets.get("kassa").earn()
+            self.budgets.get("kassa").record_call()
             self.budgets.get("kassa").charge(0.5)
         self.assertEqual(self.retry(), 0)
 
@@ -73,9 +73,9 @@
         called, retried = [], []
         for _ in range(300):
             clock.now += chance.expovariate(chance.choice((2.0, 50.0)))
-            budget.earn()
+            budget.record_call()
             called.append(clock.now)
-            if chance.random() < 0.5 and budget.spend():
+            if chance.random() < 0.5 and budget.try_spend():
                 retried.append(clock.now)
         for end in retried:
             inside = sum(end - 10.0 < at <= end for at in retried)
--- a/tests/requests/load/test_picking.py
+++ b/tests/requests/load/test_picking.py
@@ -57,16 +57,16 @@
 
     def note(self, number: int, outcome: outcomes.Outcome) -> None:
         """Notes an outcome of a call to an upstream."""
-        seen = self.picker.observe(self.upstreams[number].member_id)
+        seen = self.picker.get_observation(self.upstreams[number].member_id)
         seen.begin(self.now, _WORK_S)
-        observations.note(outcome, seen, self.now, self.now, _WORK_S)
+        observations.record(outcome, seen, self.now, self.now, _WORK_S)
         seen.end()
 
     def answer(self, number: int, latency_s: float) -> None:
         """Notes an answer."""
-        seen = self.picker.observe(self.upstreams[number].member_id)
+        seen = self.picker.get_observation(self.upstreams[number].member_id)
         seen.begin(self.now, _WORK_S)
-        seen.note_answer(self.now, latency_s, _WORK_S)
+        seen.record_answer(self.now, latency_s, _WORK_S)
         seen.end()
 
     def test_work_is_spread(self) -> None:
@@ -101,7 +101,7 @@
         )
         self.upstreams = (near, far)
         self.assertEqual(set(self.count()), {0})
-        seen = self.picker.observe(near.member_id)
+        seen = self.picker.get_observation(near.member_id)
         for _ in range(near.slots):
             seen.begin(self.now, _WORK_S)
         self.assertIn(1, self.count())
@@ -127,16 +127,16 @@
         ends, and until then no failure of theirs would be seen.
         """
         for upstream in self.upstreams:
-            seen = self.picker.observe(upstream.member_id)
+            seen = self.picker.get_observation(upstream.member_id)
             for _ in range(3):
                 seen.begin(self.now, _WORK_S)
         self.assertIn(1, self.count())
-        seen = self.picker.observe(self.upstreams[1].member_id)
+        seen = self.picker.get_observation(self.upstreams[1].member_id)
         for _ in range(3):
-            seen.note_doubt(self.now)
+            seen.record_doubt(self.now)
         self.assertNotIn(1, self.count())
         for _ in range(3):
-            seen.note_answer(self.now, _WORK_S, _WORK_S)
+            seen.record_answer(self.now, _WORK_S, _WORK_S)
             seen.end()
         self.assertIn(1, self.count())
 
@@ -160,7 +160,7 @@
         """What it can do is not given away when the others are full."""
         self.fail_every_other(1)
         for number in (0, 2, 3):
-            seen = self.picker.observe(self.upstreams[number].member_id)
+            seen = self.picker.get_observation(self.upstreams[number].member_id)
             for _ in range(self.upstreams[number].slots):
                 seen.begin(self.now, _WORK_S)
         self.assertEqual(set(self.count(40)), {1})
@@ -177,12 +177,12 @@
         self.assertNotIn(1, self.count())
         while self.upstreams.index(self.pick(probe=True)) != 1:
             pass
-        self.picker.observe(self.upstreams[1].member_id).begin(
+        self.picker.get_observation(self.upstreams[1].member_id).begin(
             self.now, _WORK_S
         )
         self.assertNotIn(1, self.count(probe=True))
-        seen = self.picker.observe(self.upstreams[1].member_id)
-        seen.note_answer(self.now, _WORK_S, _WORK_S)
+        seen = self.picker.get_observation(self.upstreams[1].member_id)
+        seen.record_answer(self.now, _WORK_S, _WORK_S)
         seen.end()
         self.assertIn(1, self.count())
 
@@ -200,28 +200,28 @@
         their deadlines would lose every call sent to it till then.
         """
         for number, upstream in enumerate(self.upstreams):
-            seen = self.picker.observe(upstream.member_id)
+            seen = self.picker.get_observation(upstream.member_id)
             seen.begin(self.now, _WORK_S)
             if number != 1:
-                seen.note_answer(self.now, _WORK_S, _WORK_S)
+                seen.record_answer(self.now, _WORK_S, _WORK_S)
         self.assertIn(1, self.count())
         self.now += 0.6
         self.assertNotIn(1, self.count())
 
     def test_slow_call_does_not_look_frozen(self) -> None:
         for number, upstream in enumerate(self.upstreams):
-            seen = self.picker.observe(upstream.member_id)
+            seen = self.picker.get_observation(upstream.member_id)
             seen.begin(self.now, 2.0)
             if number != 1:
-                seen.note_answer(self.now, 2.0, 2.0)
+                seen.record_answer(self.now, 2.0, 2.0)
         self.now += 5
         self.assertIn(1, self.count())
 
     def test_long_transfer_does_not_look_frozen(self) -> None:
         for upstream in self.upstreams:
-            seen = self.picker.observe(upstream.member_id)
+            seen = self.picker.get_observation(upstream.member_id)
             seen.begin(self.now, _WORK_S)
-            seen.note_answer(self.now, _WORK_S, _WORK_S)
+            seen.record_answer(self.now, _WORK_S, _WORK_S)
         self.now += 600
         self.assertIn(1, self.count())
 
@@ -247,10 +247,14 @@
             builders.build_upstream(3),
         )
         for _ in range(60):
-            seen = self.picker.observe(self.pick().member_id)
+            seen = self.picker.get_observation(self.pick().member_id)
             seen.begin(self.now, _WORK_S)
-        cold = self.picker.observe(self.upstreams[0].member_id).in_flight
-        warm = self.picker.observe(self.upstreams[1].member_id).in_flight
+        cold = self.picker.get_observation(
+            self.upstreams[0].member_id
+        ).in_flight
+        warm = self.picker.get_observation(
+            self.upstreams[1].member_id
+        ).in_flight
         self.assertLess(cold, warm / 3)
 
     def test_suspected_upstream_that_answers_is_used(self) -> None:
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -23,10 +23,10 @@
 
     def test_call_waits_where_the_load_is_known(self) -> None:
         seen = observations.Observation()
-        self.assertFalse(seen.knows_load(10.0))
-        seen.note_load(10.0, loads.Load(3, 4, 0.1))
-        self.assertTrue(seen.knows_load(10.5))
-        self.assertFalse(seen.knows_load(12.0))
+        self.assertFalse(seen.has_recent_load(10.0))
+        seen.record_load(10.0, loads.Load(3, 4, 0.1))
+        self.assertTrue(seen.has_recent_load(10.5))
+        self.assertFalse(seen.has_recent_load(12.0))
         self.assertIs(polls.choose_wait(True, False), calls.Wait.USUAL)
 
     def test_call_waits_shortly_in_the_own_zone(self) -> None:
@@ -37,20 +37,20 @@
         for upstream, wait_s in zip(
             self.upstreams, (0.3, 0.1, 0.2, 0.4), strict=True
         ):
-            self.assertFalse(self.polls.is_over(4))
-            self.polls.note(upstream, wait_s)
-        self.assertTrue(self.polls.is_over(4))
+            self.assertFalse(self.polls.is_complete(4))
+            self.polls.add(upstream, wait_s)
+        self.assertTrue(self.polls.is_complete(4))
         self.assertIs(self.polls.take_best(), self.upstreams[1])
 
     def test_no_more_are_asked_than_there_are(self) -> None:
-        self.polls.note(self.upstreams[0], 0.1)
-        self.polls.note(self.upstreams[1], 0.1)
-        self.assertTrue(self.polls.is_over(2))
+        self.polls.add(self.upstreams[0], 0.1)
+        self.polls.add(self.upstreams[1], 0.1)
+        self.assertTrue(self.polls.is_complete(2))
 
     def test_nobody_is_asked_over_a_full_link(self) -> None:
         """Guards against calls that ask until they are late."""
-        self.assertTrue(polls.is_worth(0.05, 1.0))
-        self.assertFalse(polls.is_worth(0.15, 1.0))
+        self.assertTrue(polls.is_worthwhile(0.05, 1.0))
+        self.assertFalse(polls.is_worthwhile(0.15, 1.0))
 
 
 class FreeSlotTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/requests/load/test_queues.py
+++ b/tests/requests/load/test_queues.py
@@ -7,7 +7,7 @@
 
 from merlintrestle.requests.load import slots
 from tests.requests import builders
-from tests.requests.load import plays
+from tests.requests.load import simulations
 from tools import model
 
 _LOOKUP = builders.build_plan(
@@ -27,16 +27,16 @@
         """
 
         async def run() -> list[float]:
-            played = plays.Play(2)
-            held = [await played.take(_LOOKUP, 0.4) for _ in range(2)]
+            played = simulations.Simulation(2)
+            held = [await played.occupy(_LOOKUP, 0.4) for _ in range(2)]
             turns: list[float] = []
             waiting = [
-                asyncio.create_task(played.wait(_LOOKUP, due, turns))
+                asyncio.create_task(played.wait_for_slot(_LOOKUP, due, turns))
                 for due in dues
             ]
             await asyncio.sleep(0)
             for call in held:
-                played.give_back(call)
+                played.release(call)
             await asyncio.gather(*waiting)
             return turns
 
@@ -67,15 +67,15 @@
         """
 
         async def run() -> None:
-            played = plays.Play(1)
-            await played.take(_LOOKUP, 0.4)
+            played = simulations.Simulation(1)
+            await played.occupy(_LOOKUP, 0.4)
             turns: list[float] = []
             rivals = [
-                asyncio.create_task(played.wait(_LOOKUP, 0.4, turns))
+                asyncio.create_task(played.wait_for_slot(_LOOKUP, 0.4, turns))
                 for _ in range(slots.WAITING_PER_SLOT * 2)
             ]
             await asyncio.sleep(0)
-            self.assertIsNotNone(await played.ask(_LOOKUP, 0.0))
+            self.assertIsNotNone(await played.request_slot(_LOOKUP, 0.0))
             for rival in rivals:
                 rival.cancel()
 
@@ -96,13 +96,15 @@
         """
         in_time, late = [], []
         for work_s in (0.08, 0.13, 0.2):
-            played = plays.play(
+            played = simulations.simulate(
                 _SLOTS,
                 30.0,
-                plays.Callers(_LOOKUP, 1.1 * _SLOTS / work_s, work_s, 2.5, 2),
+                simulations.Callers(
+                    _LOOKUP, 1.1 * _SLOTS / work_s, work_s, 2.5, 2
+                ),
             )
-            in_time.append(played.get_part("lookup", "in time"))
-            late.append(played.get_part("lookup", "late"))
+            in_time.append(played.get_ratio("lookup", "in time"))
+            late.append(played.get_ratio("lookup", "late"))
         self.assertGreater(sum(in_time) / 3, 0.7)
         self.assertLess(sum(late) / 3, 0.12)
 
@@ -114,10 +116,10 @@
         """
         payout = _LOOKUP._replace(name="payout", latency_s=0.5, importance=4)
         check = payout._replace(name="check", latency_s=0.12)
-        played = plays.play(
+        played = simulations.simulate(
             _SLOTS,
             30.0,
-            plays.Callers(payout, 1.2 * _SLOTS / 0.16, 0.16, 1.2, 1),
-            plays.Callers(check, 0.3 * _SLOTS / 0.03, 0.03, 0.4, 0),
+            simulations.Callers(payout, 1.2 * _SLOTS / 0.16, 0.16, 1.2, 1),
+            simulations.Callers(check, 0.3 * _SLOTS / 0.03, 0.03, 0.4, 0),
         )
-        self.assertLess(played.get_part("check", "refused"), 0.01)
+        self.assertLess(played.get_ratio("check", "refused"), 0.01)
--- a/tests/requests/load/test_repeats.py
+++ b/tests/requests/load/test_repeats.py
@@ -15,18 +15,18 @@
 
     def test_part_of_running_calls(self) -> None:
         running = repeats.Repeats()
-        self.assertEqual(running.get_part(), 0.0)
+        self.assertEqual(running.get_ratio(), 0.0)
         first, second = builders.build_call(), builders.build_call()
         second.repeat = True
         begun = [running.begin(first), running.begin(second)]
-        self.assertEqual(running.get_part(), 0.5)
+        self.assertEqual(running.get_ratio(), 0.5)
         # It is sent anew elsewhere; this run of it stays the first one.
         first.repeat = True
         for repeat in begun:
             running.end(repeat)
-        self.assertEqual(running.get_part(), 0.0)
+        self.assertEqual(running.get_ratio(), 0.0)
         running.begin(builders.build_call())
-        self.assertEqual(running.get_part(), 0.0)
+        self.assertEqual(running.get_ratio(), 0.0)
 
     async def test_daemon_beside_knows_of_a_repeat(self) -> None:
         """The bound holds although calls do not tell who makes them.
@@ -44,7 +44,7 @@
                 assert request.transport is not None
                 request.transport.abort()
                 return web.Response()
-            parts.extend(n.proxy._beside.repeats.get_part() for n in nodes[1:])
+            parts.extend(n.proxy._beside.repeats.get_ratio() for n in nodes[1:])
             return web.Response(body=b"ok")
 
         async with builders.run_nodes(3, handler=answer) as nodes:
@@ -56,5 +56,5 @@
                 got = await client.get(near.url + "/x")
             self.assertEqual(got.status, 200)
             self.assertEqual(sorted(parts), [0.0, 1.0])
-            left = [n.proxy._beside.repeats.get_part() for n in nodes]
+            left = [n.proxy._beside.repeats.get_ratio() for n in nodes]
             self.assertEqual(left, [0.0, 0.0, 0.0])
--- a/tests/requests/load/test_joining.py
+++ b/tests/requests/load/test_startup.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from merlintrestle.requests.load import joining
+from merlintrestle.requests.load import startup
 from tests.requests import builders
 from tests.requests import fakes
 
@@ -14,7 +14,7 @@
     def setUp(self) -> None:
         self.clock = fakes.Clock()
         self.table = fakes.Table()
-        self.joining = joining.Joining(self.table, self.clock.get_time)
+        self.joining = startup.StartupWait(self.table, self.clock.get_time)
 
     def ask(self) -> asyncio.Task[bool]:
         """Has a call with a latency target of 0.4 s ask for an upstream."""
@@ -52,6 +52,6 @@
         is there.
         """
         self.joining.begin()
-        self.clock.now += joining.JOIN_S
+        self.clock.now += startup.STARTUP_S
         self.assertFalse(await self.ask())
         self.assertEqual(self.joining.retry_after_s, 1.0)
--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -182,7 +182,11 @@
             nodes[2].holder.running = None
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.begun.acquire()
-            while not nodes[0].picker.observe(closed.member_id).refused_until:
+            while (
+                not nodes[0]
+                .picker.get_observation(closed.member_id)
+                .backoff_until
+            ):
                 await asyncio.sleep(0)
             self.go_on.set()
             self.assertEqual(await (await call).read(), b"whole")
@@ -229,7 +233,7 @@
             )
             await self.wait_for_questions(3)
             sent = [
-                nodes[0].picker.observe(one.member_id).in_flight
+                nodes[0].picker.get_observation(one.member_id).in_flight
                 for one in nodes
             ]
             self.assertEqual(sum(sent), 1)
@@ -368,11 +372,11 @@
         builders.answer_questions(self, probes.View(False), self.asked.set)
         async with relays.connect(self.wait) as (nodes, _, client):
             budget = nodes[0].budget
-            before = budget.left
+            before = budget.balance
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             for _ in range(3):
                 self.asked.clear()
                 await self.asked.wait()
-            self.assertGreaterEqual(budget.left, before)
+            self.assertGreaterEqual(budget.balance, before)
             self.go_on.set()
             self.assertEqual(await (await call).read(), b"whole")
--- a/tests/requests/serving/test_progress.py
+++ b/tests/requests/serving/test_progress.py
@@ -7,7 +7,7 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.load import budgets
 from merlintrestle.requests.load import retries
-from merlintrestle.requests.load import ways
+from merlintrestle.requests.load import round_trips
 from merlintrestle.requests.serving import progress
 from merlintrestle.requests.serving import tries
 from tests.requests import builders
@@ -27,7 +27,7 @@
             budgets.Bounds(0.0, 5.0, 10.0), fakes.Clock().get_time
         )
         self.call = builders.build_call(plan=builders.build_plan())
-        self.way = ways.Way(fakes.Clock().get_time)
+        self.way = round_trips.RoundTripTime(fakes.Clock().get_time)
         self.progress = progress.Progress(
             self.call, self.budget, tries.Tries(), self.way
         )
@@ -47,7 +47,7 @@
         """
         self.assertTrue(self.send_again(_TURNED_AWAY))
         self.assertTrue(self.send_again(_TURNED_AWAY))
-        self.assertEqual(self.budget.left, 3.0)
+        self.assertEqual(self.budget.balance, 3.0)
 
     def test_call_that_may_have_run_is_sent_once_more_at_most(self) -> None:
         self.assertTrue(self.send_again(_BROKE))
--- a/tools/model.py
+++ b/tools/model.py
@@ -26,8 +26,8 @@
 from merlintrestle.requests.load import budgets
 from merlintrestle.requests.load import loads
 from merlintrestle.requests.load import picking
+from merlintrestle.requests.load import refused_callers
 from merlintrestle.requests.load import repeats
-from merlintrestle.requests.load import urgency
 from merlintrestle.requests.serving import dispatch as dispatches
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import headers
@@ -219,7 +219,7 @@
         self.backend = own
         holder: Any = _Holder()
         self._slots = admission.Admission(own, holder, play.table, loop.time)
-        self.returns = urgency.Returns(loop.time)
+        self.returns = refused_callers.RefusedCallers(loop.time)
         self.repeats = repeats.Repeats()
         bounds = budgets.Budgets(play.table.count_usable, loop.time)
         bounds.set_bounds(RETRY_RATIO, 64.0, 10.0)
@@ -429,7 +429,7 @@
         until: float,
     ) -> outcomes.Outcome:
         now = self._loop.time()
-        since = daemon.returns.find(asks_for, until) or now
+        since = daemon.returns.pop(asks_for, until) or now
         due = since + work.plan.latency_s
         deadline = min(until, now + work.plan.deadline_s)
         self.requests[work.plan.service] += 1
@@ -437,7 +437,7 @@
         if isinstance(outcome, outcomes.Answered):
             outcome.release()
         else:
-            daemon.returns.note(asks_for, until, since)
+            daemon.returns.add(asks_for, until, since)
         return outcome
 
     def _count(
