--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -74,7 +74,7 @@
     return Surroundings(
         store,
         sources.StoreSource(store),
-        dialects.OwnDialect(),
+        dialects.NativeDialect(),
         timings.Timing(),
     )
 
--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -10,8 +10,8 @@
 import multidict
 
 from merlintrestle.requests.calls import dialect as dialects
-from merlintrestle.requests.calls import intake
 from merlintrestle.requests.calls import outcomes
+from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.calls import routing
 from merlintrestle.requests.transport import answers
 from merlintrestle.requests.transport import headers
@@ -67,15 +67,15 @@
     )
 
 
-@dialects.read_asked.register(PlatformDialect)
+@dialects.read_metadata.register(PlatformDialect)
 def _read_asked(
     dialect: PlatformDialect, request: web.BaseRequest
-) -> intake.Asked:
-    return intake.Asked(
+) -> parsing.CallMetadata:
+    return parsing.CallMetadata(
         headers.read_number(request.headers, _DEADLINE),
         request.headers.get(_ATTEMPT_ID, ""),
         dialect.service,
-        comes_back=True,
+        retries_keep_deadline=True,
     )
 
 
@@ -110,7 +110,7 @@
     A call that did not run before its deadline is refused by 503: 504 would
     leave the caller of work that may not be repeated in doubt.
     """
-    timed_out = outcome.status == outcomes.TIMED_OUT
+    timed_out = outcome.status == outcomes.TIMEOUT_STATUS
     if isinstance(outcome, outcomes.NotRun) and timed_out:
         return _UNAVAILABLE
     return outcome.status
@@ -143,7 +143,7 @@
     return not call.request_id or _is_refusal(answer)
 
 
-@dialects.judge_answer.register(PlatformDialect)
+@dialects.check_answer.register(PlatformDialect)
 def _judge_answer(
     dialect: PlatformDialect, answer: answers.Answer
 ) -> outcomes.Failure | None:
@@ -170,6 +170,6 @@
     return answer.status == _WRONG_INSTANCE or _NOT_RUN in answer.headers
 
 
-@dialects.accepts_unframed.register(PlatformDialect)
+@dialects.accepts_unframed_answers.register(PlatformDialect)
 def _accepts_unframed(dialect: PlatformDialect) -> bool:
     return True
--- a/merlintrestle/requests/calls/call.py
+++ b/merlintrestle/requests/calls/call.py
@@ -22,7 +22,7 @@
     """How long a call may wait for a slot where the caller's daemon sent it."""
 
     # As long as its latency target allows.
-    USUAL = enum.auto()
+    NORMAL = enum.auto()
     # A part of that; it is to go elsewhere then.
     SHORT = enum.auto()
     # Not at all.
@@ -43,9 +43,9 @@
         body: Its body.
         deadline: Time of the event loop at which the caller must have its
             final answer, in seconds.
-        due: Time of the event loop at which its latency target is over, in
-            seconds, counted from the caller's first attempt.
-        way_back_s: What a refusal needs to reach the caller's daemon, in
+        latency_deadline: Time of the event loop at which its latency target is
+            over, in seconds, counted from the caller's first attempt.
+        return_trip_s: What a refusal needs to reach the caller's daemon, in
             seconds. It is an estimate, so it never ends work that runs.
         depth: Calls above this one.
         attempt: More than 0 if this call is a retry, or if a call above it
@@ -70,13 +70,13 @@
     headers: multidict.CIMultiDict[str]
     body: bodies.Body
     deadline: float
-    due: float
+    latency_deadline: float
     depth: int
     attempt: int
     key: str
-    way_back_s: float = 0.0
+    return_trip_s: float = 0.0
     repeat: bool = False
-    wait: Wait = Wait.USUAL
+    wait: Wait = Wait.NORMAL
     admitted_at: float = 0.0
     suspect: bool = False
     request_id: str = ""
@@ -90,9 +90,9 @@
     @property
     def refuse_by(self) -> float:
         """Time of the event loop by which it begins, or is refused."""
-        return self.deadline - self.way_back_s
+        return self.deadline - self.return_trip_s
 
-    def get_left_ms(self) -> int:
+    def get_remaining_ms(self) -> int:
         """Returns the milliseconds until its deadline; below 0: it is over."""
         left_s = self.deadline - asyncio.get_running_loop().time()
         return math.floor(left_s * 1000)
--- a/merlintrestle/requests/calls/dialect.py
+++ b/merlintrestle/requests/calls/dialect.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle import generics
-from merlintrestle.requests.calls import intake
 from merlintrestle.requests.calls import outcomes
+from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.transport import headers
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OwnDialect:
+class NativeDialect:
     """Paths that begin with a service, and `Merlintrestle-` headers."""
 
 
@@ -42,7 +42,9 @@
 
 @generics.remember_choices
 @functools.singledispatch
-def read_asked(dialect: object, request: web.BaseRequest) -> intake.Asked:
+def read_metadata(
+    dialect: object, request: web.BaseRequest
+) -> parsing.CallMetadata:
     """Returns what a caller's headers ask for."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
@@ -91,7 +93,7 @@
 
 @generics.remember_choices
 @functools.singledispatch
-def judge_answer(
+def check_answer(
     dialect: object, answer: answers.Answer
 ) -> outcomes.Failure | None:
     """Returns what an answer of the backend server says beside itself.
@@ -104,40 +106,42 @@
 
 @generics.remember_choices
 @functools.singledispatch
-def accepts_unframed(dialect: object) -> bool:
+def accepts_unframed_answers(dialect: object) -> bool:
     """Returns whether an answer may end with its connection alone."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@match_caller.register(OwnDialect)
+@match_caller.register(NativeDialect)
 def _match_caller(
-    dialect: OwnDialect, running: snapshot.Snapshot, request: web.BaseRequest
+    dialect: NativeDialect, running: snapshot.Snapshot, request: web.BaseRequest
 ) -> routing.Match | outcomes.NotRun:
-    return intake.match_caller(running, request)
+    return parsing.match_caller(running, request)
 
 
-@read_asked.register(OwnDialect)
-def _read_asked(dialect: OwnDialect, request: web.BaseRequest) -> intake.Asked:
-    return intake.read_asked(request)
+@read_metadata.register(NativeDialect)
+def _read_asked(
+    dialect: NativeDialect, request: web.BaseRequest
+) -> parsing.CallMetadata:
+    return parsing.read_metadata(request)
 
 
-@may_be_nested.register(OwnDialect)
+@may_be_nested.register(NativeDialect)
 def _may_be_nested(
-    dialect: OwnDialect, request: web.BaseRequest, working: bool
+    dialect: NativeDialect, request: web.BaseRequest, working: bool
 ) -> bool:
-    return intake.get_depth(request) > 0
+    return parsing.get_depth(request) > 0
 
 
-@render.register(OwnDialect)
+@render.register(NativeDialect)
 def _render(
-    dialect: OwnDialect, outcome: outcomes.Failure, request: web.BaseRequest
+    dialect: NativeDialect, outcome: outcomes.Failure, request: web.BaseRequest
 ) -> web.Response:
     return outcomes.render(outcome)
 
 
-@build_backend_headers.register(OwnDialect)
+@build_backend_headers.register(NativeDialect)
 def _build_backend_headers(
-    dialect: OwnDialect, call: calls.Call, own: backends.OwnBackend
+    dialect: NativeDialect, call: calls.Call, own: backends.OwnBackend
 ) -> multidict.CIMultiDict[str]:
     left_s = call.deadline - asyncio.get_running_loop().time()
     sent = call.headers.copy()
@@ -152,20 +156,20 @@
     return sent
 
 
-@is_answer_to.register(OwnDialect)
+@is_answer_to.register(NativeDialect)
 def _is_answer_to(
-    dialect: OwnDialect, answer: answers.Answer, call: calls.Call
+    dialect: NativeDialect, answer: answers.Answer, call: calls.Call
 ) -> bool:
     return True
 
 
-@judge_answer.register(OwnDialect)
+@check_answer.register(NativeDialect)
 def _judge_answer(
-    dialect: OwnDialect, answer: answers.Answer
+    dialect: NativeDialect, answer: answers.Answer
 ) -> outcomes.Failure | None:
     return None
 
 
-@accepts_unframed.register(OwnDialect)
-def _accepts_unframed(dialect: OwnDialect) -> bool:
+@accepts_unframed_answers.register(NativeDialect)
+def _accepts_unframed(dialect: NativeDialect) -> bool:
     return False
--- a/merlintrestle/requests/calls/doubts.py
+++ b/merlintrestle/requests/calls/doubts.py
@@ -22,6 +22,6 @@
     ANSWER_MISSING = enum.auto()
 
     @property
-    def of_connection(self) -> bool:
+    def concerns_connection_only(self) -> bool:
         """True if the connection alone is doubtful, and not its peer."""
         return self in (Doubt.NOT_ARRIVED, Doubt.ANSWER_MISSING)
--- a/merlintrestle/requests/calls/passing.py
+++ b/merlintrestle/requests/calls/metadata.py
@@ -9,7 +9,7 @@
 import re
 
 from merlintrestle.requests.calls import call as calls
-from merlintrestle.requests.calls import intake
+from merlintrestle.requests.calls import parsing
 
 _SEPARATOR = " "
 # Blanks at the end of a header are no part of it, and an id may be empty.
@@ -23,34 +23,34 @@
 _PLACES = 6
 
 
-def encode_asked(asked: intake.Asked) -> str:
+def encode_metadata(asked: parsing.CallMetadata) -> str:
     """Returns the text of the header; a time limit must be stated."""
     flags = _SUSPECT if asked.suspect else ""
     flags += _WAITS.get(asked.wait, "")
     if asked.repeat:
         flags += _REPEAT
-    if asked.way_back_ms:
-        flags += str(asked.way_back_ms)
+    if asked.return_trip_ms:
+        flags += str(asked.return_trip_ms)
     return (
-        f"{asked.limit_ms} {asked.waited_ms} {asked.depth} {asked.attempt}"
+        f"{asked.timeout_ms} {asked.waited_ms} {asked.depth} {asked.attempt}"
         f" {flags} {asked.origin} {asked.request_id}{_END}"
     )
 
 
-def decode_asked(text: str | None) -> intake.Asked | None:
+def decode_metadata(text: str | None) -> parsing.CallMetadata | None:
     """Returns what a header asks for; None: it is malformed.
 
     Args:
         text: Its text; None: there is no such header, so nothing is asked.
     """
     if text is None:
-        return intake.Asked(None)
+        return parsing.CallMetadata(None)
     parts = text.removesuffix(_END).split(_SEPARATOR, _PLACES)
     if len(parts) <= _PLACES:
         return None
     limit, waited, depth, attempt, flags, origin, request_id = parts
     try:
-        return intake.Asked(
+        return parsing.CallMetadata(
             int(limit),
             request_id,
             origin,
@@ -60,7 +60,7 @@
             suspect=_SUSPECT in flags,
             wait=_read_wait(flags),
             repeat=_REPEAT in flags,
-            way_back_ms=_read_way_back(flags),
+            return_trip_ms=_read_way_back(flags),
         )
     except ValueError:
         return None
@@ -70,7 +70,7 @@
     for wait, flag in _WAITS.items():
         if flag in flags:
             return wait
-    return calls.Wait.USUAL
+    return calls.Wait.NORMAL
 
 
 def _read_way_back(flags: str) -> int:
--- a/merlintrestle/requests/calls/outcomes.py
+++ b/merlintrestle/requests/calls/outcomes.py
@@ -21,11 +21,11 @@
 
 
 # Status by which a backend server sheds load.
-SHEDDING = 503
+SHEDDING_STATUS = 503
 # Least status of a failure of the backend server.
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 # Status of an answer that did not come in time.
-TIMED_OUT = 504
+TIMEOUT_STATUS = 504
 
 
 @dataclasses.dataclass(slots=True)
@@ -35,24 +35,24 @@
     Attributes:
         response: The answer, its headers read.
         body: Its whole body; None: to be passed on in pieces.
-        leaves: What frees what the call holds, in this order.
-        cut: True if its body broke off.
+        release_callbacks: What frees what the call holds, in this order.
+        truncated: True if its body broke off.
     """
 
     response: answers.Answer
     body: bytes | None
-    leaves: list[Callable[[], None]]
-    cut: bool = False
+    release_callbacks: list[Callable[[], None]]
+    truncated: bool = False
 
-    def hold(self, leave: Callable[[], None]) -> None:
+    def add_release_callback(self, leave: Callable[[], None]) -> None:
         """Has something else freed as well once the body has ended."""
-        self.leaves.append(leave)
+        self.release_callbacks.append(leave)
 
     def release(self) -> None:
         """Frees what the call holds; called once its body has ended."""
         # What is freed refers to this outcome. Left in the list, it would keep
         # the call in memory until the garbage collector stops all others.
-        leaves, self.leaves = self.leaves, []
+        leaves, self.release_callbacks = self.release_callbacks, []
         for leave in leaves:
             leave()
 
@@ -139,10 +139,14 @@
 Outcome = Answered | Replayed | NotRun | Ran | Unknown
 Failure = NotRun | Ran | Unknown
 # What logs and metrics call the failures.
-NAMES: dict[type, str] = {NotRun: "refused", Ran: "failed", Unknown: "unknown"}
+FAILURE_NAMES: dict[type, str] = {
+    NotRun: "refused",
+    Ran: "failed",
+    Unknown: "unknown",
+}
 
 
-def drop(task: asyncio.Future[Outcome]) -> None:
+def release_unused(task: asyncio.Future[Outcome]) -> None:
     """Frees what the answer of a send that has ended unneeded holds."""
     if task.cancelled() or task.exception() is not None:
         return
--- a/merlintrestle/requests/calls/intake.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -37,36 +37,36 @@
     return _check_key(request, match.plan) or match
 
 
-class Asked(NamedTuple):
+class CallMetadata(NamedTuple):
     """What the headers of a request ask for.
 
     Attributes:
-        limit_ms: Milliseconds that the caller waits; None: not stated.
+        timeout_ms: Milliseconds that the caller waits; None: not stated.
         request_id: Id that the caller gave the request; empty: none.
         origin: Service of the instance at which it began; empty: not known.
         depth: Calls above it.
         attempt: More than 0 if it is a retry, or will be retried from above.
         waited_ms: Milliseconds since the caller's first attempt.
-        comes_back: True if a caller that comes back says nothing of its first
-            attempt, and states the end of its wait as before.
+        retries_keep_deadline: True if a caller that comes back says nothing of
+            its first attempt, and states the end of its wait as before.
         suspect: True if the call broke a connection before.
         wait: How long it may wait for a slot of the backend server.
         repeat: True if a backend server may have been sent it before.
-        way_back_ms: Milliseconds of the limit that a refusal needs to be back
-            in time.
+        return_trip_ms: Milliseconds of the limit that a refusal needs to be
+            back in time.
     """
 
-    limit_ms: int | None
+    timeout_ms: int | None
     request_id: str = ""
     origin: str = ""
     depth: int = 0
     attempt: int = 0
     waited_ms: int = 0
-    comes_back: bool = False
+    retries_keep_deadline: bool = False
     suspect: bool = False
-    wait: calls.Wait = calls.Wait.USUAL
+    wait: calls.Wait = calls.Wait.NORMAL
     repeat: bool = False
-    way_back_ms: int = 0
+    return_trip_ms: int = 0
 
 
 def match_peer(request: web.BaseRequest) -> routing.Match | outcomes.NotRun:
@@ -80,10 +80,10 @@
     return _check_key(request, plan) or routing.Match(service, plan, path[end:])
 
 
-def read_asked(request: web.BaseRequest) -> Asked:
+def read_metadata(request: web.BaseRequest) -> CallMetadata:
     """Returns what the product's own headers ask for."""
     sent = request.headers
-    return Asked(
+    return CallMetadata(
         headers.read_number(sent, headers.DEADLINE),
         depth=get_depth(request),
         attempt=headers.read_number(sent, headers.ATTEMPT) or 0,
@@ -98,7 +98,7 @@
 async def read_call(
     request: web.BaseRequest,
     match: routing.Match,
-    asked: Asked,
+    asked: CallMetadata,
     began: float,
 ) -> calls.Call | outcomes.NotRun:
     """Reads a request, its body too if it is small.
@@ -111,8 +111,8 @@
     """
     plan = match.plan
     limit_s = plan.deadline_s
-    if asked.limit_ms is not None:
-        limit_s = min(limit_s, asked.limit_ms / 1000)
+    if asked.timeout_ms is not None:
+        limit_s = min(limit_s, asked.timeout_ms / 1000)
     deadline = began + limit_s
     try:
         body = await bodies.read_body(
@@ -129,8 +129,8 @@
         headers=headers.copy_end_to_end(request.headers),
         body=body,
         deadline=deadline,
-        way_back_s=asked.way_back_ms / 1000,
-        due=began - asked.waited_ms / 1000 + plan.latency_s,
+        return_trip_s=asked.return_trip_ms / 1000,
+        latency_deadline=began - asked.waited_ms / 1000 + plan.latency_s,
         depth=asked.depth,
         attempt=asked.attempt,
         key=request.headers.get(headers.KEY, ""),
--- a/merlintrestle/requests/crashing/crashes.py
+++ b/merlintrestle/requests/crashing/crashes.py
@@ -23,7 +23,7 @@
 _SUSPECT_WAIT_S = 1.0
 
 
-class Crashes:
+class CrashTracker:
     """Finds out which request crashes backend servers, and blocks it.
 
     All requests in flight at a crash get a strike, for any may be the cause.
@@ -42,7 +42,7 @@
         self.strikes = strikes.Strikes()
         self.send_strike: Callable[[control_pb2.Strike], None] = _ignore
         self._backend = backend
-        backend.on_down = self.note_crash
+        backend.on_down = self.record_crash
         self._running: dict[int, calls.Call] = {}
         self._broken: list[calls.Call] = []
         self._checking: asyncio.Task[None] | None = None
@@ -61,7 +61,7 @@
             blocked_s,
         )
 
-    async def enter_suspect(
+    async def acquire_suspect_slot(
         self, call: calls.Call
     ) -> outcomes.NotRun | Callable[[], None] | None:
         """Has a suspect wait until it is the only one here.
@@ -96,7 +96,7 @@
         if answered and self.strikes:
             self.strikes.clear(call.get_identity())
 
-    def note_break(self) -> None:
+    def record_disconnect(self) -> None:
         """Notes that the connection of a call to the backend server broke.
 
         Whether the server crashed shows by a connection that is refused. What
@@ -106,7 +106,7 @@
             self._broken = list(self._running.values())
             self._checking = asyncio.create_task(self._check())
 
-    def note_crash(self) -> None:
+    def record_crash(self) -> None:
         """Strikes what was in flight: the backend server is gone.
 
         Called once for each crash, when the server is found to be gone; calls
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -88,7 +88,7 @@
             return refusals.refuse_late()
         # Calls of other classes may wait: those that had room were woken.
         room = not queue.waiting and self._slots.has_room(queue)
-        if call.wait is not calls.Wait.USUAL:
+        if call.wait is not calls.Wait.NORMAL:
             refusal = self._waits.check(queue, call, room)
             if refusal is not None:
                 return refusal
--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -89,7 +89,9 @@
         own_s = self.get_seconds(means.size + means.spread)
         least_s = means.head_s + own_s
         # Judged by progress, a long transfer has no latency target to miss.
-        late = call.plan.large or self.get_time() + least_s > call.due
+        late = (
+            call.plan.large or self.get_time() + least_s > call.latency_deadline
+        )
         before = self._count_before(reservations.get_order(call, late))
         before_s = self.get_seconds(before)
         # Only its claim tells whether a call with a key has run before; by
@@ -234,7 +236,7 @@
         now = self.get_time()
         plan = call.plan
         if not late:
-            if now + needed_s <= call.due:
+            if now + needed_s <= call.latency_deadline:
                 return True
             self._full_until = now + plan.latency_s
             return False
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -258,8 +258,10 @@
     began: float,
     work_s: float,
 ) -> None:
-    observation.record_result(outcome.response.status < outcomes.SERVER_ERROR)
-    if outcome.response.status == outcomes.SHEDDING:
+    observation.record_result(
+        outcome.response.status < outcomes.MIN_SERVER_ERROR_STATUS
+    )
+    if outcome.response.status == outcomes.SHEDDING_STATUS:
         observation.record_refusal(now, work_s)
     else:
         observation.record_answer(now, now - began, work_s)
--- a/merlintrestle/requests/load/polls.py
+++ b/merlintrestle/requests/load/polls.py
@@ -69,5 +69,5 @@
         near: It is in the own availability zone.
     """
     if known:
-        return calls.Wait.USUAL
+        return calls.Wait.NORMAL
     return calls.Wait.SHORT if near else calls.Wait.NONE
--- a/merlintrestle/requests/load/reservations.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -164,7 +164,7 @@
         self.record_size(size)
         if (
             self._link.get_time() + self._link.get_seconds(size)
-            > self._call.due
+            > self._call.latency_deadline
         ):
             # Larger than others of its class, it misses its target in any
             # case; going first, it would have all others miss theirs.
@@ -254,4 +254,4 @@
 
 def get_order(call: calls.Call, late: bool) -> tuple[bool, float]:
     """Returns when the answer of a call goes, as `Transfer.order`."""
-    return late, call.deadline if late else call.due
+    return late, call.deadline if late else call.latency_deadline
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -60,7 +60,10 @@
 
 @classify.register
 def _classify_answered(outcome: outcomes.Answered, call: calls.Call) -> Retry:
-    if outcome.response.status == outcomes.SHEDDING and call.plan.repeatable:
+    if (
+        outcome.response.status == outcomes.SHEDDING_STATUS
+        and call.plan.repeatable
+    ):
         return _limit(call)
     return Retry.NO
 
--- a/merlintrestle/requests/load/waits.py
+++ b/merlintrestle/requests/load/waits.py
@@ -51,7 +51,9 @@
         expected_s = self._slots.estimate_wait(
             queue, _build_waiter(queue, call, now)
         )
-        short = expected_s <= _SHORT_PART * queue.get_patience(call.due - now)
+        short = expected_s <= _SHORT_PART * queue.get_patience(
+            call.latency_deadline - now
+        )
         if sound and short and call.wait is calls.Wait.SHORT:
             return None
         expected_s += queue.hold_s * (1 / self._acceptance.get() - 1)
@@ -107,7 +109,7 @@
         """Returns how long a call may wait for a slot, in seconds."""
         left_s = call.refuse_by - now - queue.hold_s
         if not late:
-            return min(queue.get_patience(call.due - now), left_s)
+            return min(queue.get_patience(call.latency_deadline - now), left_s)
         if now < self._full_until:
             return 0.0
         return min(queue.get_late_patience(), left_s / 2)
@@ -137,6 +139,6 @@
 def _build_waiter(
     queue: queues.ClassQueue, call: calls.Call, now: float
 ) -> queues.Waiter:
-    late = queue.is_late(call.due - now)
+    late = queue.is_late(call.latency_deadline - now)
     granted = asyncio.get_running_loop().create_future()
-    return queues.Waiter(late, call.due, granted)
+    return queues.Waiter(late, call.latency_deadline, granted)
--- a/merlintrestle/requests/reports/latencies.py
+++ b/merlintrestle/requests/reports/latencies.py
@@ -109,7 +109,7 @@
 def _name_outcome(outcome: outcomes.Outcome) -> str:
     if isinstance(outcome, outcomes.Answered):
         failed = outcome.response.status >= _SERVER_ERROR
-        return "failed" if failed or outcome.cut else "answered"
+        return "failed" if failed or outcome.truncated else "answered"
     if isinstance(outcome, outcomes.Replayed):
         return "answered"
-    return outcomes.NAMES[type(outcome)]
+    return outcomes.FAILURE_NAMES[type(outcome)]
--- a/merlintrestle/requests/reports/statistics.py
+++ b/merlintrestle/requests/reports/statistics.py
@@ -163,7 +163,7 @@
 def _count_answered(
     outcome: outcomes.Answered, counts: Counts, in_time: bool
 ) -> None:
-    if outcome.cut or outcome.response.status >= _SERVER_ERROR:
+    if outcome.truncated or outcome.response.status >= _SERVER_ERROR:
         counts.failed += 1
         return
     counts.answered += 1
--- a/merlintrestle/requests/reports/stories.py
+++ b/merlintrestle/requests/reports/stories.py
@@ -126,15 +126,17 @@
     elapsed_ms = round(elapsed_s * 1000)
     if isinstance(outcome, outcomes.Answered):
         status = outcome.response.status
-        good = status < outcomes.SERVER_ERROR and not outcome.cut
-        end = "answer cut" if outcome.cut else "answered"
+        good = (
+            status < outcomes.MIN_SERVER_ERROR_STATUS and not outcome.truncated
+        )
+        end = "answer cut" if outcome.truncated else "answered"
         story.end(end, good, status=status, elapsed_ms=elapsed_ms)
         return
     if isinstance(outcome, outcomes.Replayed):
         story.end("answered again", True, status=outcome.status)
         return
     story.end(
-        outcomes.NAMES[type(outcome)],
+        outcomes.FAILURE_NAMES[type(outcome)],
         False,
         status=outcome.status,
         reason=outcome.reason,
@@ -149,4 +151,7 @@
         return {"outcome": "answered", "status": outcome.response.status}
     if isinstance(outcome, outcomes.Replayed):
         return {"outcome": "answered again", "status": outcome.status}
-    return {"outcome": outcomes.NAMES[type(outcome)], "reason": outcome.reason}
+    return {
+        "outcome": outcomes.FAILURE_NAMES[type(outcome)],
+        "reason": outcome.reason,
+    }
--- a/merlintrestle/requests/serving/answering.py
+++ b/merlintrestle/requests/serving/answering.py
@@ -79,7 +79,7 @@
     try:
         return await streams.relay(request, answered, progress, added, send)
     except (aiohttp.ClientError, OSError) as error:
-        answered.cut = isinstance(error, aiohttp.ClientError)
+        answered.truncated = isinstance(error, aiohttp.ClientError)
         raise ConnectionError("the answer was cut") from error
     finally:
         answered.release()
--- a/merlintrestle/requests/serving/beside.py
+++ b/merlintrestle/requests/serving/beside.py
@@ -8,7 +8,7 @@
 
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.load import repeats
-from merlintrestle.requests.unrepeatable import once
+from merlintrestle.requests.unrepeatable import at_most_once
 
 if TYPE_CHECKING:
     from merlintrestle.requests import backend as backends
@@ -41,7 +41,7 @@
         admission: admissions.Admission,
         forwarder: forwarding.Forwarder,
         claims: claims_.Claims,
-        crashes: crashes_.Crashes,
+        crashes: crashes_.CrashTracker,
         dialect: object,
         observer: parts.Observer,
     ):
@@ -53,13 +53,15 @@
         self._forwarder = forwarder
         self._crashes = crashes
         self.repeats = repeats.Repeats()
-        self.once = once.Once(claims, admission, self._forward)
+        self.once = at_most_once.AtMostOnceRunner(
+            claims, admission, self._forward
+        )
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
         """Admits a call and forwards it, or refuses it as not run."""
         if not self._observer.may_run():
             return _ANOTHER_VERSION
-        turn = await self._crashes.enter_suspect(call)
+        turn = await self._crashes.acquire_suspect_slot(call)
         if isinstance(turn, outcomes.NotRun):
             return turn
         if turn is None:
@@ -70,7 +72,7 @@
             turn()
             raise
         if isinstance(outcome, outcomes.Answered):
-            outcome.hold(turn)
+            outcome.add_release_callback(turn)
         else:
             turn()
         return outcome
@@ -90,7 +92,7 @@
             turnover_s = self._admission.estimate_retry_delay(call)
             outcome = dataclasses.replace(outcome, retry_after_s=turnover_s)
         if isinstance(outcome, outcomes.Answered):
-            outcome.hold(lambda: self._admission.release(call))
+            outcome.add_release_callback(lambda: self._admission.release(call))
         else:
             self._admission.release(call)
         return outcome
@@ -121,7 +123,7 @@
                 call.plan.name, _is_failure(outcome), time.monotonic() - began
             )
         if isinstance(outcome, outcomes.Answered):
-            outcome.hold(lambda: self.repeats.end(repeat))
+            outcome.add_release_callback(lambda: self.repeats.end(repeat))
         else:
             self.repeats.end(repeat)
         return outcome
@@ -136,22 +138,22 @@
     def _note(self, call: calls.Call, outcome: outcomes.Outcome) -> None:
         crashes = self._crashes
         if isinstance(outcome, outcomes.Answered):
-            outcome.hold(lambda: self._end(call, outcome))
+            outcome.add_release_callback(lambda: self._end(call, outcome))
             return
         if _shows_crash(outcome):
-            crashes.note_break()
+            crashes.record_disconnect()
         crashes.end(call, False)
 
     def _end(self, call: calls.Call, answered: outcomes.Answered) -> None:
-        if answered.cut:
-            self._crashes.note_break()
-        self._crashes.end(call, not answered.cut)
+        if answered.truncated:
+            self._crashes.record_disconnect()
+        self._crashes.end(call, not answered.truncated)
 
 
 def _is_failure(outcome: outcomes.Outcome) -> bool:
     """Returns whether the backend server failed a call that it took."""
     if isinstance(outcome, outcomes.Answered):
-        return outcome.response.status >= outcomes.SERVER_ERROR
+        return outcome.response.status >= outcomes.MIN_SERVER_ERROR_STATUS
     return True
 
 
--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle.requests.calls import dialect as dialects
-from merlintrestle.requests.calls import intake
 from merlintrestle.requests.calls import outcomes
+from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.load import refused_callers
 from merlintrestle.requests.reports import stories
 from merlintrestle.requests.serving import answering
@@ -74,7 +74,7 @@
         self._standing.enter()
         try:
             asked = self._read_asked(request, match, began)
-            call = await intake.read_call(request, match, asked, began)
+            call = await parsing.read_call(request, match, asked, began)
             if isinstance(call, outcomes.NotRun):
                 return self._refuse(call, request)
             call.story.add(
@@ -92,13 +92,13 @@
 
     def _read_asked(
         self, request: web.BaseRequest, match: routing.Match, began: float
-    ) -> intake.Asked:
+    ) -> parsing.CallMetadata:
         """Returns what a caller asks for, and since when."""
-        asked = dialects.read_asked(self._dialect, request)
-        if asked.limit_ms is None or not asked.comes_back:
+        asked = dialects.read_metadata(self._dialect, request)
+        if asked.timeout_ms is None or not asked.retries_keep_deadline:
             return asked
         since = self._returns.pop(
-            (match.route, request.raw_path), began + asked.limit_ms / 1000
+            (match.route, request.raw_path), began + asked.timeout_ms / 1000
         )
         if since is None:
             return asked
@@ -109,14 +109,14 @@
         request: web.BaseRequest,
         call: calls.Call,
         began: float,
-        asked: intake.Asked,
+        asked: parsing.CallMetadata,
     ) -> None:
         """Remembers a caller that got no answer, as it may come back."""
-        if asked.limit_ms is None or not asked.comes_back:
+        if asked.timeout_ms is None or not asked.retries_keep_deadline:
             return
         self._returns.add(
             (call.route, request.raw_path),
-            began + asked.limit_ms / 1000,
+            began + asked.timeout_ms / 1000,
             began - asked.waited_ms / 1000,
         )
 
@@ -125,7 +125,7 @@
         request: web.BaseRequest,
         call: calls.Call,
         began: float,
-        asked: intake.Asked,
+        asked: parsing.CallMetadata,
     ) -> web.StreamResponse:
         try:
             outcome = await answering.catch_body_error(self._dispatch.run(call))
@@ -151,9 +151,9 @@
         return dialects.render(self._dialect, refusal, request)
 
 
-def _name_limit(call: calls.Call, asked: intake.Asked) -> str:
+def _name_limit(call: calls.Call, asked: parsing.CallMetadata) -> str:
     """Returns whose limit ends the time of a call."""
-    limit_ms = asked.limit_ms
+    limit_ms = asked.timeout_ms
     if limit_ms is not None and limit_ms / 1000 < call.plan.deadline_s:
         return "caller"
     return "class of work"
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -122,7 +122,7 @@
                 tries=len(progress.tried),
                 reached=progress.reached,
                 budget=round(progress.budget.balance, 1),
-                left_ms=progress.call.get_left_ms(),
+                left_ms=progress.call.get_remaining_ms(),
             )
         return progress.outcome
 
@@ -182,7 +182,7 @@
         count = len(self._table.get_upstreams(call.service))
         others = progress.may_try(count)
         if (
-            (others or doubt.of_connection)
+            (others or doubt.concerns_connection_only)
             and progress.may_send_as_well()
             and progress.spend()
         ):
@@ -202,7 +202,7 @@
         """
         if others and self._try_another(progress):
             return
-        if doubtful.doubt.of_connection:
+        if doubtful.doubt.concerns_connection_only:
             again = tries_.Try(doubtful.one.upstream, anew=True)
             self._start(again, progress)
 
@@ -232,7 +232,7 @@
         view = self._picker.get_details(upstream, len(upstreams))
         call.story.add_later("picked", view.describe)
         # A body that is passed on in pieces cannot be offered to others.
-        wait = calls.Wait.USUAL
+        wait = calls.Wait.NORMAL
         way_s = self._way.get()
         if call.body.held is not None and polls.is_worthwhile(
             way_s, call.plan.latency_s
@@ -258,5 +258,5 @@
 def _counts(outcome: outcomes.Outcome) -> bool:
     """Returns whether an answer goes to the caller, whatever else runs."""
     if isinstance(outcome, outcomes.Answered):
-        return outcome.response.status != outcomes.SHEDDING
+        return outcome.response.status != outcomes.SHEDDING_STATUS
     return isinstance(outcome, outcomes.Replayed)
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -9,9 +9,9 @@
 from aiohttp import web
 
 from merlintrestle.requests.calls import dialect as dialects
-from merlintrestle.requests.calls import intake
+from merlintrestle.requests.calls import metadata
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.calls import passing
+from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.load import loads
 from merlintrestle.requests.reports import stories
 from merlintrestle.requests.serving import answering
@@ -35,7 +35,7 @@
 _BODILESS = (204, 304)
 _SUCCESSFUL = range(200, 300)
 
-_OWN_DIALECT = dialects.OwnDialect()
+_OWN_DIALECT = dialects.NativeDialect()
 _MALFORMED = outcomes.NotRun("what is passed on is malformed", 400, None)
 
 
@@ -80,22 +80,22 @@
         running = self._standing.get_running()
         if isinstance(running, outcomes.NotRun):
             return outcomes.render(running)
-        match = intake.match_peer(request)
+        match = parsing.match_peer(request)
         if isinstance(match, outcomes.NotRun):
             return outcomes.render(match)
-        asked = passing.decode_asked(request.headers.get(headers.PASSED))
+        asked = metadata.decode_metadata(request.headers.get(headers.PASSED))
         if asked is None:
             return outcomes.render(_MALFORMED)
         progress = self._registry.enter(call_id)
         self._standing.enter()
         try:
-            call = await intake.read_call(request, match, asked, began)
+            call = await parsing.read_call(request, match, asked, began)
             if isinstance(call, outcomes.NotRun):
                 return outcomes.render(call)
             call.story.add(
                 "passed on",
-                left_ms=asked.limit_ms,
-                way_back_ms=asked.way_back_ms,
+                left_ms=asked.timeout_ms,
+                way_back_ms=asked.return_trip_ms,
             )
             return await self._serve(request, call, began, progress, call_id)
         finally:
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -41,7 +41,7 @@
 
 events = event_logs.EventLog("requests")
 
-_OWN_DIALECT = dialects.OwnDialect()
+_OWN_DIALECT = dialects.NativeDialect()
 # Part of the bound of retries that calls sent anew to the same upstream add:
 # few of them reach it twice, as their connection was gone.
 _BESIDE_PART = 0.2
@@ -110,7 +110,7 @@
         self._link = links.OutgoingLink()
         self._forwarder = forwarding.Forwarder(
             self._beside_budgets,
-            dialects.accepts_unframed(dialect),
+            dialects.accepts_unframed_answers(dialect),
             self._traffics,
         )
         self.control_port = settings.control_port
@@ -119,13 +119,13 @@
             self._get_owner,
             store,
             leases.ClaimLease(store),
-            inquiries.Inquirer(self._recall_client),
+            inquiries.RetryingRecaller(self._recall_client),
             settings.claims,
             time.monotonic,
         )
-        self.recalls = recall.Recalls(claims)
+        self.recalls = recall.RecallServicer(claims)
         self._slots = slots = admission.Admission(self.backend, holder, table)
-        self.crashes = crashes.Crashes(self.backend)
+        self.crashes = crashes.CrashTracker(self.backend)
         self.observer = observers.Observer(
             book, self.backend, self._get_member_id, lambda: slots.in_flight
         )
--- a/merlintrestle/requests/serving/sending.py
+++ b/merlintrestle/requests/serving/sending.py
@@ -9,9 +9,9 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle.requests.calls import doubts
-from merlintrestle.requests.calls import intake
+from merlintrestle.requests.calls import metadata
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.calls import passing
+from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.calls import plans
 from merlintrestle.requests.load import loads
 from merlintrestle.requests.load import observations
@@ -60,7 +60,7 @@
 
     def note_doubt(self, doubt: doubts.Doubt) -> None:
         """Notes that the answer may well not come."""
-        if doubt.of_connection or self._blamed:
+        if doubt.concerns_connection_only or self._blamed:
             return
         self._blamed = True
         self._observation.record_doubt(self._get_time())
@@ -83,7 +83,7 @@
             outcome, observation, self._get_time(), self.began, self._work_s
         )
         if isinstance(outcome, outcomes.Answered):
-            outcome.hold(observation.end)
+            outcome.add_release_callback(observation.end)
         else:
             observation.end()
 
@@ -131,7 +131,7 @@
             "tried",
             upstream=one.upstream.member_id,
             took_ms=round((self._get_time() - record.began) * 1000),
-            left_ms=call.get_left_ms(),
+            left_ms=call.get_remaining_ms(),
             **stories.describe(outcome),
         )
         return outcome
@@ -224,11 +224,11 @@
     ) -> multidict.CIMultiDict[str]:
         now = asyncio.get_running_loop().time()
         left_s = call.deadline - now
-        waited_s = now - (call.due - call.plan.latency_s)
+        waited_s = now - (call.latency_deadline - call.plan.latency_s)
         # Where this daemon can try another upstream, the other daemon must not
         # start the call anew by itself: together they would run it 3 times.
         others = self._has_others(call) and call.plan.repeatable
-        asked = intake.Asked(
+        asked = parsing.CallMetadata(
             max(1, math.ceil(left_s * 1000)),
             call.request_id,
             call.origin,
@@ -238,11 +238,11 @@
             suspect=call.suspect,
             wait=one.wait,
             repeat=call.repeat,
-            way_back_ms=round(self._way.reserve(left_s) * 1000),
+            return_trip_ms=round(self._way.reserve(left_s) * 1000),
         )
         sent = call.headers.copy()
         sent[headers.PLAN] = plans.encode_plan(call.plan)
-        sent[headers.PASSED] = passing.encode_asked(asked)
+        sent[headers.PASSED] = metadata.encode_metadata(asked)
         return sent
 
 
--- a/merlintrestle/requests/serving/tries.py
+++ b/merlintrestle/requests/serving/tries.py
@@ -32,7 +32,7 @@
 
     upstream: tables.Upstream
     anew: bool = False
-    wait: calls.Wait = calls.Wait.USUAL
+    wait: calls.Wait = calls.Wait.NORMAL
     doubts: set[doubts_.Doubt] = dataclasses.field(default_factory=set)
 
     @property
@@ -160,11 +160,11 @@
         its beginning has come.
         """
         if self._overseer is not None and not self._returned:
-            self._overseer.add_done_callback(outcomes.drop)
+            self._overseer.add_done_callback(outcomes.release_unused)
             self._overseer.cancel()
         for one in self._running:
             one.remove_done_callback(self._note_end)
-            one.add_done_callback(outcomes.drop)
+            one.add_done_callback(outcomes.release_unused)
             one.cancel()
         self._running.clear()
 
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -55,7 +55,7 @@
 # link what was sent is acknowledged late; a connection broken for that looks
 # like a crash, and its call is lost while the backend server runs it. That the
 # peer is silent shows when it is asked about the call.
-PEER = Side(dialects.OwnDialect(), 0)
+PEER = Side(dialects.NativeDialect(), 0)
 
 
 class Exchanges:
@@ -156,7 +156,7 @@
         dialect: object,
     ) -> outcomes.Failure | None:
         """Returns why an answer is not passed on; None: it is."""
-        failure = dialects.judge_answer(dialect, answer)
+        failure = dialects.check_answer(dialect, answer)
         if failure is None:
             clear = streams.has_clear_end(answer, call.method)
             if clear or self._accepts_unframed:
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -289,7 +289,7 @@
         doubt: doubts.Doubt,
     ) -> None:
         """Passes on a doubt; idle connections as old may be silent as well."""
-        if doubt.of_connection:
+        if doubt.concerns_connection_only:
             events.note("connection silent", address=address)
             self._pool.drop(address)
         report(doubt)
@@ -328,7 +328,7 @@
                 self._pool, address, call_id, answered.response
             )
         )
-        answered.hold(lambda: _cancel(task))
+        answered.add_release_callback(lambda: _cancel(task))
 
 
 def _cancel(task: asyncio.Task[None]) -> None:
--- a/merlintrestle/requests/transport/results.py
+++ b/merlintrestle/requests/transport/results.py
@@ -21,7 +21,7 @@
 # ends are on one instance.
 _GONE_S = 0.05
 NOT_IN_TIME = outcomes.Unknown(
-    "no answer before the deadline", outcomes.TIMED_OUT
+    "no answer before the deadline", outcomes.TIMEOUT_STATUS
 )
 
 
--- a/merlintrestle/requests/transport/seconds.py
+++ b/merlintrestle/requests/transport/seconds.py
@@ -65,7 +65,7 @@
         self._settled = True
         if self._task is None:
             return
-        self._task.add_done_callback(outcomes.drop)
+        self._task.add_done_callback(outcomes.release_unused)
         self._task.cancel()
 
     def _end_first(self, task: asyncio.Task[outcomes.Outcome]) -> None:
--- a/merlintrestle/requests/unrepeatable/once.py
+++ b/merlintrestle/requests/unrepeatable/at_most_once.py
@@ -23,7 +23,7 @@
 GRACE_S = 30.0
 
 
-class Once:
+class AtMostOnceRunner:
     """Runs calls under claims.
 
     Attributes:
@@ -65,15 +65,15 @@
             except BaseException:
                 self._admission.release(call)
                 raise
-            if isinstance(claim, claims_.Held):
+            if isinstance(claim, claims_.HeldClaim):
                 return await self._run_claimed(call, claim)
             self._admission.release(call)
             if isinstance(claim, (outcomes.NotRun, outcomes.Unknown)):
                 return claim
             settled: object = claim
-            if isinstance(claim, claims_.Taken):
-                settled = await claims.settle(claim, claim_key, call)
-            if not isinstance(settled, claims_.Released):
+            if isinstance(claim, claims_.ForeignClaim):
+                settled = await claims.resolve(claim, claim_key, call)
+            if not isinstance(settled, claims_.ReleasedClaim):
                 return settled  # type: ignore[return-value]
             revision = settled.revision
         return outcomes.Unknown(
@@ -81,7 +81,7 @@
         )
 
     async def _run_claimed(
-        self, call: calls.Call, held: claims_.Held
+        self, call: calls.Call, held: claims_.HeldClaim
     ) -> outcomes.Outcome:
         """Runs a call in a task of its own, which its caller cannot cancel.
 
@@ -94,14 +94,14 @@
             async with asyncio.timeout_at(call.deadline):
                 return await asyncio.shield(task)
         except TimeoutError:
-            task.add_done_callback(outcomes.drop)
+            task.add_done_callback(outcomes.release_unused)
             return outcomes.Unknown("it is still running", 504, 1.0)
         except asyncio.CancelledError:
-            task.add_done_callback(outcomes.drop)
+            task.add_done_callback(outcomes.release_unused)
             raise
 
     async def _forward_claimed(
-        self, call: calls.Call, held: claims_.Held
+        self, call: calls.Call, held: claims_.HeldClaim
     ) -> outcomes.Outcome:
         ledger = self._claims.ledger
         leave = self._leave_once(call)
@@ -114,7 +114,7 @@
                 )
                 outcome = await self._forward(patient)
             if isinstance(outcome, outcomes.Answered):
-                outcome.hold(leave)
+                outcome.add_release_callback(leave)
                 answer = ledgers.keep_answer(outcome)
                 ledger.end(held.record, request_pb2.ANSWERED, answer)
                 return outcome
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class HeldClaim:
     """The claim is this daemon's: it alone may run the request.
 
     Attributes:
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Taken:
+class ForeignClaim:
     """The claim is another attempt's.
 
     Attributes:
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Released:
+class ReleasedClaim:
     """The other attempt did not run and never will: it may be taken over.
 
     Attributes:
@@ -139,7 +139,13 @@
 
     async def acquire(
         self, call: calls.Call, claim_key: str, expected_revision: int
-    ) -> Held | Taken | Released | outcomes.NotRun | outcomes.Unknown:
+    ) -> (
+        HeldClaim
+        | ForeignClaim
+        | ReleasedClaim
+        | outcomes.NotRun
+        | outcomes.Unknown
+    ):
         """Claims a key, new or from a claim that was released.
 
         The ledger knows the claim before the store does, so that a recall
@@ -175,17 +181,17 @@
             raise
         if not entry.revision:
             self.ledger.end(record, request_pb2.RELEASED)
-            return Released(0)
+            return ReleasedClaim(0)
         found = _parse(entry.value)
         if found is not None and found.claim_id == record.claim_id:
-            return Held(record, entry.revision, written_at)
+            return HeldClaim(record, entry.revision, written_at)
         self.ledger.end(record, request_pb2.RELEASED)
         if found is None:
             return outcomes.Unknown("the claim of the key cannot be read")
-        return Taken(found, entry.revision)
+        return ForeignClaim(found, entry.revision)
 
     async def check(
-        self, held: Held, call: calls.Call
+        self, held: HeldClaim, call: calls.Call
     ) -> outcomes.NotRun | None:
         """Returns why a claimed call must not be forwarded any more.
 
@@ -213,9 +219,9 @@
         """Returns how long the store may take to answer, in seconds."""
         return min(STORE_S, call.refuse_by - self._get_time())
 
-    async def settle(
-        self, taken: Taken, claim_key: str, call: calls.Call
-    ) -> Released | outcomes.Failure | outcomes.Replayed:
+    async def resolve(
+        self, taken: ForeignClaim, claim_key: str, call: calls.Call
+    ) -> ReleasedClaim | outcomes.Failure | outcomes.Replayed:
         """Finds out what became of another attempt at the same request."""
         claim = taken.claim
         if claim.request_digest != call.get_identity():
@@ -238,7 +244,7 @@
                 return _read_reply(reply, taken)
             wait_s = _RECALL_TURN_S
 
-    async def release(self, held: Held) -> None:
+    async def release(self, held: HeldClaim) -> None:
         """Deletes the claim of a request that did not run.
 
         If this fails, the claim stays and its holder says on recall that it
@@ -315,10 +321,10 @@
 
 
 def _read_reply(
-    reply: request_pb2.RecallReply, taken: Taken
-) -> Released | outcomes.Failure | outcomes.Replayed:
+    reply: request_pb2.RecallReply, taken: ForeignClaim
+) -> ReleasedClaim | outcomes.Failure | outcomes.Replayed:
     if reply.state == request_pb2.RELEASED:
-        return Released(taken.revision)
+        return ReleasedClaim(taken.revision)
     if reply.state == request_pb2.ANSWERED:
         if reply.body_kept:
             return read_answer(reply)
--- a/merlintrestle/requests/unrepeatable/inquiries.py
+++ b/merlintrestle/requests/unrepeatable/inquiries.py
@@ -22,7 +22,7 @@
     """The holder's host refuses the connection: its process has ended."""
 
 
-class Inquirer:
+class RetryingRecaller:
     """Asks a holder of a claim for as long as it may still answer."""
 
     def __init__(self, client: recall.RecallClient):
@@ -51,7 +51,7 @@
                 found = await _wait_for_any(asked, wait_s + silent_s)
                 if found is not None:
                     return None if isinstance(found, _Gone) else found
-                self._client.renew(recall.get_address(claim), asked_at)
+                self._client.reconnect(recall.get_address(claim), asked_at)
                 if asked:
                     silent_s *= 2
                 else:
--- a/merlintrestle/requests/unrepeatable/recall.py
+++ b/merlintrestle/requests/unrepeatable/recall.py
@@ -33,7 +33,7 @@
     return _SILENT_S
 
 
-class Recalls(request_pb2_grpc.RequestsServicer):
+class RecallServicer(request_pb2_grpc.RequestsServicer):
     """Answers other daemons about own claims; a gRPC servicer."""
 
     def __init__(self, claims: claims_.Claims):
@@ -121,7 +121,7 @@
             if held.dropped and not held.calls:
                 await held.channel.close()
 
-    def renew(self, address: str, since: float) -> None:
+    def reconnect(self, address: str, since: float) -> None:
         """Has the next question go over a connection opened after a time."""
         held = self._channels.get(address)
         if held is not None and held.opened_at <= since:
--- a/tests/requests/calls/test_outcomes.py
+++ b/tests/requests/calls/test_outcomes.py
@@ -16,7 +16,7 @@
 
 def _build_answered(response: Any) -> outcomes.Answered:
     answered = outcomes.Answered(response, b"", [])
-    answered.hold(lambda: setattr(answered, "cut", False))
+    answered.add_release_callback(lambda: setattr(answered, "truncated", False))
     return answered
 
 
@@ -25,7 +25,7 @@
         freed: list[int] = []
         response: Any = _Response()
         answered = outcomes.Answered(response, b"", [lambda: freed.append(1)])
-        answered.hold(lambda: freed.append(2))
+        answered.add_release_callback(lambda: freed.append(2))
         answered.release()
         self.assertEqual(freed, [1, 2])
 
--- a/tests/requests/crashing/test_crashes.py
+++ b/tests/requests/crashing/test_crashes.py
@@ -122,7 +122,7 @@
     """Who is struck at a crash."""
 
     def setUp(self) -> None:
-        self.crashes = crashes.Crashes(backend.OwnBackend())
+        self.crashes = crashes.CrashTracker(backend.OwnBackend())
         self.culprit = builders.build_call(body=b"poison")
         self.innocent = builders.build_call(body=b"slow")
 
@@ -130,7 +130,7 @@
         """Has the backend server crash under both requests."""
         self.crashes.begin(self.culprit)
         self.crashes.begin(self.innocent)
-        self.crashes.note_crash()
+        self.crashes.record_crash()
         self.crashes.end(self.culprit, False)
         self.crashes.end(self.innocent, False)
 
@@ -156,8 +156,10 @@
 
     async def test_one_suspect_at_a_time(self) -> None:
         self.crash()
-        end = await self.crashes.enter_suspect(self.culprit)
-        waiting = asyncio.create_task(self.crashes.enter_suspect(self.innocent))
+        end = await self.crashes.acquire_suspect_slot(self.culprit)
+        waiting = asyncio.create_task(
+            self.crashes.acquire_suspect_slot(self.innocent)
+        )
         await asyncio.sleep(0)
         self.assertFalse(waiting.done())
         assert callable(end)
@@ -175,7 +177,7 @@
         self.crashes.begin(self.culprit)
         self.crashes.begin(self.innocent)
         for call in (self.culprit, self.innocent):
-            self.crashes.note_break()
+            self.crashes.record_disconnect()
             assert self.crashes._checking is not None
             await self.crashes._checking
             self.crashes.end(call, False)
--- a/tests/requests/interleaving.py
+++ b/tests/requests/interleaving.py
@@ -6,9 +6,9 @@
 from typing import Any, NamedTuple, TYPE_CHECKING
 
 from merlintrestle.requests.calls import outcomes
+from merlintrestle.requests.unrepeatable import at_most_once
 from merlintrestle.requests.unrepeatable import claims
 from merlintrestle.requests.unrepeatable import leases
-from merlintrestle.requests.unrepeatable import once
 from tests.requests import builders
 from tests.requests import fakes
 
@@ -54,7 +54,11 @@
             self._get_time,
             self._get_time,
         )
-        self.once = once.Once(self.claims, _AdmitAll(), self._forward)  # type: ignore[arg-type]
+        self.once = at_most_once.AtMostOnceRunner(
+            self.claims,
+            _AdmitAll(),  # type: ignore[arg-type]
+            self._forward,
+        )
 
     async def step(self) -> None:
         """Waits until the driver lets this daemon go on."""
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -16,8 +16,8 @@
 import multidict
 
 from merlintrestle.requests import backend
+from merlintrestle.requests.calls import metadata
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.calls import passing
 from merlintrestle.requests.load import admission
 from merlintrestle.requests.load import budgets
 from merlintrestle.requests.load import loads
@@ -118,16 +118,16 @@
         """Passes on what a daemon makes of the call that it gets."""
         del target, others
         passed = dataclasses.replace(call)
-        asked = passing.decode_asked(sent[headers.PASSED])
+        asked = metadata.decode_metadata(sent[headers.PASSED])
         assert asked is not None
         passed.wait = asked.wait
         try:
             async with asyncio.timeout_at(call.deadline):
                 await asyncio.sleep(self._way_s / 2)
-                assert asked.limit_ms is not None
+                assert asked.timeout_ms is not None
                 now = asyncio.get_running_loop().time()
-                passed.deadline = now + asked.limit_ms / 1000
-                passed.way_back_s = asked.way_back_ms / 1000
+                passed.deadline = now + asked.timeout_ms / 1000
+                passed.return_trip_s = asked.return_trip_ms / 1000
                 outcome = await self._daemons[address].run(passed)
                 await asyncio.sleep(self._way_s / 2)
         except TimeoutError:
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -27,7 +27,7 @@
         seen.record_load(10.0, loads.Load(3, 4, 0.1))
         self.assertTrue(seen.has_recent_load(10.5))
         self.assertFalse(seen.has_recent_load(12.0))
-        self.assertIs(polls.choose_wait(True, False), calls.Wait.USUAL)
+        self.assertIs(polls.choose_wait(True, False), calls.Wait.NORMAL)
 
     def test_call_waits_shortly_in_the_own_zone(self) -> None:
         self.assertIs(polls.choose_wait(False, True), calls.Wait.SHORT)
--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -172,7 +172,7 @@
         )
         await self.world.finish()
         held = await acquiring
-        assert isinstance(held, claims.Held)
+        assert isinstance(held, claims.HeldClaim)
         self.held = held
 
     async def check(self) -> outcomes.NotRun | None:
--- a/tests/requests/serving/test_refusals_in_time.py
+++ b/tests/requests/serving/test_refusals_in_time.py
@@ -42,7 +42,7 @@
             slot = nodes[1].proxy.crashes._suspect_slot
             await slot.acquire()
             with mock.patch.object(
-                crashes.Crashes, "_is_suspect", lambda *_: True
+                crashes.CrashTracker, "_is_suspect", lambda *_: True
             ):
                 answer = await client.get(nodes[0].url + "/x")
             slot.release()
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_inquiries.py
@@ -30,7 +30,7 @@
 
     def setUp(self) -> None:
         self.client = recall.RecallClient()
-        self.inquirer = inquiries.Inquirer(self.client)
+        self.inquirer = inquiries.RetryingRecaller(self.client)
         patch = mock.patch.object(recall, "_SILENT_S", _SILENT_S)
         self.enterContext(patch)
 
--- a/tools/model.py
+++ b/tools/model.py
@@ -20,8 +20,8 @@
 from merlintrestle.members import table as tables
 from merlintrestle.requests import backend as backends
 from merlintrestle.requests.calls import call as calls
+from merlintrestle.requests.calls import metadata
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.calls import passing
 from merlintrestle.requests.load import admission
 from merlintrestle.requests.load import budgets
 from merlintrestle.requests.load import loads
@@ -254,7 +254,7 @@
         """Passes a call on to the daemon beside another backend server."""
         del target, others
         passed = dataclasses.replace(call)
-        asked = passing.decode_asked(sent[headers.PASSED])
+        asked = metadata.decode_metadata(sent[headers.PASSED])
         assert asked is not None
         passed.wait = asked.wait
         passed.repeat = asked.repeat
@@ -525,7 +525,7 @@
         headers=multidict.CIMultiDict(),
         body=bodies.Body(b"", 0),
         deadline=deadline,
-        due=due,
+        latency_deadline=due,
         depth=0,
         attempt=0,
         key="",
