--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -121,13 +121,13 @@
             self._surroundings.dialect,
             self._book,
         )
-        self._proxy.hold_callers = True
+        self._proxy.defer_caller_port = True
         await self.add_runtime_dependency(self._proxy)
         self._table.set_peer_port(self._proxy.peer_port)
         await self._start_control()
         await self.start_endpoints()
         await self._wait_until_ready()
-        await self._proxy.open_callers()
+        await self._proxy.open_caller_port()
         self._opened = True
         ports = self._describe_ports()
         events.note(
@@ -155,7 +155,7 @@
 
     def set_retries(self, ratio: float, slack: float, window_s: float) -> None:
         """Bounds the retries of the whole fleet anew; see the settings."""
-        self._proxy.bound_retries(ratio, slack, window_s)
+        self._proxy.set_retry_bounds(ratio, slack, window_s)
 
     def is_ready(self) -> bool:
         """Returns whether callers may be sent to this daemon."""
@@ -196,11 +196,11 @@
         a fleet are replaced in turn several would be idle at any time.
         """
         self._leaving = True
-        self._proxy.leave()
+        self._proxy.disable_caller_keep_alive()
         farewell_s = self._settings.farewell_s
         notice_s = min(_NOTICE_S, farewell_s)
         await asyncio.sleep(farewell_s - notice_s)
-        self._proxy.leave_peers()
+        self._proxy.disable_keep_alive()
         self._table.leave()
         await asyncio.sleep(notice_s)
         drained, _ = await asyncio.gather(
--- a/merlintrestle/requests/serving/sending.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -29,8 +29,8 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.load import picking
     from merlintrestle.requests.load import round_trips
-    from merlintrestle.requests.serving import beside as besides
-    from merlintrestle.requests.serving import tries as tries_
+    from merlintrestle.requests.serving import attempts as tries_
+    from merlintrestle.requests.serving import local_runner as besides
     from merlintrestle.requests.transport import forwarding
 
 
@@ -88,7 +88,7 @@
             observation.end()
 
 
-class Sending:
+class AttemptRunner:
     """Sends calls to the upstreams that were picked for them."""
 
     def __init__(
@@ -96,7 +96,7 @@
         member_id: Callable[[], str],
         table: parts.MemberTable,
         picker: picking.Picker,
-        beside: besides.Beside,
+        beside: besides.LocalRunner,
         forwarder: forwarding.Forwarder,
         get_time: Callable[[], float],
         way: round_trips.RoundTripTime,
@@ -111,7 +111,7 @@
         self._get_time = get_time
 
     async def run(
-        self, one: tries_.Try, call: calls.Call, tries: tries_.Tries
+        self, one: tries_.Attempt, call: calls.Call, tries: tries_.Attempts
     ) -> outcomes.Outcome:
         """Sends a call to an upstream and adds to its story.
 
@@ -138,7 +138,7 @@
 
     async def _run_recorded(
         self,
-        one: tries_.Try,
+        one: tries_.Attempt,
         call: calls.Call,
         record: _Record,
         report: Callable[[doubts.Doubt], None],
@@ -157,7 +157,7 @@
 
     async def _run(
         self,
-        one: tries_.Try,
+        one: tries_.Attempt,
         call: calls.Call,
         report: Callable[[doubts.Doubt], None],
     ) -> outcomes.Outcome:
@@ -186,7 +186,7 @@
 
     async def _send(
         self,
-        one: tries_.Try,
+        one: tries_.Attempt,
         call: calls.Call,
         report: Callable[[doubts.Doubt], None],
     ) -> outcomes.Outcome:
@@ -220,7 +220,7 @@
             self._way.record(max(0.0, now - began - load.server_time_s))
 
     def _build_headers(
-        self, one: tries_.Try, call: calls.Call
+        self, one: tries_.Attempt, call: calls.Call
     ) -> multidict.CIMultiDict[str]:
         now = asyncio.get_running_loop().time()
         left_s = call.deadline - now
@@ -247,7 +247,10 @@
 
 
 def _report(
-    one: tries_.Try, record: _Record, tries: tries_.Tries, doubt: doubts.Doubt
+    one: tries_.Attempt,
+    record: _Record,
+    tries: tries_.Attempts,
+    doubt: doubts.Doubt,
 ) -> None:
     """Passes on that a try is in doubt."""
     record.note_doubt(doubt)
--- a/merlintrestle/requests/serving/tries.py
+++ b/merlintrestle/requests/serving/attempts.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Try:
+class Attempt:
     """One send of a call to one upstream.
 
     Attributes:
@@ -49,7 +49,7 @@
         outcome: What became of it.
     """
 
-    one: Try
+    one: Attempt
     outcome: outcomes.Outcome
 
 
@@ -62,12 +62,12 @@
         again: True if it was in doubt for that before.
     """
 
-    one: Try
+    one: Attempt
     doubt: doubts_.Doubt
     again: bool
 
 
-class Tries:
+class Attempts:
     """Runs the tries of a call side by side until one of them counts.
 
     Most calls need one try alone, so the first one runs in the task of the
@@ -77,7 +77,7 @@
     """
 
     def __init__(self) -> None:
-        self._running: dict[asyncio.Future[outcomes.Outcome], Try] = {}
+        self._running: dict[asyncio.Future[outcomes.Outcome], Attempt] = {}
         self._ended: collections.deque[asyncio.Future[outcomes.Outcome]]
         self._ended = collections.deque()
         self._doubtful: collections.deque[Doubtful] = collections.deque()
@@ -98,7 +98,7 @@
 
     async def run(
         self,
-        one: Try,
+        one: Attempt,
         send: Coroutine[Any, Any, outcomes.Outcome],
         oversee: Callable[[], Coroutine[Any, Any, outcomes.Outcome]],
     ) -> outcomes.Outcome:
@@ -118,14 +118,14 @@
         return outcome
 
     def start(
-        self, one: Try, send: Coroutine[Any, Any, outcomes.Outcome]
+        self, one: Attempt, send: Coroutine[Any, Any, outcomes.Outcome]
     ) -> None:
         """Begins a further try."""
         task = asyncio.create_task(send)
         self._running[task] = one
         task.add_done_callback(self._note_end)
 
-    def report(self, one: Try, doubt: doubts_.Doubt) -> None:
+    def report(self, one: Attempt, doubt: doubts_.Doubt) -> None:
         """Takes in that a try is in doubt."""
         self._doubtful.append(Doubtful(one, doubt, doubt in one.doubts))
         one.doubts.add(doubt)
@@ -170,7 +170,7 @@
 
     async def _run(
         self,
-        one: Try,
+        one: Attempt,
         send: Coroutine[Any, Any, outcomes.Outcome],
         oversee: Callable[[], Coroutine[Any, Any, outcomes.Outcome]],
     ) -> outcomes.Outcome:
--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -10,7 +10,7 @@
 from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.load import refused_callers
 from merlintrestle.requests.reports import stories
-from merlintrestle.requests.serving import answering
+from merlintrestle.requests.serving import responses
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,17 +22,17 @@
     from merlintrestle.requests.reports import latencies as latencies_
     from merlintrestle.requests.reports import statistics as statistics_
     from merlintrestle.requests.serving import dispatch as dispatches
-    from merlintrestle.requests.serving import standing as standings
+    from merlintrestle.requests.serving import serving_state as standings
 
 
-class Callers:
+class CallerHandler:
     """Answers callers by way of an upstream."""
 
     def __init__(
         self,
-        standing: standings.Standing,
+        standing: standings.ServingState,
         dialect: object,
-        dispatch: dispatches.Dispatch,
+        dispatch: dispatches.Dispatcher,
         statistics: statistics_.Statistics,
         latencies: latencies_.Latencies,
         is_working: Callable[[], bool],
@@ -59,7 +59,7 @@
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers a request."""
         response = await self._answer(request)
-        return answering.close_if(self._standing.leaving, response)
+        return responses.close_if(self._standing.leaving, response)
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
         began = self._get_time()
@@ -128,12 +128,12 @@
         asked: parsing.CallMetadata,
     ) -> web.StreamResponse:
         try:
-            outcome = await answering.catch_body_error(self._dispatch.run(call))
+            outcome = await responses.catch_body_error(self._dispatch.run(call))
             took_s = self._get_time() - began
             if not isinstance(outcome, outcomes.Answered):
                 self._note_return(request, call, began, asked)
             try:
-                response = await answering.finish(
+                response = await responses.finish(
                     request, outcome, self._dialect
                 )
             finally:
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -16,9 +16,9 @@
 from merlintrestle.requests.load import retries
 from merlintrestle.requests.load import round_trips
 from merlintrestle.requests.load import startup
-from merlintrestle.requests.serving import progress as progress_
-from merlintrestle.requests.serving import sending
-from merlintrestle.requests.serving import tries as tries_
+from merlintrestle.requests.serving import attempt_runner
+from merlintrestle.requests.serving import attempts as tries_
+from merlintrestle.requests.serving import retry_state as progress_
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,11 +26,11 @@
     from merlintrestle.requests import parts
     from merlintrestle.requests.load import budgets as budgets_
     from merlintrestle.requests.load import picking
-    from merlintrestle.requests.serving import beside as besides
+    from merlintrestle.requests.serving import local_runner as besides
     from merlintrestle.requests.transport import forwarding
 
 
-class Dispatch:
+class Dispatcher:
     """Sends calls to upstreams of their service.
 
     Attributes:
@@ -42,7 +42,7 @@
         member_id: Callable[[], str],
         table: parts.MemberTable,
         picker: picking.Picker,
-        beside: besides.Beside,
+        beside: besides.LocalRunner,
         forwarder: forwarding.Forwarder,
         get_time: Callable[[], float],
         budgets: budgets_.Budgets,
@@ -56,7 +56,7 @@
         self._budgets = budgets
         self._beside = beside
         self._way = round_trips.RoundTripTime(get_time)
-        self._sending = sending.Sending(
+        self._sending = attempt_runner.AttemptRunner(
             member_id, table, picker, beside, forwarder, get_time, self._way
         )
         self.joining = startup.StartupWait(table, get_time)
@@ -72,14 +72,14 @@
         budget.charge(self._beside.repeats.get_ratio())
         if not await self.joining.wait(call):
             return self._refuse(call)
-        tries = tries_.Tries()
+        tries = tries_.Attempts()
         try:
-            progress = progress_.Progress(call, budget, tries, self._way)
+            progress = progress_.RetryState(call, budget, tries, self._way)
             return await self._run(progress)
         finally:
             tries.close()
 
-    async def _run(self, progress: progress_.Progress) -> outcomes.Outcome:
+    async def _run(self, progress: progress_.RetryState) -> outcomes.Outcome:
         first = self._choose(progress)
         if first is None:
             return self._refuse(progress.call)
@@ -88,7 +88,9 @@
         oversee = functools.partial(self._oversee, progress)
         return await tries.run(first, send, oversee)
 
-    async def _oversee(self, progress: progress_.Progress) -> outcomes.Outcome:
+    async def _oversee(
+        self, progress: progress_.RetryState
+    ) -> outcomes.Outcome:
         """Decides by what its tries come to until the call has its outcome."""
         while True:
             news = await progress.tries.wait()
@@ -100,7 +102,7 @@
                 return outcome
 
     def _answer_end(
-        self, ended: tries_.Ended, progress: progress_.Progress
+        self, ended: tries_.Ended, progress: progress_.RetryState
     ) -> outcomes.Outcome | None:
         """Returns what the caller gets; None: another try may yet count."""
         latest = ended.outcome
@@ -127,7 +129,7 @@
         return progress.outcome
 
     def _retry(
-        self, latest: outcomes.Outcome, progress: progress_.Progress
+        self, latest: outcomes.Outcome, progress: progress_.RetryState
     ) -> bool:
         """Tries another upstream after one that failed, if that is safe."""
         call = progress.call
@@ -144,7 +146,7 @@
         progress.discard()
         return self._try_another(progress)
 
-    def _poll_on(self, progress: progress_.Progress) -> bool:
+    def _poll_on(self, progress: progress_.RetryState) -> bool:
         """Asks one more upstream for a free slot, or has the call wait.
 
         All that were asked count as one that refused: the call waits where
@@ -164,11 +166,11 @@
         progress.refusals += 1
         best = progress.polls.take_best()
         call.story.add("all full", waits_at=best.member_id)
-        self._start(tries_.Try(best), progress)
+        self._start(tries_.Attempt(best), progress)
         return True
 
     def _answer_doubt(
-        self, doubtful: tries_.Doubtful, progress: progress_.Progress
+        self, doubtful: tries_.Doubtful, progress: progress_.RetryState
     ) -> None:
         """Sends a call as well whose try is in doubt, if that is safe."""
         call = progress.call
@@ -192,7 +194,7 @@
         self,
         doubtful: tries_.Doubtful,
         others: bool,
-        progress: progress_.Progress,
+        progress: progress_.RetryState,
     ) -> None:
         """Sends a call a second time, which is paid for.
 
@@ -203,17 +205,17 @@
         if others and self._try_another(progress):
             return
         if doubtful.doubt.concerns_connection_only:
-            again = tries_.Try(doubtful.one.upstream, anew=True)
+            again = tries_.Attempt(doubtful.one.upstream, anew=True)
             self._start(again, progress)
 
-    def _try_another(self, progress: progress_.Progress) -> bool:
+    def _try_another(self, progress: progress_.RetryState) -> bool:
         """Sends a call to an upstream not tried yet; False: there is none."""
         one = self._choose(progress)
         if one is not None:
             self._start(one, progress)
         return one is not None
 
-    def _choose(self, progress: progress_.Progress) -> tries_.Try | None:
+    def _choose(self, progress: progress_.RetryState) -> tries_.Attempt | None:
         """Returns a try at an upstream not tried yet; None: there is none."""
         call = progress.call
         lane = self._lanes.choose(
@@ -242,9 +244,11 @@
                 self._get_time()
             )
             wait = polls.choose_wait(known, self._picker.is_zone_peer(upstream))
-        return tries_.Try(upstream, wait=wait)
+        return tries_.Attempt(upstream, wait=wait)
 
-    def _start(self, one: tries_.Try, progress: progress_.Progress) -> None:
+    def _start(
+        self, one: tries_.Attempt, progress: progress_.RetryState
+    ) -> None:
         tries = progress.tries
         tries.start(one, self._sending.run(one, progress.call, tries))
 
--- a/merlintrestle/requests/serving/beside.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -27,11 +27,11 @@
 )
 
 
-class Beside:
+class LocalRunner:
     """Runs calls on the own backend server.
 
     Attributes:
-        once: The way of calls that may not be repeated.
+        at_most_once: The way of calls that may not be repeated.
         repeats: What of the calls that run here is a repeat.
     """
 
@@ -53,7 +53,7 @@
         self._forwarder = forwarder
         self._crashes = crashes
         self.repeats = repeats.Repeats()
-        self.once = at_most_once.AtMostOnceRunner(
+        self.at_most_once = at_most_once.AtMostOnceRunner(
             claims, admission, self._forward
         )
 
@@ -79,7 +79,7 @@
 
     async def _run(self, call: calls.Call) -> outcomes.Outcome:
         if call.key and not call.plan.repeatable:
-            return await self.once.run(call)
+            return await self.at_most_once.run(call)
         refusal = await self._admission.acquire(call)
         if refusal is not None:
             return refusal
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -14,7 +14,7 @@
 from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.load import loads
 from merlintrestle.requests.reports import stories
-from merlintrestle.requests.serving import answering
+from merlintrestle.requests.serving import responses
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import probes
 from merlintrestle.requests.transport import transfers
@@ -24,8 +24,8 @@
     from merlintrestle.requests.load import admission
     from merlintrestle.requests.load import links
     from merlintrestle.requests.load import reservations
-    from merlintrestle.requests.serving import beside as besides
-    from merlintrestle.requests.serving import standing as standings
+    from merlintrestle.requests.serving import local_runner as besides
+    from merlintrestle.requests.serving import serving_state as standings
 
 # How much of answers may wait here for the link, in bytes: the smallest
 # instances have some 200 MB. What is more waits in the backend server.
@@ -39,13 +39,13 @@
 _MALFORMED = outcomes.NotRun("what is passed on is malformed", 400, None)
 
 
-class Peers:
+class PeerHandler:
     """Answers other daemons by way of the own backend server."""
 
     def __init__(
         self,
-        standing: standings.Standing,
-        beside: besides.Beside,
+        standing: standings.ServingState,
+        beside: besides.LocalRunner,
         slots: admission.Admission,
         link: links.OutgoingLink,
     ):
@@ -71,7 +71,7 @@
         response = await self._answer(request, call_id)
         if not response.prepared:
             response.headers[headers.CALL] = call_id
-        return answering.close_if(self._standing.leaving_peers, response)
+        return responses.close_if(self._standing.leaving_peers, response)
 
     async def _answer(
         self, request: web.BaseRequest, call_id: str
@@ -113,7 +113,7 @@
         transfer = self._link.admit(call)
         if isinstance(transfer, outcomes.NotRun):
             stories.end_story(call.story, transfer, self._get_time() - began)
-            return await answering.finish(
+            return await responses.finish(
                 request,
                 transfer,
                 _OWN_DIALECT,
@@ -121,7 +121,7 @@
             )
         try:
             outcome = await self._run(call, transfer, request.method)
-            response = await answering.finish(
+            response = await responses.finish(
                 request,
                 outcome,
                 _OWN_DIALECT,
@@ -147,7 +147,7 @@
         A slot held while an answer waits for the link is a slot that checks
         wait for, though the backend server has nothing left to do.
         """
-        outcome = await answering.catch_body_error(self._beside.run(call))
+        outcome = await responses.catch_body_error(self._beside.run(call))
         if not isinstance(outcome, outcomes.Answered):
             return outcome
         response, held = outcome.response, outcome.body
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -19,11 +19,11 @@
 from merlintrestle.requests.reports import latencies
 from merlintrestle.requests.reports import statistics
 from merlintrestle.requests.reports import traffic
-from merlintrestle.requests.serving import beside
 from merlintrestle.requests.serving import callers
 from merlintrestle.requests.serving import dispatch
+from merlintrestle.requests.serving import local_runner
 from merlintrestle.requests.serving import peers
-from merlintrestle.requests.serving import standing
+from merlintrestle.requests.serving import serving_state
 from merlintrestle.requests.transport import forwarding
 from merlintrestle.requests.transport import server
 from merlintrestle.requests.unrepeatable import claims as claims_
@@ -63,7 +63,7 @@
         traffic: What went over the link, and what waited for it.
         caller_port: Bound port for callers, once started.
         peer_port: Bound port for other daemons, once started.
-        hold_callers: Set before `start`: `open_callers` opens their port.
+        defer_caller_port: Set before `start`: `open_callers` opens their port.
         control_port: Port on which this daemon answers recalls; set it before
             `start` where the setting is 0.
         crashes: Takes strikes of other daemons (`crashes.strikes.add`) and
@@ -98,12 +98,12 @@
         self.caller_port = 0
         self.peer_port = 0
         self.latencies = latencies.Latencies()
-        self.hold_callers = False
+        self.defer_caller_port = False
         self._settings = settings
-        self._standing = standing.Standing(holder)
+        self._state = serving_state.ServingState(holder)
         self._budgets = budgets.Budgets(table.count_usable)
         self._beside_budgets = budgets.Budgets(table.count_usable)
-        self.bound_retries(
+        self.set_retry_bounds(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_s
         )
         self._traffics = traffic.build_traffics()
@@ -124,12 +124,14 @@
             time.monotonic,
         )
         self.recalls = recall.RecallServicer(claims)
-        self._slots = slots = admission.Admission(self.backend, holder, table)
+        self._admission = slots = admission.Admission(
+            self.backend, holder, table
+        )
         self.crashes = crashes.CrashTracker(self.backend)
         self.observer = observers.Observer(
             book, self.backend, self._get_member_id, lambda: slots.in_flight
         )
-        self._beside = beside.Beside(
+        self._local_runner = local_runner.LocalRunner(
             self.backend,
             slots,
             self._forwarder,
@@ -138,7 +140,7 @@
             dialect,
             self.observer,
         )
-        self._dispatch = dispatch.Dispatch(
+        self._dispatch = dispatch.Dispatcher(
             self._get_member_id,
             table,
             picking.Picker(
@@ -147,14 +149,14 @@
                 slots.has_capacity,
                 time.monotonic,
             ),
-            self._beside,
+            self._local_runner,
             self._forwarder,
             time.monotonic,
             self._budgets,
             lanes.Lanes(book, settings.trial_share),
         )
 
-    def bound_retries(
+    def set_retry_bounds(
         self, ratio: float, slack: float, window_s: float
     ) -> None:
         """Bounds the retries of the whole fleet; see the settings."""
@@ -171,16 +173,16 @@
         await self._forwarder.start()
         self.backend.on_restart = self._forwarder.drop_idle
         address = self._settings.address
-        caller_side = callers.Callers(
-            self._standing,
+        caller_side = callers.CallerHandler(
+            self._state,
             self._dialect,
             self._dispatch,
             self.statistics,
             self.latencies,
-            self._slots.is_busy,
+            self._admission.is_busy,
         )
-        self._peer_side = peers.Peers(
-            self._standing, self._beside, self._slots, self._link
+        self._peer_side = peers.PeerHandler(
+            self._state, self._local_runner, self._admission, self._link
         )
         traffics = self._traffics
         self._caller_server = server.Server(
@@ -194,10 +196,10 @@
         )
         await self._peer_server.start(address, self._settings.peer_port)
         self.peer_port = self._peer_server.port
-        if not self.hold_callers:
-            await self.open_callers()
+        if not self.defer_caller_port:
+            await self.open_caller_port()
 
-    async def open_callers(self) -> None:
+    async def open_caller_port(self) -> None:
         """Opens the port for callers."""
         self._dispatch.joining.begin()
         address = self._settings.address
@@ -209,22 +211,22 @@
         await self._caller_server.close()
         await self._peer_server.close()
         self._peer_side.close()
-        self._beside.once.close()
+        self._local_runner.at_most_once.close()
         await self._forwarder.close()
         await self._recall_client.close()
 
-    def leave(self) -> None:
+    def disable_caller_keep_alive(self) -> None:
         """Has callers go elsewhere; serves those that come.
 
         Other daemons go on sending calls for the own backend server, which
         may well outlive this process and cannot be reached without it.
         """
-        self._standing.leaving = True
+        self._state.leaving = True
 
-    def leave_peers(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Has other daemons go elsewhere too; serves those that come."""
-        self.leave()
-        self._standing.leaving_peers = True
+        self.disable_caller_keep_alive()
+        self._state.leaving_peers = True
 
     async def drain(self, limit_s: float) -> bool:
         """Refuses new work and waits for all work in flight.
@@ -235,9 +237,9 @@
         Returns:
             True if nothing is in flight any more.
         """
-        self.leave_peers()
+        self.disable_keep_alive()
         self.backend.drain()
-        self._standing.draining = True
+        self._state.draining = True
         try:
             async with asyncio.timeout(limit_s):
                 await self._finish_calls()
@@ -254,9 +256,9 @@
         Claimed calls go on after their callers have left; their backend
         server may still make a call of its own through this daemon.
         """
-        tasks = self._beside.once.tasks
+        tasks = self._local_runner.at_most_once.tasks
         while self.in_flight or tasks:
-            await self._standing.wait_until_idle()
+            await self._state.wait_until_idle()
             if tasks:
                 await asyncio.wait(tasks)
 
@@ -286,12 +288,12 @@
     @property
     def in_flight(self) -> int:
         """Calls that are not yet answered whole."""
-        return self._standing.in_flight
+        return self._state.in_flight
 
     @property
     def is_claiming(self) -> bool:
         """True while claimed calls run, also those without a caller."""
-        return bool(self._beside.once.tasks)
+        return bool(self._local_runner.at_most_once.tasks)
 
     def get_class_statuses(self) -> list[control_pb2.ClassStatus]:
         """Returns what became of the calls of each class lately."""
--- a/merlintrestle/requests/serving/progress.py
+++ b/merlintrestle/requests/serving/retry_state.py
@@ -14,7 +14,7 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.load import budgets as budgets_
     from merlintrestle.requests.load import round_trips
-    from merlintrestle.requests.serving import tries as tries_
+    from merlintrestle.requests.serving import attempts as tries_
 
 # Each further one is free (it did not run) or paid from the budget.
 _MAX_TRIES = 5
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Progress:
+class RetryState:
     """How far a call has come.
 
     Attributes:
@@ -42,7 +42,7 @@
 
     call: calls.Call
     budget: budgets_.Budget
-    tries: tries_.Tries
+    tries: tries_.Attempts
     way: round_trips.RoundTripTime
     tried: set[str] = dataclasses.field(default_factory=set)
     reached: int = 0
--- a/merlintrestle/requests/serving/standing.py
+++ b/merlintrestle/requests/serving/serving_state.py
@@ -12,7 +12,7 @@
     from merlintrestle.requests import parts
 
 
-class Standing:
+class ServingState:
     """What the two ports of a daemon share.
 
     Attributes:
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -57,7 +57,7 @@
         async with asyncio.timeout(fleets.GUARD_S):
             await self.begun.wait()
             stopping = asyncio.create_task(self.fleet.daemons[0].stop())
-            while not self.fleet.daemons[0]._proxy._standing.draining:
+            while not self.fleet.daemons[0]._proxy._state.draining:
                 await asyncio.sleep(0.01)
             self.go_on.set()
             status, _, _ = await call
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -204,12 +204,12 @@
                 await asyncio.sleep(self._chance.expovariate(callers.rate))
                 group.create_task(self._make_call(callers))
 
-    def _build_daemon(self, table: fakes.Table) -> dispatch.Dispatch:
+    def _build_daemon(self, table: fakes.Table) -> dispatch.Dispatcher:
         wire: Any = _Wire(self._besides, self._way_s)
         nobody: Any = _Nobody()
         bounds = budgets.Budgets(lambda: 11, self._loop.time)
         bounds.set_bounds(0.2, 58.0, 10.0)
-        return dispatch.Dispatch(
+        return dispatch.Dispatcher(
             lambda: "",
             table,
             picking.Picker(
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -127,7 +127,7 @@
                 await asyncio.sleep(0.01)
             waiting = asyncio.create_task(client.get(near.url + "/x"))
             while not any(
-                node.proxy._slots.get_load().calls > 1 for node in nodes[1:]
+                node.proxy._admission.get_load().calls > 1 for node in nodes[1:]
             ):
                 await asyncio.sleep(0.01)
             self.assertFalse(waiting.done())
--- a/tests/requests/load/test_repeats.py
+++ b/tests/requests/load/test_repeats.py
@@ -44,7 +44,9 @@
                 assert request.transport is not None
                 request.transport.abort()
                 return web.Response()
-            parts.extend(n.proxy._beside.repeats.get_ratio() for n in nodes[1:])
+            parts.extend(
+                n.proxy._local_runner.repeats.get_ratio() for n in nodes[1:]
+            )
             return web.Response(body=b"ok")
 
         async with builders.run_nodes(3, handler=answer) as nodes:
@@ -56,5 +58,5 @@
                 got = await client.get(near.url + "/x")
             self.assertEqual(got.status, 200)
             self.assertEqual(sorted(parts), [0.0, 1.0])
-            left = [n.proxy._beside.repeats.get_ratio() for n in nodes]
+            left = [n.proxy._local_runner.repeats.get_ratio() for n in nodes]
             self.assertEqual(left, [0.0, 0.0, 0.0])
--- a/tests/requests/serving/test_tries.py
+++ b/tests/requests/serving/test_attempts.py
@@ -8,7 +8,7 @@
 
 from merlintrestle.requests.calls import doubts
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.serving import tries as tries_
+from merlintrestle.requests.serving import attempts as tries_
 from merlintrestle.requests.transport import bodies
 from tests.requests import builders
 
@@ -19,9 +19,9 @@
     """Tries whose ends the test decides about."""
 
     def setUp(self) -> None:
-        self.tries = tries_.Tries()
-        self.first = tries_.Try(builders.build_upstream(1))
-        self.second = tries_.Try(builders.build_upstream(2))
+        self.tries = tries_.Attempts()
+        self.first = tries_.Attempt(builders.build_upstream(1))
+        self.second = tries_.Attempt(builders.build_upstream(2))
         self.released = 0
         self.sent: asyncio.Future[outcomes.Outcome]
         self.sent_again: asyncio.Future[outcomes.Outcome]
--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -75,7 +75,7 @@
         async with relays.connect(self.wait) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.begun.acquire()
-            nodes[0].proxy.leave()
+            nodes[0].proxy.disable_caller_keep_alive()
             for _ in range(2):
                 asking = asyncio.create_task(self.asked.acquire())
                 await asyncio.wait(
@@ -340,7 +340,7 @@
             if not paid:
                 nodes[0].use_up_budget()
             with builders.watch_method(
-                dispatch.Dispatch, "_answer_doubt"
+                dispatch.Dispatcher, "_answer_doubt"
             ) as doubted:
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
                 while not doubted.called:
--- a/tests/requests/serving/test_drain.py
+++ b/tests/requests/serving/test_drain.py
@@ -183,7 +183,7 @@
             builders.open_client() as client,
         ):
             self.urls.append(node.url)
-            claims = node.proxy._beside.once.tasks
+            claims = node.proxy._local_runner.at_most_once.tasks
             call = asyncio.create_task(
                 client.post(node.url + "/payouts", headers={headers.KEY: "k"})
             )
--- a/tests/requests/serving/test_progress.py
+++ b/tests/requests/serving/test_retry_state.py
@@ -8,8 +8,8 @@
 from merlintrestle.requests.load import budgets
 from merlintrestle.requests.load import retries
 from merlintrestle.requests.load import round_trips
-from merlintrestle.requests.serving import progress
-from merlintrestle.requests.serving import tries
+from merlintrestle.requests.serving import attempts
+from merlintrestle.requests.serving import retry_state
 from tests.requests import builders
 from tests.requests import fakes
 
@@ -28,8 +28,8 @@
         )
         self.call = builders.build_call(plan=builders.build_plan())
         self.way = round_trips.RoundTripTime(fakes.Clock().get_time)
-        self.progress = progress.Progress(
-            self.call, self.budget, tries.Tries(), self.way
+        self.progress = retry_state.RetryState(
+            self.call, self.budget, attempts.Attempts(), self.way
         )
 
     def send_again(self, outcome: outcomes.Outcome) -> bool:
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -222,7 +222,7 @@
             builders.run_nodes(1, handler=self.pay) as (node,),
             builders.open_client() as client,
         ):
-            claims = node.proxy._beside.once._claims
+            claims = node.proxy._local_runner.at_most_once._claims
             call = builders.build_call(key="ticket-7")
             lease_id = await node.store.grant_lease(1000)
             key = claims.build_key(call)
--- a/tools/model.py
+++ b/tools/model.py
@@ -232,7 +232,7 @@
             play.chance,
         )
         side: Any = self
-        self.dispatch = dispatches.Dispatch(
+        self.dispatch = dispatches.Dispatcher(
             lambda: member_id,
             play.table,
             picker,
