--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -18,10 +18,10 @@
 from merlintrestle.members import timing as timings
 from merlintrestle.requests.calls import dialect as dialects
 from merlintrestle.requests.serving import proxy as proxies
-from merlintrestle.rollouts import book as books
-from merlintrestle.rollouts import keeper as keepers
-from merlintrestle.rollouts import register as registers
-from merlintrestle.rollouts import spreading
+from merlintrestle.rollouts import controller as keepers
+from merlintrestle.rollouts import gossip
+from merlintrestle.rollouts import storage as registers
+from merlintrestle.rollouts import tracker as books
 from merlintrestle.schema import control_pb2
 from merlintrestle.schema import request_pb2_grpc
 from merlintrestle.schema import settings_pb2
@@ -56,7 +56,7 @@
         witnessed: Whether other daemons record each version before it runs,
             so that this daemon never goes back over a restart.
         watch_directly: Whether it asks the store before it met a peer.
-        rollout_form: How the store keeps the records of roll-outs.
+        rollout_format: How the store keeps the records of roll-outs.
     """
 
     store: Any
@@ -65,7 +65,7 @@
     timing: timings.Timing
     witnessed: bool = True
     watch_directly: bool = False
-    rollout_form: registers.Form = registers.OwnForm()
+    rollout_format: registers.RecordFormat = registers.DefaultFormat()
 
 
 def build_surroundings(store_address: str) -> Surroundings:
@@ -112,7 +112,7 @@
         )
         settings.control_port = self._control.port
         self._table = tables.MemberTable(self._build_member())
-        self._book = books.Book(self._table.get_upstreams)
+        self._book = books.RolloutTracker(self._table.get_upstreams)
         self._proxy = proxies.Proxy(
             settings,
             self._holder,
@@ -257,18 +257,18 @@
         distribution: distributions.Distribution,
     ) -> None:
         """Connects what is known of roll-outs with links and store."""
-        self._spreading = spreading.Spreading(self._book, membership)
-        register = registers.Register(
-            self._store, self._surroundings.rollout_form
+        self._spreading = gossip.RolloutGossip(self._book, membership)
+        register = registers.RolloutStorage(
+            self._store, self._surroundings.rollout_format
         )
-        self._keeper = keepers.Keeper(
+        self._keeper = keepers.RolloutController(
             self._book,
             self._proxy.observer,
             register,
             distribution.watcher.turns.get_turn,
         )
         distribution.watcher.on_orders.append(
-            lambda entries: self._keeper.take_orders(
+            lambda entries: self._keeper.handle_orders(
                 register.parse_orders(entries)
             )
         )
--- a/merlintrestle/operators/rollouts.py
+++ b/merlintrestle/operators/rollouts.py
@@ -15,7 +15,7 @@
 from merlintrestle.operators import trail
 from merlintrestle.rollouts import orders
 from merlintrestle.rollouts import records
-from merlintrestle.rollouts import register as registers
+from merlintrestle.rollouts import storage as registers
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import records as store_records
 
@@ -139,7 +139,7 @@
             found.version,
         )
         await orders.write_attempt(store, attempt, [])
-        register = registers.Register(store, registers.OwnForm())
+        register = registers.RolloutStorage(store, registers.DefaultFormat())
         found.state = await register.write_state(found, control_pb2.ROLLED_BACK)
         if found.state == control_pb2.ROLLED_BACK:
             # The daemons read orders; they look at states as they write them.
@@ -201,7 +201,7 @@
     store: store_records.Store, service: str
 ) -> control_pb2.Rollout | None:
     """Returns the last order of a service with its state; None: none was."""
-    register = registers.Register(store, registers.OwnForm())
+    register = registers.RolloutStorage(store, registers.DefaultFormat())
     for order in await register.read_orders():
         if order.service == service:
             order.state = await register.read_state(order)
--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -124,7 +124,7 @@
         return [
             entry
             for entry in self._orders
-            if entry.key.startswith(rollouts.OPERATORS_FORM.order_prefix)
+            if entry.key.startswith(rollouts.OPERATORS_FORMAT.order_prefix)
         ]
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
--- a/merlintrestle/platform/rollouts.py
+++ b/merlintrestle/platform/rollouts.py
@@ -7,7 +7,7 @@
 
 from merlintrestle import errors
 from merlintrestle import rows
-from merlintrestle.rollouts import register
+from merlintrestle.rollouts import storage
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
@@ -25,12 +25,12 @@
 _MAX_WITHIN_S = 604_800
 
 
-class OperatorsForm:
+class OperatorsFormat:
     """The records that operators write and read."""
 
     order_prefix = "op/rollout/"
 
-    def read_order(self, entry: client.Entry) -> control_pb2.Rollout:
+    def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
         """Returns the order that an entry holds."""
         fields = rows.parse_object(entry.value, entry.key, _ERROR)
         row = rows.Row(entry.key, fields, _ERROR)
@@ -45,11 +45,11 @@
             within_ms=max(1, round(within_s * _MS)),
         )
 
-    def name_state(self, service: str) -> str:
+    def build_state_key(self, service: str) -> str:
         """Returns the key of a service's state."""
         return _STATE_PREFIX + service
 
-    def write_state(
+    def encode_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> bytes:
         """Returns a state as operators read it."""
@@ -60,7 +60,7 @@
         }
         return json.dumps(fields).encode()
 
-    def read_state(self, value: bytes) -> register.Stated:
+    def decode_state(self, value: bytes) -> storage.RecordedState:
         """Returns the state that a value holds."""
         fields = rows.parse_object(value, "roll-out", _ERROR)
         row = rows.Row("roll-out", fields, _ERROR)
@@ -68,7 +68,7 @@
         state = names.get(row.get_text("state"))
         if state is None:
             raise _ERROR(f"roll-out: its state is {fields['state']!r}")
-        return register.Stated(row.get_text("targetVersion"), state)
+        return storage.RecordedState(row.get_text("targetVersion"), state)
 
 
-OPERATORS_FORM = OperatorsForm()
+OPERATORS_FORMAT = OperatorsFormat()
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -44,7 +44,7 @@
                 timing=timings.QUICK,
                 witnessed=False,
                 watch_directly=True,
-                rollout_form=rollouts.OPERATORS_FORM,
+                rollout_format=rollouts.OPERATORS_FORMAT,
             ),
         )
 
--- a/merlintrestle/requests/parts.py
+++ b/merlintrestle/requests/parts.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from merlintrestle.documents import snapshot
     from merlintrestle.members import table
-    from merlintrestle.rollouts import lanes
+    from merlintrestle.rollouts import subsets
     from merlintrestle.store import client
 
 
@@ -39,7 +39,7 @@
     def may_run(self) -> bool:
         """Returns whether the own backend server is to get calls."""
 
-    def note(self, name: str, failed: bool, took_s: float) -> None:
+    def record_answer(self, name: str, failed: bool, took_s: float) -> None:
         """Takes in an answer: its class, whether it failed, its seconds."""
 
 
@@ -48,7 +48,7 @@
 
     def choose(
         self, service: str, upstreams: tuple[table.Upstream, ...]
-    ) -> lanes.Lane:
+    ) -> subsets.Subset:
         """Returns where the next send of a call may go."""
 
 
--- a/merlintrestle/requests/serving/local_runner.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -119,7 +119,7 @@
         self._note_given(outcome)
         self._note(call, outcome)
         if not isinstance(outcome, outcomes.NotRun):
-            self._observer.note(
+            self._observer.record_answer(
                 call.plan.name, _is_failure(outcome), time.monotonic() - began
             )
         if isinstance(outcome, outcomes.Answered):
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -30,9 +30,9 @@
 from merlintrestle.requests.unrepeatable import inquiries
 from merlintrestle.requests.unrepeatable import leases
 from merlintrestle.requests.unrepeatable import recall
-from merlintrestle.rollouts import book as books
-from merlintrestle.rollouts import lanes
 from merlintrestle.rollouts import observer as observers
+from merlintrestle.rollouts import subsets
+from merlintrestle.rollouts import tracker as books
 
 if TYPE_CHECKING:
     from merlintrestle.requests import parts
@@ -79,7 +79,7 @@
         table: parts.MemberTable,
         store: parts.Store,
         dialect: object = _OWN_DIALECT,
-        book: books.Book | None = None,
+        book: books.RolloutTracker | None = None,
     ):
         """Sets the parts; nothing is opened before `start`.
 
@@ -92,7 +92,7 @@
             book: The roll-outs; None: there are none.
         """
         super().__init__()
-        book = book or books.Book(table.get_upstreams)
+        book = book or books.RolloutTracker(table.get_upstreams)
         self._dialect = dialect
         self.backend = backend.OwnBackend()
         self.caller_port = 0
@@ -153,7 +153,7 @@
             self._forwarder,
             time.monotonic,
             self._budgets,
-            lanes.Lanes(book, settings.trial_share),
+            subsets.SubsetSelector(book, settings.trial_share),
         )
 
     def set_retry_bounds(
--- a/merlintrestle/rollouts/keeper.py
+++ b/merlintrestle/rollouts/controller.py
@@ -9,16 +9,16 @@
 
 from merlintrestle import errors
 from merlintrestle import events as event_logs
-from merlintrestle.rollouts import judgement
+from merlintrestle.rollouts import analysis
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from merlintrestle.rollouts import book as books
     from merlintrestle.rollouts import observer as observers
     from merlintrestle.rollouts import progress as progresses
-    from merlintrestle.rollouts import register as registers
+    from merlintrestle.rollouts import storage as registers
+    from merlintrestle.rollouts import tracker as books
 
 events = event_logs.EventLog("rollouts")
 
@@ -31,7 +31,7 @@
 _DRAIN_S = 3.5
 
 
-class Keeper(mode.Service):
+class RolloutController(mode.Service):
     """Keeps the roll-outs going at this daemon.
 
     Every daemon looks at what it saw itself; those that read the store for
@@ -41,9 +41,9 @@
 
     def __init__(
         self,
-        book: books.Book,
+        book: books.RolloutTracker,
         observer: observers.Observer,
-        register: registers.Register,
+        register: registers.RolloutStorage,
         get_turn: Callable[[], int | None],
     ):
         """Sets the parts.
@@ -63,7 +63,9 @@
         self._handled: set[tuple[str, int]] = set()
         self._due: dict[tuple[str, int, int], float] = {}
 
-    async def take_orders(self, orders: Iterable[control_pb2.Rollout]) -> None:
+    async def handle_orders(
+        self, orders: Iterable[control_pb2.Rollout]
+    ) -> None:
         """Takes in orders as the store has them.
 
         How an order ended is read before it is told to others: one that ended
@@ -116,7 +118,7 @@
             await self.sleep(_LOOK_S)
             for progress in self._book.list_open():
                 self._book.update(progress.rollout.service)
-            self._observer.look()
+            self._observer.update()
             for progress in self._book.list_open():
                 await self.write(progress)
 
@@ -124,9 +126,9 @@
         self, progress: progresses.Progress
     ) -> control_pb2.RolloutState | None:
         """Returns the state to write; None: the one written still holds."""
-        if progress.phase is judgement.Phase.BACK:
+        if progress.phase is analysis.Phase.BACK:
             return control_pb2.ROLLED_BACK
-        if progress.phase is judgement.Phase.NEW and self._is_drained(progress):
+        if progress.phase is analysis.Phase.NEW and self._is_drained(progress):
             return control_pb2.COMPLETE
         if progress.rollout.state < control_pb2.RUNNING:
             return control_pb2.RUNNING
--- a/merlintrestle/rollouts/spreading.py
+++ b/merlintrestle/rollouts/gossip.py
@@ -7,11 +7,11 @@
 if TYPE_CHECKING:
     from merlintrestle.members import links as links_lib
     from merlintrestle.members import membership as memberships
-    from merlintrestle.rollouts import book as books
+    from merlintrestle.rollouts import tracker as books
     from merlintrestle.schema import control_pb2
 
 
-class Spreading:
+class RolloutGossip:
     """Passes on what is news to the book, over the links of membership.
 
     What is no news goes no further, so that nothing goes round for ever. A
@@ -19,7 +19,9 @@
     for members: whoever knows upstreams knows which of them are on trial.
     """
 
-    def __init__(self, book: books.Book, membership: memberships.Membership):
+    def __init__(
+        self, book: books.RolloutTracker, membership: memberships.Membership
+    ):
         """Connects the parts."""
         self._book = book
         self._links = membership.links
--- a/merlintrestle/rollouts/observer.py
+++ b/merlintrestle/rollouts/observer.py
@@ -8,7 +8,7 @@
 import prometheus_client
 
 from merlintrestle import events as event_logs
-from merlintrestle.rollouts import judgement
+from merlintrestle.rollouts import analysis
 from merlintrestle.rollouts import progress as progresses
 from merlintrestle.rollouts import sequential
 from merlintrestle.schema import control_pb2
@@ -17,7 +17,7 @@
     from collections.abc import Callable
 
     from merlintrestle.requests import backend as backends
-    from merlintrestle.rollouts import book as books
+    from merlintrestle.rollouts import tracker as books
 
 events = event_logs.EventLog("rollouts")
 
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        book: books.Book,
+        book: books.RolloutTracker,
         backend: backends.OwnBackend,
         get_own_id: Callable[[], str],
         count_running: Callable[[], int],
@@ -89,12 +89,12 @@
             return True
         version = self._backend.version
         if progress.is_new(version):
-            return progress.phase is not judgement.Phase.BACK
+            return progress.phase is not analysis.Phase.BACK
         if progress.is_old(version):
             return not self._is_closed(progress)
         return self._book.serves_unknown(progress)
 
-    def note(self, name: str, failed: bool, took_s: float) -> None:
+    def record_answer(self, name: str, failed: bool, took_s: float) -> None:
         """Takes in an answer of the own backend server, or that none came.
 
         Args:
@@ -117,7 +117,7 @@
             return
         self._report()
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Reports what has changed without a call."""
         progress = self._book.get(self._backend.service)
         if progress is None:
@@ -154,7 +154,7 @@
 
     def _is_closed(self, progress: progresses.Progress) -> bool:
         """Returns whether the version before gets no calls any more."""
-        if progress.phase is not judgement.Phase.NEW or not progress.new:
+        if progress.phase is not analysis.Phase.NEW or not progress.new:
             return False
         if progress.ended and not progress.is_replaced(self._backend.version):
             return False
@@ -187,7 +187,7 @@
         self, baseline: progresses.Baseline, name: str, bad: bool
     ) -> None:
         test = self._tests.setdefault(name, sequential.SequentialTest())
-        allowed = judgement.get_allowed_bad(baseline.failed or 0.0)
+        allowed = analysis.get_allowed_bad(baseline.failed or 0.0)
         test.note(bad, allowed)
         if not test.passed or self._trial.suspect:
             return
--- a/merlintrestle/rollouts/orders.py
+++ b/merlintrestle/rollouts/orders.py
@@ -7,7 +7,7 @@
 from google.protobuf import message
 
 from merlintrestle import errors
-from merlintrestle.rollouts import register as registers
+from merlintrestle.rollouts import storage as registers
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
--- a/merlintrestle/rollouts/progress.py
+++ b/merlintrestle/rollouts/progress.py
@@ -5,7 +5,7 @@
 import statistics
 from typing import NamedTuple, TYPE_CHECKING
 
-from merlintrestle.rollouts import judgement
+from merlintrestle.rollouts import analysis
 from merlintrestle.rollouts import records
 from merlintrestle.schema import control_pb2
 
@@ -55,7 +55,7 @@
 
     def __init__(self, rollout: control_pb2.Rollout, now: float):
         self.rollout = rollout
-        self.phase = judgement.Phase.TRIAL
+        self.phase = analysis.Phase.TRIAL
         self.heard_at = now
         self.phase_at = now
         self.trials: dict[str, control_pb2.Trial] = {}
@@ -123,7 +123,7 @@
             if one.failed is not None
         }
 
-    def list_evidence(self) -> list[judgement.Evidence]:
+    def list_evidence(self) -> list[analysis.Evidence]:
         """Returns what was seen of the new version.
 
         Those of which nothing was seen yet are among it: what one of several
@@ -142,11 +142,11 @@
                     seen.setdefault(one.name, []).append(one)
         return {name: _add_up(some) for name, some in seen.items()}
 
-    def _get_evidence(self, member_id: str) -> judgement.Evidence:
+    def _get_evidence(self, member_id: str) -> analysis.Evidence:
         trial = self.trials.get(member_id, control_pb2.Trial())
-        return judgement.Evidence(
+        return analysis.Evidence(
             tuple(
-                judgement.ClassEvidence(one.name, one.calls, one.bad)
+                analysis.ClassEvidence(one.name, one.calls, one.bad)
                 for one in trial.classes
             ),
             trial.watched_ms / _MS,
--- a/merlintrestle/rollouts/register.py
+++ b/merlintrestle/rollouts/storage.py
@@ -24,7 +24,7 @@
 _MAX_ORDERS = 1000
 
 
-class Stated(NamedTuple):
+class RecordedState(NamedTuple):
     """What the record of a service says of its last roll-out.
 
     Attributes:
@@ -36,27 +36,27 @@
     state: control_pb2.RolloutState
 
 
-class Form(Protocol):
+class RecordFormat(Protocol):
     """How the records of roll-outs are named and written."""
 
     order_prefix: str
 
-    def read_order(self, entry: client.Entry) -> control_pb2.Rollout:
+    def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
         """Returns the order that an entry holds.
 
         Raises:
             errors.CorruptRecordError: It is none.
         """
 
-    def name_state(self, service: str) -> str:
+    def build_state_key(self, service: str) -> str:
         """Returns the key of a service's state."""
 
-    def write_state(
+    def encode_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> bytes:
         """Returns a state as the store keeps it."""
 
-    def read_state(self, value: bytes) -> Stated:
+    def decode_state(self, value: bytes) -> RecordedState:
         """Returns the state that a value holds.
 
         Raises:
@@ -64,12 +64,12 @@
         """
 
 
-class OwnForm:
+class DefaultFormat:
     """The product's own records."""
 
     order_prefix = ORDER_PREFIX
 
-    def read_order(self, entry: client.Entry) -> control_pb2.Rollout:
+    def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
         """Returns an order; its number is the revision of its record.
 
         An operator who ends one writes it anew as rolled back.
@@ -81,11 +81,11 @@
             order.state = control_pb2.ROLLOUT_STATE_UNSPECIFIED
         return order
 
-    def name_state(self, service: str) -> str:
+    def build_state_key(self, service: str) -> str:
         """Returns the key of a service's state."""
         return STATE_PREFIX + service
 
-    def write_state(
+    def encode_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> bytes:
         """Returns the record of an order with its state."""
@@ -94,16 +94,16 @@
         written.state = state
         return written.SerializeToString(deterministic=True)
 
-    def read_state(self, value: bytes) -> Stated:
+    def decode_state(self, value: bytes) -> RecordedState:
         """Returns the state of a record."""
         record = _parse(value)
-        return Stated(record.version, record.state)
+        return RecordedState(record.version, record.state)
 
 
-class Register:
+class RolloutStorage:
     """Reads orders, and writes the state of each; the first end stays."""
 
-    def __init__(self, store: store_records.Store, form: Form):
+    def __init__(self, store: store_records.Store, form: RecordFormat):
         """Sets the store and how its records look."""
         self._store = store
         self._form = form
@@ -130,7 +130,7 @@
         orders = []
         for entry in entries:
             try:
-                order = self._form.read_order(entry)
+                order = self._form.decode_order(entry)
             except errors.CorruptRecordError as error:
                 events.warn("order malformed", key=entry.key, error=str(error))
                 continue
@@ -148,7 +148,9 @@
         Raises:
             errors.StoreUnavailableError: The store did not answer.
         """
-        entry = await self._store.get(self._form.name_state(rollout.service))
+        entry = await self._store.get(
+            self._form.build_state_key(rollout.service)
+        )
         return self._get_state(rollout, entry)
 
     async def write_state(
@@ -167,12 +169,12 @@
             errors.StoreUnavailableError: The store did not answer.
             errors.StoreUnknownOutcomeError: Whether it was written is unknown.
         """
-        key = self._form.name_state(rollout.service)
+        key = self._form.build_state_key(rollout.service)
         entry = await self._store.get(key)
         held = self._get_state(rollout, entry)
         if held in records.ENDED or held >= state:
             return held
-        value = self._form.write_state(rollout, state)
+        value = self._form.encode_state(rollout, state)
         revision = entry.revision if entry is not None else 0
         reply = await self._store.put(key, value, revision)
         if reply.written:
@@ -191,7 +193,7 @@
         if entry is None or entry.revision < rollout.number:
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
         try:
-            stated = self._form.read_state(entry.value)
+            stated = self._form.decode_state(entry.value)
         except errors.CorruptRecordError as error:
             events.warn("state malformed", key=entry.key, error=str(error))
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
--- a/merlintrestle/rollouts/lanes.py
+++ b/merlintrestle/rollouts/subsets.py
@@ -4,12 +4,12 @@
 
 from typing import NamedTuple, TYPE_CHECKING
 
-from merlintrestle.rollouts import judgement
+from merlintrestle.rollouts import analysis
 
 if TYPE_CHECKING:
     from merlintrestle.members import table as tables
-    from merlintrestle.rollouts import book as books
     from merlintrestle.rollouts import progress as progresses
+    from merlintrestle.rollouts import tracker as books
 
 # Part of a service's calls that a new version gets where nothing is set.
 TRIAL_SHARE = 0.05
@@ -21,7 +21,7 @@
 _MOST_CREDIT = 1.0
 
 
-class Lane(NamedTuple):
+class Subset(NamedTuple):
     """Upstreams that a call may be sent to.
 
     Attributes:
@@ -62,14 +62,14 @@
     after: tuple[tables.Upstream, ...]
 
 
-class Lanes:
+class SubsetSelector:
     """Chooses the upstreams of each send by the phase of the roll-out.
 
     Each daemon gives a new version a part of its own sends, so the parts of
     all add up to that part of the whole, and no daemon asks another.
     """
 
-    def __init__(self, book: books.Book, share: float = 0.0):
+    def __init__(self, book: books.RolloutTracker, share: float = 0.0):
         """Sets what is known of roll-outs.
 
         Args:
@@ -84,7 +84,7 @@
 
     def choose(
         self, service: str, upstreams: tuple[tables.Upstream, ...]
-    ) -> Lane:
+    ) -> Subset:
         """Returns where the next send of a call may go.
 
         Args:
@@ -93,31 +93,31 @@
         """
         progress = self._book.get(service)
         if progress is None:
-            return Lane(service, upstreams)
+            return Subset(service, upstreams)
         split = self._get_split(service, upstreams, progress)
         phase = progress.phase
-        if phase is judgement.Phase.NEW:
+        if phase is analysis.Phase.NEW:
             return self._choose_new(service, split, progress)
-        if phase is judgement.Phase.SHARED:
+        if phase is analysis.Phase.SHARED:
             share, some = _SHARED_SHARE, split.shared
-        elif phase is judgement.Phase.TRIAL:
+        elif phase is analysis.Phase.TRIAL:
             share, some = self._share, split.trial
         else:
             share, some = 0.0, ()
         if self._spend(service, share, some):
-            return Lane(f"{service} {phase.name.lower()}", some)
+            return Subset(f"{service} {phase.name.lower()}", some)
         if not split.before and self._book.serves_unknown(progress):
-            return Lane(f"{service} unknown", split.unknown)
-        return Lane(f"{service} before", split.before)
+            return Subset(f"{service} unknown", split.unknown)
+        return Subset(f"{service} before", split.before)
 
     def _choose_new(
         self, service: str, split: _Split, progress: progresses.Progress
-    ) -> Lane:
+    ) -> Subset:
         if progress.ended:
-            return Lane(f"{service} after", split.after or split.upstreams)
+            return Subset(f"{service} after", split.after or split.upstreams)
         if split.new:
-            return Lane(f"{service} new", split.new)
-        return Lane(f"{service} before", split.before)
+            return Subset(f"{service} new", split.new)
+        return Subset(f"{service} before", split.before)
 
     def _spend(
         self, service: str, share: float, some: tuple[tables.Upstream, ...]
--- a/merlintrestle/rollouts/book.py
+++ b/merlintrestle/rollouts/tracker.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle import events as event_logs
-from merlintrestle.rollouts import judgement
+from merlintrestle.rollouts import analysis
 from merlintrestle.rollouts import progress as progress_lib
 from merlintrestle.rollouts import records
 from merlintrestle.schema import control_pb2
@@ -29,7 +29,7 @@
 _MS = 1000
 
 
-class Book:
+class RolloutTracker:
     """The roll-outs of all services.
 
     Attributes:
@@ -152,28 +152,28 @@
         """
         if not progress.ended:
             return False
-        if progress.phase is judgement.Phase.NEW:
+        if progress.phase is analysis.Phase.NEW:
             return True
         return self.get_phase_age(progress) >= _SILENT_S
 
-    def _choose_phase(self, progress: progress_lib.Progress) -> judgement.Phase:
+    def _choose_phase(self, progress: progress_lib.Progress) -> analysis.Phase:
         state = progress.rollout.state
         if state == control_pb2.ROLLED_BACK:
-            return judgement.Phase.BACK
+            return analysis.Phase.BACK
         if state == control_pb2.COMPLETE:
-            return judgement.Phase.NEW
-        judged = judgement.judge(
+            return analysis.Phase.NEW
+        judged = analysis.judge(
             progress.rollout.within_ms / _MS,
             progress.get_failed(),
             progress.list_evidence(),
         )
         phase = max(judged, progress.phase)
-        if phase < judgement.Phase.NEW and self.is_due(progress):
-            return judgement.Phase.BACK
+        if phase < analysis.Phase.NEW and self.is_due(progress):
+            return analysis.Phase.BACK
         return phase
 
     def _note_phase(
-        self, progress: progress_lib.Progress, phase: judgement.Phase
+        self, progress: progress_lib.Progress, phase: analysis.Phase
     ) -> None:
         evidence = progress.list_evidence()
         events.note(
--- a/merlintrestle/versions/source.py
+++ b/merlintrestle/versions/source.py
@@ -7,7 +7,7 @@
 from merlintrestle import errors
 from merlintrestle.documents import compiler
 from merlintrestle.members import seeds as seeds_lib
-from merlintrestle.rollouts import register
+from merlintrestle.rollouts import storage
 from merlintrestle.store import records
 
 if TYPE_CHECKING:
@@ -105,7 +105,7 @@
         Raises:
             errors.StoreUnavailableError: The store did not answer.
         """
-        return await self._store.list(register.ORDER_PREFIX)
+        return await self._store.list(storage.ORDER_PREFIX)
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
         """Names members of a zone; returns those named before.
--- a/tests/operators/test_rollouts.py
+++ b/tests/operators/test_rollouts.py
@@ -7,7 +7,7 @@
 import unittest
 
 from merlintrestle.operators import exits
-from merlintrestle.rollouts import register as registers
+from merlintrestle.rollouts import storage as registers
 from merlintrestle.schema import control_pb2
 from tests.operators import builders
 
@@ -21,7 +21,9 @@
         self.desk = builders.Desk()
         self.desk.run("apply", _MESH)
         self.desk.run("apply", _ZAANOEVER)
-        self.register = registers.Register(self.desk.store, registers.OwnForm())
+        self.register = registers.RolloutStorage(
+            self.desk.store, registers.DefaultFormat()
+        )
 
     def run_json(self, *arguments: str) -> dict:
         """Runs a command and returns what it prints."""
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -26,8 +26,8 @@
 from merlintrestle.requests.serving import dispatch
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import results
-from merlintrestle.rollouts import book as books
-from merlintrestle.rollouts import lanes
+from merlintrestle.rollouts import subsets
+from merlintrestle.rollouts import tracker as books
 from merlintrestle.schema import control_pb2
 from tests.requests import builders
 from tests.requests import fakes
@@ -223,7 +223,7 @@
             wire,
             self._loop.time,
             bounds,
-            lanes.Lanes(books.Book(table.get_upstreams)),
+            subsets.SubsetSelector(books.RolloutTracker(table.get_upstreams)),
         )
 
     async def _make_call(self, callers: simulations.Callers) -> None:
--- a/tests/rollouts/builders.py
+++ b/tests/rollouts/builders.py
@@ -6,8 +6,8 @@
 
 from merlintrestle import errors
 from merlintrestle.members import table as tables
-from merlintrestle.rollouts import book as books
 from merlintrestle.rollouts import progress as progresses
+from merlintrestle.rollouts import tracker as books
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import client
 
@@ -85,7 +85,9 @@
     def __init__(self, before: int = 3, new: int = 3):
         self.upstreams = build_upstreams(before, new)
         self.clock = Clock()
-        self.book = books.Book(lambda service: self.upstreams, self.clock)
+        self.book = books.RolloutTracker(
+            lambda service: self.upstreams, self.clock
+        )
 
     @property
     def progress(self) -> progresses.Progress:
--- a/tests/rollouts/test_judgement.py
+++ b/tests/rollouts/test_analysis.py
@@ -5,22 +5,22 @@
 import random
 import unittest
 
-from merlintrestle.rollouts import judgement
+from merlintrestle.rollouts import analysis
 from merlintrestle.rollouts import sequential
 
-_Phase = judgement.Phase
+_Phase = analysis.Phase
 _WITHIN_S = 10.0
 
 
-def _judge(*evidence: judgement.Evidence, failed: float = 0.0) -> _Phase:
-    return judgement.judge(_WITHIN_S, {"lookup": failed}, evidence)
+def _judge(*evidence: analysis.Evidence, failed: float = 0.0) -> _Phase:
+    return analysis.judge(_WITHIN_S, {"lookup": failed}, evidence)
 
 
 def _see(
     calls: int, bad: int, watched_s: float, suspect: bool = False
-) -> judgement.Evidence:
-    seen = judgement.ClassEvidence("lookup", calls, bad)
-    return judgement.Evidence((seen,), watched_s, suspect)
+) -> analysis.Evidence:
+    seen = analysis.ClassEvidence("lookup", calls, bad)
+    return analysis.Evidence((seen,), watched_s, suspect)
 
 
 def _count_until_passed(test, chance, part, allowed, limit) -> int:
@@ -65,7 +65,7 @@
     def test_two_sick_ones_of_many_are_no_bad_version(self):
         """Guards against a trial that begins with two that are sick."""
         sick = _see(30, 15, 2.0, suspect=True)
-        unseen = judgement.Evidence((), 0.0, False)
+        unseen = analysis.Evidence((), 0.0, False)
         self.assertIs(_judge(sick, sick, *[unseen] * 20), _Phase.TRIAL)
         self.assertIs(_judge(sick, sick, sick, *[unseen] * 19), _Phase.BACK)
         self.assertIs(_judge(sick, sick, *[unseen] * 5), _Phase.BACK)
@@ -82,11 +82,11 @@
     def test_one_class_alone_is_not_hidden_by_the_others(self):
         """Guards against a version that fails one class of work only."""
         classes = (
-            judgement.ClassEvidence("lookup", 300, 3),
-            judgement.ClassEvidence("payout", 30, 13),
+            analysis.ClassEvidence("lookup", 300, 3),
+            analysis.ClassEvidence("payout", 30, 13),
         )
         self.assertIs(
-            _judge(judgement.Evidence(classes, 5.0, False)), _Phase.BACK
+            _judge(analysis.Evidence(classes, 5.0, False)), _Phase.BACK
         )
 
     def test_what_all_show_together_is_enough(self):
--- a/tests/rollouts/test_keeper.py
+++ b/tests/rollouts/test_controller.py
@@ -5,9 +5,9 @@
 import unittest
 
 from merlintrestle.requests import backend as backends
-from merlintrestle.rollouts import keeper as keepers
+from merlintrestle.rollouts import controller as keepers
 from merlintrestle.rollouts import observer as observers
-from merlintrestle.rollouts import register as registers
+from merlintrestle.rollouts import storage as registers
 from merlintrestle.schema import control_pb2
 from tests.rollouts import builders
 
@@ -19,7 +19,9 @@
 class KeeperTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.site = builders.Site(before=1, new=1)
-        register = registers.Register(builders.FakeStore(), registers.OwnForm())
+        register = registers.RolloutStorage(
+            builders.FakeStore(), registers.DefaultFormat()
+        )
         observer = observers.Observer(
             self.site.book,
             backends.OwnBackend(),
@@ -27,7 +29,7 @@
             lambda: 0,
             self.site.clock,
         )
-        self.keeper = keepers.Keeper(
+        self.keeper = keepers.RolloutController(
             self.site.book, observer, register, lambda: 0
         )
 
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -5,7 +5,7 @@
 import unittest
 
 from merlintrestle.requests import backend as backends
-from merlintrestle.rollouts import judgement
+from merlintrestle.rollouts import analysis
 from merlintrestle.rollouts import observer as observers
 from merlintrestle.schema import control_pb2
 from tests.rollouts import builders
@@ -43,7 +43,7 @@
         """Notes calls, twenty a second."""
         for _ in range(calls):
             self.site.clock.now += 0.05
-            observer.note("lookup", failed, took_s)
+            observer.record_answer("lookup", failed, took_s)
 
     def tell_baseline(self, calls: int = 100, bad: int = 0) -> None:
         """Tells what the version before did, in 0.1 s a call."""
@@ -91,15 +91,15 @@
         observer = self.observe(_OLD, "v1")
         good = builders.build_trial(_NEW, 500, 0, watched_ms=9_000)
         self.site.book.merge_trial(good)
-        self.assertIs(self.site.progress.phase, judgement.Phase.NEW)
+        self.assertIs(self.site.progress.phase, analysis.Phase.NEW)
         self.assertTrue(observer.may_run())
         self.running = 1
         self.site.clock.now += 1.0
         self.assertFalse(observer.may_run())
-        observer.look()
+        observer.update()
         self.assertFalse(self.site.progress.is_drained(_OLD))
         self.running = 0
-        observer.look()
+        observer.update()
         self.assertTrue(self.site.progress.is_drained(_OLD))
 
     def test_a_version_that_went_back_runs_nothing(self) -> None:
@@ -124,7 +124,7 @@
         """Guards against answers of a new version in the baseline."""
         observer = self.hide_version()
         self.note(observer, 30, failed=True)
-        observer.look()
+        observer.update()
         self.assertEqual(self.site.book.list_trials(), [])
 
     def test_one_that_just_lost_its_version_tells_nothing(self) -> None:
@@ -142,7 +142,7 @@
         self.assertFalse(observer.may_run())
         self.site.clock.now += 0.2
         self.site.book.update(builders.SERVICE)
-        self.assertIs(self.site.progress.phase, judgement.Phase.BACK)
+        self.assertIs(self.site.progress.phase, analysis.Phase.BACK)
         self.assertFalse(observer.may_run())
         self.end(control_pb2.ROLLED_BACK)
         self.assertFalse(observer.may_run())
@@ -154,10 +154,10 @@
         observer = self.hide_version()
         good = builders.build_trial(_NEW, 500, 0, watched_ms=9_000)
         self.site.book.merge_trial(good)
-        self.assertIs(self.site.progress.phase, judgement.Phase.NEW)
+        self.assertIs(self.site.progress.phase, analysis.Phase.NEW)
         self.site.clock.now += 1.0
         self.assertFalse(observer.may_run())
-        observer.look()
+        observer.update()
         self.assertFalse(self.site.progress.is_drained(_OLD))
 
     def test_one_that_says_no_version_runs_once_it_is_complete(self) -> None:
@@ -181,7 +181,7 @@
         observer = self.observe("10.0.2.1:7600", version)
         self.end(control_pb2.COMPLETE)
         self.site.clock.now += 1.0
-        observer.look()
+        observer.update()
         return observer
 
     def test_the_version_before_stays_closed_where_the_new_one_serves(
@@ -194,7 +194,7 @@
         """Guards against a service that refuses all after the new one left."""
         observer = self.complete("v1")
         self.site.upstreams = self.site.upstreams[:3]
-        observer.look()
+        observer.update()
         self.assertTrue(observer.may_run())
 
     def test_a_later_version_is_not_closed(self) -> None:
@@ -208,14 +208,14 @@
         self.assertFalse(observer.may_run())
         later = builders.build_upstream("10.0.2.1:7600", "v3")
         self.site.upstreams = (later,)
-        observer.look()
+        observer.update()
         self.assertTrue(observer.may_run())
 
     def test_a_service_without_a_roll_out_is_left_alone(self) -> None:
         observer = observers.Observer(
             self.site.book, self.backend, lambda: _OLD, lambda: 0
         )
-        observer.note("lookup", True, 1.0)
-        observer.look()
+        observer.record_answer("lookup", True, 1.0)
+        observer.update()
         self.assertTrue(observer.may_run())
         self.assertEqual(self.site.book.list_trials(), [])
--- a/tests/rollouts/test_states.py
+++ b/tests/rollouts/test_states.py
@@ -10,18 +10,18 @@
 from hypothesis import strategies
 
 from merlintrestle.requests import backend as backends
-from merlintrestle.rollouts import book as books
-from merlintrestle.rollouts import judgement
-from merlintrestle.rollouts import keeper as keepers
+from merlintrestle.rollouts import analysis
+from merlintrestle.rollouts import controller as keepers
 from merlintrestle.rollouts import observer as observers
 from merlintrestle.rollouts import records
-from merlintrestle.rollouts import register as registers
+from merlintrestle.rollouts import storage as registers
+from merlintrestle.rollouts import tracker as books
 from merlintrestle.schema import control_pb2
 from tests.rollouts import builders
 
 _DAEMONS = 3
 _daemons = strategies.integers(0, _DAEMONS - 1)
-_FORM = registers.OwnForm()
+_FORM = registers.DefaultFormat()
 
 
 class _Daemon:
@@ -29,12 +29,12 @@
 
     def __init__(self, store: builders.FakeStore, clock: builders.Clock):
         upstreams = builders.build_upstreams(2, 2)
-        self.book = books.Book(lambda service: upstreams, clock)
-        self.register = registers.Register(store, _FORM)
+        self.book = books.RolloutTracker(lambda service: upstreams, clock)
+        self.register = registers.RolloutStorage(store, _FORM)
         observer = observers.Observer(
             self.book, backends.OwnBackend(), lambda: "", lambda: 0, clock
         )
-        self.keeper = keepers.Keeper(
+        self.keeper = keepers.RolloutController(
             self.book, observer, self.register, lambda: 0
         )
 
@@ -68,7 +68,7 @@
         async def run() -> None:
             one = self.daemons[daemon]
             orders = await one.register.read_orders()
-            await one.keeper.take_orders(orders)
+            await one.keeper.handle_orders(orders)
 
         asyncio.run(run())
 
@@ -152,7 +152,7 @@
             if progress is None or not progress.ended:
                 continue
             complete = progress.rollout.state == control_pb2.COMPLETE
-            phase = judgement.Phase.NEW if complete else judgement.Phase.BACK
+            phase = analysis.Phase.NEW if complete else analysis.Phase.BACK
             assert progress.phase is phase
 
     def note_end(self, rollout: control_pb2.Rollout) -> None:
--- a/tests/rollouts/test_register.py
+++ b/tests/rollouts/test_storage.py
@@ -8,14 +8,14 @@
 
 from merlintrestle import errors
 from merlintrestle.platform import rollouts
-from merlintrestle.rollouts import register as registers
+from merlintrestle.rollouts import storage as registers
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import client
 from tests.rollouts import builders
 
-_FORMS: tuple[registers.Form, ...] = (
-    registers.OwnForm(),
-    rollouts.OPERATORS_FORM,
+_FORMS: tuple[registers.RecordFormat, ...] = (
+    registers.DefaultFormat(),
+    rollouts.OPERATORS_FORMAT,
 )
 _ENDS = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
 
@@ -27,7 +27,7 @@
             _FORMS, itertools.permutations(_ENDS)
         ):
             with self.subTest(form=form, order=order):
-                register = registers.Register(builders.FakeStore(), form)
+                register = registers.RolloutStorage(builders.FakeStore(), form)
                 rollout = builders.build_rollout()
                 written = [
                     await register.write_state(rollout, state)
@@ -39,7 +39,9 @@
         """Guards against two daemons that write different ends at once."""
         for form in _FORMS:
             store = builders.FakeStore()
-            one, other = (registers.Register(store, form) for _ in range(2))
+            one, other = (
+                registers.RolloutStorage(store, form) for _ in range(2)
+            )
             rollout = builders.build_rollout()
             ends = await asyncio.gather(
                 one.write_state(rollout, control_pb2.COMPLETE),
@@ -51,7 +53,7 @@
         """Guards against an end that is written and not known."""
         for form in _FORMS:
             store = builders.FakeStore()
-            register = registers.Register(store, form)
+            register = registers.RolloutStorage(store, form)
             rollout = builders.build_rollout()
             store.lose = 1
             with self.assertRaises(errors.StoreUnknownOutcomeError):
@@ -63,7 +65,7 @@
         """Guards against an order that counts as ended by the one before."""
         for form in _FORMS:
             store = builders.FakeStore()
-            register = registers.Register(store, form)
+            register = registers.RolloutStorage(store, form)
             first = builders.build_rollout()
             await register.write_state(first, control_pb2.ROLLED_BACK)
             again = builders.build_rollout(number=99)
@@ -73,8 +75,8 @@
 
     async def test_malformed_orders_hold_up_no_other(self):
         """Guards against another writer's record that stops all roll-outs."""
-        form = rollouts.OPERATORS_FORM
-        register = registers.Register(builders.FakeStore(), form)
+        form = rollouts.OPERATORS_FORMAT
+        register = registers.RolloutStorage(builders.FakeStore(), form)
         good = b'{"service":"balie","targetVersion":"v2","durationS":12}'
         values = (
             b"",
--- a/tests/rollouts/test_lanes.py
+++ b/tests/rollouts/test_subsets.py
@@ -5,7 +5,7 @@
 import collections
 import unittest
 
-from merlintrestle.rollouts import lanes as lanes_lib
+from merlintrestle.rollouts import subsets as lanes_lib
 from merlintrestle.schema import control_pb2
 from tests.rollouts import builders
 
@@ -13,7 +13,7 @@
 class LanesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.site = builders.Site(before=20, new=20)
-        self.lanes = lanes_lib.Lanes(self.site.book, 0.06)
+        self.lanes = lanes_lib.SubsetSelector(self.site.book, 0.06)
 
     def count(self, calls: int) -> collections.Counter[str]:
         """Returns how many calls may go to each set of versions."""
--- a/tools/model.py
+++ b/tools/model.py
@@ -31,8 +31,8 @@
 from merlintrestle.requests.serving import dispatch as dispatches
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import headers
-from merlintrestle.rollouts import book as books
-from merlintrestle.rollouts import lanes
+from merlintrestle.rollouts import subsets
+from merlintrestle.rollouts import tracker as books
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
@@ -240,7 +240,9 @@
             side,
             loop.time,
             bounds,
-            lanes.Lanes(books.Book(play.table.get_upstreams)),
+            subsets.SubsetSelector(
+                books.RolloutTracker(play.table.get_upstreams)
+            ),
         )
 
     async def send_to_peer(
--- a/tools/rollouts.py
+++ b/tools/rollouts.py
@@ -15,10 +15,10 @@
 
 from merlintrestle.members import table as tables
 from merlintrestle.requests import backend as backends
-from merlintrestle.rollouts import book as books
-from merlintrestle.rollouts import judgement
-from merlintrestle.rollouts import lanes
+from merlintrestle.rollouts import analysis
 from merlintrestle.rollouts import observer as observers
+from merlintrestle.rollouts import subsets
+from merlintrestle.rollouts import tracker as books
 from merlintrestle.schema import control_pb2
 
 KINDS = ("good", "errors", "slow", "under load", "one class", "late")
@@ -94,7 +94,7 @@
         bad: Bad answers of the new version.
     """
 
-    phase: judgement.Phase
+    phase: analysis.Phase
     took_s: float
     exposed: float
     bad: int
@@ -145,8 +145,10 @@
             for version, some in (("v1", ids), (_VERSION, new_ids))
             for one in some
         )
-        self.book = books.Book(lambda service: self.upstreams, self.get_time)
-        self.lanes = lanes.Lanes(self.book, scene.share)
+        self.book = books.RolloutTracker(
+            lambda service: self.upstreams, self.get_time
+        )
+        self.lanes = subsets.SubsetSelector(self.book, scene.share)
         self.servers = {
             one.member_id: _Server(self, one.member_id, one.version)
             for one in self.upstreams
@@ -184,11 +186,11 @@
                 look_at = self.now + _LOOK_S
                 self.book.update(_SERVICE)
                 for server in self.servers.values():
-                    server.observer.look()
-            if progress.phase is judgement.Phase.BACK:
+                    server.observer.update()
+            if progress.phase is analysis.Phase.BACK:
                 decided_at = self.now
                 break
-            if progress.phase is not judgement.Phase.NEW:
+            if progress.phase is not analysis.Phase.NEW:
                 decided_at = self.now
             self._send()
         exposed = self._new_calls / (rate * scene.within_s)
@@ -243,7 +245,7 @@
     def _end_calls(self) -> None:
         while self._ends and self._ends[0][0] <= self.now:
             _, _, server, work, failed, took_s = heapq.heappop(self._ends)
-            server.observer.note(work.name, failed, took_s)
+            server.observer.record_answer(work.name, failed, took_s)
             self._bad += failed and server.version == _VERSION
 
 
