--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -118,7 +118,7 @@
 
 @dialects.build_backend_headers.register(PlatformDialect)
 def _build_backend_headers(
-    dialect: PlatformDialect, call: calls.Call, own: backends.OwnBackend
+    dialect: PlatformDialect, call: calls.Call, own: backends.LocalBackend
 ) -> multidict.CIMultiDict[str]:
     left_s = call.deadline - asyncio.get_running_loop().time()
     sent = call.headers.copy()
--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -19,7 +19,7 @@
 COLD_S = 10.0
 
 
-class OwnBackend:
+class LocalBackend:
     """What is known about the own backend server.
 
     Attributes:
--- a/merlintrestle/requests/calls/dialect.py
+++ b/merlintrestle/requests/calls/dialect.py
@@ -76,7 +76,7 @@
 @generics.remember_choices
 @functools.singledispatch
 def build_backend_headers(
-    dialect: object, call: calls.Call, own: backends.OwnBackend
+    dialect: object, call: calls.Call, own: backends.LocalBackend
 ) -> multidict.CIMultiDict[str]:
     """Returns the headers under which the backend server gets a call."""
     raise TypeError(f"not a dialect: {dialect!r}")
@@ -141,7 +141,7 @@
 
 @build_backend_headers.register(NativeDialect)
 def _build_backend_headers(
-    dialect: NativeDialect, call: calls.Call, own: backends.OwnBackend
+    dialect: NativeDialect, call: calls.Call, own: backends.LocalBackend
 ) -> multidict.CIMultiDict[str]:
     left_s = call.deadline - asyncio.get_running_loop().time()
     sent = call.headers.copy()
--- a/merlintrestle/requests/crashing/crashes.py
+++ b/merlintrestle/requests/crashing/crashes.py
@@ -37,7 +37,7 @@
         send_strike: Called with each own strike, to tell the fleet.
     """
 
-    def __init__(self, backend: backends.OwnBackend):
+    def __init__(self, backend: backends.LocalBackend):
         """Sets the own backend server."""
         self.strikes = strikes.Strikes()
         self.send_strike: Callable[[control_pb2.Strike], None] = _ignore
--- a/merlintrestle/requests/parts.py
+++ b/merlintrestle/requests/interfaces.py
@@ -43,7 +43,7 @@
         """Takes in an answer: its class, whether it failed, its seconds."""
 
 
-class Lanes(Protocol):
+class SubsetSelector(Protocol):
     """Chooses the upstreams of a send while versions change."""
 
     def choose(
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
     from merlintrestle.requests import backend as backends
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import outcomes
     from merlintrestle.requests.load import queues
 
@@ -34,9 +34,9 @@
 
     def __init__(
         self,
-        backend: backends.OwnBackend,
-        holder: parts.Holder,
-        table: parts.MemberTable,
+        backend: backends.LocalBackend,
+        holder: interfaces.Holder,
+        table: interfaces.MemberTable,
         get_time: Callable[[], float] = time.monotonic,
     ):
         """Sets what is known of slots, targets and others, and the clock."""
--- a/merlintrestle/requests/load/slots.py
+++ b/merlintrestle/requests/load/slots.py
@@ -12,7 +12,7 @@
     from merlintrestle.documents import snapshot
     from merlintrestle.members import table as tables
     from merlintrestle.requests import backend as backends
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
 
 # Waiting calls per slot, of all classes together.
@@ -35,9 +35,9 @@
 
     def __init__(
         self,
-        backend: backends.OwnBackend,
-        holder: parts.Holder,
-        table: parts.MemberTable,
+        backend: backends.LocalBackend,
+        holder: interfaces.Holder,
+        table: interfaces.MemberTable,
     ):
         """Sets what is known of slots, targets and others."""
         self._backend = backend
--- a/merlintrestle/requests/load/startup.py
+++ b/merlintrestle/requests/load/startup.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
 
 # Time after its start in which a daemon still hears of upstreams that have
@@ -32,7 +32,9 @@
     a whole fleet anew finds it refusing for as long again as it was down.
     """
 
-    def __init__(self, table: parts.MemberTable, get_time: Callable[[], float]):
+    def __init__(
+        self, table: interfaces.MemberTable, get_time: Callable[[], float]
+    ):
         """Sets where upstreams are known and the clock, in seconds."""
         self._table = table
         self._get_time = get_time
--- a/merlintrestle/requests/serving/attempt_runner.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -25,7 +25,7 @@
     import multidict
 
     from merlintrestle.members import table as tables
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.load import picking
     from merlintrestle.requests.load import round_trips
@@ -94,7 +94,7 @@
     def __init__(
         self,
         member_id: Callable[[], str],
-        table: parts.MemberTable,
+        table: interfaces.MemberTable,
         picker: picking.Picker,
         beside: besides.LocalRunner,
         forwarder: forwarding.Forwarder,
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.requests.load import budgets as budgets_
     from merlintrestle.requests.load import picking
     from merlintrestle.requests.serving import local_runner as besides
@@ -40,13 +40,13 @@
     def __init__(
         self,
         member_id: Callable[[], str],
-        table: parts.MemberTable,
+        table: interfaces.MemberTable,
         picker: picking.Picker,
         beside: besides.LocalRunner,
         forwarder: forwarding.Forwarder,
         get_time: Callable[[], float],
         budgets: budgets_.Budgets,
-        lanes: parts.Lanes,
+        lanes: interfaces.SubsetSelector,
     ):
         """Sets the parts; `member_id` gives the id of this daemon."""
         self._table = table
--- a/merlintrestle/requests/serving/local_runner.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from merlintrestle.requests import backend as backends
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.crashing import crashes as crashes_
     from merlintrestle.requests.load import admission as admissions
@@ -37,13 +37,13 @@
 
     def __init__(
         self,
-        backend: backends.OwnBackend,
+        backend: backends.LocalBackend,
         admission: admissions.Admission,
         forwarder: forwarding.Forwarder,
         claims: claims_.Claims,
         crashes: crashes_.CrashTracker,
         dialect: object,
-        observer: parts.Observer,
+        observer: interfaces.Observer,
     ):
         """Sets the parts; the dialect is that of the backend server."""
         self._observer = observer
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -35,7 +35,7 @@
 from merlintrestle.rollouts import tracker as books
 
 if TYPE_CHECKING:
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.schema import control_pb2
     from merlintrestle.schema import settings_pb2
 
@@ -75,9 +75,9 @@
     def __init__(
         self,
         settings: settings_pb2.DaemonSettings,
-        holder: parts.Holder,
-        table: parts.MemberTable,
-        store: parts.Store,
+        holder: interfaces.Holder,
+        table: interfaces.MemberTable,
+        store: interfaces.Store,
         dialect: object = _OWN_DIALECT,
         book: books.RolloutTracker | None = None,
     ):
@@ -94,7 +94,7 @@
         super().__init__()
         book = book or books.RolloutTracker(table.get_upstreams)
         self._dialect = dialect
-        self.backend = backend.OwnBackend()
+        self.backend = backend.LocalBackend()
         self.caller_port = 0
         self.peer_port = 0
         self.latencies = latencies.Latencies()
--- a/merlintrestle/requests/serving/serving_state.py
+++ b/merlintrestle/requests/serving/serving_state.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from merlintrestle.documents import snapshot
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
 
 
 class ServingState:
@@ -22,7 +22,7 @@
         draining: True once new work is refused.
     """
 
-    def __init__(self, holder: parts.Holder):
+    def __init__(self, holder: interfaces.Holder):
         """Sets what holds the version that runs."""
         self.in_flight = 0
         self.leaving = False
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -80,7 +80,7 @@
 
     async def send_to_backend(
         self,
-        own: backend.OwnBackend,
+        own: backend.LocalBackend,
         call: calls.Call,
         dialect: object,
     ) -> outcomes.Outcome:
@@ -121,7 +121,7 @@
 
     async def _send_kept(
         self,
-        own: backend.OwnBackend,
+        own: backend.LocalBackend,
         pooled: connections.Connection,
         call: calls.Call,
         sent_headers: multidict.CIMultiDict[str],
@@ -159,7 +159,7 @@
             second.close()
 
     async def _send_second(
-        self, own: backend.OwnBackend, call: calls.Call, side: exchanges.Side
+        self, own: backend.LocalBackend, call: calls.Call, side: exchanges.Side
     ) -> outcomes.Outcome:
         return await self._send_anew(
             own.address,
@@ -171,7 +171,7 @@
 
     def _choose_look(
         self,
-        own: backend.OwnBackend,
+        own: backend.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
         second: seconds.Second,
@@ -188,7 +188,7 @@
 
     async def _check_backend(
         self,
-        own: backend.OwnBackend,
+        own: backend.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
         second: seconds.Second,
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.store import client
 
@@ -114,7 +114,7 @@
     def __init__(
         self,
         owner: Callable[[], Owner],
-        store: parts.Store,
+        store: interfaces.Store,
         lease: leases.ClaimLease,
         recaller: Recaller,
         prefix: str,
--- a/merlintrestle/requests/unrepeatable/leases.py
+++ b/merlintrestle/requests/unrepeatable/leases.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from merlintrestle.requests import parts
+    from merlintrestle.requests import interfaces
 
 # A claim lives for 24 to 25 hours: a lease is used for one hour.
 LEASE_S = 25 * 3600
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        store: parts.Store,
+        store: interfaces.Store,
         get_time: Callable[[], float] = get_boot_time,
     ):
         """Sets the store and the clock, in seconds."""
--- a/merlintrestle/rollouts/observer.py
+++ b/merlintrestle/rollouts/observer.py
@@ -53,7 +53,7 @@
     def __init__(
         self,
         book: books.RolloutTracker,
-        backend: backends.OwnBackend,
+        backend: backends.LocalBackend,
         get_own_id: Callable[[], str],
         count_running: Callable[[], int],
         get_time: Callable[[], float] = time.monotonic,
--- a/tests/daemon/test_heartbeats.py
+++ b/tests/daemon/test_heartbeats.py
@@ -87,7 +87,7 @@
     """What the daemon knows of its backend server is of one process."""
 
     def setUp(self) -> None:
-        self.backend = backend.OwnBackend()
+        self.backend = backend.LocalBackend()
         self.dropped: list[str] = []
         self.backend.on_restart = self.dropped.append
 
--- a/tests/requests/crashing/test_crashes.py
+++ b/tests/requests/crashing/test_crashes.py
@@ -122,7 +122,7 @@
     """Who is struck at a crash."""
 
     def setUp(self) -> None:
-        self.crashes = crashes.CrashTracker(backend.OwnBackend())
+        self.crashes = crashes.CrashTracker(backend.LocalBackend())
         self.culprit = builders.build_call(body=b"poison")
         self.innocent = builders.build_call(body=b"slow")
 
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -61,7 +61,7 @@
         self._loop = asyncio.get_running_loop()
         self.calls = 0
         self.offered: set[str] = set()
-        own = backend.OwnBackend()
+        own = backend.LocalBackend()
         own.announce("kassa", "127.0.0.1:1", slots, control_pb2.READY)
         self.slots = admission.Admission(
             own,
--- a/tests/requests/load/simulations.py
+++ b/tests/requests/load/simulations.py
@@ -60,7 +60,7 @@
         )
         self._chance = random.Random(seed)
         self._loop = asyncio.get_running_loop()
-        own = backend.OwnBackend()
+        own = backend.LocalBackend()
         own.announce("kassa", "127.0.0.1:1", slots, control_pb2.READY)
         self._admission = admission.Admission(
             own,
--- a/tests/requests/load/test_acceptance.py
+++ b/tests/requests/load/test_acceptance.py
@@ -50,7 +50,7 @@
     """A backend server with free slots that turns calls away."""
 
     async def asyncSetUp(self) -> None:
-        own = backend.OwnBackend()
+        own = backend.LocalBackend()
         own.announce("kassa", "127.0.0.1:1", 4, control_pb2.READY)
         self.slots = admission.Admission(
             own,
--- a/tests/requests/load/test_admission.py
+++ b/tests/requests/load/test_admission.py
@@ -38,7 +38,7 @@
 def build_admission(*plans: snapshot.ClassPlan) -> admission.Admission:
     """Builds the admission of a ready backend server with 4 slots."""
     named = {f"/{number}": plan for number, plan in enumerate(plans)}
-    own = backend.OwnBackend()
+    own = backend.LocalBackend()
     own.announce("kassa", "127.0.0.1:1", _SLOTS, control_pb2.READY)
     return admission.Admission(
         own, fakes.Holder(builders.build_snapshot(named)), fakes.Table()
--- a/tests/rollouts/test_controller.py
+++ b/tests/rollouts/test_controller.py
@@ -24,7 +24,7 @@
         )
         observer = observers.Observer(
             self.site.book,
-            backends.OwnBackend(),
+            backends.LocalBackend(),
             lambda: "",
             lambda: 0,
             self.site.clock,
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -17,7 +17,7 @@
 class ObserverTest(unittest.TestCase):
     def setUp(self) -> None:
         self.site = builders.Site()
-        self.backend = backends.OwnBackend()
+        self.backend = backends.LocalBackend()
         self.backend.service = builders.SERVICE
         self.running = 0
 
--- a/tests/rollouts/test_states.py
+++ b/tests/rollouts/test_states.py
@@ -32,7 +32,7 @@
         self.book = books.RolloutTracker(lambda service: upstreams, clock)
         self.register = registers.RolloutStorage(store, _FORM)
         observer = observers.Observer(
-            self.book, backends.OwnBackend(), lambda: "", lambda: 0, clock
+            self.book, backends.LocalBackend(), lambda: "", lambda: 0, clock
         )
         self.keeper = keepers.RolloutController(
             self.book, observer, self.register, lambda: 0
--- a/tools/model.py
+++ b/tools/model.py
@@ -214,7 +214,7 @@
         self.server = play.servers[number]
         self.slowness = self.server.slowness
         loop = asyncio.get_running_loop()
-        own = backends.OwnBackend()
+        own = backends.LocalBackend()
         own.announce(self.server.service, "127.0.0.1:1", self.server.slots)
         self.backend = own
         holder: Any = _Holder()
--- a/tools/rollouts.py
+++ b/tools/rollouts.py
@@ -109,7 +109,7 @@
         self.speed = play.chance.choice(_SPEEDS)
         self.sick = play.chance.random() < play.scene.sick
         self.running: list[float] = []
-        backend = backends.OwnBackend()
+        backend = backends.LocalBackend()
         backend.service = _SERVICE
         backend.version = version
         backend.warm_at = _COLD_S if version == _VERSION else 0.0
