--- a/merlintrestle/rollouts/gossip.py
+++ b/merlintrestle/rollouts/gossip.py
@@ -1,4 +1,4 @@
-"""Spreading: what daemons tell each other of roll-outs."""
+"""Gossip of roll-outs over the links between daemons."""
 
 from __future__ import annotations
 
@@ -7,58 +7,62 @@
 if TYPE_CHECKING:
     from merlintrestle.members import links as links_lib
     from merlintrestle.members import membership as memberships
-    from merlintrestle.rollouts import tracker as books
+    from merlintrestle.rollouts import tracker as trackers
     from merlintrestle.schema import control_pb2
 
 
 class RolloutGossip:
-    """Passes on what is news to the book, over the links of membership.
+    """Forwards what is new to the tracker over the links of membership.
 
-    What is no news goes no further, so that nothing goes round for ever. A
-    neighbour is told everything when a link opens, and so is a daemon that asks
-    for members: whoever knows upstreams knows which of them are on trial.
+    Only new or changed records are forwarded, so that none circulates
+    endlessly. A neighbour gets all records when a link opens. A daemon that
+    requests the members gets them, too, so that a daemon that knows a service's
+    upstreams also knows which of them are in a roll-out.
     """
 
     def __init__(
-        self, book: books.RolloutTracker, membership: memberships.Membership
+        self,
+        tracker: trackers.RolloutTracker,
+        membership: memberships.Membership,
     ):
-        """Connects the parts."""
-        self._book = book
+        """Connects the tracker with the links and the member exchange."""
+        self._tracker = tracker
         self._links = membership.links
-        self._source: links_lib.Link | None = None
-        book.on_rollout.append(self._send_rollout)
-        book.on_trial.append(self._send_trial)
+        self._source_link: links_lib.Link | None = None
+        tracker.on_rollout.append(self._send_rollout)
+        tracker.on_trial.append(self._send_trial)
         membership.links.on_message.append(self._receive)
-        membership.links.on_open.append(self._greet)
-        membership.exchange.on_reply.append(self._add)
-        membership.exchange.on_news.append(self._take)
+        membership.links.on_open.append(self._send_all)
+        membership.exchange.on_reply.append(self._extend_reply)
+        membership.exchange.on_news.append(self._merge_reply)
 
     def _receive(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
     ) -> None:
+        """Merges a message; what is new is not sent back over its link."""
         if not message.rollouts and not message.trials:
             return
-        self._source = link
+        self._source_link = link
         try:
-            self._book.merge(message.rollouts, message.trials)
+            self._tracker.merge(message.rollouts, message.trials)
         finally:
-            self._source = None
+            self._source_link = None
 
-    def _greet(self, link: links_lib.Link) -> None:
-        for rollout in self._book.list_rollouts():
+    def _send_all(self, link: links_lib.Link) -> None:
+        for rollout in self._tracker.list_rollouts():
             link.box.add_rollout(rollout)
-        for trial in self._book.list_trials():
+        for trial in self._tracker.list_trials():
             link.box.add_trial(trial)
 
-    def _add(self, reply: control_pb2.MembersReply) -> None:
-        reply.rollouts.extend(self._book.list_rollouts())
-        reply.trials.extend(self._book.list_trials())
+    def _extend_reply(self, reply: control_pb2.MembersReply) -> None:
+        reply.rollouts.extend(self._tracker.list_rollouts())
+        reply.trials.extend(self._tracker.list_trials())
 
-    def _take(self, reply: control_pb2.MembersReply) -> None:
-        self._book.merge(reply.rollouts, reply.trials)
+    def _merge_reply(self, reply: control_pb2.MembersReply) -> None:
+        self._tracker.merge(reply.rollouts, reply.trials)
 
     def _send_rollout(self, rollout: control_pb2.Rollout) -> None:
-        self._links.send_rollout(rollout, self._source)
+        self._links.send_rollout(rollout, self._source_link)
 
     def _send_trial(self, trial: control_pb2.Trial) -> None:
-        self._links.send_trial(trial, self._source)
+        self._links.send_trial(trial, self._source_link)
--- a/merlintrestle/rollouts/orders.py
+++ b/merlintrestle/rollouts/orders.py
@@ -1,4 +1,4 @@
-"""Orders: what operators write of roll-outs, and who did."""
+"""Orders of roll-outs that operators write, and the audit trail of these."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from google.protobuf import message
 
 from merlintrestle import errors
-from merlintrestle.rollouts import storage as registers
+from merlintrestle.rollouts import storage
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
@@ -17,19 +17,19 @@
 
 START = "start"
 ABORT = "abort"
-_TRAIL_PREFIX = "rollouts/trail/"
-_MOST_LISTED = 1000
+_AUDIT_TRAIL_PREFIX = "rollouts/trail/"
+_MAX_LISTED_ATTEMPTS = 1000
 
 
 class Attempt(NamedTuple):
-    """Something that an operator tried.
+    """An operator's attempt to start or abort a roll-out.
 
     Attributes:
         action: `START` or `ABORT`.
-        operator: Who tried it.
-        at_ms: When, in ms since 1970.
+        operator: Name of the operator.
+        at_ms: Time of the attempt, in ms since 1970.
         service: Service of the roll-out.
-        version: Version that it is to.
+        version: Version that the roll-out moves the service to.
     """
 
     action: str
@@ -40,24 +40,29 @@
 
 
 async def write_order(store: records.Store, order: control_pb2.Rollout) -> int:
-    """Writes an order in place of the one before.
+    """Writes an order, replacing the previous one of its service.
+
+    Args:
+        store: The store.
+        order: The order. If it has a number, it replaces only the order of that
+            number.
 
     Returns:
-        Its number; 0: another operator was faster, and nothing was changed.
+        Its number; 0: another operator wrote first, and nothing was changed.
 
     Raises:
         errors.StoreError: The store did not answer.
     """
-    key = registers.ORDER_PREFIX + order.service
-    before = await store.get(key)
-    held = before.revision if before is not None else 0
-    if order.number and held != order.number:
+    key = storage.ORDER_PREFIX + order.service
+    previous = await store.get(key)
+    revision = previous.revision if previous is not None else 0
+    if order.number and revision != order.number:
         return 0
     written = control_pb2.Rollout()
     written.CopyFrom(order)
     written.number = 0
     value = written.SerializeToString(deterministic=True)
-    reply = await store.put(key, value, held)
+    reply = await store.put(key, value, revision)
     return reply.entry.revision if reply.written else 0
 
 
@@ -66,15 +71,21 @@
     attempt: Attempt,
     findings: Sequence[errors.Finding],
 ) -> None:
-    """Writes what an operator tries to the audit trail, before it is tried.
+    """Writes an operator's attempt to the audit trail before it is made.
+
+    Args:
+        store: The store.
+        attempt: The attempt.
+        findings: Why it is refused; empty: it is not.
 
     Raises:
-        errors.StoreError: The store did not answer; nothing is tried then.
+        errors.StoreError: The store did not answer; the attempt must then not
+            be made.
     """
     record = control_pb2.RolloutAttempt(
-        **attempt._asdict(), refusals=[str(one) for one in findings]
+        **attempt._asdict(), refusals=[str(finding) for finding in findings]
     )
-    key = f"{_TRAIL_PREFIX}{attempt.service}/{attempt.at_ms:015d}"
+    key = f"{_AUDIT_TRAIL_PREFIX}{attempt.service}/{attempt.at_ms:015d}"
     value = record.SerializeToString(deterministic=True)
     await store.put(key, value, 0)
 
@@ -87,8 +98,8 @@
     Raises:
         errors.StoreError: The store did not answer, or a record is malformed.
     """
-    prefix = f"{_TRAIL_PREFIX}{service}/"
-    entries = await store.list(prefix, limit=_MOST_LISTED)
+    prefix = f"{_AUDIT_TRAIL_PREFIX}{service}/"
+    entries = await store.list(prefix, limit=_MAX_LISTED_ATTEMPTS)
     try:
         return [
             control_pb2.RolloutAttempt.FromString(entry.value)
--- a/merlintrestle/rollouts/records.py
+++ b/merlintrestle/rollouts/records.py
@@ -1,19 +1,19 @@
-"""Records of roll-outs: merged so that order and repetition do not matter."""
+"""Merging of roll-out records, independent of their order and repetition."""
 
 from __future__ import annotations
 
 from merlintrestle.schema import control_pb2
 
 ENDED = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
-# Figures of a roll-out that another writer may have left are bounded by these.
-_MAX_NAME = 200
+# Bounds for records that another writer of the store may have left.
+_MAX_NAME_LENGTH = 200
 _MAX_CLASSES = 100
 
 
 def find_fault(rollout: control_pb2.Rollout) -> str:
     """Returns why an order cannot be carried out; empty: it can."""
-    if not rollout.service or len(rollout.service) > _MAX_NAME:
-        return f"service {rollout.service[:_MAX_NAME]!r} is not allowed."
+    if not rollout.service or len(rollout.service) > _MAX_NAME_LENGTH:
+        return f"service {rollout.service[:_MAX_NAME_LENGTH]!r} is not allowed."
     if fault := find_version_fault(rollout.version):
         return fault
     if not rollout.number:
@@ -22,59 +22,60 @@
 
 
 def find_version_fault(version: str) -> str:
-    """Returns why a version cannot be moved to; empty: it can."""
-    if not version or len(version) > _MAX_NAME:
-        return f"version {version[:_MAX_NAME]!r} is not allowed."
+    """Returns why a service cannot be moved to a version; empty: it can."""
+    if not version or len(version) > _MAX_NAME_LENGTH:
+        return f"version {version[:_MAX_NAME_LENGTH]!r} is not allowed."
     return ""
 
 
 def choose_rollout(
-    held: control_pb2.Rollout | None, told: control_pb2.Rollout
+    current: control_pb2.Rollout | None, received: control_pb2.Rollout
 ) -> control_pb2.Rollout | None:
-    """Returns the record to keep in place of the one held; None: no other.
+    """Returns the record that replaces the current one; None: it stays.
 
-    A later order goes first. Of one order an end is never taken back: the first
-    one that was written to the store is the only one.
+    A later order takes precedence. The end of an order is never changed: the
+    first end that was written to the store is the only one.
     """
-    if held is None or told.number > held.number:
-        return told
-    if told.number < held.number or held.state in ENDED:
+    if current is None or received.number > current.number:
+        return received
+    if received.number < current.number or current.state in ENDED:
         return None
-    return told if told.state > held.state else None
+    return received if received.state > current.state else None
 
 
 def merge_trial(
-    held: control_pb2.Trial | None, told: control_pb2.Trial
+    current: control_pb2.Trial | None, received: control_pb2.Trial
 ) -> control_pb2.Trial | None:
-    """Returns what two records of a backend server say together.
+    """Merges two records of a backend server.
 
-    A daemon that restarts counts from the beginning; of each figure the greater
-    one stays, and what was found once.
+    A daemon that restarts counts from zero, so the larger of two figures is
+    kept. Flags that were set once stay set.
 
     Returns:
-        The record to keep; None: the one held says it all.
+        The merged record; None: the current one stays as it is.
     """
-    if held is None or told.number > held.number:
-        return _trim(told)
-    if told.number < held.number or told == held:
+    if current is None or received.number > current.number:
+        return _trim(received)
+    if received.number < current.number or received == current:
         return None
     merged = control_pb2.Trial()
-    merged.CopyFrom(held)
-    merged.watched_ms = max(held.watched_ms, told.watched_ms)
-    merged.suspect = held.suspect or told.suspect
-    merged.drained = held.drained or told.drained
-    classes = {one.name: one for one in held.classes}
-    for one in told.classes:
-        before = classes.get(one.name)
-        if before is None or one.calls > before.calls:
-            classes[one.name] = one
+    merged.CopyFrom(current)
+    merged.watched_ms = max(current.watched_ms, received.watched_ms)
+    merged.suspect = current.suspect or received.suspect
+    merged.drained = current.drained or received.drained
+    classes = {record.name: record for record in current.classes}
+    for record in received.classes:
+        previous = classes.get(record.name)
+        if previous is None or record.calls > previous.calls:
+            classes[record.name] = record
     del merged.classes[:]
     merged.classes.extend(classes[name] for name in sorted(classes))
-    return None if merged == held else _trim(merged)
+    return None if merged == current else _trim(merged)
 
 
 def _trim(trial: control_pb2.Trial) -> control_pb2.Trial:
-    kept = control_pb2.Trial()
-    kept.CopyFrom(trial)
-    del kept.classes[_MAX_CLASSES:]
-    return kept
+    """Returns a copy with at most `_MAX_CLASSES` classes."""
+    trimmed = control_pb2.Trial()
+    trimmed.CopyFrom(trial)
+    del trimmed.classes[_MAX_CLASSES:]
+    return trimmed
--- a/merlintrestle/rollouts/storage.py
+++ b/merlintrestle/rollouts/storage.py
@@ -1,4 +1,4 @@
-"""The register: orders of roll-outs and how they ended, in the store."""
+"""Storage of roll-out orders and their states in the store."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class RecordedState(NamedTuple):
-    """What the record of a service says of its last roll-out.
+    """State of a service's last roll-out, as recorded in the store.
 
     Attributes:
-        version: Version it was to.
-        state: How far it had come.
+        version: Version that the roll-out moves the service to.
+        state: State of the roll-out.
     """
 
     version: str
@@ -37,15 +37,19 @@
 
 
 class RecordFormat(Protocol):
-    """How the records of roll-outs are named and written."""
+    """Keys and encoding of the records of roll-outs.
+
+    Attributes:
+        order_prefix: Prefix of the keys of all orders.
+    """
 
     order_prefix: str
 
     def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
-        """Returns the order that an entry holds.
+        """Returns the order of an entry.
 
         Raises:
-            errors.CorruptRecordError: It is none.
+            errors.CorruptRecordError: The entry is no order.
         """
 
     def build_state_key(self, service: str) -> str:
@@ -54,27 +58,28 @@
     def encode_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> bytes:
-        """Returns a state as the store keeps it."""
+        """Returns the encoded state of a roll-out."""
 
     def decode_state(self, value: bytes) -> RecordedState:
-        """Returns the state that a value holds.
+        """Returns the state that a value encodes.
 
         Raises:
-            errors.CorruptRecordError: It is none.
+            errors.CorruptRecordError: The value is no state.
         """
 
 
 class DefaultFormat:
-    """The product's own records."""
+    """The default format: protobuf messages."""
 
     order_prefix = ORDER_PREFIX
 
     def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
-        """Returns an order; its number is the revision of its record.
+        """Returns an order; its number is the revision of its entry.
 
-        An operator who ends one writes it anew as rolled back.
+        To abort a roll-out, an operator writes its order again with the state
+        "rolled back". Any other state in an order is ignored.
         """
-        order = _parse(entry.value)
+        order = _decode_rollout(entry.value)
         order.service = entry.key.removeprefix(ORDER_PREFIX)
         order.number = entry.revision
         if order.state != control_pb2.ROLLED_BACK:
@@ -88,25 +93,28 @@
     def encode_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> bytes:
-        """Returns the record of an order with its state."""
+        """Returns the encoded order with its state."""
         written = control_pb2.Rollout()
         written.CopyFrom(rollout)
         written.state = state
         return written.SerializeToString(deterministic=True)
 
     def decode_state(self, value: bytes) -> RecordedState:
-        """Returns the state of a record."""
-        record = _parse(value)
+        """Returns the state that a value encodes."""
+        record = _decode_rollout(value)
         return RecordedState(record.version, record.state)
 
 
 class RolloutStorage:
-    """Reads orders, and writes the state of each; the first end stays."""
+    """Reads orders, and reads and writes their states.
+
+    The first end that is written for an order is kept.
+    """
 
-    def __init__(self, store: store_records.Store, form: RecordFormat):
-        """Sets the store and how its records look."""
+    def __init__(self, store: store_records.Store, record_format: RecordFormat):
+        """Sets the store and the format of its records."""
         self._store = store
-        self._form = form
+        self._format = record_format
 
     async def read_orders(self) -> list[control_pb2.Rollout]:
         """Returns all orders.
@@ -115,22 +123,22 @@
             errors.StoreUnavailableError: The store did not answer.
         """
         entries = await self._store.list(
-            self._form.order_prefix, limit=_MAX_ORDERS
+            self._format.order_prefix, limit=_MAX_ORDERS
         )
         return self.parse_orders(entries)
 
     def parse_orders(
         self, entries: Sequence[client.Entry]
     ) -> list[control_pb2.Rollout]:
-        """Returns the orders among entries; one that is malformed is left out.
+        """Returns the orders of entries, without those that are malformed.
 
-        Whoever else writes to the store may leave what cannot be read. It
-        holds up no other order.
+        Other writers of the store may leave records that cannot be decoded.
+        These do not delay any other order.
         """
         orders = []
         for entry in entries:
             try:
-                order = self._form.decode_order(entry)
+                order = self._format.decode_order(entry)
             except errors.CorruptRecordError as error:
                 events.warn("order malformed", key=entry.key, error=str(error))
                 continue
@@ -143,38 +151,39 @@
     async def read_state(
         self, rollout: control_pb2.Rollout
     ) -> control_pb2.RolloutState:
-        """Returns the state of an order; unspecified: nobody wrote one.
+        """Returns the state of an order; unspecified: none is written yet.
 
         Raises:
             errors.StoreUnavailableError: The store did not answer.
         """
         entry = await self._store.get(
-            self._form.build_state_key(rollout.service)
+            self._format.build_state_key(rollout.service)
         )
         return self._get_state(rollout, entry)
 
     async def write_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> control_pb2.RolloutState:
-        """Writes the state of an order unless it has ended, or gone so far.
+        """Writes a state, unless the order has ended or reached that state.
 
-        Daemons race here, and a write whose answer was lost may come late. Each
-        is made against the record that was read just before, so that the first
-        end is the only one.
+        Several daemons may write at once, and a write whose reply was lost may
+        be applied late. Each write is therefore conditional on the record that
+        was read just before, so that the first end is the only one.
 
         Returns:
-            The state that the record then holds.
+            The state of the order after the write.
 
         Raises:
             errors.StoreUnavailableError: The store did not answer.
-            errors.StoreUnknownOutcomeError: Whether it was written is unknown.
+            errors.StoreUnknownOutcomeError: It is unknown whether the state was
+                written.
         """
-        key = self._form.build_state_key(rollout.service)
+        key = self._format.build_state_key(rollout.service)
         entry = await self._store.get(key)
-        held = self._get_state(rollout, entry)
-        if held in records.ENDED or held >= state:
-            return held
-        value = self._form.encode_state(rollout, state)
+        current = self._get_state(rollout, entry)
+        if current in records.ENDED or current >= state:
+            return current
+        value = self._format.encode_state(rollout, state)
         revision = entry.revision if entry is not None else 0
         reply = await self._store.put(key, value, revision)
         if reply.written:
@@ -184,25 +193,25 @@
     def _get_state(
         self, rollout: control_pb2.Rollout, entry: client.Entry | None
     ) -> control_pb2.RolloutState:
-        """Returns the state of an order by the record of its service.
+        """Returns the state of an order from the state entry of its service.
 
-        A record from before the order is that of an earlier one.
+        An entry that is older than the order belongs to an earlier order.
         """
         if rollout.state in records.ENDED:
             return rollout.state
         if entry is None or entry.revision < rollout.number:
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
         try:
-            stated = self._form.decode_state(entry.value)
+            recorded = self._format.decode_state(entry.value)
         except errors.CorruptRecordError as error:
             events.warn("state malformed", key=entry.key, error=str(error))
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
-        if stated.version != rollout.version:
+        if recorded.version != rollout.version:
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
-        return stated.state
+        return recorded.state
 
 
-def _parse(value: bytes) -> control_pb2.Rollout:
+def _decode_rollout(value: bytes) -> control_pb2.Rollout:
     try:
         return control_pb2.Rollout.FromString(value)
     except message.DecodeError as error:
--- a/tests/rollouts/test_records.py
+++ b/tests/rollouts/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of merging what daemons tell of roll-outs."""
+"""Tests of merging roll-out records."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 )
 
 
-def _merge_all(told: list[control_pb2.Trial]) -> control_pb2.Trial | None:
-    held: control_pb2.Trial | None = None
-    for one in told:
-        held = records.merge_trial(held, one) or held
-    return held
+def _merge_all(trials: list[control_pb2.Trial]) -> control_pb2.Trial | None:
+    merged: control_pb2.Trial | None = None
+    for trial in trials:
+        merged = records.merge_trial(merged, trial) or merged
+    return merged
 
 
 class RecordsTest(unittest.TestCase):
@@ -45,35 +45,37 @@
         strategies.lists(_trials, min_size=1), strategies.randoms()
     )
     def test_order_and_repetition_do_not_matter(
-        self, told: list[control_pb2.Trial], chance: random.Random
+        self, trials: list[control_pb2.Trial], rng: random.Random
     ):
         """Guards against daemons that judge the same evidence differently."""
-        others = told * 2
-        chance.shuffle(others)
-        self.assertEqual(_merge_all(told), _merge_all(others))
+        repeated = trials * 2
+        rng.shuffle(repeated)
+        self.assertEqual(_merge_all(trials), _merge_all(repeated))
 
-    def test_a_restarted_daemon_takes_nothing_back(self):
-        """Guards against a suspicion that ends with the daemon that had it."""
-        held = builders.build_trial("a", 30, 15, suspect=True, watched_ms=900)
-        anew = builders.build_trial("a", 1, watched_ms=10)
-        self.assertIsNone(records.merge_trial(held, anew))
+    def test_restarted_daemon_does_not_reset_records(self):
+        """Guards against a suspicion that is lost when its daemon restarts."""
+        current = builders.build_trial(
+            "a", 30, 15, suspect=True, watched_ms=900
+        )
+        restarted = builders.build_trial("a", 1, watched_ms=10)
+        self.assertIsNone(records.merge_trial(current, restarted))
 
-    def test_an_end_stays(self):
-        """Guards against a roll-back after the old ones were stopped."""
+    def test_end_is_final(self):
+        """Guards against a rollback after the old version was stopped."""
         for end in records.ENDED:
-            held = builders.build_rollout(state=end)
+            current = builders.build_rollout(state=end)
             for state in _STATES:
-                told = builders.build_rollout(state=state)
-                self.assertIsNone(records.choose_rollout(held, told))
+                received = builders.build_rollout(state=state)
+                self.assertIsNone(records.choose_rollout(current, received))
 
-    def test_a_later_order_goes_first(self):
-        """Guards against an order that is taken for the one before it."""
-        held = builders.build_rollout(state=control_pb2.ROLLED_BACK)
-        again = builders.build_rollout(number=8)
-        self.assertIs(records.choose_rollout(held, again), again)
-        self.assertIsNone(records.choose_rollout(again, held))
+    def test_later_order_takes_precedence(self):
+        """Guards against an order that is confused with the previous one."""
+        current = builders.build_rollout(state=control_pb2.ROLLED_BACK)
+        later = builders.build_rollout(number=8)
+        self.assertIs(records.choose_rollout(current, later), later)
+        self.assertIsNone(records.choose_rollout(later, current))
 
-    def test_orders_that_make_no_sense_are_found(self):
+    def test_invalid_orders_are_refused(self):
         for changes in (
             {"service": ""},
             {"version": ""},
