--- a/merlintrestle/rollouts/analysis.py
+++ b/merlintrestle/rollouts/analysis.py
@@ -1,4 +1,4 @@
-"""Judgement: how far a roll-out may go by what was seen of the new version."""
+"""Canary analysis: the phase that the evidence on a new version allows."""
 
 from __future__ import annotations
 
@@ -9,56 +9,61 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-# Parts of the time of a roll-out, counted from the first call that the new
-# version got. Some versions fail only after seconds, so a trial must last; what
-# is left afterwards is for the move, which calls in flight hold up.
-_TRIAL_PART = 0.3
-_SHARED_PART = 0.42
-# Calls that a version must have answered before it is held for good.
-_LEAST_CALLS = 40
-# Calls after which a backend server counts as one that was seen.
-_SEEN_CALLS = 8
-# Calls of a class of work after which it may hold up a version, or end it.
-_LEAST_CLASS_CALLS = 10
-_TELLING_CALLS = 20
-# Standard deviations beyond what is allowed that prove a version bad.
-_DEVIATIONS = 3.0
-# Part of the new backend servers that must be suspect for their version to be,
-# and how many at least. Some are sick by themselves: where three of ten are,
-# the first two on trial are both so in one of eleven roll-outs, the first three
-# in one of forty.
-_SUSPECT_PART = 0.5
-_LEAST_SUSPECTS = 3
-# Backend servers of which so many are asked for; of fewer, one less.
-_MANY = 12
-# What may be bad of the answers of a sound version: a part beside those that
-# fail of the version before, which disturbances make more than they are.
-_ALLOWED_BAD = 0.12
-_FAILED_FACTOR = 1.5
-_FAILED_SLACK = 0.05
-_MOST_ALLOWED = 0.6
+# Fractions of a roll-out's time at which the trial phase and the shared phase
+# end, counted from the first call of the new version. Some versions fail only
+# after seconds, so the trial phase must last. The time after both phases is for
+# moving all calls, which has to wait for calls in flight.
+_TRIAL_FRACTION = 0.3
+_SHARED_FRACTION = 0.42
+# Calls that a version must have answered before it leaves the trial phase.
+_MIN_CALLS = 40
+# Calls after which a backend server counts as observed.
+_MIN_SERVER_CALLS = 8
+# Calls of a class of work from which on its bad answers may keep a version in
+# the trial phase, or roll it back.
+_MIN_DOUBT_CALLS = 10
+_MIN_PROOF_CALLS = 20
+# Standard deviations above the allowed bad answers that prove a version bad.
+_PROOF_DEVIATIONS = 3.0
+# Fraction of the observed backend servers of the new version, and their least
+# number, that must be suspect for the version to be rolled back. Some backend
+# servers are faulty irrespective of the version: if three of ten are, the first
+# two in the trial phase are both faulty in one of eleven roll-outs, the first
+# three in one of forty.
+_SUSPECT_FRACTION = 0.5
+_MIN_SUSPECTS = 3
+# Backend servers of the new version from which on `_MIN_SUSPECTS` applies; with
+# fewer, one suspect less is enough.
+_MANY_SERVERS = 12
+# Ratio of answers of a healthy version that may be bad: at least the minimum,
+# and more if many answers of the old version fail. The factor and the slack
+# allow for disturbances, which raise the ratio above that of the old version.
+_MIN_ALLOWED_BAD_RATIO = 0.12
+_FAILURE_RATIO_FACTOR = 1.5
+_FAILURE_RATIO_SLACK = 0.05
+_MAX_ALLOWED_BAD_RATIO = 0.6
 
 
 class Phase(enum.IntEnum):
     """Which version of a service gets its calls."""
 
-    # The new one gets a small part.
+    # The new version gets a small share.
     TRIAL = enum.auto()
-    # The new one gets a greater part.
+    # The new version gets a larger share.
     SHARED = enum.auto()
-    # The new one gets all.
+    # The new version gets all calls.
     NEW = enum.auto()
-    # The one before gets all, for good.
+    # The old version gets all calls; this is final.
     BACK = enum.auto()
 
 
 class ClassEvidence(NamedTuple):
-    """What was seen of one class of work at one backend server.
+    """Calls of one class of work at one backend server, or at several.
 
     Attributes:
         name: The class.
-        calls: Calls that were answered, or given and not answered.
-        bad: Those of them that failed or were slow.
+        calls: Number of calls that ended, with or without an answer.
+        bad: Number of these calls that failed or were slow.
     """
 
     name: str
@@ -67,12 +72,12 @@
 
 
 class Evidence(NamedTuple):
-    """What was seen of one backend server of the new version.
+    """Evidence from one backend server of the new version.
 
     Attributes:
         classes: The classes of work that it was given.
-        watched_s: Time for which it has had calls, in seconds.
-        suspect: Its answers were bad for the version before.
+        watched_s: Time since its first call, in seconds.
+        suspect: True if its answers were bad compared to the old version.
     """
 
     classes: tuple[ClassEvidence, ...]
@@ -82,92 +87,105 @@
     @property
     def calls(self) -> int:
         """Calls of all classes."""
-        return sum(one.calls for one in self.classes)
+        return sum(work.calls for work in self.classes)
 
     @property
     def bad(self) -> int:
-        """Those of them that were bad."""
-        return sum(one.bad for one in self.classes)
+        """Bad calls of all classes."""
+        return sum(work.bad for work in self.classes)
 
 
-def get_allowed_bad(failed: float) -> float:
-    """Returns the part of a sound version's answers that may be bad.
+def get_allowed_bad_ratio(failure_ratio: float) -> float:
+    """Returns the ratio of a healthy version's answers that may be bad.
 
     Args:
-        failed: Part that fails of the answers of the version before.
+        failure_ratio: Ratio of the old version's answers that fail.
     """
-    allowed = max(_ALLOWED_BAD, _FAILED_FACTOR * failed + _FAILED_SLACK)
-    return min(_MOST_ALLOWED, allowed)
+    allowed = max(
+        _MIN_ALLOWED_BAD_RATIO,
+        _FAILURE_RATIO_FACTOR * failure_ratio + _FAILURE_RATIO_SLACK,
+    )
+    return min(_MAX_ALLOWED_BAD_RATIO, allowed)
 
 
-def judge(
+def choose_phase(
     within_s: float,
-    failed: Mapping[str, float],
+    failure_ratios: Mapping[str, float],
     evidence: Sequence[Evidence],
 ) -> Phase:
     """Returns the phase that the evidence allows.
 
     Args:
-        within_s: Time that the roll-out has, in seconds.
-        failed: Part that fails of the answers of the version before, by class
+        within_s: Time within which the roll-out has to end, in seconds.
+        failure_ratios: Ratio of the old version's answers that fail, by class
             of work.
-        evidence: What was seen of each backend server of the new version.
+        evidence: Evidence from each backend server of the new version.
     """
-    sound = [one for one in evidence if not one.suspect]
-    classes = _add_up(sound)
+    healthy = [server for server in evidence if not server.suspect]
+    classes = _sum_by_class(healthy)
     allowed = {
-        one.name: get_allowed_bad(failed.get(one.name, 0.0)) for one in classes
+        work.name: get_allowed_bad_ratio(failure_ratios.get(work.name, 0.0))
+        for work in classes
     }
-    if _are_suspect(evidence) or any(
-        _is_proved_bad(one, allowed[one.name]) for one in classes
+    if _is_version_suspect(evidence) or any(
+        _is_proved_bad(work, allowed[work.name]) for work in classes
     ):
         return Phase.BACK
-    if sum(one.calls for one in classes) < _LEAST_CALLS or any(
-        _is_doubtful(one, allowed[one.name]) for one in classes
+    if sum(work.calls for work in classes) < _MIN_CALLS or any(
+        _is_doubtful(work, allowed[work.name]) for work in classes
     ):
         return Phase.TRIAL
-    watched_s = max(one.watched_s for one in sound)
-    if watched_s < _TRIAL_PART * within_s:
+    watched_s = max(server.watched_s for server in healthy)
+    if watched_s < _TRIAL_FRACTION * within_s:
         return Phase.TRIAL
-    return Phase.SHARED if watched_s < _SHARED_PART * within_s else Phase.NEW
+    return (
+        Phase.SHARED if watched_s < _SHARED_FRACTION * within_s else Phase.NEW
+    )
 
 
-def _add_up(evidence: Sequence[Evidence]) -> list[ClassEvidence]:
+def _sum_by_class(evidence: Sequence[Evidence]) -> list[ClassEvidence]:
     """Returns the sums over several backend servers, by class of work.
 
-    A version may fail one class alone, which the others would hide.
+    The classes are judged separately: a version may fail in one class only,
+    which the answers of the other classes would hide.
     """
     sums: dict[str, ClassEvidence] = {}
-    for one in evidence:
-        for name, calls, bad in one.classes:
+    for server in evidence:
+        for name, calls, bad in server.classes:
             _, all_calls, all_bad = sums.get(name, (name, 0, 0))
             sums[name] = ClassEvidence(name, all_calls + calls, all_bad + bad)
     return list(sums.values())
 
 
-def _is_doubtful(one: ClassEvidence, allowed: float) -> bool:
-    """Returns whether more is bad than may be, though it may be chance."""
-    return one.calls >= _LEAST_CLASS_CALLS and one.bad > one.calls * allowed
+def _is_doubtful(work: ClassEvidence, allowed: float) -> bool:
+    """Returns whether more answers are bad than allowed, perhaps by chance."""
+    return work.calls >= _MIN_DOUBT_CALLS and work.bad > work.calls * allowed
 
 
-def _is_proved_bad(one: ClassEvidence, allowed: float) -> bool:
-    """Returns whether more is bad than chance makes of what may be."""
-    if one.calls < _TELLING_CALLS:
+def _is_proved_bad(work: ClassEvidence, allowed: float) -> bool:
+    """Returns whether chance cannot explain the number of bad answers."""
+    if work.calls < _MIN_PROOF_CALLS:
         return False
-    deviation = math.sqrt(one.calls * allowed * (1 - allowed))
-    return one.bad > one.calls * allowed + _DEVIATIONS * deviation
+    deviation = math.sqrt(work.calls * allowed * (1 - allowed))
+    return work.bad > work.calls * allowed + _PROOF_DEVIATIONS * deviation
 
 
-def _are_suspect(evidence: Sequence[Evidence]) -> bool:
-    """Returns whether so many backend servers are suspect that all are.
+def _is_version_suspect(evidence: Sequence[Evidence]) -> bool:
+    """Returns whether enough backend servers are suspect to roll back.
 
-    Where there is but one, what it shows counts alone: to go on with a version
-    that fails harms callers, to go back from a sound one costs time.
+    The only backend server of a new version decides alone: continuing with a
+    version that fails harms callers, rolling back a healthy one costs time.
     """
-    suspects = sum(one.suspect for one in evidence)
+    suspects = sum(server.suspect for server in evidence)
     if not suspects:
         return False
-    seen = [one for one in evidence if one.suspect or one.calls >= _SEEN_CALLS]
-    least = _LEAST_SUSPECTS if len(evidence) >= _MANY else _LEAST_SUSPECTS - 1
+    observed = [
+        server
+        for server in evidence
+        if server.suspect or server.calls >= _MIN_SERVER_CALLS
+    ]
+    least = (
+        _MIN_SUSPECTS if len(evidence) >= _MANY_SERVERS else _MIN_SUSPECTS - 1
+    )
     least = min(least, len(evidence))
-    return suspects >= max(least, _SUSPECT_PART * len(seen))
+    return suspects >= max(least, _SUSPECT_FRACTION * len(observed))
--- a/merlintrestle/rollouts/controller.py
+++ b/merlintrestle/rollouts/controller.py
@@ -1,4 +1,4 @@
-"""The keeper: takes orders from the store and writes how they ended."""
+"""Controller of roll-outs: accepts orders and writes their states."""
 
 from __future__ import annotations
 
@@ -17,59 +17,60 @@
 
     from merlintrestle.rollouts import observer as observers
     from merlintrestle.rollouts import progress as progresses
-    from merlintrestle.rollouts import storage as registers
-    from merlintrestle.rollouts import tracker as books
+    from merlintrestle.rollouts import storage as storages
+    from merlintrestle.rollouts import tracker as trackers
 
 events = event_logs.EventLog("rollouts")
 
-# Time between two looks at the roll-outs, in seconds.
-_LOOK_S = 0.25
-# Wait of a daemon that is not the first to write an end, for each one before.
-_TURN_S = 0.3
-# Longest wait for the version before to have no calls any more, in seconds.
-# Daemons that are cut off do not say so, and cannot be waited for.
-_DRAIN_S = 3.5
+# Interval between two updates of the open roll-outs, in seconds.
+_UPDATE_INTERVAL_S = 0.25
+# Time that a daemon waits with a state for each daemon whose turn to write is
+# earlier, in seconds.
+_WRITE_TURN_S = 0.3
+# Longest wait for the old version to be drained, in seconds. Daemons that are
+# cut off from the others cannot report that they are drained.
+_DRAIN_TIMEOUT_S = 3.5
 
 
 class RolloutController(mode.Service):
-    """Keeps the roll-outs going at this daemon.
+    """Advances the roll-outs at this daemon.
 
-    Every daemon looks at what it saw itself; those that read the store for
-    their availability zone take in orders and write the ends. They may race:
-    the register lets one end stand.
+    Every daemon evaluates what its observer has recorded. The daemons that read
+    the store for their availability zone also accept orders and write states.
+    They may write at once: the storage keeps the first end.
     """
 
     def __init__(
         self,
-        book: books.RolloutTracker,
+        tracker: trackers.RolloutTracker,
         observer: observers.Observer,
-        register: registers.RolloutStorage,
+        storage: storages.RolloutStorage,
         get_turn: Callable[[], int | None],
     ):
-        """Sets the parts.
+        """Sets the roll-outs and their storage.
 
         Args:
-            book: The roll-outs.
-            observer: What is seen of the own backend server.
-            register: The store's records.
-            get_turn: Returns how many daemons write before this one; None: it
-                leaves that to others.
+            tracker: The roll-outs.
+            observer: The observer of the local backend server.
+            storage: The records in the store.
+            get_turn: Returns how many daemons write before this one; None: this
+                one does not write.
         """
         super().__init__()
-        self._book = book
+        self._tracker = tracker
         self._observer = observer
-        self._register = register
+        self._storage = storage
         self._get_turn = get_turn
         self._handled: set[tuple[str, int]] = set()
-        self._due: dict[tuple[str, int, int], float] = {}
+        self._write_at: dict[tuple[str, int, int], float] = {}
 
     async def handle_orders(
         self, orders: Iterable[control_pb2.Rollout]
     ) -> None:
-        """Takes in orders as the store has them.
+        """Merges orders from the store into the tracker.
 
-        How an order ended is read before it is told to others: one that ended
-        before this fleet was started anew is not begun again.
+        The state of an order is read before the order is gossiped, so that one
+        that ended before a restart of the whole fleet does not start again.
 
         Raises:
             errors.StoreError: The store did not answer.
@@ -78,27 +79,30 @@
             key = (order.service, order.number)
             if key in self._handled:
                 continue
-            known = self._book.get(order.service)
+            known = self._tracker.get(order.service)
             if known is None or known.rollout.number < order.number:
-                order.state = await self._register.read_state(order)
-                self._book.merge_rollout(order)
+                order.state = await self._storage.read_state(order)
+                self._tracker.merge_rollout(order)
             self._handled.add(key)
 
-    async def write(self, progress: progresses.Progress) -> None:
-        """Writes the state that a roll-out has come to, when it is time."""
+    async def write_state(self, progress: progresses.Progress) -> None:
+        """Writes the state of a roll-out if it is due and this daemon's turn.
+
+        A failed write is logged; the next update tries again.
+        """
         state = self._choose_state(progress)
         turn = self._get_turn()
         if state is None or turn is None:
             return
         rollout = progress.rollout
         now = asyncio.get_running_loop().time()
-        due = self._due.setdefault(
-            (rollout.service, rollout.number, state), now + turn * _TURN_S
+        write_at = self._write_at.setdefault(
+            (rollout.service, rollout.number, state), now + turn * _WRITE_TURN_S
         )
-        if now < due:
+        if now < write_at:
             return
         try:
-            written = await self._register.write_state(rollout, state)
+            written = await self._storage.write_state(rollout, state)
         except errors.StoreError as error:
             events.warn(
                 "state not written",
@@ -107,25 +111,25 @@
                 error=str(error),
             )
             return
-        told = control_pb2.Rollout()
-        told.CopyFrom(rollout)
-        told.state = written
-        self._book.merge_rollout(told)
+        updated = control_pb2.Rollout()
+        updated.CopyFrom(rollout)
+        updated.state = written
+        self._tracker.merge_rollout(updated)
 
     @mode.Service.task
-    async def _look(self) -> None:
+    async def _update_periodically(self) -> None:
         while not self.should_stop:
-            await self.sleep(_LOOK_S)
-            for progress in self._book.list_open():
-                self._book.update(progress.rollout.service)
+            await self.sleep(_UPDATE_INTERVAL_S)
+            for progress in self._tracker.list_open():
+                self._tracker.update(progress.rollout.service)
             self._observer.update()
-            for progress in self._book.list_open():
-                await self.write(progress)
+            for progress in self._tracker.list_open():
+                await self.write_state(progress)
 
     def _choose_state(
         self, progress: progresses.Progress
     ) -> control_pb2.RolloutState | None:
-        """Returns the state to write; None: the one written still holds."""
+        """Returns the state to write; None: the written one is current."""
         if progress.phase is analysis.Phase.BACK:
             return control_pb2.ROLLED_BACK
         if progress.phase is analysis.Phase.NEW and self._is_drained(progress):
@@ -135,11 +139,15 @@
         return None
 
     def _is_drained(self, progress: progresses.Progress) -> bool:
-        """Returns whether the version before may be stopped.
+        """Returns whether the old version's backend servers may be stopped.
 
-        It stops at once: a call that is still on its way there is lost.
+        They are stopped as soon as the roll-out is complete; a call that is
+        still on its way to one of them is then lost.
         """
-        waiting = [
-            name for name in progress.before if not progress.is_drained(name)
+        not_drained = [
+            name for name in progress.old_ids if not progress.is_drained(name)
         ]
-        return not waiting or self._book.get_phase_age(progress) >= _DRAIN_S
+        return (
+            not not_drained
+            or self._tracker.get_phase_age(progress) >= _DRAIN_TIMEOUT_S
+        )
--- a/merlintrestle/rollouts/progress.py
+++ b/merlintrestle/rollouts/progress.py
@@ -1,4 +1,4 @@
-"""Progress: how far the roll-out of one service has come."""
+"""Progress of the roll-out of one service."""
 
 from __future__ import annotations
 
@@ -14,55 +14,59 @@
 
     from merlintrestle.members import table as tables
 
-# Calls of a class after which a backend server tells what part of them fails.
-_LEAST_BASELINE_CALLS = 10
-_MS = 1000
+# Calls of a class after which the failure ratio of a backend server counts.
+_MIN_BASELINE_CALLS = 10
+_MS_PER_S = 1000
 
 
 class Baseline(NamedTuple):
-    """What the version before did, of one class of work.
+    """Results of the old version in one class of work.
 
     Attributes:
-        calls: Calls that it was given.
-        took_ms: Time that they took in all, in ms.
-        failed: Part of them that failed; None: too few to tell. Of what several
-            of its backend servers show the middle one counts: one that is sick
-            by itself would make failures of the new version look usual.
+        calls: Number of calls.
+        total_ms: Sum of their durations, in ms.
+        failure_ratio: Median of the failure ratios of its backend servers;
+            None: too few calls. With the mean, one faulty backend server would
+            make failures of the new version look normal.
     """
 
     calls: int = 0
-    took_ms: int = 0
-    failed: float | None = None
+    total_ms: int = 0
+    failure_ratio: float | None = None
 
 
 class Progress:
-    """How far the roll-out of one service has come, as known here.
+    """Progress of the roll-out of one service, as known to this daemon.
+
+    An old version is any version other than the one that the order names. A
+    backend server whose version is not known yet counts as neither old nor new.
 
     Attributes:
-        rollout: The order, and how it ended.
+        rollout: The order, with the state in which it ended.
         phase: Which version gets the calls.
-        heard_at: When the order became known here, in seconds.
-        phase_at: When the phase began, in seconds.
-        trials: What was seen beside each backend server, by daemon.
-        serving: Daemons beside backend servers of the new version.
-        new: These, and those that are gone.
-        before: Daemons beside backend servers of another version that serve
-            now. One whose version was not heard yet is in neither.
-        old: These, and those that are gone.
-        old_versions: Versions of the others, as seen until the end.
-        baseline: What the version before did, by class of work.
+        received_at: Monotonic time when this daemon received the order, in
+            seconds.
+        phase_started_at: Monotonic time when the phase began, in seconds.
+        trials: Records of the backend servers, by the id of their daemon.
+        new_ids: Ids of the daemons whose backend server is of the new version.
+        new_ids_seen: `new_ids`, and those that are gone.
+        old_ids: Ids of the daemons whose backend server is of an old version,
+            without any that were in `new_ids` before.
+        old_ids_seen: `old_ids`, and those that are gone.
+        old_versions: Old versions seen before the end of the roll-out.
+        baseline: Results of the old version, by class of work.
     """
 
     def __init__(self, rollout: control_pb2.Rollout, now: float):
         self.rollout = rollout
         self.phase = analysis.Phase.TRIAL
-        self.heard_at = now
-        self.phase_at = now
+        self.received_at = now
+        self.phase_started_at = now
         self.trials: dict[str, control_pb2.Trial] = {}
-        self.serving: frozenset[str] = frozenset()
-        self.new: frozenset[str] = frozenset()
-        self.before: frozenset[str] = frozenset()
-        self.old: frozenset[str] = frozenset()
+        self.new_ids: frozenset[str] = frozenset()
+        self.new_ids_seen: frozenset[str] = frozenset()
+        self.old_ids: frozenset[str] = frozenset()
+        self.old_ids_seen: frozenset[str] = frozenset()
         self.old_versions: frozenset[str] = frozenset()
         self.baseline: dict[str, Baseline] = {}
 
@@ -71,98 +75,112 @@
         """True once its end is written."""
         return self.rollout.state in records.ENDED
 
-    def sort(self, upstreams: Sequence[tables.Upstream]) -> None:
-        """Takes in which version each upstream has now, and what was seen."""
-        new = {one.member_id for one in upstreams if self.is_new(one.version)}
+    def classify(self, upstreams: Sequence[tables.Upstream]) -> None:
+        """Sorts the upstreams by version, and recomputes the baseline."""
+        new = {
+            upstream.member_id
+            for upstream in upstreams
+            if self.is_new(upstream.version)
+        }
         if not self.ended:
-            versions = {one.version for one in upstreams}
+            versions = {upstream.version for upstream in upstreams}
             self.old_versions |= set(filter(self.is_old, versions))
-        self.serving = frozenset(new)
-        self.new |= new
-        old = {one.member_id for one in upstreams if self.is_old(one.version)}
-        self.before = frozenset(old - self.new)
-        self.old = (self.old | old) - self.new
-        self.baseline = self._add_up_baseline()
+        self.new_ids = frozenset(new)
+        self.new_ids_seen |= new
+        old = {
+            upstream.member_id
+            for upstream in upstreams
+            if self.is_old(upstream.version)
+        }
+        self.old_ids = frozenset(old - self.new_ids_seen)
+        self.old_ids_seen = (self.old_ids_seen | old) - self.new_ids_seen
+        self.baseline = self._compute_baseline()
 
     def is_new(self, version: str) -> bool:
-        """Returns whether a version is the new one; empty: not heard."""
+        """Returns whether a version is the new one; empty: not known yet."""
         return version == self.rollout.version
 
     def is_old(self, version: str) -> bool:
-        """Returns whether a version is one before; empty: not heard."""
+        """Returns whether a version is an old one; empty: not known yet."""
         return bool(version) and not self.is_new(version)
 
     def is_replaced(self, version: str) -> bool:
         """Returns whether the new version serves in place of another one.
 
-        A version that came later is not replaced. A daemon that never heard of
-        the version before cannot tell the two apart.
+        A version that appeared after the end of the roll-out is not replaced.
+        A daemon that has seen no old version cannot tell the two apart, and
+        takes every other version as replaced.
         """
-        heard = self.old_versions
-        return bool(self.serving) and (not heard or version in heard)
+        replaced = self.old_versions
+        return bool(self.new_ids) and (not replaced or version in replaced)
 
     def is_suspect(self, member_id: str) -> bool:
-        """Returns whether a backend server showed bad answers."""
+        """Returns whether the answers of a backend server were bad."""
         trial = self.trials.get(member_id)
         return trial is not None and trial.suspect
 
     def is_drained(self, member_id: str) -> bool:
-        """Returns whether a backend server takes and runs no calls any more."""
+        """Returns whether a backend server accepts and runs no more calls."""
         trial = self.trials.get(member_id)
         return trial is not None and trial.drained
 
-    def list_baseline(self, count: int) -> list[str]:
-        """Returns the daemons that tell of the version before."""
-        return sorted(self.before)[:count]
+    def list_baseline_ids(self, count: int) -> list[str]:
+        """Returns the ids of the daemons that report on the old version."""
+        return sorted(self.old_ids)[:count]
 
-    def get_failed(self) -> dict[str, float]:
-        """Returns the part that fails of the version before, by class."""
+    def get_failure_ratios(self) -> dict[str, float]:
+        """Returns the failure ratio of the old version, by class of work."""
         return {
-            name: one.failed
-            for name, one in self.baseline.items()
-            if one.failed is not None
+            name: baseline.failure_ratio
+            for name, baseline in self.baseline.items()
+            if baseline.failure_ratio is not None
         }
 
     def list_evidence(self) -> list[analysis.Evidence]:
-        """Returns what was seen of the new version.
+        """Returns the evidence from each backend server of the new version.
 
-        Those of which nothing was seen yet are among it: what one of several
-        shows does not count alone.
+        Backend servers without a record are included, because the only backend
+        server of a version decides alone, and one of several does not.
         """
-        seen = {name for name in self.trials if name in self.new}
+        reported = {name for name in self.trials if name in self.new_ids_seen}
         return [
-            self._get_evidence(name) for name in sorted(seen | self.serving)
+            self._get_evidence(name) for name in sorted(reported | self.new_ids)
         ]
 
-    def _add_up_baseline(self) -> dict[str, Baseline]:
-        seen: dict[str, list[control_pb2.ClassRecord]] = {}
+    def _compute_baseline(self) -> dict[str, Baseline]:
+        by_class: dict[str, list[control_pb2.ClassRecord]] = {}
         for member_id, trial in self.trials.items():
-            if member_id in self.old:
-                for one in trial.classes:
-                    seen.setdefault(one.name, []).append(one)
-        return {name: _add_up(some) for name, some in seen.items()}
+            if member_id in self.old_ids_seen:
+                for record in trial.classes:
+                    by_class.setdefault(record.name, []).append(record)
+        return {
+            name: _combine_records(class_records)
+            for name, class_records in by_class.items()
+        }
 
     def _get_evidence(self, member_id: str) -> analysis.Evidence:
         trial = self.trials.get(member_id, control_pb2.Trial())
         return analysis.Evidence(
             tuple(
-                analysis.ClassEvidence(one.name, one.calls, one.bad)
-                for one in trial.classes
+                analysis.ClassEvidence(record.name, record.calls, record.bad)
+                for record in trial.classes
             ),
-            trial.watched_ms / _MS,
+            trial.watched_ms / _MS_PER_S,
             trial.suspect,
         )
 
 
-def _add_up(seen: Sequence[control_pb2.ClassRecord]) -> Baseline:
-    """Returns what several backend servers did, of one class of work."""
-    parts = [
-        one.bad / one.calls
-        for one in seen
-        if one.calls >= _LEAST_BASELINE_CALLS
+def _combine_records(
+    class_records: Sequence[control_pb2.ClassRecord],
+) -> Baseline:
+    """Combines the records of several backend servers in one class of work."""
+    ratios = [
+        record.bad / record.calls
+        for record in class_records
+        if record.calls >= _MIN_BASELINE_CALLS
     ]
     return Baseline(
-        sum(one.calls for one in seen),
-        sum(one.took_ms for one in seen),
-        statistics.median(parts) if parts else None,
+        sum(record.calls for record in class_records),
+        sum(record.took_ms for record in class_records),
+        statistics.median(ratios) if ratios else None,
     )
--- a/merlintrestle/rollouts/sequential.py
+++ b/merlintrestle/rollouts/sequential.py
@@ -1,46 +1,50 @@
-"""Sequential tests: whether the answers of a new version are bad."""
+"""Sequential test that detects a bad version from its answers."""
 
 from __future__ import annotations
 
 import math
 
-# Difference to what a sound version may show that is to be found soon. Bad
-# versions fail, or are slow in, two answers of five and more.
-_DIFFERENCE = 0.25
-_MOST_PART = 0.95
-# Logarithm of the odds at which a backend server is suspect.
-_THRESHOLD = math.log(100)
+# Increase of the ratio of bad answers over the allowed one that the test is
+# tuned to detect. Bad versions fail, or are slow, in at least two of five
+# answers.
+_DETECTED_RATIO_DIFFERENCE = 0.25
+_MAX_EXPECTED_RATIO = 0.95
+# Logarithm of the odds at which a backend server becomes suspect.
+_LOG_ODDS_THRESHOLD = math.log(100)
 
 
 class SequentialTest:
-    """Cumulative sum of the log-likelihood ratio of bad against sound (Page).
+    """Page's cumulative sum test (CUSUM) of bad against healthy answers.
 
-    It never falls below 0, so a version that turns bad after many good answers
-    is found as soon as one that was bad from the beginning. Read at any time,
-    it may raise no more false alarms than its threshold allows.
+    The sum of the log-likelihood ratios never falls below 0, so a version that
+    turns bad after many good answers is detected as soon as one that was bad
+    from the beginning. The test may be read after every answer without raising
+    more false alarms than its threshold allows.
 
     Attributes:
-        passed: True once the answers were bad; it stays so.
+        alarmed: True once the test has detected bad answers; never reset.
     """
 
-    __slots__ = ("_sum", "passed")
+    __slots__ = ("_log_odds", "alarmed")
 
     def __init__(self) -> None:
-        self._sum = 0.0
-        self.passed = False
+        self._log_odds = 0.0
+        self.alarmed = False
 
-    def note(self, bad: bool, allowed: float) -> None:
-        """Takes in an answer.
+    def record(self, bad: bool, allowed: float) -> None:
+        """Records an answer.
 
         Args:
             bad: Whether it failed or was slow.
-            allowed: Part of the answers that may be bad of a sound version.
+            allowed: Ratio of a healthy version's answers that may be bad.
         """
-        expected = min(_MOST_PART, allowed + _DIFFERENCE)
+        expected = min(
+            _MAX_EXPECTED_RATIO, allowed + _DETECTED_RATIO_DIFFERENCE
+        )
         if bad:
             ratio = math.log(expected / allowed)
         else:
             ratio = math.log((1 - expected) / (1 - allowed))
-        self._sum = max(0.0, self._sum + ratio)
-        if self._sum >= _THRESHOLD:
-            self.passed = True
+        self._log_odds = max(0.0, self._log_odds + ratio)
+        if self._log_odds >= _LOG_ODDS_THRESHOLD:
+            self.alarmed = True
--- a/merlintrestle/rollouts/subsets.py
+++ b/merlintrestle/rollouts/subsets.py
@@ -1,4 +1,4 @@
-"""Lanes: which upstreams of a service a call may be sent to in a roll-out."""
+"""Selection of the upstreams that a call may be sent to during a roll-out."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 if TYPE_CHECKING:
     from merlintrestle.members import table as tables
     from merlintrestle.rollouts import progress as progresses
-    from merlintrestle.rollouts import tracker as books
+    from merlintrestle.rollouts import tracker as trackers
 
-# Part of a service's calls that a new version gets where nothing is set.
+# Default share of a service's calls that a new version gets in the trial phase.
 TRIAL_SHARE = 0.05
-# Part that it gets between its trial and all calls. What shows itself only now
-# costs a second of this part instead of one of the whole.
+# Share that it gets in the shared phase. A fault that shows only now harms this
+# share of the calls for a second, instead of all calls.
 _SHARED_SHARE = 0.3
-# Calls for the new version that a quiet daemon may save up: with more, those
-# that all daemons saved up would come to it at once.
-_MOST_CREDIT = 1.0
+# Calls to the new version that an idle daemon may accumulate. With more, the
+# accumulated calls of all daemons could reach the new version at once.
+_MAX_CREDIT_CALLS = 1.0
 
 
 class Subset(NamedTuple):
     """Upstreams that a call may be sent to.
 
     Attributes:
-        name: Tells lanes of one service apart.
+        name: Distinguishes the subsets of a service.
         upstreams: The upstreams; the same tuple until something changes.
     """
 
@@ -33,156 +33,179 @@
     upstreams: tuple[tables.Upstream, ...]
 
 
-class _Split(NamedTuple):
-    """The upstreams of a service by their version.
+class _Partition(NamedTuple):
+    """The upstreams of a service, grouped by their version.
 
     Attributes:
-        progress: The roll-out that they are divided for.
-        old_versions: What it knew of the versions before.
-        upstreams: All of them, as the table of members gave them.
-        suspects: Daemons beside backend servers that showed bad answers.
-        before: Those of the version before. One that has not said its version
-            yet, as its daemon has just started, may be of either.
-        unknown: Those that have not said their version.
-        new: Those of the new one that are not suspect.
-        trial: Those of the new one that are on trial.
-        shared: Those of the new one that get calls after the trial.
-        after: Those of no version that is to end with the roll-out.
+        progress: The roll-out for which they are grouped.
+        old_versions: The old versions that it knew.
+        upstreams: All upstreams, as given by the member table.
+        suspects: Ids of the daemons of suspect backend servers.
+        old: Upstreams of an old version. An upstream whose version is not known
+            yet, because its daemon has just started, may be old or new.
+        unknown: Upstreams whose version is not known.
+        new: Upstreams of the new version that are not suspect.
+        trial: Upstreams of the new version that get calls in the trial phase.
+        shared: Upstreams of the new version that get calls in the shared phase.
+        not_replaced: Upstreams of a version that does not end with the
+            roll-out.
     """
 
     progress: progresses.Progress
     old_versions: frozenset[str]
     upstreams: tuple[tables.Upstream, ...]
     suspects: frozenset[str]
-    before: tuple[tables.Upstream, ...]
+    old: tuple[tables.Upstream, ...]
     unknown: tuple[tables.Upstream, ...]
     new: tuple[tables.Upstream, ...]
     trial: tuple[tables.Upstream, ...]
     shared: tuple[tables.Upstream, ...]
-    after: tuple[tables.Upstream, ...]
+    not_replaced: tuple[tables.Upstream, ...]
 
 
 class SubsetSelector:
-    """Chooses the upstreams of each send by the phase of the roll-out.
+    """Selects the upstreams of each send by the phase of the roll-out.
 
-    Each daemon gives a new version a part of its own sends, so the parts of
-    all add up to that part of the whole, and no daemon asks another.
+    Each daemon sends a share of its own calls to the new version. Together
+    these make up that share of all calls, without coordination between daemons.
     """
 
-    def __init__(self, book: books.RolloutTracker, share: float = 0.0):
-        """Sets what is known of roll-outs.
+    def __init__(self, tracker: trackers.RolloutTracker, share: float = 0.0):
+        """Sets the roll-outs and the share of the trial phase.
 
         Args:
-            book: The roll-outs.
-            share: Part of a service's calls that a new version gets while it
-                is judged; 0: the usual.
+            tracker: The roll-outs.
+            share: Share of a service's calls that a new version gets in the
+                trial phase; 0: the default.
         """
-        self._book = book
+        self._tracker = tracker
         self._share = share or TRIAL_SHARE
         self._credits: dict[str, float] = {}
-        self._splits: dict[str, _Split] = {}
+        self._partitions: dict[str, _Partition] = {}
 
     def choose(
         self, service: str, upstreams: tuple[tables.Upstream, ...]
     ) -> Subset:
-        """Returns where the next send of a call may go.
+        """Returns the subset that the next send of a call may use.
 
         Args:
             service: Service of the call.
             upstreams: All its upstreams.
         """
-        progress = self._book.get(service)
+        progress = self._tracker.get(service)
         if progress is None:
             return Subset(service, upstreams)
-        split = self._get_split(service, upstreams, progress)
+        partition = self._get_partition(service, upstreams, progress)
         phase = progress.phase
         if phase is analysis.Phase.NEW:
-            return self._choose_new(service, split, progress)
+            return self._choose_in_new_phase(service, partition, progress)
         if phase is analysis.Phase.SHARED:
-            share, some = _SHARED_SHARE, split.shared
+            share, candidates = _SHARED_SHARE, partition.shared
         elif phase is analysis.Phase.TRIAL:
-            share, some = self._share, split.trial
+            share, candidates = self._share, partition.trial
         else:
-            share, some = 0.0, ()
-        if self._spend(service, share, some):
-            return Subset(f"{service} {phase.name.lower()}", some)
-        if not split.before and self._book.serves_unknown(progress):
-            return Subset(f"{service} unknown", split.unknown)
-        return Subset(f"{service} before", split.before)
-
-    def _choose_new(
-        self, service: str, split: _Split, progress: progresses.Progress
+            share, candidates = 0.0, ()
+        if self._take_credit(service, share, candidates):
+            return Subset(f"{service} {phase.name.lower()}", candidates)
+        if not partition.old and self._tracker.accepts_unknown_version(
+            progress
+        ):
+            return Subset(f"{service} unknown", partition.unknown)
+        return Subset(f"{service} before", partition.old)
+
+    def _choose_in_new_phase(
+        self, service: str, partition: _Partition, progress: progresses.Progress
     ) -> Subset:
         if progress.ended:
-            return Subset(f"{service} after", split.after or split.upstreams)
-        if split.new:
-            return Subset(f"{service} new", split.new)
-        return Subset(f"{service} before", split.before)
-
-    def _spend(
-        self, service: str, share: float, some: tuple[tables.Upstream, ...]
+            return Subset(
+                f"{service} after",
+                partition.not_replaced or partition.upstreams,
+            )
+        if partition.new:
+            return Subset(f"{service} new", partition.new)
+        return Subset(f"{service} before", partition.old)
+
+    def _take_credit(
+        self,
+        service: str,
+        share: float,
+        candidates: tuple[tables.Upstream, ...],
     ) -> bool:
-        """Returns whether a send goes to some of the new version."""
+        """Returns whether a send goes to one of the new version's candidates.
+
+        Each send earns `share` of a call to the new version.
+        """
         credit = self._credits.get(service, 0.0) + share
-        if credit < 1.0 or not some:
-            self._credits[service] = min(credit, _MOST_CREDIT)
+        if credit < 1.0 or not candidates:
+            self._credits[service] = min(credit, _MAX_CREDIT_CALLS)
             return False
         self._credits[service] = credit - 1.0
         return True
 
-    def _get_split(
+    def _get_partition(
         self,
         service: str,
         upstreams: tuple[tables.Upstream, ...],
         progress: progresses.Progress,
-    ) -> _Split:
+    ) -> _Partition:
+        """Returns the partition, computed again only after a change."""
         suspects = frozenset(
-            name for name in progress.new if progress.is_suspect(name)
+            name for name in progress.new_ids_seen if progress.is_suspect(name)
         )
-        split = self._splits.get(service)
+        partition = self._partitions.get(service)
         if (
-            split is None
-            or split.progress is not progress
-            or split.old_versions != progress.old_versions
-            or split.upstreams is not upstreams
-            or split.suspects != suspects
+            partition is None
+            or partition.progress is not progress
+            or partition.old_versions != progress.old_versions
+            or partition.upstreams is not upstreams
+            or partition.suspects != suspects
         ):
-            split = _divide(upstreams, suspects, progress, self._share)
-            self._splits[service] = split
-        return split
+            partition = _group_by_version(
+                upstreams, suspects, progress, self._share
+            )
+            self._partitions[service] = partition
+        return partition
 
 
-def _divide(
+def _group_by_version(
     upstreams: tuple[tables.Upstream, ...],
     suspects: frozenset[str],
     progress: progresses.Progress,
     share: float,
-) -> _Split:
-    """Divides upstreams by version.
+) -> _Partition:
+    """Groups upstreams by version.
 
-    Only as many of the new ones get calls as their part of the calls keeps
-    busy: a version that fails under load shows it there, before it gets all.
+    Only as many upstreams of the new version get calls as its share of the
+    calls keeps fully loaded. A version that fails under load thus fails before
+    it gets all calls.
     """
     old_versions = progress.old_versions
-    before = tuple(one for one in upstreams if progress.is_old(one.version))
-    unknown = tuple(one for one in upstreams if not one.version)
+    old = tuple(
+        upstream for upstream in upstreams if progress.is_old(upstream.version)
+    )
+    unknown = tuple(upstream for upstream in upstreams if not upstream.version)
     new = tuple(
-        one
-        for one in upstreams
-        if progress.is_new(one.version) and one.member_id not in suspects
+        upstream
+        for upstream in upstreams
+        if progress.is_new(upstream.version)
+        and upstream.member_id not in suspects
+    )
+    trial = new[: max(1, int(len(old) * share))]
+    shared = new[: max(1, int(len(old) * _SHARED_SHARE))]
+    not_replaced = tuple(
+        upstream
+        for upstream in upstreams
+        if upstream.version not in old_versions
     )
-    trial = new[: max(1, int(len(before) * share))]
-    shared = new[: max(1, int(len(before) * _SHARED_SHARE))]
-    after = tuple(one for one in upstreams if one.version not in old_versions)
-    return _Split(
+    return _Partition(
         progress,
         old_versions,
         upstreams,
         suspects,
-        before,
+        old,
         unknown,
         new,
         trial,
         shared,
-        after,
+        not_replaced,
     )
--- a/merlintrestle/rollouts/tracker.py
+++ b/merlintrestle/rollouts/tracker.py
@@ -1,4 +1,4 @@
-"""The book: what this daemon knows of the roll-outs of all services."""
+"""State of the roll-outs of all services, as known to this daemon."""
 
 from __future__ import annotations
 
@@ -18,23 +18,24 @@
 
 events = event_logs.EventLog("rollouts")
 
-# Part of its time after which a roll-out that is not decided goes back: a
-# version that got too few calls to be judged is not held for good. What is left
-# is for the end to be written, also where the store answers late.
-_DECIDED_PART = 0.8
-# Time after which a backend server that has not said its version is taken for
-# one that never does, in seconds. The others say it a few seconds after their
-# daemon has started.
-_SILENT_S = 10.0
-_MS = 1000
+# Fraction of its time after which an undecided roll-out is rolled back, so that
+# a version with too few calls to be judged is not kept indefinitely. The
+# remaining time is for writing the end, also if the store answers late.
+_DECISION_FRACTION = 0.8
+# Time after a rollback from which a backend server without a version may run
+# calls, as it is assumed never to announce one. Those that announce a version
+# do so a few seconds after the start of their daemon.
+_VERSION_TIMEOUT_S = 10.0
+_MS_PER_S = 1000
 
 
 class RolloutTracker:
-    """The roll-outs of all services.
+    """Tracks the roll-outs of all services.
 
     Attributes:
-        on_rollout: Called with each order, or its end, that is news.
-        on_trial: Called with each record of a backend server that is news.
+        on_rollout: Called with each order that is new or has changed its state.
+        on_trial: Called with each merged record of a backend server that
+            differs from the one before.
     """
 
     def __init__(
@@ -52,24 +53,32 @@
         self.on_trial: list[Callable[[control_pb2.Trial], None]] = []
         self._get_upstreams = get_upstreams
         self._get_time = get_time
-        self._services: dict[str, progress_lib.Progress] = {}
+        self._progress_by_service: dict[str, progress_lib.Progress] = {}
 
     def get(self, service: str) -> progress_lib.Progress | None:
-        """Returns the roll-out of a service, also one that ended."""
-        return self._services.get(service)
+        """Returns the last roll-out of a service, which may have ended."""
+        return self._progress_by_service.get(service)
 
     def list_open(self) -> list[progress_lib.Progress]:
-        """Returns the roll-outs that have no end yet."""
-        return [one for one in self._services.values() if not one.ended]
+        """Returns the roll-outs that have not ended."""
+        return [
+            progress
+            for progress in self._progress_by_service.values()
+            if not progress.ended
+        ]
 
     def list_rollouts(self) -> list[control_pb2.Rollout]:
-        """Returns all orders known, ended ones included."""
-        return [one.rollout for one in self._services.values()]
+        """Returns all known orders, including those of ended roll-outs."""
+        return [
+            progress.rollout for progress in self._progress_by_service.values()
+        ]
 
     def list_trials(self) -> list[control_pb2.Trial]:
-        """Returns what was seen beside backend servers in open roll-outs."""
+        """Returns the records of backend servers in open roll-outs."""
         return [
-            trial for one in self.list_open() for trial in one.trials.values()
+            trial
+            for progress in self.list_open()
+            for trial in progress.trials.values()
         ]
 
     def merge(
@@ -77,102 +86,109 @@
         rollouts: Iterable[control_pb2.Rollout],
         trials: Iterable[control_pb2.Trial],
     ) -> None:
-        """Takes in what another daemon, or the store, tells."""
+        """Merges orders and records received from another daemon."""
         for rollout in rollouts:
             self.merge_rollout(rollout)
         for trial in trials:
             self.merge_trial(trial)
 
-    def merge_rollout(self, told: control_pb2.Rollout) -> None:
-        """Takes in an order or its end, if it is news."""
-        if fault := records.find_fault(told):
-            events.warn("order refused", service=told.service, error=fault)
+    def merge_rollout(self, received: control_pb2.Rollout) -> None:
+        """Merges an order, and notifies listeners if it is new or changed."""
+        if fault := records.find_fault(received):
+            events.warn("order refused", service=received.service, error=fault)
             return
-        progress = self._services.get(told.service)
-        held = progress.rollout if progress is not None else None
-        kept = records.choose_rollout(held, told)
-        if kept is None:
+        progress = self._progress_by_service.get(received.service)
+        current = progress.rollout if progress is not None else None
+        chosen = records.choose_rollout(current, received)
+        if chosen is None:
             return
-        if progress is None or kept.number != progress.rollout.number:
-            progress = progress_lib.Progress(kept, self._get_time())
-            self._services[kept.service] = progress
-        progress.rollout = kept
+        if progress is None or chosen.number != progress.rollout.number:
+            progress = progress_lib.Progress(chosen, self._get_time())
+            self._progress_by_service[chosen.service] = progress
+        progress.rollout = chosen
         events.note(
             "rollout heard",
-            service=kept.service,
-            version=kept.version,
-            number=kept.number,
-            within_ms=kept.within_ms,
-            state=control_pb2.RolloutState.Name(kept.state).lower(),
+            service=chosen.service,
+            version=chosen.version,
+            number=chosen.number,
+            within_ms=chosen.within_ms,
+            state=control_pb2.RolloutState.Name(chosen.state).lower(),
         )
-        self.update(kept.service)
+        self.update(chosen.service)
         for notify in self.on_rollout:
-            notify(kept)
+            notify(chosen)
 
-    def merge_trial(self, told: control_pb2.Trial) -> None:
-        """Takes in what was seen beside a backend server, if it is news."""
-        progress = self._services.get(told.service)
-        if progress is None or told.number != progress.rollout.number:
+    def merge_trial(self, received: control_pb2.Trial) -> None:
+        """Merges a backend server's record, and notifies of a change."""
+        progress = self._progress_by_service.get(received.service)
+        if progress is None or received.number != progress.rollout.number:
             return
-        merged = records.merge_trial(progress.trials.get(told.member_id), told)
+        merged = records.merge_trial(
+            progress.trials.get(received.member_id), received
+        )
         if merged is None:
             return
-        progress.trials[told.member_id] = merged
-        self.update(told.service)
+        progress.trials[received.member_id] = merged
+        self.update(received.service)
         for notify in self.on_trial:
             notify(merged)
 
     def update(self, service: str) -> None:
-        """Judges the roll-out of a service anew, if there is one."""
-        progress = self._services.get(service)
+        """Updates the phase of a service's roll-out, if there is one."""
+        progress = self._progress_by_service.get(service)
         if progress is None:
             return
-        progress.sort(self._get_upstreams(service))
+        progress.classify(self._get_upstreams(service))
         phase = self._choose_phase(progress)
         if phase is not progress.phase:
-            self._note_phase(progress, phase)
+            self._log_phase_change(progress, phase)
             progress.phase = phase
-            progress.phase_at = self._get_time()
+            progress.phase_started_at = self._get_time()
 
     def get_phase_age(self, progress: progress_lib.Progress) -> float:
         """Returns the seconds since the phase of a roll-out began."""
-        return self._get_time() - progress.phase_at
+        return self._get_time() - progress.phase_started_at
 
-    def is_due(self, progress: progress_lib.Progress) -> bool:
-        """Returns whether a roll-out has used up the time to decide."""
-        within_s = progress.rollout.within_ms / _MS
-        age_s = self._get_time() - progress.heard_at
-        return age_s >= _DECIDED_PART * within_s
+    def is_decision_overdue(self, progress: progress_lib.Progress) -> bool:
+        """Returns whether the time to decide on a roll-out has passed."""
+        within_s = progress.rollout.within_ms / _MS_PER_S
+        age_s = self._get_time() - progress.received_at
+        return age_s >= _DECISION_FRACTION * within_s
 
-    def serves_unknown(self, progress: progress_lib.Progress) -> bool:
-        """Returns whether a backend server that says no version may run calls.
+    def accepts_unknown_version(self, progress: progress_lib.Progress) -> bool:
+        """Returns whether a backend server without a version may run calls.
 
-        It may be of the version that went back, beside a daemon that has just
-        started. One that never says its version is not closed for good.
+        It may be of the version that was rolled back, with a daemon that has
+        just started. A backend server that never announces its version is not
+        excluded permanently.
         """
         if not progress.ended:
             return False
         if progress.phase is analysis.Phase.NEW:
             return True
-        return self.get_phase_age(progress) >= _SILENT_S
+        return self.get_phase_age(progress) >= _VERSION_TIMEOUT_S
 
     def _choose_phase(self, progress: progress_lib.Progress) -> analysis.Phase:
+        """Returns the phase by the written end, or else by the evidence.
+
+        While the roll-out is open, its phase never moves backwards.
+        """
         state = progress.rollout.state
         if state == control_pb2.ROLLED_BACK:
             return analysis.Phase.BACK
         if state == control_pb2.COMPLETE:
             return analysis.Phase.NEW
-        judged = analysis.judge(
-            progress.rollout.within_ms / _MS,
-            progress.get_failed(),
+        allowed = analysis.choose_phase(
+            progress.rollout.within_ms / _MS_PER_S,
+            progress.get_failure_ratios(),
             progress.list_evidence(),
         )
-        phase = max(judged, progress.phase)
-        if phase < analysis.Phase.NEW and self.is_due(progress):
+        phase = max(allowed, progress.phase)
+        if phase < analysis.Phase.NEW and self.is_decision_overdue(progress):
             return analysis.Phase.BACK
         return phase
 
-    def _note_phase(
+    def _log_phase_change(
         self, progress: progress_lib.Progress, phase: analysis.Phase
     ) -> None:
         evidence = progress.list_evidence()
@@ -182,13 +198,13 @@
             version=progress.rollout.version,
             before=progress.phase.name.lower(),
             phase=phase.name.lower(),
-            calls=sum(one.calls for one in evidence),
-            bad=sum(one.bad for one in evidence),
-            suspects=sum(one.suspect for one in evidence),
+            calls=sum(server.calls for server in evidence),
+            bad=sum(server.bad for server in evidence),
+            suspects=sum(server.suspect for server in evidence),
             backend_servers=len(evidence),
             failed_before={
-                name: round(part, 3)
-                for name, part in progress.get_failed().items()
+                name: round(ratio, 3)
+                for name, ratio in progress.get_failure_ratios().items()
             },
-            age_ms=round((self._get_time() - progress.heard_at) * _MS),
+            age_ms=round((self._get_time() - progress.received_at) * _MS_PER_S),
         )
--- a/tests/rollouts/builders.py
+++ b/tests/rollouts/builders.py
@@ -7,7 +7,7 @@
 from merlintrestle import errors
 from merlintrestle.members import table as tables
 from merlintrestle.rollouts import progress as progresses
-from merlintrestle.rollouts import tracker as books
+from merlintrestle.rollouts import tracker as trackers
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import client
 
@@ -15,7 +15,11 @@
 
 
 def build_rollout(**changes: Any) -> control_pb2.Rollout:
-    """Builds an order to move balie from v1 to v2 within ten seconds."""
+    """Builds an order to move balie from v1 to v2 within ten seconds.
+
+    Args:
+        **changes: Fields that differ from this order.
+    """
     fields: dict[str, Any] = {
         "service": SERVICE,
         "version": "v2",
@@ -28,7 +32,14 @@
 def build_trial(
     member_id: str, calls: int = 0, bad: int = 0, **changes: Any
 ) -> control_pb2.Trial:
-    """Builds what was seen beside a backend server, of one class of work."""
+    """Builds the record of a backend server in one class of work.
+
+    Args:
+        member_id: Id of its daemon.
+        calls: Number of calls, each of 100 ms.
+        bad: Number of bad calls.
+        **changes: Other fields.
+    """
     fields: dict[str, Any] = {
         "service": SERVICE,
         "number": 7,
@@ -49,16 +60,16 @@
     )
 
 
-def build_upstreams(before: int, new: int) -> tuple[tables.Upstream, ...]:
-    """Builds upstreams of v1, and of v2."""
+def build_upstreams(old: int, new: int) -> tuple[tables.Upstream, ...]:
+    """Builds a number of upstreams of v1, and of v2."""
     return tuple(
-        [build_upstream(f"10.0.0.{i}:7600") for i in range(1, before + 1)]
+        [build_upstream(f"10.0.0.{i}:7600") for i in range(1, old + 1)]
         + [build_upstream(f"10.0.1.{i}:7600", "v2") for i in range(1, new + 1)]
     )
 
 
 def copy(rollout: control_pb2.Rollout) -> control_pb2.Rollout:
-    """Returns a roll-out as it comes over a link."""
+    """Returns a copy of a roll-out, as a link transmits it."""
     return control_pb2.Rollout.FromString(rollout.SerializeToString())
 
 
@@ -73,45 +84,46 @@
         return self.now
 
 
-class Site:
-    """A book, and the upstreams that it knows.
+class ServiceFixture:
+    """A tracker with the upstreams of one service.
 
     Attributes:
         upstreams: The upstreams of balie.
-        clock: Its clock.
-        book: The book.
+        clock: The clock of the tracker.
+        tracker: The tracker.
     """
 
-    def __init__(self, before: int = 3, new: int = 3):
-        self.upstreams = build_upstreams(before, new)
+    def __init__(self, old: int = 3, new: int = 3):
+        self.upstreams = build_upstreams(old, new)
         self.clock = Clock()
-        self.book = books.RolloutTracker(
+        self.tracker = trackers.RolloutTracker(
             lambda service: self.upstreams, self.clock
         )
 
     @property
     def progress(self) -> progresses.Progress:
         """The roll-out of balie."""
-        progress = self.book.get(SERVICE)
+        progress = self.tracker.get(SERVICE)
         assert progress is not None
         return progress
 
 
 class FakeStore:
-    """A store in memory whose answers may get lost.
+    """A store in memory whose replies may be lost.
 
     Attributes:
-        entries: What it holds.
-        lose: Writes that are done and not answered, from the next one on.
+        entries: The entries, by key.
+        lost_replies: Number of the next writes that are applied without a
+            reply.
     """
 
     def __init__(self) -> None:
         self.entries: dict[str, client.Entry] = {}
-        self.lose = 0
+        self.lost_replies = 0
         self._revision = 10
 
     def write(self, key: str, value: bytes) -> int:
-        """Writes a key unconditionally; returns its revision."""
+        """Writes a key unconditionally, and returns its revision."""
         self._revision += 1
         self.entries[key] = client.Entry(key, value, self._revision)
         return self._revision
@@ -123,7 +135,7 @@
     async def list(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> list[client.Entry]:
-        """Reads keys with a prefix in order."""
+        """Returns the entries of a prefix, ordered by key."""
         del after
         keys = sorted(key for key in self.entries if key.startswith(prefix))
         return [self.entries[key] for key in keys][:limit]
@@ -131,13 +143,13 @@
     async def put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int = 0
     ) -> client.WriteReply:
-        """Writes one key if it has the expected revision."""
+        """Writes a key if it has the expected revision."""
         del lease_id
-        held = self.entries.get(key, client.Entry(key, b"", 0))
-        if held.revision != expected_revision:
-            return client.WriteReply(False, held)
+        current = self.entries.get(key, client.Entry(key, b"", 0))
+        if current.revision != expected_revision:
+            return client.WriteReply(False, current)
         self.write(key, value)
-        if self.lose:
-            self.lose -= 1
-            raise errors.StoreUnknownOutcomeError("the answer was lost")
+        if self.lost_replies:
+            self.lost_replies -= 1
+            raise errors.StoreUnknownOutcomeError("the reply was lost")
         return client.WriteReply(True, self.entries[key])
--- a/tests/rollouts/test_analysis.py
+++ b/tests/rollouts/test_analysis.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement of a new version."""
+"""Tests of the canary analysis of a new version."""
 
 from __future__ import annotations
 
@@ -12,115 +12,131 @@
 _WITHIN_S = 10.0
 
 
-def _judge(*evidence: analysis.Evidence, failed: float = 0.0) -> _Phase:
-    return analysis.judge(_WITHIN_S, {"lookup": failed}, evidence)
+def _choose_phase(
+    *evidence: analysis.Evidence, failure_ratio: float = 0.0
+) -> _Phase:
+    return analysis.choose_phase(_WITHIN_S, {"lookup": failure_ratio}, evidence)
 
 
-def _see(
+def _build_evidence(
     calls: int, bad: int, watched_s: float, suspect: bool = False
 ) -> analysis.Evidence:
-    seen = analysis.ClassEvidence("lookup", calls, bad)
-    return analysis.Evidence((seen,), watched_s, suspect)
+    work = analysis.ClassEvidence("lookup", calls, bad)
+    return analysis.Evidence((work,), watched_s, suspect)
 
 
-def _count_until_passed(test, chance, part, allowed, limit) -> int:
-    """Returns the calls until a test passes; the limit: it did not."""
+def _count_until_alarm(test, rng, bad_ratio, allowed, limit) -> int:
+    """Returns the calls until a test raises an alarm; the limit: it did not."""
     for count in range(1, limit + 1):
-        test.note(chance.random() < part, allowed)
-        if test.passed:
+        test.record(rng.random() < bad_ratio, allowed)
+        if test.alarmed:
             return count
     return limit
 
 
-class JudgementTest(unittest.TestCase):
-    def test_without_evidence_the_trial_goes_on(self):
-        """Guards against a version that goes on unseen."""
-        self.assertIs(_judge(), _Phase.TRIAL)
-        few = _see(20, 0, 9.0)
-        self.assertIs(_judge(few), _Phase.TRIAL)
-        brief = _see(500, 0, 1.0)
-        self.assertIs(_judge(brief), _Phase.TRIAL)
+class AnalysisTest(unittest.TestCase):
+    def test_trial_continues_without_evidence(self):
+        """Guards against a version that leaves its trial without evidence."""
+        self.assertIs(_choose_phase(), _Phase.TRIAL)
+        few = _build_evidence(20, 0, 9.0)
+        self.assertIs(_choose_phase(few), _Phase.TRIAL)
+        brief = _build_evidence(500, 0, 1.0)
+        self.assertIs(_choose_phase(brief), _Phase.TRIAL)
 
-    def test_a_sound_version_goes_on_step_by_step(self):
+    def test_healthy_version_passes_phase_by_phase(self):
         for watched_s, phase in ((3.5, _Phase.SHARED), (4.5, _Phase.NEW)):
             with self.subTest(watched_s=watched_s):
-                seen = _see(200, 3, watched_s)
-                self.assertIs(_judge(seen), phase)
-
-    def test_one_sick_backend_server_is_no_bad_version(self):
-        """Guards against going back for one that is sick by itself."""
-        sick = _see(30, 15, 2.0, suspect=True)
-        sound = _see(200, 2, 5.0)
-        self.assertIs(_judge(sick, sound), _Phase.NEW)
-        self.assertIs(_judge(sick, sound, sick), _Phase.BACK)
-
-    def test_a_few_of_many_are_no_bad_version(self):
-        """Guards against going back for a disturbance of some."""
-        sick = _see(30, 15, 2.0, suspect=True)
-        sound = _see(30, 1, 5.0)
-        self.assertIs(_judge(*[sick] * 3, *[sound] * 19), _Phase.NEW)
-        self.assertIs(_judge(*[sick] * 9, *[sound] * 13), _Phase.NEW)
-        self.assertIs(_judge(*[sick] * 12, *[sound] * 10), _Phase.BACK)
-
-    def test_two_sick_ones_of_many_are_no_bad_version(self):
-        """Guards against a trial that begins with two that are sick."""
-        sick = _see(30, 15, 2.0, suspect=True)
-        unseen = analysis.Evidence((), 0.0, False)
-        self.assertIs(_judge(sick, sick, *[unseen] * 20), _Phase.TRIAL)
-        self.assertIs(_judge(sick, sick, sick, *[unseen] * 19), _Phase.BACK)
-        self.assertIs(_judge(sick, sick, *[unseen] * 5), _Phase.BACK)
-
-    def test_the_only_one_counts_alone(self):
-        self.assertIs(_judge(_see(30, 15, 2.0, suspect=True)), _Phase.BACK)
-
-    def test_many_bad_answers_hold_up_a_version(self):
-        """Guards against a version that is bad, but not yet surely so."""
-        seen = _see(100, 20, 5.0)
-        self.assertIs(_judge(seen), _Phase.TRIAL)
-        self.assertIs(_judge(seen, failed=0.15), _Phase.NEW)
-
-    def test_one_class_alone_is_not_hidden_by_the_others(self):
-        """Guards against a version that fails one class of work only."""
+                evidence = _build_evidence(200, 3, watched_s)
+                self.assertIs(_choose_phase(evidence), phase)
+
+    def test_one_faulty_backend_server_does_not_roll_back(self):
+        """Guards against a rollback for a server that is faulty by itself."""
+        faulty = _build_evidence(30, 15, 2.0, suspect=True)
+        healthy = _build_evidence(200, 2, 5.0)
+        self.assertIs(_choose_phase(faulty, healthy), _Phase.NEW)
+        self.assertIs(_choose_phase(faulty, healthy, faulty), _Phase.BACK)
+
+    def test_few_faulty_servers_of_many_do_not_roll_back(self):
+        """Guards against a rollback for a disturbance of a few servers."""
+        faulty = _build_evidence(30, 15, 2.0, suspect=True)
+        healthy = _build_evidence(30, 1, 5.0)
+        self.assertIs(_choose_phase(*[faulty] * 3, *[healthy] * 19), _Phase.NEW)
+        self.assertIs(_choose_phase(*[faulty] * 9, *[healthy] * 13), _Phase.NEW)
+        self.assertIs(
+            _choose_phase(*[faulty] * 12, *[healthy] * 10), _Phase.BACK
+        )
+
+    def test_first_two_faulty_of_many_do_not_roll_back(self):
+        """Guards against a rollback if the trial begins with faulty servers."""
+        faulty = _build_evidence(30, 15, 2.0, suspect=True)
+        unobserved = analysis.Evidence((), 0.0, False)
+        self.assertIs(
+            _choose_phase(faulty, faulty, *[unobserved] * 20), _Phase.TRIAL
+        )
+        self.assertIs(
+            _choose_phase(faulty, faulty, faulty, *[unobserved] * 19),
+            _Phase.BACK,
+        )
+        self.assertIs(
+            _choose_phase(faulty, faulty, *[unobserved] * 5), _Phase.BACK
+        )
+
+    def test_only_backend_server_decides_alone(self):
+        self.assertIs(
+            _choose_phase(_build_evidence(30, 15, 2.0, suspect=True)),
+            _Phase.BACK,
+        )
+
+    def test_many_bad_answers_delay_a_version(self):
+        """Guards against promoting a version that is probably bad."""
+        evidence = _build_evidence(100, 20, 5.0)
+        self.assertIs(_choose_phase(evidence), _Phase.TRIAL)
+        self.assertIs(_choose_phase(evidence, failure_ratio=0.15), _Phase.NEW)
+
+    def test_one_bad_class_is_not_hidden_by_others(self):
+        """Guards against a version that fails only one class of work."""
         classes = (
             analysis.ClassEvidence("lookup", 300, 3),
             analysis.ClassEvidence("payout", 30, 13),
         )
         self.assertIs(
-            _judge(analysis.Evidence(classes, 5.0, False)), _Phase.BACK
+            _choose_phase(analysis.Evidence(classes, 5.0, False)), _Phase.BACK
         )
 
-    def test_what_all_show_together_is_enough(self):
-        """Guards against waiting for each of many to be suspect by itself."""
-        self.assertIs(_judge(*[_see(4, 2, 5.0)] * 20), _Phase.BACK)
+    def test_evidence_of_all_servers_is_summed(self):
+        """Guards against waiting until each of many servers is suspect."""
+        self.assertIs(
+            _choose_phase(*[_build_evidence(4, 2, 5.0)] * 20), _Phase.BACK
+        )
 
 
 class SequentialTestTest(unittest.TestCase):
-    def test_a_bad_version_is_found_within_few_calls(self):
-        """Guards against callers that get bad answers for long."""
+    def test_bad_version_is_detected_within_few_calls(self):
+        """Guards against callers that get bad answers for a long time."""
         counts = []
         for seed in range(200):
             test = sequential.SequentialTest()
-            chance = random.Random(seed)
-            counts.append(_count_until_passed(test, chance, 0.4, 0.12, 400))
+            rng = random.Random(seed)
+            counts.append(_count_until_alarm(test, rng, 0.4, 0.12, 400))
         self.assertLess(sorted(counts)[190], 80)
 
-    def test_one_that_turns_bad_is_found_as_soon(self):
-        """Guards against a version that fails only after good answers."""
+    def test_version_that_turns_bad_is_detected_as_soon(self):
+        """Guards against a version that fails only after many good answers."""
         counts = []
         for seed in range(200):
             test = sequential.SequentialTest()
-            chance = random.Random(seed)
-            _count_until_passed(test, chance, 0.01, 0.12, 500)
-            self.assertFalse(test.passed)
-            counts.append(_count_until_passed(test, chance, 0.4, 0.12, 400))
+            rng = random.Random(seed)
+            _count_until_alarm(test, rng, 0.01, 0.12, 500)
+            self.assertFalse(test.alarmed)
+            counts.append(_count_until_alarm(test, rng, 0.4, 0.12, 400))
         self.assertLess(sorted(counts)[190], 80)
 
-    def test_a_sound_version_is_not_suspect(self):
-        """Guards against going back from a sound version."""
-        passed = 0
+    def test_healthy_version_is_not_suspect(self):
+        """Guards against rolling back a healthy version."""
+        alarms = 0
         for seed in range(1000):
             test = sequential.SequentialTest()
-            chance = random.Random(seed)
-            _count_until_passed(test, chance, 0.05, 0.12, 300)
-            passed += test.passed
-        self.assertLessEqual(passed, 10)
+            rng = random.Random(seed)
+            _count_until_alarm(test, rng, 0.05, 0.12, 300)
+            alarms += test.alarmed
+        self.assertLessEqual(alarms, 10)
--- a/tests/rollouts/test_progress.py
+++ b/tests/rollouts/test_progress.py
@@ -1,4 +1,4 @@
-"""Tests of how far a roll-out has come, by what is known of each daemon."""
+"""Tests of the progress of a roll-out and of its baseline."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 class ProgressTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.site = builders.Site()
+        self.fixture = builders.ServiceFixture()
         unknown = builders.build_upstream(_UNKNOWN, "")
-        self.site.upstreams = (unknown, *self.site.upstreams)
-        self.site.book.merge_rollout(builders.build_rollout())
-
-    def say(self, version: str) -> None:
-        """Has the backend server say its version."""
-        said = builders.build_upstream(_UNKNOWN, version)
-        self.site.upstreams = (said, *self.site.upstreams[1:])
-        self.site.book.update(builders.SERVICE)
-
-    def test_one_that_says_no_version_is_of_neither(self) -> None:
-        """Guards against a new version that is waited for as the one before."""
-        progress = self.site.progress
-        self.assertNotIn(_UNKNOWN, progress.before | progress.new)
-        self.assertNotIn(_UNKNOWN, progress.list_baseline(9))
-        self.say("v1")
-        self.assertIn(_UNKNOWN, progress.before)
-        self.say("")
-        self.assertNotIn(_UNKNOWN, progress.before)
-        self.say("v2")
-        self.assertNotIn(_UNKNOWN, progress.before)
-        self.assertIn(_UNKNOWN, progress.new)
-
-    def test_what_was_seen_of_an_unknown_version_is_no_baseline(self) -> None:
-        """Guards against a bad version that makes its failures look usual."""
-        progress = self.site.progress
+        self.fixture.upstreams = (unknown, *self.fixture.upstreams)
+        self.fixture.tracker.merge_rollout(builders.build_rollout())
+
+    def announce(self, version: str) -> None:
+        """Announces the version of the unknown backend server."""
+        upstream = builders.build_upstream(_UNKNOWN, version)
+        self.fixture.upstreams = (upstream, *self.fixture.upstreams[1:])
+        self.fixture.tracker.update(builders.SERVICE)
+
+    def test_unknown_version_is_neither_old_nor_new(self) -> None:
+        """Guards against waiting for a new version to drain like an old one."""
+        progress = self.fixture.progress
+        self.assertNotIn(_UNKNOWN, progress.old_ids | progress.new_ids_seen)
+        self.assertNotIn(_UNKNOWN, progress.list_baseline_ids(9))
+        self.announce("v1")
+        self.assertIn(_UNKNOWN, progress.old_ids)
+        self.announce("")
+        self.assertNotIn(_UNKNOWN, progress.old_ids)
+        self.announce("v2")
+        self.assertNotIn(_UNKNOWN, progress.old_ids)
+        self.assertIn(_UNKNOWN, progress.new_ids_seen)
+
+    def test_unknown_version_is_not_part_of_baseline(self) -> None:
+        """Guards against a bad version whose failures raise the baseline."""
+        progress = self.fixture.progress
         for member_id in (_UNKNOWN, "10.0.9.9:7600"):
             trial = builders.build_trial(member_id, 100, 60)
-            self.site.book.merge_trial(trial)
+            self.fixture.tracker.merge_trial(trial)
         self.assertEqual(progress.baseline, {})
-        self.assertEqual(progress.get_failed(), {})
-        self.say("v1")
+        self.assertEqual(progress.get_failure_ratios(), {})
+        self.announce("v1")
         self.assertEqual(progress.baseline["lookup"].calls, 100)
-        self.assertEqual(progress.get_failed(), {"lookup": 0.6})
+        self.assertEqual(progress.get_failure_ratios(), {"lookup": 0.6})
 
-    def test_one_that_is_gone_still_tells_the_baseline(self) -> None:
-        """Guards against a baseline that is lost with a backend server."""
-        self.say("v1")
+    def test_baseline_includes_servers_that_are_gone(self) -> None:
+        """Guards against losing the baseline when a backend server leaves."""
+        self.announce("v1")
         trial = builders.build_trial(_UNKNOWN, 100, 5)
-        self.site.book.merge_trial(trial)
-        self.site.upstreams = self.site.upstreams[1:]
-        self.site.book.update(builders.SERVICE)
-        progress = self.site.progress
+        self.fixture.tracker.merge_trial(trial)
+        self.fixture.upstreams = self.fixture.upstreams[1:]
+        self.fixture.tracker.update(builders.SERVICE)
+        progress = self.fixture.progress
         self.assertEqual(progress.baseline["lookup"].calls, 100)
-        self.assertEqual(progress.get_failed(), {"lookup": 0.05})
+        self.assertEqual(progress.get_failure_ratios(), {"lookup": 0.05})
--- a/tests/rollouts/test_states.py
+++ b/tests/rollouts/test_states.py
@@ -1,4 +1,4 @@
-"""Property test of roll-outs: whatever races, there is one end."""
+"""Property test: every roll-out has one end, whichever daemons race."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 from merlintrestle.requests import backend as backends
 from merlintrestle.rollouts import analysis
-from merlintrestle.rollouts import controller as keepers
+from merlintrestle.rollouts import controller as controllers
 from merlintrestle.rollouts import observer as observers
 from merlintrestle.rollouts import records
-from merlintrestle.rollouts import storage as registers
-from merlintrestle.rollouts import tracker as books
+from merlintrestle.rollouts import storage as storages
+from merlintrestle.rollouts import tracker as trackers
 from merlintrestle.schema import control_pb2
 from tests.rollouts import builders
 
 _DAEMONS = 3
 _daemons = strategies.integers(0, _DAEMONS - 1)
-_FORM = registers.DefaultFormat()
+_FORMAT = storages.DefaultFormat()
 
 
 class _Daemon:
-    """One daemon that judges and writes, and what it knows."""
+    """A daemon that judges roll-outs and writes their states."""
 
     def __init__(self, store: builders.FakeStore, clock: builders.Clock):
         upstreams = builders.build_upstreams(2, 2)
-        self.book = books.RolloutTracker(lambda service: upstreams, clock)
-        self.register = registers.RolloutStorage(store, _FORM)
+        self.tracker = trackers.RolloutTracker(lambda service: upstreams, clock)
+        self.storage = storages.RolloutStorage(store, _FORMAT)
         observer = observers.Observer(
-            self.book, backends.LocalBackend(), lambda: "", lambda: 0, clock
+            self.tracker, backends.LocalBackend(), lambda: "", lambda: 0, clock
         )
-        self.keeper = keepers.RolloutController(
-            self.book, observer, self.register, lambda: 0
+        self.controller = controllers.RolloutController(
+            self.tracker, observer, self.storage, lambda: 0
         )
 
 
 class RolloutMachine(stateful.RuleBasedStateMachine):
-    """Daemons that hear of evidence in any order, restart and race."""
+    """Daemons that receive evidence in any order, restart and race."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,10 +54,10 @@
 
     @stateful.rule()
     def order(self) -> None:
-        """The operator orders the roll-out, perhaps once more."""
+        """The operator orders the roll-out, perhaps again."""
         order = builders.build_rollout(number=0, within_ms=10_000)
         self.store.write(
-            registers.ORDER_PREFIX + builders.SERVICE,
+            storages.ORDER_PREFIX + builders.SERVICE,
             order.SerializeToString(),
         )
 
@@ -66,9 +66,9 @@
         """A daemon reads the orders."""
 
         async def run() -> None:
-            one = self.daemons[daemon]
-            orders = await one.register.read_orders()
-            await one.keeper.handle_orders(orders)
+            reader = self.daemons[daemon]
+            orders = await reader.storage.read_orders()
+            await reader.controller.handle_orders(orders)
 
         asyncio.run(run())
 
@@ -79,7 +79,7 @@
         watched_ms=strategies.sampled_from([100, 3_500, 6_000]),
         suspect=strategies.booleans(),
     )
-    def see(
+    def receive_trial(
         self,
         daemon: int,
         server: int,
@@ -87,8 +87,8 @@
         watched_ms: int,
         suspect: bool,
     ) -> None:
-        """A daemon hears what was seen of a backend server."""
-        progress = self.daemons[daemon].book.get(builders.SERVICE)
+        """A daemon receives the record of a backend server."""
+        progress = self.daemons[daemon].tracker.get(builders.SERVICE)
         if progress is not None:
             trial = builders.build_trial(
                 f"10.0.1.{server}:7600",
@@ -97,75 +97,73 @@
                 watched_ms=watched_ms,
                 suspect=suspect,
             )
-            self.daemons[daemon].book.merge_trial(trial)
+            self.daemons[daemon].tracker.merge_trial(trial)
 
-    @stateful.rule(daemon=_daemons, other=_daemons)
-    def tell(self, daemon: int, other: int) -> None:
-        """A daemon tells another all that it knows."""
-        book = self.daemons[daemon].book
-        told = [builders.copy(one) for one in book.list_rollouts()]
-        self.daemons[other].book.merge(told, book.list_trials())
+    @stateful.rule(daemon=_daemons, receiver=_daemons)
+    def gossip(self, daemon: int, receiver: int) -> None:
+        """A daemon sends all its records to another."""
+        tracker = self.daemons[daemon].tracker
+        sent = [builders.copy(rollout) for rollout in tracker.list_rollouts()]
+        self.daemons[receiver].tracker.merge(sent, tracker.list_trials())
 
     @stateful.rule(daemon=_daemons, lost=strategies.booleans())
     def write(self, daemon: int, lost: bool) -> None:
-        """A daemon writes what it has come to; the answer may be lost."""
+        """A daemon writes the states; the reply may be lost."""
 
         async def run() -> None:
-            one = self.daemons[daemon]
-            for progress in one.book.list_open():
-                await one.keeper.write(progress)
+            writer = self.daemons[daemon]
+            for progress in writer.tracker.list_open():
+                await writer.controller.write_state(progress)
 
-        self.store.lose = int(lost)
+        self.store.lost_replies = int(lost)
         asyncio.run(run())
-        self.store.lose = 0
+        self.store.lost_replies = 0
 
     @stateful.rule(seconds=strategies.sampled_from([0.5, 4.0, 10.0]))
     def wait(self, seconds: float) -> None:
         """Time passes."""
         self.clock.now += seconds
         for daemon in self.daemons:
-            daemon.book.update(builders.SERVICE)
+            daemon.tracker.update(builders.SERVICE)
 
     @stateful.rule(daemon=_daemons)
     def restart(self, daemon: int) -> None:
-        """A daemon forgets everything."""
+        """A daemon restarts and loses its state."""
         self.daemons[daemon] = _Daemon(self.store, self.clock)
 
     @stateful.invariant()
-    def one_end(self) -> None:
-        """The store states one end of each order, and nobody another."""
-        entry = self.store.entries.get(
-            registers.STATE_PREFIX + builders.SERVICE
-        )
+    def every_order_has_one_end(self) -> None:
+        """The store and the daemons agree on one end of each order."""
+        entry = self.store.entries.get(storages.STATE_PREFIX + builders.SERVICE)
         if entry is not None:
             written = control_pb2.Rollout.FromString(entry.value)
-            self.note_end(written)
+            self.record_end(written)
         for daemon in self.daemons:
-            for rollout in daemon.book.list_rollouts():
-                self.note_end(rollout)
+            for rollout in daemon.tracker.list_rollouts():
+                self.record_end(rollout)
 
     @stateful.invariant()
-    def nothing_goes_to_what_was_ended(self) -> None:
-        """No daemon serves by a version that it knows to have ended."""
+    def phase_matches_the_end(self) -> None:
+        """The phase at each daemon agrees with the end that it knows."""
         for daemon in self.daemons:
-            progress = daemon.book.get(builders.SERVICE)
+            progress = daemon.tracker.get(builders.SERVICE)
             if progress is None or not progress.ended:
                 continue
             complete = progress.rollout.state == control_pb2.COMPLETE
             phase = analysis.Phase.NEW if complete else analysis.Phase.BACK
             assert progress.phase is phase
 
-    def note_end(self, rollout: control_pb2.Rollout) -> None:
-        """Notes an end; there may be no other of the same order."""
+    def record_end(self, rollout: control_pb2.Rollout) -> None:
+        """Records an end; an order must not have two."""
         if rollout.state in records.ENDED:
             ends = self.ends.setdefault(rollout.number, set())
             ends.add(rollout.state)
             assert len(ends) == 1, "two ends of one order"
 
 
-class StatesTest(unittest.TestCase):
-    def test_there_is_one_end(self):
-        """Guards against a roll-back after the old version was stopped."""
+class RolloutStatesTest(unittest.TestCase):
+    def test_every_order_has_one_end(self):
+        """Guards against a rollback after the old version was stopped."""
         stateful.run_state_machine_as_test(
             RolloutMachine,
             settings=hypothesis.settings(
--- a/tests/rollouts/test_storage.py
+++ b/tests/rollouts/test_storage.py
@@ -1,4 +1,4 @@
-"""Tests of orders and their ends in the store."""
+"""Tests of the storage of orders and their states."""
 
 from __future__ import annotations
 
@@ -8,75 +8,77 @@
 
 from merlintrestle import errors
 from merlintrestle.platform import rollouts
-from merlintrestle.rollouts import storage as registers
+from merlintrestle.rollouts import storage as storages
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import client
 from tests.rollouts import builders
 
-_FORMS: tuple[registers.RecordFormat, ...] = (
-    registers.DefaultFormat(),
+_FORMATS: tuple[storages.RecordFormat, ...] = (
+    storages.DefaultFormat(),
     rollouts.OPERATORS_FORMAT,
 )
 _ENDS = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
 
 
-class RegisterTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_first_end_stays(self):
-        """Guards against two ends of one roll-out, whoever writes last."""
-        for form, order in itertools.product(
-            _FORMS, itertools.permutations(_ENDS)
+class RolloutStorageTest(unittest.IsolatedAsyncioTestCase):
+    async def test_first_end_is_kept(self):
+        """Guards against a second end that replaces the first."""
+        for record_format, order in itertools.product(
+            _FORMATS, itertools.permutations(_ENDS)
         ):
-            with self.subTest(form=form, order=order):
-                register = registers.RolloutStorage(builders.FakeStore(), form)
+            with self.subTest(record_format=record_format, order=order):
+                storage = storages.RolloutStorage(
+                    builders.FakeStore(), record_format
+                )
                 rollout = builders.build_rollout()
                 written = [
-                    await register.write_state(rollout, state)
+                    await storage.write_state(rollout, state)
                     for state in (*order, control_pb2.RUNNING)
                 ]
                 self.assertEqual(written, [order[0]] * 3)
 
-    async def test_racing_writers_agree(self):
-        """Guards against two daemons that write different ends at once."""
-        for form in _FORMS:
+    async def test_concurrent_writers_agree(self):
+        """Guards against two daemons that write different ends concurrently."""
+        for record_format in _FORMATS:
             store = builders.FakeStore()
-            one, other = (
-                registers.RolloutStorage(store, form) for _ in range(2)
+            first, second = (
+                storages.RolloutStorage(store, record_format) for _ in range(2)
             )
             rollout = builders.build_rollout()
             ends = await asyncio.gather(
-                one.write_state(rollout, control_pb2.COMPLETE),
-                other.write_state(rollout, control_pb2.ROLLED_BACK),
+                first.write_state(rollout, control_pb2.COMPLETE),
+                second.write_state(rollout, control_pb2.ROLLED_BACK),
             )
             self.assertEqual(len(set(ends)), 1)
 
-    async def test_a_lost_answer_is_settled_by_reading(self):
-        """Guards against an end that is written and not known."""
-        for form in _FORMS:
+    async def test_lost_reply_is_resolved_by_reading(self):
+        """Guards against overwriting an end whose write got no reply."""
+        for record_format in _FORMATS:
             store = builders.FakeStore()
-            register = registers.RolloutStorage(store, form)
+            storage = storages.RolloutStorage(store, record_format)
             rollout = builders.build_rollout()
-            store.lose = 1
+            store.lost_replies = 1
             with self.assertRaises(errors.StoreUnknownOutcomeError):
-                await register.write_state(rollout, control_pb2.COMPLETE)
-            state = await register.write_state(rollout, control_pb2.ROLLED_BACK)
+                await storage.write_state(rollout, control_pb2.COMPLETE)
+            state = await storage.write_state(rollout, control_pb2.ROLLED_BACK)
             self.assertEqual(state, control_pb2.COMPLETE)
 
-    async def test_an_order_again_begins_anew(self):
-        """Guards against an order that counts as ended by the one before."""
-        for form in _FORMS:
+    async def test_repeated_order_starts_again(self):
+        """Guards against an order that gets the end of the previous one."""
+        for record_format in _FORMATS:
             store = builders.FakeStore()
-            register = registers.RolloutStorage(store, form)
-            first = builders.build_rollout()
-            await register.write_state(first, control_pb2.ROLLED_BACK)
-            again = builders.build_rollout(number=99)
-            state = await register.read_state(again)
+            storage = storages.RolloutStorage(store, record_format)
+            previous = builders.build_rollout()
+            await storage.write_state(previous, control_pb2.ROLLED_BACK)
+            repeated = builders.build_rollout(number=99)
+            state = await storage.read_state(repeated)
             self.assertEqual(state, control_pb2.ROLLOUT_STATE_UNSPECIFIED)
-            await register.write_state(again, control_pb2.RUNNING)
+            await storage.write_state(repeated, control_pb2.RUNNING)
 
-    async def test_malformed_orders_hold_up_no_other(self):
+    async def test_malformed_orders_do_not_block_others(self):
         """Guards against another writer's record that stops all roll-outs."""
-        form = rollouts.OPERATORS_FORMAT
-        register = registers.RolloutStorage(builders.FakeStore(), form)
+        record_format = rollouts.OPERATORS_FORMAT
+        storage = storages.RolloutStorage(builders.FakeStore(), record_format)
         good = b'{"service":"balie","targetVersion":"v2","durationS":12}'
         values = (
             b"",
@@ -93,7 +95,7 @@
             client.Entry("op/rollout/balie", value, number + 1)
             for number, value in enumerate(values)
         ]
-        orders = register.parse_orders(entries)
+        orders = storage.parse_orders(entries)
         self.assertEqual(
             orders, [builders.build_rollout(number=9, within_ms=12_000)]
         )
