--- a/merlintrestle/requests/calls/__init__.py
+++ b/merlintrestle/requests/calls/__init__.py
@@ -1,1 +1,1 @@
-"""What a request is: read, routed, and what becomes of it."""
+"""Parsing and routing of requests, and the outcomes of calls."""
--- a/merlintrestle/requests/calls/call.py
+++ b/merlintrestle/requests/calls/call.py
@@ -1,4 +1,4 @@
-"""One call on its way through a daemon."""
+"""The state of a call while a daemon handles it."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class Wait(enum.Enum):
-    """How long a call may wait for a slot where the caller's daemon sent it."""
+    """How long a call may wait for a slot at the upstream it is sent to."""
 
     # As long as its latency target allows.
     NORMAL = enum.auto()
-    # A part of that; it is to go elsewhere then.
+    # A fraction of that; another upstream is tried afterwards.
     SHORT = enum.auto()
     # Not at all.
     NONE = enum.auto()
@@ -31,35 +31,36 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """A caller's request, its class of work known.
+    """A caller's request and its class of work.
 
     Attributes:
-        service: Service it is for.
+        service: Name of the destination service.
         plan: Its class of work.
         method: HTTP method.
         target: Path and query for the backend server, beginning with "/".
         organisation: Organisation of the caller.
         headers: End-to-end headers.
         body: Its body.
-        deadline: Time of the event loop at which the caller must have its
-            final answer, in seconds.
-        latency_deadline: Time of the event loop at which its latency target is
-            over, in seconds, counted from the caller's first attempt.
-        return_trip_s: What a refusal needs to reach the caller's daemon, in
-            seconds. It is an estimate, so it never ends work that runs.
-        depth: Calls above this one.
-        attempt: More than 0 if this call is a retry, or if a call above it
-            may be tried again.
-        key: Idempotency-Key; empty: none.
-        suspect: True if it broke a connection before and may be what crashed
-            the backend server.
-        repeat: True if a backend server may have been sent it before.
+        deadline: Event loop time by which the caller must have its final
+            answer, in seconds.
+        latency_deadline: Event loop time by which the latency target must be
+            met, in seconds. It counts from the caller's first attempt.
+        depth: Number of calls that this one is nested in.
+        attempt: More than 0 if this call is a retry, or if a call that it is
+            nested in may be retried.
+        key: Idempotency-Key; empty if there is none.
+        return_trip_s: Time that a refusal needs to reach the caller's daemon,
+            in seconds. It is an estimate, so it never ends running work.
+        repeat: True if the call may have been sent to a backend server before.
         wait: How long it may wait for a slot of the backend server.
-        admitted_at: When it took its slot of the backend server, in seconds.
-        request_id: Id that the caller gave it; empty: none.
-        origin: Service of the instance at which it began; empty: not known.
-        route: Name of the route by host; empty: it was found otherwise.
-        story: The decisions about it.
+        admitted_at: When it got its slot of the backend server, in seconds.
+        suspect: True if it broke a connection before, so that it may have
+            crashed the backend server.
+        request_id: Id that the caller gave it; empty if there is none.
+        origin: Service of the instance at which the request began; empty if
+            unknown.
+        route: Name of the host route; empty if the call was routed otherwise.
+        story: Decision log of the call.
     """
 
     service: str
@@ -89,18 +90,18 @@
 
     @property
     def refuse_by(self) -> float:
-        """Time of the event loop by which it begins, or is refused."""
+        """Event loop time by which the call must start or be refused."""
         return self.deadline - self.return_trip_s
 
     def get_remaining_ms(self) -> int:
-        """Returns the milliseconds until its deadline; below 0: it is over."""
-        left_s = self.deadline - asyncio.get_running_loop().time()
-        return math.floor(left_s * 1000)
+        """Returns the milliseconds until the deadline; negative after it."""
+        remaining_s = self.deadline - asyncio.get_running_loop().time()
+        return math.floor(remaining_s * 1000)
 
     def get_identity(self) -> bytes:
-        """Returns a digest of what the request is, whoever sends it.
+        """Returns a digest of the request that does not depend on its sender.
 
-        A body that is passed on in pieces counts by its length alone.
+        A body that is forwarded in chunks counts by its length alone.
         """
         if not self._identity:
             self._identity = self._compute_identity()
--- a/merlintrestle/requests/calls/dialect.py
+++ b/merlintrestle/requests/calls/dialect.py
@@ -1,6 +1,6 @@
-"""Dialects: how callers and backend servers speak to a daemon.
+"""Dialects in which callers and backend servers talk to a daemon.
 
-What daemons say to each other is the same in every dialect.
+Daemons talk to each other in the same way whatever the dialect.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NativeDialect:
-    """Paths that begin with a service, and `Merlintrestle-` headers."""
+    """Paths that begin with a service name, and `Merlintrestle-` headers."""
 
 
 @generics.remember_choices
@@ -36,7 +36,7 @@
 def match_caller(
     dialect: object, running: snapshot.Snapshot, request: web.BaseRequest
 ) -> routing.Match | outcomes.NotRun:
-    """Returns where a caller's request goes."""
+    """Returns the destination of a caller's request, or a refusal."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
@@ -45,7 +45,7 @@
 def read_metadata(
     dialect: object, request: web.BaseRequest
 ) -> parsing.CallMetadata:
-    """Returns what a caller's headers ask for."""
+    """Returns the metadata in the headers of a caller's request."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
@@ -54,12 +54,12 @@
 def may_be_nested(
     dialect: object, request: web.BaseRequest, working: bool
 ) -> bool:
-    """Returns whether a request may be made by work of this instance.
+    """Returns whether a request may come from work of this instance.
 
     Args:
-        dialect: How callers speak.
+        dialect: Dialect of the callers.
         request: The request.
-        working: The own backend server is at work.
+        working: True if the local backend server is running calls.
     """
     raise TypeError(f"not a dialect: {dialect!r}")
 
@@ -69,16 +69,16 @@
 def render(
     dialect: object, outcome: outcomes.Failure, request: web.BaseRequest
 ) -> web.Response:
-    """Returns the answer that tells a caller of a failure."""
+    """Returns the response that reports a failure to a caller."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
 @generics.remember_choices
 @functools.singledispatch
 def build_backend_headers(
-    dialect: object, call: calls.Call, own: backends.LocalBackend
+    dialect: object, call: calls.Call, backend: backends.LocalBackend
 ) -> multidict.CIMultiDict[str]:
-    """Returns the headers under which the backend server gets a call."""
+    """Returns the headers with which a call is sent to the backend server."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
@@ -87,7 +87,7 @@
 def is_answer_to(
     dialect: object, answer: answers.Answer, call: calls.Call
 ) -> bool:
-    """Returns whether an answer belongs to a call and not to another one."""
+    """Returns whether an answer is for this call and not for another one."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
@@ -96,10 +96,10 @@
 def check_answer(
     dialect: object, answer: answers.Answer
 ) -> outcomes.Failure | None:
-    """Returns what an answer of the backend server says beside itself.
+    """Returns the failure that an answer of the backend server stands for.
 
     Returns:
-        None for an answer that is to be passed on.
+        None for an answer that is passed on to the caller.
     """
     raise TypeError(f"not a dialect: {dialect!r}")
 
@@ -107,7 +107,7 @@
 @generics.remember_choices
 @functools.singledispatch
 def accepts_unframed_answers(dialect: object) -> bool:
-    """Returns whether an answer may end with its connection alone."""
+    """Returns whether closing the connection alone may end an answer."""
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
@@ -119,7 +119,7 @@
 
 
 @read_metadata.register(NativeDialect)
-def _read_asked(
+def _read_metadata(
     dialect: NativeDialect, request: web.BaseRequest
 ) -> parsing.CallMetadata:
     return parsing.read_metadata(request)
@@ -141,19 +141,19 @@
 
 @build_backend_headers.register(NativeDialect)
 def _build_backend_headers(
-    dialect: NativeDialect, call: calls.Call, own: backends.LocalBackend
+    dialect: NativeDialect, call: calls.Call, backend: backends.LocalBackend
 ) -> multidict.CIMultiDict[str]:
-    left_s = call.deadline - asyncio.get_running_loop().time()
-    sent = call.headers.copy()
-    sent[headers.ORGANISATION] = call.organisation
-    sent[headers.DEADLINE] = str(max(1, int(left_s * 1000)))
-    sent[headers.DEPTH] = str(call.depth + 1)
-    # The outermost repeatable call of a nest is the one that is tried again;
-    # calls below it are told not to. Else N nested levels run the lowest one
-    # N + 1 times, each level having its own second try.
-    above = 1 if call.plan.repeatable else call.attempt
-    sent[headers.ATTEMPT] = str(above)
-    return sent
+    remaining_s = call.deadline - asyncio.get_running_loop().time()
+    sent_headers = call.headers.copy()
+    sent_headers[headers.ORGANISATION] = call.organisation
+    sent_headers[headers.DEADLINE] = str(max(1, int(remaining_s * 1000)))
+    sent_headers[headers.DEPTH] = str(call.depth + 1)
+    # Only the outermost repeatable call of a nest is retried; the calls nested
+    # in it are sent as retries, so that they are not. Otherwise N nested
+    # levels would run the lowest one N + 1 times, as each level has a retry.
+    attempt = 1 if call.plan.repeatable else call.attempt
+    sent_headers[headers.ATTEMPT] = str(attempt)
+    return sent_headers
 
 
 @is_answer_to.register(NativeDialect)
@@ -164,12 +164,12 @@
 
 
 @check_answer.register(NativeDialect)
-def _judge_answer(
+def _check_answer(
     dialect: NativeDialect, answer: answers.Answer
 ) -> outcomes.Failure | None:
     return None
 
 
 @accepts_unframed_answers.register(NativeDialect)
-def _accepts_unframed(dialect: NativeDialect) -> bool:
+def _accepts_unframed_answers(dialect: NativeDialect) -> bool:
     return False
--- a/merlintrestle/requests/calls/doubts.py
+++ b/merlintrestle/requests/calls/doubts.py
@@ -1,6 +1,6 @@
-"""Doubts: reasons to try a call anew while its first try goes on.
+"""Reasons to hedge a call while its first attempt is running.
 
-None of them proves that nobody is at work on the call.
+None of them proves that the call is not being worked on.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 
 
 class Doubt(enum.Enum):
-    """What makes it doubtful that the answer of a try will come in time."""
+    """Why the answer of an attempt may not arrive in time."""
 
-    # It takes far longer than the targets expect of a call.
+    # The attempt takes far longer than the targets expect of a call.
     LATE = enum.auto()
-    # The peer does not answer a question about the call, and nothing else
-    # comes from it.
+    # The peer does not answer a query about the call and sends nothing else
+    # either.
     PEER_SILENT = enum.auto()
-    # The peer answers and has not seen the call, which may be on its way yet.
+    # The peer answers that it has not seen the call, which may be in transit.
     NOT_ARRIVED = enum.auto()
-    # The peer answers and has sent off its answer; it has not come.
+    # The peer answers that it has sent the answer, which has not arrived.
     ANSWER_MISSING = enum.auto()
 
     @property
     def concerns_connection_only(self) -> bool:
-        """True if the connection alone is doubtful, and not its peer."""
+        """True if the connection alone is in doubt, and not its peer."""
         return self in (Doubt.NOT_ARRIVED, Doubt.ANSWER_MISSING)
--- a/merlintrestle/requests/calls/metadata.py
+++ b/merlintrestle/requests/calls/metadata.py
@@ -1,7 +1,7 @@
-"""Passing: what a daemon tells another of a call, in one header.
+"""Encoding of call metadata for other daemons, in a single header.
 
-Each header costs both daemons its writing, its parsing and a look whether it
-goes on to the backend server.
+Each further header would cost both daemons its writing, its parsing and a check
+whether to forward it to the backend server.
 """
 
 from __future__ import annotations
@@ -12,67 +12,69 @@
 from merlintrestle.requests.calls import parsing
 
 _SEPARATOR = " "
-# Blanks at the end of a header are no part of it, and an id may be empty.
-_END = ";"
-_SUSPECT = "s"
-_REPEAT = "r"
-# Among the flags, where daemons of versions before pass over it.
-_WAY_BACK = re.compile(r"\d+")
-_WAITS = {calls.Wait.SHORT: "w", calls.Wait.NONE: "n"}
-# Figures, flags and the origin; the rest is the id, whatever it contains.
-_PLACES = 6
+# Trailing blanks are not part of a header value, and the id may be empty.
+_TERMINATOR = ";"
+_SUSPECT_FLAG = "s"
+_REPEAT_FLAG = "r"
+# Sent among the flags, where daemons of older versions ignore it.
+_RETURN_TRIP = re.compile(r"\d+")
+_WAIT_FLAGS = {calls.Wait.SHORT: "w", calls.Wait.NONE: "n"}
+# Four numbers, the flags and the origin precede the id, which may contain
+# separators.
+_FIELDS_BEFORE_ID = 6
 
 
-def encode_metadata(asked: parsing.CallMetadata) -> str:
-    """Returns the text of the header; a time limit must be stated."""
-    flags = _SUSPECT if asked.suspect else ""
-    flags += _WAITS.get(asked.wait, "")
-    if asked.repeat:
-        flags += _REPEAT
-    if asked.return_trip_ms:
-        flags += str(asked.return_trip_ms)
+def encode_metadata(metadata: parsing.CallMetadata) -> str:
+    """Returns the value of the header; the timeout must be set."""
+    flags = _SUSPECT_FLAG if metadata.suspect else ""
+    flags += _WAIT_FLAGS.get(metadata.wait, "")
+    if metadata.repeat:
+        flags += _REPEAT_FLAG
+    if metadata.return_trip_ms:
+        flags += str(metadata.return_trip_ms)
     return (
-        f"{asked.timeout_ms} {asked.waited_ms} {asked.depth} {asked.attempt}"
-        f" {flags} {asked.origin} {asked.request_id}{_END}"
+        f"{metadata.timeout_ms} {metadata.waited_ms} {metadata.depth}"
+        f" {metadata.attempt} {flags} {metadata.origin}"
+        f" {metadata.request_id}{_TERMINATOR}"
     )
 
 
 def decode_metadata(text: str | None) -> parsing.CallMetadata | None:
-    """Returns what a header asks for; None: it is malformed.
+    """Returns the metadata in a header; None if it is malformed.
 
     Args:
-        text: Its text; None: there is no such header, so nothing is asked.
+        text: Value of the header; None if there is no such header.
     """
     if text is None:
         return parsing.CallMetadata(None)
-    parts = text.removesuffix(_END).split(_SEPARATOR, _PLACES)
-    if len(parts) <= _PLACES:
+    fields = text.removesuffix(_TERMINATOR).split(_SEPARATOR, _FIELDS_BEFORE_ID)
+    if len(fields) <= _FIELDS_BEFORE_ID:
         return None
-    limit, waited, depth, attempt, flags, origin, request_id = parts
+    timeout, waited, depth, attempt, flags, origin, request_id = fields
     try:
         return parsing.CallMetadata(
-            int(limit),
+            int(timeout),
             request_id,
             origin,
             int(depth),
             int(attempt),
             int(waited),
-            suspect=_SUSPECT in flags,
-            wait=_read_wait(flags),
-            repeat=_REPEAT in flags,
-            return_trip_ms=_read_way_back(flags),
+            suspect=_SUSPECT_FLAG in flags,
+            wait=_decode_wait(flags),
+            repeat=_REPEAT_FLAG in flags,
+            return_trip_ms=_decode_return_trip_ms(flags),
         )
     except ValueError:
         return None
 
 
-def _read_wait(flags: str) -> calls.Wait:
-    for wait, flag in _WAITS.items():
+def _decode_wait(flags: str) -> calls.Wait:
+    for wait, flag in _WAIT_FLAGS.items():
         if flag in flags:
             return wait
     return calls.Wait.NORMAL
 
 
-def _read_way_back(flags: str) -> int:
-    found = _WAY_BACK.search(flags)
-    return int(found[0]) if found else 0
+def _decode_return_trip_ms(flags: str) -> int:
+    match = _RETURN_TRIP.search(flags)
+    return int(match[0]) if match else 0
--- a/merlintrestle/requests/calls/outcomes.py
+++ b/merlintrestle/requests/calls/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of a call, and the answers that state them."""
+"""Outcomes of a call, and the HTTP responses that report them."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
     from collections.abc import Callable
 
 
-# Status by which a backend server sheds load.
+# Status with which a backend server sheds load.
 SHEDDING_STATUS = 503
-# Least status of a failure of the backend server.
+# Lowest status that means a failure of the backend server.
 MIN_SERVER_ERROR_STATUS = 500
-# Status of an answer that did not come in time.
+# Status of a call whose answer did not arrive in time.
 TIMEOUT_STATUS = 504
 
 
 @dataclasses.dataclass(slots=True)
 class Answered:
-    """A backend server answered, well or badly.
+    """A backend server answered, with success or with an error.
 
     Attributes:
-        response: The answer, its headers read.
-        body: Its whole body; None: to be passed on in pieces.
-        release_callbacks: What frees what the call holds, in this order.
-        truncated: True if its body broke off.
+        response: The answer, with its headers read.
+        body: Its whole body; None if it is passed on in chunks.
+        release_callbacks: Callbacks that free the resources of the call, run
+            in this order.
+        truncated: True if its body ended early.
     """
 
     response: answers.Answer
@@ -44,33 +45,34 @@
     release_callbacks: list[Callable[[], None]]
     truncated: bool = False
 
-    def add_release_callback(self, leave: Callable[[], None]) -> None:
-        """Has something else freed as well once the body has ended."""
-        self.release_callbacks.append(leave)
+    def add_release_callback(self, callback: Callable[[], None]) -> None:
+        """Adds a callback that frees a resource once the body has ended."""
+        self.release_callbacks.append(callback)
 
     def release(self) -> None:
-        """Frees what the call holds; called once its body has ended."""
-        # What is freed refers to this outcome. Left in the list, it would keep
-        # the call in memory until the garbage collector stops all others.
-        leaves, self.release_callbacks = self.release_callbacks, []
-        for leave in leaves:
-            leave()
+        """Frees the resources of the call; called when its body has ended."""
+        # The callbacks refer to this outcome. If the list kept them, the call
+        # would stay in memory until the garbage collector runs, which stops
+        # all other calls meanwhile.
+        callbacks, self.release_callbacks = self.release_callbacks, []
+        for callback in callbacks:
+            callback()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The call truly did not run and never will.
+    """The call certainly did not run and never will.
 
     Attributes:
-        reason: Why, in one sentence for the caller.
+        reason: Reason in one sentence, for the caller.
         status: HTTP status of the answer.
-        retry_after_s: Seconds until it is worth coming back; None: not at all.
-        elsewhere: True if another upstream may take the call at once.
-        overloaded: True if it was refused for lack of capacity.
+        retry_after_s: Seconds until a retry is worthwhile; None if never.
+        elsewhere: True if another upstream may run the call at once.
+        overloaded: True if the call was refused for lack of capacity.
         unreachable: True if no connection could be made.
-        reached: True if it was the backend server that refused it.
-        unqueued: True if it was refused as it was not to wait for a slot; the
-            wait would have lasted for `retry_after_s`.
+        reached: True if the backend server itself refused the call.
+        unqueued: True if the call was refused because it was not allowed to
+            wait for a slot; the wait would have taken `retry_after_s`.
     """
 
     reason: str
@@ -88,13 +90,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ran:
-    """The call ran, and its answer is not to be had.
+    """The call ran, and its answer is not available.
 
     Attributes:
-        reason: Why, in one sentence for the caller.
+        reason: Reason in one sentence, for the caller.
         status: HTTP status of the answer.
-        retry_after_s: Seconds until it is worth coming back; None: not at all.
-        broken: True if the connection broke, as it does at a crash.
+        retry_after_s: Seconds until a retry is worthwhile; None if never.
+        broken: True if the connection broke, as it does in a crash.
     """
 
     reason: str
@@ -108,11 +110,11 @@
     """The call may or may not have run.
 
     Attributes:
-        reason: Why, in one sentence for the caller.
+        reason: Reason in one sentence, for the caller.
         status: HTTP status of the answer.
-        retry_after_s: Seconds until asking again with the same key may settle
-            it; None: not at all.
-        broken: True if the connection broke, as it does at a crash.
+        retry_after_s: Seconds until a retry with the same key may find out;
+            None if never.
+        broken: True if the connection broke, as it does in a crash.
     """
 
     reason: str
@@ -123,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replayed:
-    """The kept answer of a call that ran before.
+    """The stored answer of a call that ran before.
 
     Attributes:
         status: HTTP status of the answer.
@@ -138,7 +140,7 @@
 
 Outcome = Answered | Replayed | NotRun | Ran | Unknown
 Failure = NotRun | Ran | Unknown
-# What logs and metrics call the failures.
+# Names of the failures in logs and metrics.
 FAILURE_NAMES: dict[type, str] = {
     NotRun: "refused",
     Ran: "failed",
@@ -147,7 +149,7 @@
 
 
 def release_unused(task: asyncio.Future[Outcome]) -> None:
-    """Frees what the answer of a send that has ended unneeded holds."""
+    """Done callback that frees an answer which is no longer needed."""
     if task.cancelled() or task.exception() is not None:
         return
     outcome = task.result()
@@ -158,7 +160,7 @@
 @generics.remember_choices
 @functools.singledispatch
 def render(outcome: object) -> web.Response:
-    """Returns the answer to a caller that needs no body passed on."""
+    """Returns the response for an outcome without a body to stream."""
     raise TypeError(f"cannot be rendered: {outcome!r}")
 
 
@@ -173,31 +175,31 @@
 
 @render.register
 def _render_not_run(outcome: NotRun) -> web.Response:
-    return _build("not-run", outcome, outcome.retry_after_s)
+    return _build_failure_response("not-run", outcome, outcome.retry_after_s)
 
 
 @render.register
 def _render_ran(outcome: Ran) -> web.Response:
-    return _build("ran", outcome, outcome.retry_after_s)
+    return _build_failure_response("ran", outcome, outcome.retry_after_s)
 
 
 @render.register
 def _render_unknown(outcome: Unknown) -> web.Response:
-    return _build("unknown", outcome, outcome.retry_after_s)
+    return _build_failure_response("unknown", outcome, outcome.retry_after_s)
 
 
 def read_failure(answered: Answered) -> Failure:
-    """Returns the failure that another daemon stated in its answer."""
+    """Returns the failure that another daemon reported in its answer."""
     response = answered.response
     answered.release()
     try:
-        stated = json.loads(answered.body or b"")
+        reported = json.loads(answered.body or b"")
         fields = {
-            "reason": str(stated["reason"]),
-            "retry_after_s": stated["retry_after_s"],
+            "reason": str(reported["reason"]),
+            "retry_after_s": reported["retry_after_s"],
         }
     except (ValueError, KeyError, TypeError):
-        stated = {}
+        reported = {}
         fields = {
             "reason": "a daemon refused without a reason",
             "retry_after_s": None,
@@ -207,22 +209,22 @@
     if name == "not-run":
         return NotRun(
             **fields,
-            elsewhere=bool(stated.get("elsewhere")),
-            overloaded=bool(stated.get("overloaded")),
-            reached=bool(stated.get("reached")),
-            unqueued=bool(stated.get("unqueued")),
+            elsewhere=bool(reported.get("elsewhere")),
+            overloaded=bool(reported.get("overloaded")),
+            reached=bool(reported.get("reached")),
+            unqueued=bool(reported.get("unqueued")),
         )
-    broken = bool(stated.get("broken"))
+    broken = bool(reported.get("broken"))
     if name == "ran":
         return Ran(**fields, broken=broken)
     return Unknown(**fields, broken=broken)
 
 
-def _build(
+def _build_failure_response(
     name: str, outcome: Failure, retry_after_s: float | None
 ) -> web.Response:
-    # Under load most answers to other daemons are refusals; the library's
-    # `asdict` copies each field as if it held others.
+    # Under load most responses to other daemons are refusals, and
+    # `dataclasses.asdict` copies each field as if it were a container.
     fields: dict[str, object] = {"outcome": name}
     for field in outcome.__slots__:
         fields[field] = getattr(outcome, field)
--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -1,4 +1,4 @@
-"""Intake: from an HTTP request to a call, or to why it is refused."""
+"""Parsing of HTTP requests into calls, or into refusals."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
     from merlintrestle.documents import snapshot
 
-# Calls may be nested this deep; a deeper one is a loop between services.
+# A call that is nested deeper is taken for a loop between services.
 MAX_DEPTH = 7
 _MAX_KEY_CHARACTERS = 255
 
@@ -25,9 +25,9 @@
 def match_caller(
     running: snapshot.Snapshot, request: web.BaseRequest
 ) -> routing.Match | outcomes.NotRun:
-    """Returns where a caller's request goes."""
+    """Returns the destination of a caller's request, or a refusal."""
     organisation = request.headers.get(headers.ORGANISATION, "")
-    match = routing.find_class(
+    match = routing.match_service(
         running, request.method, request.raw_path, organisation
     )
     if isinstance(match, outcomes.NotRun):
@@ -38,22 +38,25 @@
 
 
 class CallMetadata(NamedTuple):
-    """What the headers of a request ask for.
+    """What the headers of a request state about its call.
 
     Attributes:
-        timeout_ms: Milliseconds that the caller waits; None: not stated.
-        request_id: Id that the caller gave the request; empty: none.
-        origin: Service of the instance at which it began; empty: not known.
-        depth: Calls above it.
-        attempt: More than 0 if it is a retry, or will be retried from above.
+        timeout_ms: Milliseconds that the caller waits; None if not stated.
+        request_id: Id that the caller gave the request; empty if none.
+        origin: Service of the instance at which the request began; empty if
+            unknown.
+        depth: Number of calls that it is nested in.
+        attempt: More than 0 if it is a retry, or if a call that it is nested
+            in may be retried.
         waited_ms: Milliseconds since the caller's first attempt.
-        retries_keep_deadline: True if a caller that comes back says nothing of
-            its first attempt, and states the end of its wait as before.
+        retries_keep_deadline: True if a retry states the deadline of the first
+            attempt again, but not that it is a retry nor how long ago the
+            first attempt was.
         suspect: True if the call broke a connection before.
         wait: How long it may wait for a slot of the backend server.
-        repeat: True if a backend server may have been sent it before.
-        return_trip_ms: Milliseconds of the limit that a refusal needs to be
-            back in time.
+        repeat: True if it may have been sent to a backend server before.
+        return_trip_ms: Milliseconds of the timeout that a refusal needs for
+            its way back to the caller's daemon.
     """
 
     timeout_ms: int | None
@@ -70,50 +73,55 @@
 
 
 def match_peer(request: web.BaseRequest) -> routing.Match | outcomes.NotRun:
-    """Returns what a request from another daemon is for."""
+    """Returns the destination of another daemon's request, or a refusal."""
     path = request.raw_path
-    end = path.find("/", 1)
-    service = path[1:end]
+    service_end = path.find("/", 1)
+    service = path[1:service_end]
     plan = plans.decode_plan(request.headers.get(headers.PLAN, ""))
     if plan is None:
         return outcomes.NotRun("the class of work is malformed", 400, None)
-    return _check_key(request, plan) or routing.Match(service, plan, path[end:])
+    return _check_key(request, plan) or routing.Match(
+        service, plan, path[service_end:]
+    )
 
 
 def read_metadata(request: web.BaseRequest) -> CallMetadata:
-    """Returns what the product's own headers ask for."""
-    sent = request.headers
+    """Returns the metadata in the `Merlintrestle-` headers of a request."""
+    sent_headers = request.headers
     return CallMetadata(
-        headers.read_number(sent, headers.DEADLINE),
+        headers.read_number(sent_headers, headers.DEADLINE),
         depth=get_depth(request),
-        attempt=headers.read_number(sent, headers.ATTEMPT) or 0,
+        attempt=headers.read_number(sent_headers, headers.ATTEMPT) or 0,
     )
 
 
 def get_depth(request: web.BaseRequest) -> int:
-    """Returns how many calls are above a request."""
+    """Returns the number of calls that a request is nested in."""
     return headers.read_number(request.headers, headers.DEPTH) or 0
 
 
 async def read_call(
     request: web.BaseRequest,
     match: routing.Match,
-    asked: CallMetadata,
-    began: float,
+    metadata: CallMetadata,
+    arrived_at: float,
 ) -> calls.Call | outcomes.NotRun:
-    """Reads a request, its body too if it is small.
+    """Reads a request, and its body too if that is small.
 
     Args:
         request: The request.
-        match: Where it goes.
-        asked: What its headers ask for.
-        began: Time of the event loop at which it came, in seconds.
+        match: Destination of the request.
+        metadata: Metadata of the call.
+        arrived_at: Event loop time at which the request arrived, in seconds.
+
+    Returns:
+        The call, or a refusal if the body is malformed.
     """
     plan = match.plan
-    limit_s = plan.deadline_s
-    if asked.timeout_ms is not None:
-        limit_s = min(limit_s, asked.timeout_ms / 1000)
-    deadline = began + limit_s
+    timeout_s = plan.deadline_s
+    if metadata.timeout_ms is not None:
+        timeout_s = min(timeout_s, metadata.timeout_ms / 1000)
+    deadline = arrived_at + timeout_s
     try:
         body = await bodies.read_body(
             request, deadline, hold_chunks=not plan.repeatable
@@ -129,18 +137,20 @@
         headers=headers.copy_end_to_end(request.headers),
         body=body,
         deadline=deadline,
-        return_trip_s=asked.return_trip_ms / 1000,
-        latency_deadline=began - asked.waited_ms / 1000 + plan.latency_s,
-        depth=asked.depth,
-        attempt=asked.attempt,
+        return_trip_s=metadata.return_trip_ms / 1000,
+        latency_deadline=arrived_at
+        - metadata.waited_ms / 1000
+        + plan.latency_s,
+        depth=metadata.depth,
+        attempt=metadata.attempt,
         key=request.headers.get(headers.KEY, ""),
-        repeat=asked.repeat,
-        wait=asked.wait,
-        suspect=asked.suspect,
-        request_id=asked.request_id,
-        origin=asked.origin,
+        repeat=metadata.repeat,
+        wait=metadata.wait,
+        suspect=metadata.suspect,
+        request_id=metadata.request_id,
+        origin=metadata.origin,
         route=match.route,
-        story=stories.Story(asked.request_id),
+        story=stories.Story(metadata.request_id),
     )
 
 
@@ -155,7 +165,7 @@
     if len(key) > _MAX_KEY_CHARACTERS:
         return outcomes.NotRun("Idempotency-Key is too long", 400, None)
     if not key.isascii():
-        # The library drops what is not UTF-8 when it passes a header on, so
-        # that the keys of two requests could become the same.
+        # The HTTP library drops what is not UTF-8 when it forwards a header,
+        # so that the keys of two requests could become equal.
         return outcomes.NotRun("Idempotency-Key must be ASCII", 400, None)
     return None
--- a/merlintrestle/requests/calls/plans.py
+++ b/merlintrestle/requests/calls/plans.py
@@ -1,7 +1,7 @@
-"""Classes of work as daemons name them to each other.
+"""Encoding of classes of work for requests between daemons.
 
-The class travels with its targets, so that a daemon beside a backend server
-treats a call as the daemon that took it in does, whichever version it runs.
+A class is sent with its targets, so that the daemon of an upstream treats a
+call as the daemon that sent it does, whichever version it runs.
 """
 
 from __future__ import annotations
@@ -11,39 +11,43 @@
 
 from merlintrestle.documents import snapshot
 
-# Classes remembered in either form; there are some per route and version.
-_MAX_KNOWN = 4096
+# Entries of each cache; there are a few classes per route and version.
+_MAX_CACHED_PLANS = 4096
 
 
-@functools.lru_cache(_MAX_KNOWN)
+@functools.lru_cache(_MAX_CACHED_PLANS)
 def encode_plan(plan: snapshot.ClassPlan) -> str:
-    """Returns the text that names a class of work in a header."""
+    """Returns the header value that describes a class of work."""
     return json.dumps(plan, separators=(",", ":"))
 
 
-@functools.lru_cache(_MAX_KNOWN)
+@functools.lru_cache(_MAX_CACHED_PLANS)
 def decode_plan(text: str) -> snapshot.ClassPlan | None:
-    """Returns the class of work that a header names; None: it names none."""
+    """Returns the class of work in a header; None if it is malformed."""
     try:
         fields = json.loads(text)
     except ValueError:
         return None
-    if not isinstance(fields, list) or len(fields) != len(_KINDS):
+    if not isinstance(fields, list) or len(fields) != len(_FIELD_TYPES):
         return None
-    if any(type(field) not in _KINDS[i] for i, field in enumerate(fields)):
+    if any(
+        type(field) not in _FIELD_TYPES[i] for i, field in enumerate(fields)
+    ):
         return None
     return snapshot.ClassPlan(*fields)
 
 
-def _list_kinds() -> tuple[tuple[type, ...], ...]:
-    kinds: dict[str, tuple[type, ...]] = {
+def _list_field_types() -> tuple[tuple[type, ...], ...]:
+    types_by_name: dict[str, tuple[type, ...]] = {
         "str": (str,),
         "bool": (bool,),
         "int": (int,),
         "float": (float, int),
     }
     annotations = snapshot.ClassPlan.__annotations__.values()
-    return tuple(kinds[kind.__forward_arg__] for kind in annotations)
+    return tuple(
+        types_by_name[annotation.__forward_arg__] for annotation in annotations
+    )
 
 
-_KINDS = _list_kinds()
+_FIELD_TYPES = _list_field_types()
--- a/merlintrestle/requests/calls/routing.py
+++ b/merlintrestle/requests/calls/routing.py
@@ -1,4 +1,4 @@
-"""Routing: from a caller's request to its class of work."""
+"""Routing of callers' requests to services and classes of work."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 if TYPE_CHECKING:
     from merlintrestle.documents import snapshot
 
-# A segment "." or "..", written plainly or escaped.
+# A path segment "." or "..". Escaped ones match as well, since the path is
+# decoded first.
 _DOT_SEGMENT = re.compile(r"/\.{1,2}(?:/|$)")
 _SLASHES = re.compile(r"/{2,}")
 
 
 class Match(NamedTuple):
-    """Where a request goes.
+    """The destination of a request.
 
     Attributes:
         service: Name of the service.
         plan: Class of work.
         target: Path and query for the backend server.
-        route: Name of the route by host; empty: it was found otherwise.
+        route: Name of the host route; empty if it was routed otherwise.
     """
 
     service: str
@@ -33,16 +34,16 @@
     route: str = ""
 
 
-def find_class(
+def match_service(
     running: snapshot.Snapshot, method: str, raw_path: str, organisation: str
 ) -> Match | outcomes.NotRun:
-    """Returns the class of work of a request, or why it has none.
+    """Returns the destination of a request to a named service, or a refusal.
 
-    The path is matched in its decoded form, runs of slashes as one, and dot
-    segments are refused: "/x/../payouts", "/%70ayouts" or "//payouts" would
-    otherwise pass for another class than the one the backend server then runs.
-    The service is not decoded: an escaped slash after it would have another
-    part of the path matched than the one that is passed on.
+    The path is decoded and repeated slashes are merged before it is matched,
+    and dot segments are refused. Otherwise "/x/../payouts", "/%70ayouts" or
+    "//payouts" would match another class than the one that the backend server
+    then runs. The service name is not decoded: with an escaped slash after it,
+    another part of the path would be matched than the one that is forwarded.
     """
     if not raw_path.startswith("/") or "#" in raw_path:
         return _refuse("the request target must be a path", 400)
@@ -69,20 +70,20 @@
 def match_host(
     running: snapshot.Snapshot, host: str, raw_path: str
 ) -> Match | outcomes.NotRun:
-    """Returns where a request goes that names its destination by host.
+    """Returns the destination of a request by its host, or a refusal.
 
-    The path is matched as it was sent and passed on unchanged, so that both
-    sides see the same one.
+    The path is matched as it was sent and forwarded unchanged, so that the
+    daemon and the backend server see the same path.
     """
     name = host.partition(":")[0].lower()
     route = running.find_host_route(name, raw_path.partition("?")[0])
     if route is None:
         return _refuse("no route takes this request", 404)
-    return Match(choose_part(route), route.plan, raw_path, route.name)
+    return Match(choose_service(route), route.plan, raw_path, route.name)
 
 
-def choose_part(route: snapshot.HostRoute) -> str:
-    """Returns the service that gets one request of a route, by weight."""
+def choose_service(route: snapshot.HostRoute) -> str:
+    """Returns a service of a route for one request, chosen by weight."""
     if len(route.parts) == 1:
         return route.parts[0].service
     weights = [part.weight for part in route.parts]
