--- a/merlintrestle/requests/crashing/__init__.py
+++ b/merlintrestle/requests/crashing/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash backend servers."""
+"""Detection and blocking of requests that crash backend servers."""
--- a/merlintrestle/requests/crashing/crashes.py
+++ b/merlintrestle/requests/crashing/crashes.py
@@ -19,22 +19,23 @@
 
 events = event_logs.EventLog("requests")
 
-# Longest wait of a suspect for other suspects that run here.
-_SUSPECT_WAIT_S = 1.0
+# Longest wait of a suspect for another suspect that runs here.
+_MAX_SUSPECT_WAIT_S = 1.0
 
 
 class CrashTracker:
-    """Finds out which request crashes backend servers, and blocks it.
+    """Detects requests that crash backend servers, and blocks them.
 
-    All requests in flight at a crash get a strike, for any may be the cause.
-    Each of them is a suspect from then on, and a backend server runs one
-    suspect at a time. If it crashes again, only the suspect is struck, so that
-    its neighbours are not blamed, and it is blocked; if the suspect is
-    answered, it is cleared.
+    Each request in flight at a crash gets a strike, because any of them may be
+    the cause. From then on it is a suspect, and a backend server runs one
+    suspect at a time. If the backend server crashes again, only the suspect
+    gets a strike, so that requests in flight with it are not blamed, and the
+    suspect is blocked. If the suspect is answered, its strikes are cleared.
 
     Attributes:
-        strikes: What is known of requests, here and in the fleet.
-        send_strike: Called with each own strike, to tell the fleet.
+        strikes: Strikes against requests, from this daemon and its peers.
+        send_strike: Called with each strike that is added here, to send it to
+            the fleet.
     """
 
     def __init__(self, backend: backends.LocalBackend):
@@ -44,12 +45,12 @@
         self._backend = backend
         backend.on_down = self.record_crash
         self._running: dict[int, calls.Call] = {}
-        self._broken: list[calls.Call] = []
-        self._checking: asyncio.Task[None] | None = None
+        self._in_flight_at_disconnect: list[calls.Call] = []
+        self._check_task: asyncio.Task[None] | None = None
         self._suspect_slot = asyncio.Lock()
 
     def check(self, call: calls.Call) -> outcomes.NotRun | None:
-        """Returns why a call must not run here; None: it may."""
+        """Returns why a call must not run here; None if it may."""
         if not self.strikes:
             return None
         blocked_s = self.strikes.get_blocked_s(call.get_identity())
@@ -64,17 +65,18 @@
     async def acquire_suspect_slot(
         self, call: calls.Call
     ) -> outcomes.NotRun | Callable[[], None] | None:
-        """Has a suspect wait until it is the only one here.
+        """Waits until no other suspect runs here, if a call is a suspect.
 
         Returns:
-            None for a call that is no suspect; what ends the turn of a
-            suspect; or why the turn did not come.
+            None for a call that is not a suspect; for a suspect, a callback
+            that releases the slot for suspects, or a refusal if the slot was
+            not free in time.
         """
         if not self._is_suspect(call):
             return None
         try:
             async with (
-                asyncio.timeout(_SUSPECT_WAIT_S),
+                asyncio.timeout(_MAX_SUSPECT_WAIT_S),
                 asyncio.timeout_at(call.refuse_by),
             ):
                 await self._suspect_slot.acquire()
@@ -87,54 +89,58 @@
         return self._suspect_slot.release
 
     def begin(self, call: calls.Call) -> None:
-        """Notes that a call is sent to the backend server."""
+        """Records that a call is sent to the backend server."""
         self._running[id(call)] = call
 
     def end(self, call: calls.Call, answered: bool) -> None:
-        """Notes that a call ended, with its whole answer or otherwise."""
+        """Records the end of a call, and whether its answer was complete."""
         self._running.pop(id(call), None)
         if answered and self.strikes:
             self.strikes.clear(call.get_identity())
 
     def record_disconnect(self) -> None:
-        """Notes that the connection of a call to the backend server broke.
+        """Records that the connection of a call to the backend server broke.
 
-        Whether the server crashed shows by a connection that is refused. What
-        was in flight is noted now, as the others break just as well.
+        Whether the backend server crashed shows when it refuses a new
+        connection. The calls in flight are recorded now, because the
+        connections of the others are breaking as well.
         """
-        if self._checking is None:
-            self._broken = list(self._running.values())
-            self._checking = asyncio.create_task(self._check())
+        if self._check_task is None:
+            self._in_flight_at_disconnect = list(self._running.values())
+            self._check_task = asyncio.create_task(self._check_backend())
 
     def record_crash(self) -> None:
-        """Strikes what was in flight: the backend server is gone.
+        """Adds strikes against the requests that were in flight at a crash.
 
-        Called once for each crash, when the server is found to be gone; calls
-        that break later belong to the same crash and are not struck again.
+        Called once per crash, when the backend server is found to be gone.
+        Calls that fail later belong to the same crash and get no further
+        strike.
         """
-        in_flight = self._broken or list(self._running.values())
-        self._broken = []
+        in_flight = self._in_flight_at_disconnect or list(
+            self._running.values()
+        )
+        self._in_flight_at_disconnect = []
         if in_flight:
-            self._strike(in_flight)
+            self._add_strikes(in_flight)
 
-    async def _check(self) -> None:
+    async def _check_backend(self) -> None:
         try:
             await self._backend.check()
         finally:
-            self._checking = None
-            self._broken = []
+            self._check_task = None
+            self._in_flight_at_disconnect = []
 
-    def _strike(self, in_flight: list[calls.Call]) -> None:
+    def _add_strikes(self, in_flight: list[calls.Call]) -> None:
         suspects = [call for call in in_flight if self._is_suspect(call)]
         crash_id = secrets.token_hex(8)
-        struck = {call.get_identity() for call in suspects or in_flight}
+        digests = {call.get_identity() for call in suspects or in_flight}
         events.warn(
             "backend server crashed",
             in_flight=len(in_flight),
-            struck=len(struck),
+            struck=len(digests),
             crash=crash_id,
         )
-        for digest in struck:
+        for digest in digests:
             strike = self.strikes.build(digest, crash_id, bool(suspects))
             self.strikes.add(strike)
             self.send_strike(strike)
--- a/tests/requests/crashing/test_crashes.py
+++ b/tests/requests/crashing/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash each backend server that runs them."""
+"""Tests of requests that crash every backend server that runs them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ContainmentTest(unittest.IsolatedAsyncioTestCase):
-    """Four backend servers, one request that kills what runs it."""
+    """Four backend servers and a request that crashes each one it runs on."""
 
     def setUp(self) -> None:
         self.nodes: list[builders.Node] = []
@@ -26,7 +26,7 @@
         self.waited = 0
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Dies of "/poison"; first leaves "/slow" waiting, then answers it."""
+        """Crashes on "/poison"; never answers the first request for "/slow"."""
         if request.path == "/poison":
             for number, node in enumerate(self.nodes):
                 if request.protocol in node.backend.connections:
@@ -38,12 +38,12 @@
             await asyncio.Event().wait()
         return web.Response(body=b"well")
 
-    async def test_two_backend_servers_at_most(self) -> None:
-        """The caller hears "not run" and when to come back; two servers died.
+    async def test_at_most_two_backend_servers_crash(self) -> None:
+        """The caller gets "not run" with Retry-After; two servers crash.
 
-        The request kills its backend server, is tried again and kills a
-        second one. From then on no daemon lets it through, although its
-        caller sends it again and again to all of them.
+        The request crashes its backend server, is retried and crashes a second
+        one. From then on every daemon blocks it, although its caller retries
+        it at all of them.
         """
         async with (
             builders.run_nodes(4, handler=self.serve) as self.nodes,
@@ -59,12 +59,12 @@
                 answer = await client.get(node.url + "/other")
                 self.assertEqual(await answer.read(), b"well")
 
-    async def test_neighbour_is_not_blamed(self) -> None:
-        """The neighbour's caller gets its answer, then and later.
+    async def test_concurrent_request_is_not_blamed(self) -> None:
+        """A request in flight at another one's crash is answered every time.
 
-        An innocent request is in flight where the other one kills the backend
-        server. Both are tried again. Were they to meet again, the innocent
-        one would have two crashes to its name as well.
+        A harmless request is in flight where the other one crashes the backend
+        server, and both are retried. If both ran on one backend server again,
+        the harmless one would have strikes of two crashes as well.
         """
         async with (
             builders.run_nodes(4, handler=self.serve) as self.nodes,
@@ -84,7 +84,7 @@
                 self.assertEqual(await answer.read(), b"well")
 
     async def test_broken_connection_is_no_crash(self) -> None:
-        """A backend server that closes a connection and lives blames nobody."""
+        """A closed connection of a live backend server adds no strike."""
 
         async def hang_up(request: web.BaseRequest) -> web.StreamResponse:
             assert request.transport is not None
@@ -119,7 +119,7 @@
 
 
 class BlameTest(unittest.IsolatedAsyncioTestCase):
-    """Who is struck at a crash."""
+    """Which requests get a strike at a crash."""
 
     def setUp(self) -> None:
         self.crashes = crashes.CrashTracker(backend.LocalBackend())
@@ -127,7 +127,7 @@
         self.innocent = builders.build_call(body=b"slow")
 
     def crash(self) -> None:
-        """Has the backend server crash under both requests."""
+        """Crashes the backend server while both requests are in flight."""
         self.crashes.begin(self.culprit)
         self.crashes.begin(self.innocent)
         self.crashes.record_crash()
@@ -135,18 +135,18 @@
         self.crashes.end(self.innocent, False)
 
     def count(self) -> tuple[int, int]:
-        """Returns the strikes of the culprit and of the innocent one."""
-        known = self.crashes.strikes
+        """Returns the strikes against the culprit and the innocent request."""
+        recorded = self.crashes.strikes
         return (
-            known.count(self.culprit.get_identity()),
-            known.count(self.innocent.get_identity()),
+            recorded.count(self.culprit.get_identity()),
+            recorded.count(self.innocent.get_identity()),
         )
 
-    async def test_all_are_struck_at_first(self) -> None:
+    async def test_all_get_a_strike_at_first(self) -> None:
         self.crash()
         self.assertEqual(self.count(), (1, 1))
 
-    async def test_suspect_alone_is_struck(self) -> None:
+    async def test_only_the_suspect_gets_a_strike(self) -> None:
         self.crash()
         self.crashes.end(self.innocent, True)
         self.crash()
@@ -156,34 +156,34 @@
 
     async def test_one_suspect_at_a_time(self) -> None:
         self.crash()
-        end = await self.crashes.acquire_suspect_slot(self.culprit)
+        release = await self.crashes.acquire_suspect_slot(self.culprit)
         waiting = asyncio.create_task(
             self.crashes.acquire_suspect_slot(self.innocent)
         )
         await asyncio.sleep(0)
         self.assertFalse(waiting.done())
-        assert callable(end)
-        end()
+        assert callable(release)
+        release()
         self.assertTrue(callable(await waiting))
 
-    async def test_late_break_is_the_same_crash(self) -> None:
-        """Each request gets one strike, though their breaks come apart.
+    async def test_late_disconnect_is_the_same_crash(self) -> None:
+        """Each request gets one strike, though its connection breaks later.
 
-        A connection that breaks after the crash was found must not count as
-        a second crash: it would block what was in flight at once.
+        A connection that breaks after the crash was detected must not count as
+        a second crash, which would block the requests in flight at once.
         """
-        own = self.crashes._backend
-        own.announce("kassa", "127.0.0.1:1", 12)
+        local_backend = self.crashes._backend
+        local_backend.announce("kassa", "127.0.0.1:1", 12)
         self.crashes.begin(self.culprit)
         self.crashes.begin(self.innocent)
         for call in (self.culprit, self.innocent):
             self.crashes.record_disconnect()
-            assert self.crashes._checking is not None
-            await self.crashes._checking
+            assert self.crashes._check_task is not None
+            await self.crashes._check_task
             self.crashes.end(call, False)
         self.assertEqual(self.count(), (1, 1))
 
-    async def test_retried_request_is_a_suspect_before_strikes_come(
+    async def test_retried_request_is_a_suspect_before_strikes_arrive(
         self,
     ) -> None:
         self.culprit.suspect = True
@@ -192,18 +192,18 @@
 
 
 class StrikesTest(unittest.TestCase):
-    """How long strikes count."""
+    """How long strikes count, and what they block."""
 
     def setUp(self) -> None:
         self.now = 1000.0
         self.strikes = strikes.Strikes(lambda: self.now)
 
     def strike(self, crash_id: str, confirmed: bool = True) -> None:
-        """Adds a strike of now."""
+        """Adds a strike at the current time."""
         strike = self.strikes.build(b"digest", crash_id, confirmed)
         self.strikes.add(strike)
 
-    def test_blocked_shortly_then_long_then_forgotten(self) -> None:
+    def test_short_block_then_long_block_then_expiry(self) -> None:
         self.strike("1", confirmed=False)
         self.assertEqual(self.strikes.get_blocked_s(b"digest"), 0.0)
         self.strike("2")
@@ -216,10 +216,10 @@
         self.assertEqual(self.strikes.count(b"digest"), 0)
         self.assertFalse(self.strikes)
 
-    def test_herd_of_crashes_blocks_nothing(self) -> None:
-        """A popular request stays served though many servers die under it.
+    def test_series_of_crashes_blocks_nothing(self) -> None:
+        """A frequent request is not blocked by the crashes of many servers.
 
-        It is in flight, among others, wherever a backend server dies.
+        Among others, it is in flight on each backend server that crashes.
         """
         for number in range(5):
             self.strike(str(number), confirmed=False)
@@ -236,13 +236,13 @@
         self.strike("1")
         self.assertEqual(self.strikes.count(b"digest"), 0)
 
-    def test_wrong_clock_does_not_block_for_good(self) -> None:
+    def test_wrong_clock_does_not_block_forever(self) -> None:
         for crash_id in ("1", "2", "3"):
-            far = control_pb2.Strike(
+            strike = control_pb2.Strike(
                 request_digest=b"digest",
                 crash_id=crash_id,
                 until_ms=10**15,
                 confirmed=True,
             )
-            self.strikes.add(far)
+            self.strikes.add(strike)
         self.assertLessEqual(self.strikes.get_blocked_s(b"digest"), 600.0)
