--- a/merlintrestle/requests/unrepeatable/__init__.py
+++ b/merlintrestle/requests/unrepeatable/__init__.py
@@ -1,1 +1,1 @@
-"""Work that may not be repeated, and its claims in the store."""
+"""At-most-once execution of work, under claims in the store."""
--- a/merlintrestle/requests/unrepeatable/at_most_once.py
+++ b/merlintrestle/requests/unrepeatable/at_most_once.py
@@ -1,4 +1,4 @@
-"""At most once: the way of a call that may not be repeated."""
+"""At-most-once execution of calls that may not be repeated."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.load import admission as admissions
 
-_MAX_ROUNDS = 4
+_MAX_CLAIM_ATTEMPTS = 4
 # How much longer than its caller the daemon waits for a claimed call, so that
-# its answer is there when the caller asks again.
+# the answer is available when the caller retries.
 GRACE_S = 30.0
 
 
@@ -27,8 +27,8 @@
     """Runs calls under claims.
 
     Attributes:
-        tasks: Claimed calls that are running, and claims that are being given
-            back; they outlive their callers.
+        tasks: Claimed calls that are running, and claims that are being
+            released; they outlive their callers.
     """
 
     def __init__(
@@ -37,26 +37,26 @@
         admission: admissions.Admission,
         forward: Callable[[calls.Call], Awaitable[outcomes.Outcome]],
     ):
-        """Sets the parts; `forward` sends a call to the backend server."""
+        """Sets the dependencies; `forward` sends a call to the backend."""
         self.tasks: set[asyncio.Task[Any]] = set()
         self._claims = claims
         self._admission = admission
         self._forward = forward
 
     def close(self) -> None:
-        """Ends what still runs; its outcomes stay unknown."""
+        """Cancels running calls; their outcomes stay unknown."""
         for task in self.tasks:
             task.cancel()
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
-        """Runs a call, or tells what became of an earlier sending of it."""
+        """Runs a call, or returns the outcome of an earlier attempt at it."""
         claims = self._claims
         claim_key = claims.build_key(call)
-        known = claims.ledger.find_answered(claim_key)
-        if known is not None and known.request_digest == call.get_identity():
-            return known.answer or _build_ran()
+        record = claims.ledger.find_answered(claim_key)
+        if record is not None and record.request_digest == call.get_identity():
+            return record.answer or _build_ran()
         revision = 0
-        for _ in range(_MAX_ROUNDS):
+        for _ in range(_MAX_CLAIM_ATTEMPTS):
             refusal = await self._admission.acquire(call)
             if refusal is not None:
                 return refusal
@@ -70,12 +70,12 @@
             self._admission.release(call)
             if isinstance(claim, (outcomes.NotRun, outcomes.Unknown)):
                 return claim
-            settled: object = claim
+            resolved: object = claim
             if isinstance(claim, claims_.ForeignClaim):
-                settled = await claims.resolve(claim, claim_key, call)
-            if not isinstance(settled, claims_.ReleasedClaim):
-                return settled  # type: ignore[return-value]
-            revision = settled.revision
+                resolved = await claims.resolve(claim, claim_key, call)
+            if not isinstance(resolved, claims_.ReleasedClaim):
+                return resolved  # type: ignore[return-value]
+            revision = resolved.revision
         return outcomes.Unknown(
             "other sendings of this request are in the way", 503, 1.0
         )
@@ -83,10 +83,10 @@
     async def _run_claimed(
         self, call: calls.Call, held: claims_.HeldClaim
     ) -> outcomes.Outcome:
-        """Runs a call in a task of its own, which its caller cannot cancel.
+        """Runs a call in a separate task, which its caller cannot cancel.
 
-        A caller that leaves and sends the request again must find its answer;
-        cancelled half-way, the payout would be "unknown" for ever.
+        A caller that disconnects and retries must get the answer. If the call
+        were cancelled halfway, the payout would stay "unknown" forever.
         """
         task = asyncio.create_task(self._forward_claimed(call, held))
         self._track(task)
@@ -104,49 +104,49 @@
         self, call: calls.Call, held: claims_.HeldClaim
     ) -> outcomes.Outcome:
         ledger = self._claims.ledger
-        leave = self._leave_once(call)
+        release = self._build_release(call)
         try:
             outcome: outcomes.Outcome | None
             outcome = await self._claims.check(held, call)
             if outcome is None:
-                patient = dataclasses.replace(
+                extended_call = dataclasses.replace(
                     call, deadline=call.deadline + GRACE_S
                 )
-                outcome = await self._forward(patient)
+                outcome = await self._forward(extended_call)
             if isinstance(outcome, outcomes.Answered):
-                outcome.add_release_callback(leave)
-                answer = ledgers.keep_answer(outcome)
+                outcome.add_release_callback(release)
+                answer = ledgers.copy_answer(outcome)
                 ledger.end(held.record, request_pb2.ANSWERED, answer)
                 return outcome
-            leave()
+            release()
             if isinstance(outcome, outcomes.NotRun):
                 ledger.end(held.record, request_pb2.RELEASED)
-                # The caller does not wait for the store once more.
+                # A task, so that the caller does not wait for the store again.
                 self._track(asyncio.create_task(self._claims.release(held)))
             elif isinstance(outcome, outcomes.Ran):
                 ledger.end(held.record, request_pb2.ANSWERED)
             return outcome
         except BaseException:
-            leave()
+            release()
             raise
         finally:
-            # Whatever else happened, the call may have run.
+            # In every other case, the call may have run.
             ledger.end(held.record, request_pb2.LOST)
 
     def _track(self, task: asyncio.Task[Any]) -> None:
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _leave_once(self, call: calls.Call) -> Callable[[], None]:
-        left = False
+    def _build_release(self, call: calls.Call) -> Callable[[], None]:
+        released = False
 
-        def leave() -> None:
-            nonlocal left
-            if not left:
-                left = True
+        def release() -> None:
+            nonlocal released
+            if not released:
+                released = True
                 self._admission.release(call)
 
-        return leave
+        return release
 
 
 def _build_ran() -> outcomes.Ran:
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -1,4 +1,4 @@
-"""Claims: records in the store under which a request runs at most once."""
+"""Claims in the store, under which a request runs at most once."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
     from merlintrestle.store import client
 
 # Longest wait for the store before the request is refused as not run.
-STORE_S = 1.0
-_STORE_RETRY_S = 2.0
+STORE_TIMEOUT_S = 1.0
+_STORE_RETRY_AFTER_S = 2.0
 # A claim written longer ago than this is read again before it is used.
-_FRESH_S = 5.0
-_ASK_AGAIN_S = 1.0
-_RECALL_TURN_S = 1.0
-_UNSETTLED = outcomes.Unknown(
-    "an earlier sending has not ended", 504, _ASK_AGAIN_S
+_MAX_UNCHECKED_AGE_S = 5.0
+_RETRY_AFTER_S = 1.0
+_RECALL_WAIT_S = 1.0
+_NOT_ENDED = outcomes.Unknown(
+    "an earlier sending has not ended", 504, _RETRY_AFTER_S
 )
-_GONE = outcomes.Unknown(
-    "the daemon that may have run it is gone", retry_after_s=_ASK_AGAIN_S
+_HOLDER_GONE = outcomes.Unknown(
+    "the daemon that may have run it is gone", retry_after_s=_RETRY_AFTER_S
 )
 
 
@@ -43,9 +43,9 @@
     """The daemon that makes claims.
 
     Attributes:
-        member_id: Its id.
-        address: IP number on which it answers a recall.
-        control_port: Port on which it answers a recall.
+        member_id: Member id of the daemon.
+        address: IP address on which it answers recalls.
+        control_port: Port on which it answers recalls.
     """
 
     member_id: str
@@ -55,12 +55,12 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldClaim:
-    """The claim is this daemon's: it alone may run the request.
+    """A claim of this daemon, which alone may run the request.
 
     Attributes:
         record: Its record in the ledger.
         revision: Revision of the claim in the store.
-        written_at: When the claim was asked for, in seconds since boot.
+        written_at: When its write was requested, in seconds since boot.
     """
 
     record: ledgers.Record
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForeignClaim:
-    """The claim is another attempt's.
+    """A claim of another attempt.
 
     Attributes:
         claim: The claim.
@@ -83,32 +83,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleasedClaim:
-    """The other attempt did not run and never will: it may be taken over.
+    """A claim whose attempt did not run and never will; it may be replaced.
 
     Attributes:
-        revision: Revision that its claim must still have; 0: it is gone.
+        revision: Revision that the claim must still have; 0 if it is deleted.
     """
 
     revision: int
 
 
 class Recaller(Protocol):
-    """Asks the daemon that holds a claim."""
+    """Asks the daemon that holds a claim what became of it."""
 
     async def recall(
         self, claim: request_pb2.Claim, claim_key: str, wait_s: float
     ) -> request_pb2.RecallReply | None:
         """Returns what became of a claim; None if its holder is gone.
 
-        A holder that gives no sign is awaited until the wait is cancelled.
+        Waits for a silent holder until the wait is cancelled.
         """
 
 
 class Claims:
-    """Makes claims, and settles those of other attempts.
+    """Makes claims, and resolves those of other attempts.
 
     Attributes:
-        ledger: What is known of own claims.
+        ledger: Records of the claims of this daemon.
     """
 
     def __init__(
@@ -121,7 +121,17 @@
         get_time: Callable[[], float],
         get_boot_time: Callable[[], float] = leases.get_boot_time,
     ):
-        """Sets the parts and the clocks of deadlines and of claims."""
+        """Sets the dependencies.
+
+        Args:
+            owner: Returns the daemon in whose name claims are made.
+            store: Store of the claims.
+            lease: Lease under which claims are written.
+            recaller: Asks other holders of claims.
+            prefix: Prefix of the keys of claims.
+            get_time: Clock of deadlines, in seconds.
+            get_boot_time: Clock of the age of claims, in seconds since boot.
+        """
         self.ledger = ledgers.Ledger()
         self._owner = owner
         self._store = store
@@ -133,8 +143,8 @@
 
     def build_key(self, call: calls.Call) -> str:
         """Returns the key of a call's claim in the store."""
-        parts_ = (call.organisation, call.service, call.key)
-        text = "\0".join(parts_).encode()
+        key_parts = (call.organisation, call.service, call.key)
+        text = "\0".join(key_parts).encode()
         return self._prefix + hashlib.sha256(text).hexdigest()
 
     async def acquire(
@@ -146,10 +156,10 @@
         | outcomes.NotRun
         | outcomes.Unknown
     ):
-        """Claims a key, new or from a claim that was released.
+        """Claims a key that is new, or whose last claim was released.
 
-        The ledger knows the claim before the store does, so that a recall
-        never finds a claim of this daemon that the daemon knows nothing of.
+        The claim is recorded in the ledger before it is written to the store,
+        so that a recall never finds a claim of this daemon without a record.
         """
         if self._get_time() >= call.refuse_by:
             return outcomes.TOO_LATE
@@ -166,15 +176,16 @@
         )
         written_at = self._get_boot_time()
         try:
-            async with asyncio.timeout(self._limit_store(call)):
+            async with asyncio.timeout(self._compute_store_timeout(call)):
                 entry = await self._write(claim_key, claim, expected_revision)
         except (errors.StoreError, TimeoutError):
-            # The write may still take effect later. It does no harm: under
-            # this claim nothing runs any more, and a recall says so.
+            # The write may still take effect later. This does no harm: nothing
+            # runs under this claim any more, and recalls are answered with
+            # RELEASED.
             self.ledger.end(record, request_pb2.RELEASED)
             return outcomes.NotRun(
                 "the store does not answer, so no claim can be made",
-                retry_after_s=_STORE_RETRY_S,
+                retry_after_s=_STORE_RETRY_AFTER_S,
             )
         except BaseException:
             self.ledger.end(record, request_pb2.RELEASED)
@@ -182,32 +193,32 @@
         if not entry.revision:
             self.ledger.end(record, request_pb2.RELEASED)
             return ReleasedClaim(0)
-        found = _parse(entry.value)
-        if found is not None and found.claim_id == record.claim_id:
+        stored = _decode_claim(entry.value)
+        if stored is not None and stored.claim_id == record.claim_id:
             return HeldClaim(record, entry.revision, written_at)
         self.ledger.end(record, request_pb2.RELEASED)
-        if found is None:
+        if stored is None:
             return outcomes.Unknown("the claim of the key cannot be read")
-        return ForeignClaim(found, entry.revision)
+        return ForeignClaim(stored, entry.revision)
 
     async def check(
         self, held: HeldClaim, call: calls.Call
     ) -> outcomes.NotRun | None:
-        """Returns why a claimed call must not be forwarded any more.
+        """Returns why a claimed call must no longer be forwarded.
 
-        A daemon that was frozen after its write does not know it. Its caller
-        has long been told "unknown", and after a day its claim has expired
-        and the same key may have run elsewhere.
+        A daemon cannot tell that it was paused after its write. Its caller
+        got "unknown" long ago, and after a day the claim has expired and a
+        request with the same key may have run elsewhere.
         """
         if self._get_time() >= call.refuse_by:
             return outcomes.TOO_LATE
         age_s = self._get_boot_time() - held.written_at
-        if age_s > leases.SAFE_S:
+        if age_s > leases.MAX_CLAIM_AGE_S:
             return outcomes.NotRun("the claim may have expired")
-        if age_s < _FRESH_S:
+        if age_s < _MAX_UNCHECKED_AGE_S:
             return None
         try:
-            async with asyncio.timeout(self._limit_store(call)):
+            async with asyncio.timeout(self._compute_store_timeout(call)):
                 entry = await self._store.get(held.record.claim_key)
         except (errors.StoreError, TimeoutError):
             return outcomes.NotRun("the store does not answer")
@@ -215,43 +226,44 @@
             return outcomes.NotRun("the claim is not there any more")
         return None
 
-    def _limit_store(self, call: calls.Call) -> float:
-        """Returns how long the store may take to answer, in seconds."""
-        return min(STORE_S, call.refuse_by - self._get_time())
+    def _compute_store_timeout(self, call: calls.Call) -> float:
+        """Returns the timeout of a store request, in seconds."""
+        return min(STORE_TIMEOUT_S, call.refuse_by - self._get_time())
 
     async def resolve(
-        self, taken: ForeignClaim, claim_key: str, call: calls.Call
+        self, foreign: ForeignClaim, claim_key: str, call: calls.Call
     ) -> ReleasedClaim | outcomes.Failure | outcomes.Replayed:
-        """Finds out what became of another attempt at the same request."""
-        claim = taken.claim
+        """Returns what became of another attempt at the same request."""
+        claim = foreign.claim
         if claim.request_digest != call.get_identity():
-            return _refuse_other(call)
+            return _refuse_reused_key(call)
         wait_s = 0.0
         while True:
-            left_s = call.deadline - self._get_time()
-            if left_s <= 0:
-                return _UNSETTLED
-            # Asked in short turns: a holder that dies meanwhile shows at once.
-            turn_s = min(wait_s, left_s)
+            remaining_s = call.deadline - self._get_time()
+            if remaining_s <= 0:
+                return _NOT_ENDED
+            # Recalls wait for a short time only, so that the death of the
+            # holder is noticed soon.
+            recall_wait_s = min(wait_s, remaining_s)
             try:
-                async with asyncio.timeout(left_s):
-                    reply = await self._recall(claim, claim_key, turn_s)
+                async with asyncio.timeout(remaining_s):
+                    reply = await self._recall(claim, claim_key, recall_wait_s)
             except TimeoutError:
-                return _UNSETTLED
+                return _NOT_ENDED
             if reply is None:
-                return _GONE
+                return _HOLDER_GONE
             if reply.state != request_pb2.RUNNING:
-                return _read_reply(reply, taken)
-            wait_s = _RECALL_TURN_S
+                return _interpret_reply(reply, foreign)
+            wait_s = _RECALL_WAIT_S
 
     async def release(self, held: HeldClaim) -> None:
         """Deletes the claim of a request that did not run.
 
-        If this fails, the claim stays and its holder says on recall that it
-        was released; only if the holder is gone by then is it "unknown".
+        If this fails, the claim stays and its holder answers recalls with
+        RELEASED; the outcome is "unknown" only if the holder is gone by then.
         """
         try:
-            async with asyncio.timeout(STORE_S):
+            async with asyncio.timeout(STORE_TIMEOUT_S):
                 await self._store.delete(held.record.claim_key, held.revision)
         except (errors.StoreError, TimeoutError):
             pass
@@ -259,7 +271,7 @@
     async def answer_recall(
         self, claim_id: str, wait_s: float
     ) -> request_pb2.RecallReply:
-        """Returns what became of an own claim, waiting for it to end."""
+        """Returns what became of a local claim, waiting for it to end."""
         record = self.ledger.find(claim_id)
         if record is not None and wait_s > 0:
             try:
@@ -280,10 +292,10 @@
             )
             return reply.entry
         except errors.StoreUnknownOutcomeError as error:
-            # The answer was lost, not necessarily the write: read it.
+            # The reply was lost, but the write may have succeeded: read it.
             entry = await self._store.get(claim_key)
             if entry is None:
-                self._lease.forget(lease_id)
+                self._lease.discard(lease_id)
                 raise errors.StoreUnavailableError("no claim yet") from error
             return entry
 
@@ -295,11 +307,11 @@
         return await self._recaller.recall(claim, claim_key, wait_s)
 
 
-def _refuse_other(call: calls.Call) -> outcomes.NotRun | outcomes.Unknown:
+def _refuse_reused_key(call: calls.Call) -> outcomes.NotRun | outcomes.Unknown:
     """Refuses a key that was used for another request.
 
-    A long body counts by its stated length: the same payout, sent once with a
-    length and once in chunks, looks like two, and may have run.
+    A long body counts by its stated length. The same payout, sent once with a
+    length and once in chunks, therefore looks like two, and may have run.
     """
     reason = "the Idempotency-Key was used for another request"
     if call.body.held is None:
@@ -307,7 +319,7 @@
     return outcomes.NotRun(reason, 422, None)
 
 
-def _parse(value: bytes) -> request_pb2.Claim | None:
+def _decode_claim(value: bytes) -> request_pb2.Claim | None:
     try:
         return request_pb2.Claim.FromString(value)
     except message.DecodeError:
@@ -315,16 +327,16 @@
 
 
 def read_answer(reply: request_pb2.RecallReply) -> outcomes.Replayed:
-    """Returns the answer that a recall brought."""
+    """Returns the answer in the reply to a recall."""
     pairs = tuple((header.name, header.value) for header in reply.headers)
     return outcomes.Replayed(reply.status, pairs, reply.body)
 
 
-def _read_reply(
-    reply: request_pb2.RecallReply, taken: ForeignClaim
+def _interpret_reply(
+    reply: request_pb2.RecallReply, foreign: ForeignClaim
 ) -> ReleasedClaim | outcomes.Failure | outcomes.Replayed:
     if reply.state == request_pb2.RELEASED:
-        return ReleasedClaim(taken.revision)
+        return ReleasedClaim(foreign.revision)
     if reply.state == request_pb2.ANSWERED:
         if reply.body_kept:
             return read_answer(reply)
--- a/merlintrestle/requests/unrepeatable/leases.py
+++ b/merlintrestle/requests/unrepeatable/leases.py
@@ -1,4 +1,4 @@
-"""The lease under which a daemon's claims expire."""
+"""Leases under which the claims of a daemon expire."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     from merlintrestle.requests import interfaces
 
 # A claim lives for 24 to 25 hours: a lease is used for one hour.
-LEASE_S = 25 * 3600
-_USE_S = 3600.0
+LEASE_TTL_S = 25 * 3600
+_LEASE_USE_S = 3600.0
 # A claim younger than this is sure to be in the store.
-SAFE_S = LEASE_S - _USE_S - 3600.0
+MAX_CLAIM_AGE_S = LEASE_TTL_S - _LEASE_USE_S - 3600.0
 
 
 def get_boot_time() -> float:
-    """Returns seconds since boot, a suspended machine's sleep included.
+    """Returns the seconds since boot, including time spent suspended.
 
-    `CLOCK_MONOTONIC` stands still while a machine is suspended; a lease that
-    lapsed in that time would look fresh.
+    `CLOCK_MONOTONIC` stops while a machine is suspended, so that a lease which
+    expired in that time would look valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ClaimLease:
-    """Opens one lease an hour; a lease per claim would double the writes."""
+    """Requests one lease an hour; one per claim would double the writes."""
 
     def __init__(
         self,
@@ -39,37 +39,38 @@
         self._store = store
         self._get_time = get_time
         self._lease_id = 0
-        # Taken before the lease is asked for, so that it errs to early.
+        # Read before the lease is requested, so that the lease never expires
+        # earlier than assumed.
         self._granted_at = 0.0
         self._lock = asyncio.Lock()
 
     async def get_id(self) -> int:
-        """Returns a lease to write a claim under.
+        """Returns the id of a lease under which to write a claim.
 
         Raises:
-            errors.StoreError: There is none, and none can be had.
+            errors.StoreError: There is no lease and the store grants none.
         """
-        if self._lease_id and self._get_age() < _USE_S:
+        if self._lease_id and self._get_age() < _LEASE_USE_S:
             return self._lease_id
         async with self._lock:
-            if not self._lease_id or self._get_age() >= _USE_S:
+            if not self._lease_id or self._get_age() >= _LEASE_USE_S:
                 await self._renew()
         return self._lease_id
 
-    def forget(self, lease_id: int) -> None:
-        """Uses a lease no more: the store took no write under it.
+    def discard(self, lease_id: int) -> None:
+        """Stops using a lease under which a write has failed.
 
-        A store that was restored may know nothing of it and would refuse all
-        claims until the hour of the lease is over. Where the write failed for
-        another reason, the next claim costs a lease, and no more.
+        A store that was restored may not know the lease and would refuse all
+        claims until its hour is over. If the write failed for another reason,
+        this costs no more than one further lease.
         """
         if lease_id == self._lease_id:
             self._lease_id = 0
 
     async def _renew(self) -> None:
-        asked_at = self._get_time()
-        self._lease_id = await self._store.grant_lease(LEASE_S)
-        self._granted_at = asked_at
+        requested_at = self._get_time()
+        self._lease_id = await self._store.grant_lease(LEASE_TTL_S)
+        self._granted_at = requested_at
 
     def _get_age(self) -> float:
         return self._get_time() - self._granted_at
--- a/merlintrestle/requests/unrepeatable/recall.py
+++ b/merlintrestle/requests/unrepeatable/recall.py
@@ -1,4 +1,4 @@
-"""Recalls: asking the daemon that holds a claim, and answering."""
+"""Client and servicer for recalls, which ask what became of a claim."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 if TYPE_CHECKING:
     from merlintrestle.requests.unrepeatable import claims as claims_
 
-# A recall that is late by so much may have been lost on its connection.
-_SILENT_S = 0.7
+# A reply that is this late may have been lost with its connection.
+_MAX_SILENCE_S = 0.7
 _MAX_CHANNELS = 32
 _MAX_WAIT_S = 60.0
 
 
 def get_address(claim: request_pb2.Claim) -> str:
-    """Returns where the holder of a claim answers."""
+    """Returns the address at which the holder of a claim answers recalls."""
     return f"{claim.address}:{claim.control_port}"
 
 
-def get_silence() -> float:
-    """Returns by how much a recall is late that may have been lost."""
-    return _SILENT_S
+def get_max_silence() -> float:
+    """Returns how late the reply to a recall may be, in seconds."""
+    return _MAX_SILENCE_S
 
 
 class RecallServicer(request_pb2_grpc.RequestsServicer):
-    """Answers other daemons about own claims; a gRPC servicer."""
+    """Answers recalls of local claims; a gRPC servicer."""
 
     def __init__(self, claims: claims_.Claims):
         """Sets the claims."""
@@ -49,55 +49,56 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class _Channel:
-    """A channel to a holder.
+class _PooledChannel:
+    """A pooled channel to a holder.
 
     Attributes:
         channel: The gRPC channel.
-        opened_at: Monotonic time of its opening, in seconds.
-        calls: Recalls under way on it.
-        dropped: True if no further recall is to use it.
+        opened_at: Monotonic time at which it was opened, in seconds.
+        recalls: Number of recalls in progress on it.
+        discarded: True if further recalls must not use it.
     """
 
     channel: Any
     opened_at: float
-    calls: int = 0
-    dropped: bool = False
+    recalls: int = 0
+    discarded: bool = False
 
 
 class RecallClient:
-    """Asks the daemons that hold claims, one question a call."""
+    """Sends recalls to the daemons that hold claims."""
 
     def __init__(self) -> None:
-        self._channels: collections.OrderedDict[str, _Channel] = (
+        self._channels: collections.OrderedDict[str, _PooledChannel] = (
             collections.OrderedDict()
         )
 
     async def recall(
         self, claim: request_pb2.Claim, claim_key: str, wait_s: float
     ) -> request_pb2.RecallReply | None:
-        """Returns what became of a claim; None if nothing is heard in time."""
-        limit_s = wait_s + _SILENT_S
-        return await self.ask(claim, claim_key, wait_s, limit_s)
+        """Returns what became of a claim; None if no reply came in time."""
+        timeout_s = wait_s + _MAX_SILENCE_S
+        return await self.ask(claim, claim_key, wait_s, timeout_s)
 
     async def ask(
         self,
         claim: request_pb2.Claim,
         claim_key: str,
         wait_s: float,
-        limit_s: float | None = None,
+        timeout_s: float | None = None,
     ) -> request_pb2.RecallReply | None:
         """Asks once what became of a claim.
 
         Args:
             claim: The claim.
             claim_key: Its key in the store.
-            wait_s: How long its holder may wait for the request to end.
-            limit_s: How long the question is left open; None: until its
+            wait_s: How long its holder may wait for the request to end, in
+                seconds.
+            timeout_s: How long to wait for the reply; None to wait until the
                 connection breaks.
 
         Returns:
-            What the holder says; None if nothing came, or the connection broke.
+            The holder's reply; None if there was none or the connection broke.
         """
         address = get_address(claim)
         request = request_pb2.RecallRequest(
@@ -105,57 +106,59 @@
             claim_id=claim.claim_id,
             wait_ms=int(wait_s * 1000),
         )
-        held = self._take(address)
+        pooled = self._acquire_channel(address)
         try:
-            stub = request_pb2_grpc.RequestsStub(held.channel)
-            return await stub.Recall(request, timeout=limit_s)
+            stub = request_pb2_grpc.RequestsStub(pooled.channel)
+            return await stub.Recall(request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
             if error.code() == grpc.StatusCode.UNIMPLEMENTED:
                 return request_pb2.RecallReply(state=request_pb2.LOST)
-            # Its connection may have gone silent while new ones work.
-            self._drop(address, held)
+            # The connection may be silent while new ones would work.
+            self._discard_channel(address, pooled)
             return None
         finally:
-            held.calls -= 1
-            await self._trim()
-            if held.dropped and not held.calls:
-                await held.channel.close()
+            pooled.recalls -= 1
+            await self._close_idle_channels()
+            if pooled.discarded and not pooled.recalls:
+                await pooled.channel.close()
 
-    def reconnect(self, address: str, since: float) -> None:
-        """Has the next question go over a connection opened after a time."""
-        held = self._channels.get(address)
-        if held is not None and held.opened_at <= since:
-            self._drop(address, held)
+    def reconnect(self, address: str, opened_after: float) -> None:
+        """Makes the next recall use a connection opened after a given time."""
+        pooled = self._channels.get(address)
+        if pooled is not None and pooled.opened_at <= opened_after:
+            self._discard_channel(address, pooled)
 
     async def close(self) -> None:
         """Closes all channels."""
         channels = list(self._channels.values())
         self._channels.clear()
-        for held in channels:
-            await held.channel.close()
-
-    def _take(self, address: str) -> _Channel:
-        held = self._channels.get(address)
-        if held is None:
-            held = _Channel(peers.open_channel(address), time.monotonic())
-            self._channels[address] = held
+        for pooled in channels:
+            await pooled.channel.close()
+
+    def _acquire_channel(self, address: str) -> _PooledChannel:
+        pooled = self._channels.get(address)
+        if pooled is None:
+            pooled = _PooledChannel(
+                peers.open_channel(address), time.monotonic()
+            )
+            self._channels[address] = pooled
         self._channels.move_to_end(address)
-        held.calls += 1
-        return held
+        pooled.recalls += 1
+        return pooled
 
-    def _drop(self, address: str, held: _Channel) -> None:
-        held.dropped = True
-        if self._channels.get(address) is held:
+    def _discard_channel(self, address: str, pooled: _PooledChannel) -> None:
+        pooled.discarded = True
+        if self._channels.get(address) is pooled:
             del self._channels[address]
 
-    async def _trim(self) -> None:
-        """Closes the channels used longest ago on which nobody waits.
+    async def _close_idle_channels(self) -> None:
+        """Closes the least recently used channels without a recall in progress.
 
-        gRPC ends who waits on a channel that is closed as if its task were
-        cancelled; the caller of that task would get no answer at all.
+        When a channel is closed, gRPC ends the tasks that wait on it as if
+        they were cancelled, and their callers would get no answer at all.
         """
-        spare = len(self._channels) - _MAX_CHANNELS
-        idle = [item for item in self._channels.items() if not item[1].calls]
-        for address, held in idle[: max(0, spare)]:
-            self._drop(address, held)
-            await held.channel.close()
+        excess = len(self._channels) - _MAX_CHANNELS
+        idle = [item for item in self._channels.items() if not item[1].recalls]
+        for address, pooled in idle[: max(0, excess)]:
+            self._discard_channel(address, pooled)
+            await pooled.channel.close()
--- a/tests/requests/unrepeatable/holders.py
+++ b/tests/requests/unrepeatable/holders.py
@@ -1,4 +1,4 @@
-"""Daemons that hold claims, for tests of recalls."""
+"""Simulated daemons that hold claims, for tests of recalls."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
     """A daemon that holds a claim.
 
     Attributes:
-        asked: Set once it was asked.
-        go_on: It answers when this is set.
+        received: Set once a recall has been received.
+        may_answer: Recalls are answered once this is set.
     """
 
     def __init__(self) -> None:
-        self.asked = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.received = asyncio.Event()
+        self.may_answer = asyncio.Event()
 
     async def Recall(  # noqa: N802
         self, request: request_pb2.RecallRequest, context: Any
     ) -> request_pb2.RecallReply:
-        """Answers that it will never run the request."""
+        """Answers that the request did not run and never will."""
         del request, context
-        self.asked.set()
-        await self.go_on.wait()
+        self.received.set()
+        await self.may_answer.wait()
         return request_pb2.RecallReply(state=request_pb2.RELEASED)
 
 
 @contextlib.asynccontextmanager
 async def run_holder() -> AsyncIterator[tuple[Holder, request_pb2.Claim]]:
-    """Runs a holder; gives it and a claim of it."""
+    """Runs a holder; yields it and a claim that it holds."""
     holder = Holder()
     server = grpc.aio.server()
     request_pb2_grpc.add_RequestsServicer_to_server(holder, server)
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Work that may not be repeated runs at most once: failures, one by one."""
+"""Tests that work which may not be repeated runs at most once."""
 
 from __future__ import annotations
 
@@ -18,70 +18,70 @@
 _KEY = {headers.KEY: "ticket-7"}
 
 
-class OnceTest(unittest.IsolatedAsyncioTestCase):
-    """Payouts over two daemons with one store."""
+class AtMostOnceTest(unittest.IsolatedAsyncioTestCase):
+    """Payouts through two daemons that share a store, with single failures."""
 
     def setUp(self) -> None:
-        self.begun = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.started = asyncio.Event()
+        self.may_answer = asyncio.Event()
         self.runs = 0
 
     async def pay(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Books a payout; its answer waits until the test lets it go."""
+        """Books a payout; answers once the test sets `may_answer`."""
         await request.read()
         self.runs += 1
-        self.begun.set()
-        await self.go_on.wait()
+        self.started.set()
+        await self.may_answer.wait()
         return web.Response(body=b"paid", headers={"X-Ticket": "7"})
 
-    async def test_sent_again_through_another_daemon(self) -> None:
+    async def test_retry_through_another_daemon(self) -> None:
         """The caller gets the answer of the first run; nothing runs twice.
 
-        The caller leaves while the payout runs at the first daemon, and sends
-        it again to the second one. That one finds the claim of the first and
-        asks it for the answer.
+        The caller disconnects while the payout runs at the first daemon, and
+        retries at the second one, which finds the claim of the first daemon
+        and asks it for the answer.
         """
         async with (
             builders.run_nodes(2, True, handler=self.pay) as (first, second),
             builders.open_client() as client,
         ):
-            lost = asyncio.ensure_future(
+            abandoned = asyncio.ensure_future(
                 client.post(first.url + "/payouts", headers=_KEY)
             )
-            await self.begun.wait()
-            lost.cancel()
-            again = asyncio.ensure_future(
+            await self.started.wait()
+            abandoned.cancel()
+            retry = asyncio.ensure_future(
                 client.post(second.url + "/payouts", headers=_KEY)
             )
-            self.go_on.set()
-            answer = await again
+            self.may_answer.set()
+            answer = await retry
             self.assertEqual(await answer.read(), b"paid")
             self.assertEqual(answer.headers["X-Ticket"], "7")
         self.assertEqual(self.runs, 1)
 
     async def test_holder_is_gone(self) -> None:
-        """The caller hears "unknown"; nothing runs twice.
+        """The caller gets "unknown"; nothing runs twice.
 
         The daemon that forwarded the payout dies before it has an answer.
-        Nobody can tell whether the payout ran, so it must not run again.
+        Whether the payout ran cannot be known, so it must not run again.
         """
         async with (
             builders.run_nodes(2, True, handler=self.pay) as (first, second),
             builders.open_client() as client,
         ):
-            lost = asyncio.ensure_future(
+            abandoned = asyncio.ensure_future(
                 client.post(first.url + "/payouts", headers=_KEY)
             )
-            await self.begun.wait()
+            await self.started.wait()
             await first.control.stop(0)
             answer = await client.post(second.url + "/payouts", headers=_KEY)
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
-            lost.cancel()
-            self.go_on.set()
+            abandoned.cancel()
+            self.may_answer.set()
         self.assertEqual(self.runs, 1)
 
     async def test_store_is_down(self) -> None:
-        """The caller hears "not run" at once, with when to come back."""
+        """The caller gets "not run" with Retry-After at once."""
         store = fakes.Store()
         async with (
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
@@ -93,15 +93,15 @@
             self.assertIn("Retry-After", answer.headers)
             self.assertEqual(self.runs, 0)
             store.fault = fakes.Fault.NONE
-            self.go_on.set()
+            self.may_answer.set()
             answer = await client.post(node.url + "/payouts", headers=_KEY)
             self.assertEqual(await answer.read(), b"paid")
 
     async def test_answer_of_the_store_is_lost(self) -> None:
-        """The caller gets its answer; the claim is read back as its own."""
+        """The caller gets its answer, as the claim is read from the store."""
         store = fakes.Store()
         store.faults = [fakes.Fault.NONE, fakes.Fault.AFTER]
-        self.go_on.set()
+        self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
             builders.open_client() as client,
@@ -111,10 +111,10 @@
         self.assertEqual(self.runs, 1)
 
     async def test_answer_that_comes_too_late_is_kept(self) -> None:
-        """The caller hears "unknown", asks again and gets the answer.
+        """The caller gets "unknown", retries and gets the answer.
 
-        The payout takes longer than the caller's deadline. The daemon waits
-        on for its answer, so that the second sending need not be "unknown".
+        The payout takes longer than the caller's deadline. The daemon
+        continues to wait for the answer, so that the retry gets it.
         """
         async with (
             builders.run_nodes(1, handler=self.pay) as (node,),
@@ -125,30 +125,30 @@
             )
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
             self.assertIn("Retry-After", answer.headers)
-            self.go_on.set()
+            self.may_answer.set()
             answer = await client.post(node.url + "/payouts", headers=_KEY)
             self.assertEqual(await answer.read(), b"paid")
         self.assertEqual(self.runs, 1)
 
     async def test_backend_server_cannot_be_reached(self) -> None:
-        """The caller hears "not run", and the key is free for a next try."""
-        self.go_on.set()
+        """The caller gets "not run", and a retry may use the same key."""
+        self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.pay) as (node,),
             builders.open_client() as client,
         ):
-            own = node.proxy.backend
-            own.address = "127.0.0.1:1"
+            backend = node.proxy.backend
+            backend.address = "127.0.0.1:1"
             answer = await client.post(node.url + "/payouts", headers=_KEY)
             self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
-            own.announce("kassa", f"127.0.0.1:{node.backend.port}", 12)
+            backend.announce("kassa", f"127.0.0.1:{node.backend.port}", 12)
             answer = await client.post(node.url + "/payouts", headers=_KEY)
             self.assertEqual(await answer.read(), b"paid")
         self.assertEqual(self.runs, 1)
 
     async def test_one_write_for_each_payout(self) -> None:
         store = fakes.Store()
-        self.go_on.set()
+        self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
             builders.open_client() as client,
@@ -157,11 +157,11 @@
                 await client.post(
                     node.url + "/payouts", headers={headers.KEY: f"{number}"}
                 )
-        # One more for the lease of the hour.
+        # One further write for the lease of the hour.
         self.assertEqual(store.writes, 10 + 1)
 
     async def test_key_of_another_request(self) -> None:
-        self.go_on.set()
+        self.may_answer.set()
         async with (
             builders.run_nodes(2, True, handler=self.pay) as (first, second),
             builders.open_client() as client,
@@ -192,12 +192,13 @@
         self.assertEqual(self.runs, 0)
 
     async def test_store_that_lost_its_leases(self) -> None:
-        """The payout runs when it is sent again, not an hour later.
+        """A payout runs when it is retried at once, not only an hour later.
 
-        The store forgot the lease under which the daemon writes its claims,
-        as one that was restored may, and refuses each claim under it.
+        The store no longer knows the lease under which the daemon writes its
+        claims, as can happen when a store is restored, and refuses each claim
+        under it.
         """
-        self.go_on.set()
+        self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.pay) as (node,),
             builders.open_client() as client,
@@ -213,10 +214,10 @@
             self.assertEqual(statuses, [200, 503, 200])
 
     async def test_claim_that_cannot_be_read(self) -> None:
-        """The caller hears "unknown"; the daemon keeps nothing of it open.
+        """The caller gets "unknown"; the daemon leaves no record open.
 
-        The record under the key is no claim, so nobody can be asked whether
-        the payout ran.
+        The value under the key is not a valid claim, so there is no holder to
+        ask whether the payout ran.
         """
         async with (
             builders.run_nodes(1, handler=self.pay) as (node,),
@@ -231,17 +232,17 @@
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
             self.assertEqual(answer.status, 502)
             records = claims.ledger._records.values()
-            self.assertTrue(all(one.ended.is_set() for one in records))
+            self.assertTrue(all(record.ended.is_set() for record in records))
         self.assertEqual(self.runs, 0)
 
     async def test_long_payout_sent_in_another_form(self) -> None:
-        """The caller hears "unknown", not "not run".
+        """The caller gets "unknown", not "not run".
 
-        The payout ran. Sent again in chunks where it had a length before, its
-        long body cannot be compared: told "not run", the caller would take a
-        new key, and pay twice.
+        The payout ran, and is sent again in chunks where it had a length
+        before. Its long body cannot be compared. If the caller got "not run",
+        it would use a new key, and pay twice.
         """
-        self.go_on.set()
+        self.may_answer.set()
         body = bytes(100_000)
 
         async def send_in_chunks() -> AsyncIterator[bytes]:
@@ -253,26 +254,26 @@
         ):
             url = node.url + "/payouts"
             await client.post(url, headers=_KEY, data=body)
-            again = await client.post(url, headers=_KEY, data=send_in_chunks())
-            self.assertEqual(again.status, 422)
-            self.assertEqual(again.headers[headers.OUTCOME], "unknown")
+            retry = await client.post(url, headers=_KEY, data=send_in_chunks())
+            self.assertEqual(retry.status, 422)
+            self.assertEqual(retry.headers[headers.OUTCOME], "unknown")
         self.assertEqual(self.runs, 1)
 
     async def test_long_payout_that_arrives_faster_the_second_time(
         self,
     ) -> None:
-        """The second sending gets the answer of the first.
+        """The retry gets the answer of the first attempt.
 
-        Both are the same chunks. The first time they come one by one, the
-        second time all at once, so that the whole body is there when the
-        daemon looks; that must not make another request of it.
+        Both send the same chunks, first one by one and then all at once, so
+        that the daemon finds the whole body when it reads the retry. The
+        retry must still count as the same request.
         """
-        self.go_on.set()
-        go_on = asyncio.Event()
+        self.may_answer.set()
+        may_send = asyncio.Event()
 
         async def send_in_chunks() -> AsyncIterator[bytes]:
             yield bytes(70_000)
-            await go_on.wait()
+            await may_send.wait()
             yield bytes(10)
 
         async with (
@@ -280,13 +281,13 @@
             builders.open_client() as client,
         ):
             url = node.url + "/payouts"
-            sending = asyncio.create_task(
+            first_post = asyncio.create_task(
                 client.post(url, headers=_KEY, data=send_in_chunks())
             )
             while not node.served:
                 await asyncio.sleep(0)
-            go_on.set()
-            await sending
-            again = await client.post(url, headers=_KEY, data=send_in_chunks())
-            self.assertEqual(await again.read(), b"paid")
+            may_send.set()
+            await first_post
+            retry = await client.post(url, headers=_KEY, data=send_in_chunks())
+            self.assertEqual(await retry.read(), b"paid")
         self.assertEqual(self.runs, 1)
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_inquiries.py
@@ -1,4 +1,4 @@
-"""Holders of claims that are slow, silent or gone."""
+"""Tests of recalls whose holder is slow, silent or gone."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
     from merlintrestle.schema import request_pb2
 
-_SILENT_S = 0.1
+_MAX_SILENCE_S = 0.1
 
 
-class InquirerTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon asks another one through a relay."""
+class RetryingRecallerTest(unittest.IsolatedAsyncioTestCase):
+    """Recalls that one daemon sends to another through a relay."""
 
     def setUp(self) -> None:
         self.client = recall.RecallClient()
-        self.inquirer = inquiries.RetryingRecaller(self.client)
-        patch = mock.patch.object(recall, "_SILENT_S", _SILENT_S)
+        self.recaller = inquiries.RetryingRecaller(self.client)
+        patch = mock.patch.object(recall, "_MAX_SILENCE_S", _MAX_SILENCE_S)
         self.enterContext(patch)
 
     @contextlib.asynccontextmanager
     async def run_holder(
         self,
     ) -> AsyncIterator[tuple[holders.Holder, relays.Relay, request_pb2.Claim]]:
-        """Runs a holder behind a relay; gives both, and a claim of it."""
+        """Runs a holder behind a relay; yields both, and a claim it holds."""
         async with (
             asyncio.timeout(builders.GUARD_S),
             holders.run_holder() as (holder, claim),
@@ -52,80 +52,82 @@
                 await self.client.close()
                 await relay.close()
 
-    async def ask(self, claim: request_pb2.Claim) -> bool:
-        """Returns whether the holder was heard."""
-        reply = await self.inquirer.recall(claim, "claims/a", 0)
+    async def recall(self, claim: request_pb2.Claim) -> bool:
+        """Returns whether the holder answered."""
+        reply = await self.recaller.recall(claim, "claims/a", 0)
         return reply is not None
 
-    async def test_slow_holder_is_heard(self) -> None:
-        """Guards against holders never heard as each question is cut short."""
+    async def test_slow_holder_gets_time_to_answer(self) -> None:
+        """A slow holder is not ignored because each recall times out."""
         async with self.run_holder() as (holder, _, claim):
-            asking = asyncio.create_task(self.ask(claim))
-            await asyncio.sleep(8 * _SILENT_S)
-            self.assertFalse(asking.done())
-            holder.go_on.set()
-            self.assertTrue(await asking)
+            recalling = asyncio.create_task(self.recall(claim))
+            await asyncio.sleep(8 * _MAX_SILENCE_S)
+            self.assertFalse(recalling.done())
+            holder.may_answer.set()
+            self.assertTrue(await recalling)
 
     async def test_silent_connection_to_a_holder(self) -> None:
-        """Guards against payouts given up as a kept connection went silent."""
+        """A pooled connection that went silent does not make payouts fail."""
         async with self.run_holder() as (holder, relay, claim):
-            holder.go_on.set()
-            self.assertTrue(await self.ask(claim))
+            holder.may_answer.set()
+            self.assertTrue(await self.recall(claim))
             relay.silence()
-            self.assertTrue(await self.ask(claim))
+            self.assertTrue(await self.recall(claim))
 
     async def test_connection_that_breaks(self) -> None:
-        """Guards against payouts given up as a connection was reset."""
+        """A connection that is reset does not make payouts fail."""
         async with self.run_holder() as (holder, relay, claim):
-            asking = asyncio.create_task(self.ask(claim))
-            await holder.asked.wait()
+            recalling = asyncio.create_task(self.recall(claim))
+            await holder.received.wait()
             relay.cut()
-            holder.go_on.set()
-            self.assertTrue(await asking)
+            holder.may_answer.set()
+            self.assertTrue(await recalling)
 
     async def test_holder_that_is_gone(self) -> None:
-        """Guards against waits for an answer that can never come."""
+        """Nothing waits for a holder whose process has ended."""
         async with self.run_holder() as (holder, relay, claim):
-            asking = asyncio.create_task(self.ask(claim))
-            await holder.asked.wait()
+            recalling = asyncio.create_task(self.recall(claim))
+            await holder.received.wait()
             await relay.close()
-            self.assertFalse(await asking)
+            self.assertFalse(await recalling)
 
-    async def test_questions_stay_few(self) -> None:
-        """Guards against floods of questions to a holder that is slow."""
+    async def test_slow_holder_gets_few_recalls(self) -> None:
+        """A slow holder is not flooded with recalls."""
         async with self.run_holder() as (holder, _, claim):
-            with builders.watch_method(recall.RecallClient, "ask") as ask:
-                asking = asyncio.create_task(self.ask(claim))
-                await asyncio.sleep(16 * _SILENT_S)
-                asking.cancel()
-            self.assertLessEqual(ask.call_count, 5)
-            self.assertTrue(holder.asked.is_set())
+            with builders.watch_method(
+                recall.RecallClient, "ask"
+            ) as mocked_ask:
+                recalling = asyncio.create_task(self.recall(claim))
+                await asyncio.sleep(16 * _MAX_SILENCE_S)
+                recalling.cancel()
+            self.assertLessEqual(mocked_ask.call_count, 5)
+            self.assertTrue(holder.received.is_set())
 
 
 class SilentHolderTest(unittest.IsolatedAsyncioTestCase):
     async def test_holder_silent_for_the_time_of_a_call(self) -> None:
-        """Guards against payouts run again as their holder is not heard."""
-        go_on = asyncio.Event()
-        begun = asyncio.Event()
+        """A payout does not run again because its holder is silent."""
+        may_answer = asyncio.Event()
+        started = asyncio.Event()
         runs: list[str] = []
 
         async def pay(request: web.BaseRequest) -> web.StreamResponse:
             await request.read()
             runs.append(request.raw_path)
-            begun.set()
-            await go_on.wait()
+            started.set()
+            await may_answer.wait()
             return web.Response(body=b"paid")
 
         async with (
             builders.run_nodes(2, True, handler=pay) as (first, second),
             builders.open_client() as client,
         ):
-            sent = {headers.KEY: "ticket-7"}
-            lost = asyncio.ensure_future(
-                client.post(first.url + "/payouts", headers=sent)
+            sent_headers = {headers.KEY: "ticket-7"}
+            abandoned = asyncio.ensure_future(
+                client.post(first.url + "/payouts", headers=sent_headers)
             )
-            await begun.wait()
-            lost.cancel()
+            await started.wait()
+            abandoned.cancel()
 
             async def answer_never(*arguments: object) -> None:
                 del arguments
@@ -133,17 +135,19 @@
 
             claims = first.proxy.recalls._claims
             with (
-                mock.patch.object(recall, "_SILENT_S", _SILENT_S),
+                mock.patch.object(recall, "_MAX_SILENCE_S", _MAX_SILENCE_S),
                 mock.patch.object(claims, "answer_recall", answer_never),
             ):
-                sent[headers.DEADLINE] = "900"
+                sent_headers[headers.DEADLINE] = "900"
                 answer = await client.post(
-                    second.url + "/payouts", headers=sent
+                    second.url + "/payouts", headers=sent_headers
                 )
             self.assertEqual(answer.status, 504)
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
-            del sent[headers.DEADLINE]
-            go_on.set()
-            answer = await client.post(second.url + "/payouts", headers=sent)
+            del sent_headers[headers.DEADLINE]
+            may_answer.set()
+            answer = await client.post(
+                second.url + "/payouts", headers=sent_headers
+            )
             self.assertEqual(await answer.read(), b"paid")
         self.assertEqual(len(runs), 1)
--- a/tests/requests/unrepeatable/test_late_holder.py
+++ b/tests/requests/unrepeatable/test_late_holder.py
@@ -1,4 +1,4 @@
-"""A daemon that holds a claim and answers late."""
+"""Tests of holders of claims that answer recalls late."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 from tests.requests import builders
 
 _KEY = {headers.KEY: "ticket-7"}
-_SILENT_S = 0.2
+_MAX_SILENCE_S = 0.2
 
 
 class LateHolderTest(unittest.IsolatedAsyncioTestCase):
     async def test_holder_that_answers_late_is_not_gone(self) -> None:
-        """Guards against payouts given up as their holder answers late."""
-        begun = asyncio.Event()
-        go_on = asyncio.Event()
+        """A payout does not fail because the holder of its claim is slow."""
+        started = asyncio.Event()
+        may_answer = asyncio.Event()
         runs: list[str] = []
 
         async def pay(request: web.BaseRequest) -> web.StreamResponse:
             await request.read()
             runs.append(request.raw_path)
-            begun.set()
-            await go_on.wait()
+            started.set()
+            await may_answer.wait()
             return web.Response(body=b"paid")
 
         async with (
             builders.run_nodes(2, True, handler=pay) as (first, second),
             builders.open_client() as client,
         ):
-            lost = asyncio.ensure_future(
+            abandoned = asyncio.ensure_future(
                 client.post(first.url + "/payouts", headers=_KEY)
             )
-            await begun.wait()
-            lost.cancel()
+            await started.wait()
+            abandoned.cancel()
             recalls = first.proxy.recalls
             answer_recall = recalls._claims.answer_recall
 
             async def answer_late(*arguments: Any) -> Any:
                 reply = await answer_recall(*arguments)
-                await asyncio.sleep(2 * _SILENT_S)
-                go_on.set()
+                await asyncio.sleep(2 * _MAX_SILENCE_S)
+                may_answer.set()
                 return reply
 
             with (
-                mock.patch.object(recall, "_SILENT_S", _SILENT_S),
+                mock.patch.object(recall, "_MAX_SILENCE_S", _MAX_SILENCE_S),
                 mock.patch.object(
                     recalls._claims, "answer_recall", answer_late
                 ),
@@ -61,5 +61,5 @@
                 self.assertEqual(
                     (answer.status, await answer.read()), (200, b"paid")
                 )
-            go_on.set()
+            may_answer.set()
         self.assertEqual(len(runs), 1)
--- a/tests/requests/unrepeatable/test_ledger.py
+++ b/tests/requests/unrepeatable/test_ledger.py
@@ -1,4 +1,4 @@
-"""Bounds of what a daemon remembers of its claims."""
+"""Tests of the memory that records of claims take."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class LedgerTest(unittest.IsolatedAsyncioTestCase):
-    def test_headers_count_as_well(self) -> None:
-        """The oldest answers go; a daemon does not outgrow its instance.
+    def test_headers_count_towards_the_limit(self) -> None:
+        """The oldest answers are evicted, so that a daemon's memory is bounded.
 
-        Answers of payouts are mostly headers. Counted by their bodies alone,
-        20,000 of them may fill any memory.
+        Answers to payouts consist mostly of headers. If only their bodies
+        counted, 20,000 of them might take any amount of memory.
         """
         ledger = ledgers.Ledger(max_kept_bytes=1000)
         records = [
@@ -40,7 +40,7 @@
         kept = [record.answer is not None for record in records]
         self.assertEqual(kept, [False, True, True])
 
-    async def test_who_waits_is_told_of_the_end(self) -> None:
+    async def test_waiters_are_woken_at_the_end(self) -> None:
         ledger = ledgers.Ledger()
         record = ledger.open("claims/a", "a", b"digest")
         waiting = asyncio.create_task(record.ended.wait())
@@ -51,7 +51,7 @@
         await record.ended.wait()
 
     def test_ended_records_share_one_event(self) -> None:
-        """An event of its own costs each record some 800 bytes for good."""
+        """A separate event costs each record about 800 bytes permanently."""
         ledger = ledgers.Ledger()
         records = [
             add_answered(ledger, name, build_answer(1, 1)) for name in "ab"
--- a/tests/requests/unrepeatable/test_recall.py
+++ b/tests/requests/unrepeatable/test_recall.py
@@ -1,4 +1,4 @@
-"""Recalls of many holders at once."""
+"""Tests of recalls to several holders and over silent connections."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 class RecallClientTest(unittest.IsolatedAsyncioTestCase):
     async def test_more_holders_than_channels(self) -> None:
-        """Both callers get their answers, though only one channel is kept.
+        """Both callers get their answers, though only one channel is pooled.
 
-        The second recall needs a channel while the first one still waits. If
-        the first one's were closed for it, gRPC would end the first caller's
-        task as if it had been cancelled, and that caller would hear nothing.
+        The second recall needs a channel while the first one is waiting. If
+        the channel of the first one were closed to make room, gRPC would end
+        the first caller's task as if it had been cancelled, and that caller
+        would get no answer.
         """
         client = recall.RecallClient()
         with mock.patch.object(recall, "_MAX_CHANNELS", 1):
@@ -31,11 +32,11 @@
                 recalling = asyncio.create_task(
                     client.recall(first_claim, "claims/a", 60)
                 )
-                await first.asked.wait()
-                second.go_on.set()
+                await first.received.wait()
+                second.may_answer.set()
                 reply = await client.recall(second_claim, "claims/b", 60)
                 assert reply is not None
-                first.go_on.set()
+                first.may_answer.set()
                 reply = await recalling
                 assert reply is not None
                 self.assertEqual(reply.state, request_pb2.RELEASED)
@@ -43,19 +44,19 @@
                 await client.close()
 
     async def test_connection_that_went_silent(self) -> None:
-        """The second recall after the silence gets its answer.
+        """The second recall after a connection went silent is answered.
 
-        The connection to the holder has gone silent while it was idle, and
-        new ones work. Kept, it would have every payout of that holder be
-        "unknown" until the operating system gives it up after minutes.
+        The connection to the holder went silent while idle, and new ones work.
+        If it stayed in use, every payout of that holder would be "unknown"
+        until the operating system closes the connection after minutes.
         """
         client = recall.RecallClient()
-        with mock.patch.object(recall, "_SILENT_S", 0.3):
+        with mock.patch.object(recall, "_MAX_SILENCE_S", 0.3):
             async with (
                 asyncio.timeout(builders.GUARD_S),
                 holders.run_holder() as (holder, claim),
             ):
-                holder.go_on.set()
+                holder.may_answer.set()
                 relay = relays.Relay(claim.control_port)
                 await relay.start()
                 claim.control_port = relay.port
