--- a/merlintrestle/requests/calls/outcomes.py
+++ b/merlintrestle/requests/calls/outcomes.py
@@ -112,7 +112,7 @@
     Attributes:
         reason: Reason in one sentence, for the caller.
         status: HTTP status of the answer.
-        retry_after_s: Seconds until a retry with the same key may find out;
+        retry_after_s: Seconds until a retry with the same key may resolve it;
             None if never.
         broken: True if the connection broke, as it does in a crash.
     """
--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -56,7 +56,7 @@
         wait: How long it may wait for a slot of the backend server.
         repeat: True if it may have been sent to a backend server before.
         return_trip_ms: Milliseconds of the timeout that a refusal needs for
-            its way back to the caller's daemon.
+            its return trip to the caller's daemon.
     """
 
     timeout_ms: int | None
@@ -87,11 +87,11 @@
 
 def read_metadata(request: web.BaseRequest) -> CallMetadata:
     """Returns the metadata in the `Merlintrestle-` headers of a request."""
-    sent_headers = request.headers
+    request_headers = request.headers
     return CallMetadata(
-        headers.read_number(sent_headers, headers.DEADLINE),
+        headers.read_number(request_headers, headers.DEADLINE),
         depth=get_depth(request),
-        attempt=headers.read_number(sent_headers, headers.ATTEMPT) or 0,
+        attempt=headers.read_number(request_headers, headers.ATTEMPT) or 0,
     )
 
 
--- a/merlintrestle/requests/crashing/crashes.py
+++ b/merlintrestle/requests/crashing/crashes.py
@@ -1,4 +1,4 @@
-"""Crashes of the own backend server, and the requests that cause them."""
+"""Crashes of the local backend server, and the requests that cause them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 events = event_logs.EventLog("requests")
 
-# Longest wait of a suspect for another suspect that runs here.
+# Longest wait of a suspect for other suspects that run here.
 _MAX_SUSPECT_WAIT_S = 1.0
 
 
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, backend: backends.LocalBackend):
-        """Sets the own backend server."""
+        """Sets the local backend server."""
         self.strikes = strikes.Strikes()
         self.send_strike: Callable[[control_pb2.Strike], None] = _ignore
         self._backend = backend
@@ -69,7 +69,7 @@
 
         Returns:
             None for a call that is not a suspect; for a suspect, a callback
-            that releases the slot for suspects, or a refusal if the slot was
+            that releases the slot of suspects, or a refusal if that slot was
             not free in time.
         """
         if not self._is_suspect(call):
--- a/tests/requests/calls/test_metadata.py
+++ b/tests/requests/calls/test_metadata.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of a call."""
+"""Tests of the call metadata that daemons send to each other."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from merlintrestle.requests.calls import parsing
 
 
-class PassingTest(unittest.TestCase):
-    def test_comes_as_it_was_sent(self) -> None:
-        for asked in (
+class MetadataTest(unittest.TestCase):
+    def test_decodes_what_was_encoded(self) -> None:
+        for call_metadata in (
             parsing.CallMetadata(700, "id with spaces", "kassa", 2, 1, 30),
             parsing.CallMetadata(1, "", "", suspect=True),
             parsing.CallMetadata(
@@ -22,9 +22,9 @@
             ),
             parsing.CallMetadata(9, "x", "", repeat=True, return_trip_ms=250),
         ):
-            with self.subTest(asked=asked):
-                text = metadata.encode_metadata(asked)
-                self.assertEqual(metadata.decode_metadata(text), asked)
+            with self.subTest(call_metadata=call_metadata):
+                text = metadata.encode_metadata(call_metadata)
+                self.assertEqual(metadata.decode_metadata(text), call_metadata)
 
     def test_malformed(self) -> None:
         self.assertEqual(
--- a/tests/requests/calls/test_outcomes.py
+++ b/tests/requests/calls/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What an outcome holds, and frees."""
+"""Tests of the resources that an outcome holds and releases."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _Response:
-    """Stands in for an answer; weak references to it can be made."""
+    """Stands in for an answer and supports weak references."""
 
 
 def _build_answered(response: Any) -> outcomes.Answered:
@@ -21,26 +21,28 @@
 
 
 class AnsweredTest(unittest.TestCase):
-    def test_frees_in_the_order_in_which_it_was_held(self) -> None:
-        freed: list[int] = []
+    def test_callbacks_run_in_the_order_in_which_they_were_added(self) -> None:
+        released: list[int] = []
         response: Any = _Response()
-        answered = outcomes.Answered(response, b"", [lambda: freed.append(1)])
-        answered.add_release_callback(lambda: freed.append(2))
+        answered = outcomes.Answered(
+            response, b"", [lambda: released.append(1)]
+        )
+        answered.add_release_callback(lambda: released.append(2))
         answered.release()
-        self.assertEqual(freed, [1, 2])
+        self.assertEqual(released, [1, 2])
 
     def test_released_answer_needs_no_garbage_collector(self) -> None:
-        """No caller waits while the remains of other calls are collected.
+        """Released calls are freed without pauses for garbage collection.
 
-        What is freed with an answer refers to the answer. Left in place, each
-        call would be a cycle, and some thousands of them together would be
-        collected at one stroke, for 15 to 30 ms.
+        The release callbacks of an answer refer to the answer. If they were
+        kept, each call would be a reference cycle, and collecting a few
+        thousand of them at once stops all calls for 15 to 30 ms.
         """
         gc.disable()
         self.addCleanup(gc.enable)
         response: Any = _Response()
-        alive = weakref.ref(response)
+        reference = weakref.ref(response)
         answered = _build_answered(response)
         answered.release()
         del response, answered
-        self.assertIsNone(alive())
+        self.assertIsNone(reference())
--- a/tests/requests/calls/test_routing.py
+++ b/tests/requests/calls/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix."""
+"""Tests of routes by host and path prefix."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 class HostRouteTest(unittest.TestCase):
     @hypothesis.given(strategies.lists(_PATH, max_size=8), _PATH)
-    def test_the_longest_prefix_counts(
+    def test_the_longest_prefix_matches(
         self, prefixes: list[str], path: str
     ) -> None:
-        """The index finds what a look at each route would find."""
+        """The index gives the same result as a search through all routes."""
         prefixes.sort(key=len, reverse=True)
         routes = tuple(
             _build_route(f"r{number}", prefix)
@@ -45,8 +45,8 @@
         self.assertEqual(found, expected)
         self.assertIsNone(running.find_host_route("elsewhere", path))
 
-    def test_it_does_not_look_at_each_route(self) -> None:
-        """A call costs no more when the operators add hundreds of routes."""
+    def test_lookup_does_not_search_all_routes(self) -> None:
+        """Hundreds of further routes do not make a lookup more expensive."""
         routes = tuple(
             _build_route(f"r{number}", f"/p{number:03}/")
             for number in range(360)
