--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -1,6 +1,7 @@
-"""Observations: what this daemon saw itself of each upstream.
+"""Observations of upstreams, made by this daemon itself.
 
-They go before what upstreams report of themselves, which lags and misleads.
+They take precedence over what upstreams report of themselves, because reports
+are delayed and can be wrong.
 """
 
 from __future__ import annotations
@@ -14,227 +15,256 @@
 if TYPE_CHECKING:
     from merlintrestle.requests.load import loads
 
-# Failures in a row after which an upstream is ejected.
+# Consecutive failures after which an upstream is ejected.
 _MAX_FAILURES = 3
 _FIRST_EJECTION_S = 1.0
 _MAX_EJECTION_S = 30.0
-# How long an upstream that refused work gets none if others can take it.
-_REFUSED_S = 0.5
-# Quick calls that wait for a first byte this long, while nothing else comes
-# either, show an upstream as stalled. Slow ones prove nothing by waiting.
+# How long an upstream that refused a call is picked only if all others are
+# unavailable.
+_BACKOFF_S = 0.5
+# An upstream is stalled if short calls have waited this long for their first
+# byte and it sent nothing else either. Long calls may take that long.
 STALL_S = 0.5
-_QUICK_S = 0.05
-# Weight of the newest latency in the mean.
-_NEWEST = 0.2
-_LEAST_WORK_S = 0.001
-# Weight of the newest call in the part that ended well: some ten calls tell an
-# upstream that fails every third one from the others.
-_NEWEST_RESULT = 0.1
-# An upstream that fails every call is ejected anyway; the weight of one that
-# comes back must stay finite.
-_LEAST_SOUNDNESS = 0.1
-# A reported load says nothing any more after this time: calls take some tenths
-# of a second, so that by then most of those it counted have ended.
-LOAD_AGE_S = 1.0
+# Greatest expected work time of a short call.
+_MAX_SHORT_WORK_S = 0.05
+_LATENCY_EWMA_WEIGHT = 0.2
+_MIN_WORK_S = 0.001
+# About ten calls are enough to tell an upstream that fails every third call
+# from the others.
+_SUCCESS_EWMA_WEIGHT = 0.1
+# An upstream that fails every call is ejected anyway. The minimum keeps its
+# utilization finite when it is used again.
+_MIN_SUCCESS_RATE = 0.1
+# Calls take some tenths of a second, so most of the calls that an older load
+# report counted have ended.
+MAX_LOAD_AGE_S = 1.0
 
 
 class Observation:
-    """One upstream as seen from here; times are in seconds of the event loop.
+    """The state of one upstream as observed by this daemon.
+
+    All times are those of the event loop, in seconds.
 
     Attributes:
         in_flight: Calls sent to it whose answers have not ended.
-        awaiting: Quick ones of them without a first byte.
-        failures: Failures in a row.
-        ejected_until: No work before; 0: not ejected.
-        ejections: Ejections since it last answered.
-        probing: True while one call tries whether it is well again.
-        backoff_until: Others are preferred before.
-        slowness: Mean of latency over expected work time; 0: not known.
-        success_rate: Part of the calls lately that it ran and answered well.
-        answered_at: When it last answered.
-        quiet_since: Since when nothing came though a call was waiting.
-        load: What its daemon reported last; None: nothing yet.
-        load_at: When that came.
-        sent_at_load: Calls in flight from here at that time.
+        awaiting_first_byte: Short calls in flight that have not received the
+            first byte of their answer.
+        consecutive_failures: Failures since its last answer.
+        ejected_until: End of its ejection; 0: it is not ejected. It stays set
+            until an answer shows that the upstream is healthy again.
+        ejections: Ejections since its last answer.
+        probing: True while a call probes whether it is healthy again.
+        backoff_until: Until when other upstreams are preferred, as it refused a
+            call.
+        latency_ratio: EWMA of the latency divided by the expected work time; 0:
+            not known.
+        success_rate: EWMA of the calls that it ran and answered successfully,
+            from 0 to 1.
+        last_answer_at: When it last answered; 0: never.
+        silent_since: Since when it has sent nothing although a short call was
+            awaiting its first byte.
+        load: The last load report of its daemon; None: there is none.
+        load_received_at: When the load report was received.
+        in_flight_at_load: Calls in flight from this daemon at that time.
     """
 
     __slots__ = (
-        "answered_at",
-        "awaiting",
+        "awaiting_first_byte",
+        "backoff_until",
+        "consecutive_failures",
         "ejected_until",
         "ejections",
-        "failures",
         "in_flight",
+        "in_flight_at_load",
+        "last_answer_at",
+        "latency_ratio",
         "load",
-        "load_at",
+        "load_received_at",
         "probing",
-        "quiet_since",
-        "backoff_until",
-        "sent_at_load",
-        "slowness",
+        "silent_since",
         "success_rate",
     )
 
     def __init__(self) -> None:
         self.in_flight = 0
-        self.awaiting = 0
-        self.failures = 0
+        self.awaiting_first_byte = 0
+        self.consecutive_failures = 0
         self.ejected_until = 0.0
         self.ejections = 0
         self.probing = False
         self.backoff_until = 0.0
-        self.slowness = 0.0
+        self.latency_ratio = 0.0
         self.success_rate = 1.0
-        self.answered_at = 0.0
-        self.quiet_since = 0.0
+        self.last_answer_at = 0.0
+        self.silent_since = 0.0
         self.load: loads.Load | None = None
-        self.load_at = 0.0
-        self.sent_at_load = 0
+        self.load_received_at = 0.0
+        self.in_flight_at_load = 0
 
     def reset(self) -> None:
-        """Forgets what was seen: another process is at its place.
+        """Discards what was observed, after a restart of the backend server.
 
-        Its failures, its speed and its load are not those of the one before.
-        Calls in flight are still counted until they end.
+        The failures, speed and load of the previous process say nothing about
+        the new one. Calls in flight are still counted until they end.
         """
-        in_flight, awaiting = self.in_flight, self.awaiting
+        in_flight, awaiting = self.in_flight, self.awaiting_first_byte
         Observation.__init__(self)
-        self.in_flight, self.awaiting = in_flight, awaiting
+        self.in_flight, self.awaiting_first_byte = in_flight, awaiting
 
     def record_load(self, now: float, load: loads.Load) -> None:
-        """Notes what the daemon of the upstream reported with an answer."""
+        """Records the load that the daemon of the upstream reported."""
         self.load = load
-        self.load_at = now
-        self.sent_at_load = self.in_flight
+        self.load_received_at = now
+        self.in_flight_at_load = self.in_flight
 
     def has_recent_load(self, now: float) -> bool:
-        """Returns whether its load was reported lately."""
-        return self.load is not None and now - self.load_at <= LOAD_AGE_S
+        """Returns whether its last load report is recent."""
+        return (
+            self.load is not None
+            and now - self.load_received_at <= MAX_LOAD_AGE_S
+        )
 
     def estimate_calls(self, now: float) -> int:
-        """Returns the calls that the upstream has, those of others too."""
+        """Returns the calls that it has, including those of other daemons."""
         return self.estimate(now)[0]
 
     def estimate_success_rate(self, now: float) -> float:
-        """Returns the part of the calls lately that ended well there.
+        """Returns the fraction of its recent calls that succeeded.
 
-        What its daemon tells is of all calls, those of others too.
+        The load report of its daemon includes the calls of other daemons.
         """
         return self.estimate(now)[1]
 
     def estimate(self, now: float) -> tuple[int, float]:
-        """Returns `estimate_calls` and `estimate_soundness`."""
+        """Returns `estimate_calls` and `estimate_success_rate`."""
         load = self.load
-        if load is None or now - self.load_at > LOAD_AGE_S:
+        if load is None or now - self.load_received_at > MAX_LOAD_AGE_S:
             return self.in_flight, self.success_rate
         calls = self.in_flight
-        if load.calls > self.sent_at_load:
-            calls += load.calls - self.sent_at_load
-        soundness = self.success_rate
-        if load.accepted < soundness:
-            soundness = max(_LEAST_SOUNDNESS, load.accepted)
-        return calls, soundness
+        if load.calls > self.in_flight_at_load:
+            calls += load.calls - self.in_flight_at_load
+        success_rate = self.success_rate
+        if load.accepted < success_rate:
+            success_rate = max(_MIN_SUCCESS_RATE, load.accepted)
+        return calls, success_rate
 
     def estimate_backlog_s(self, now: float) -> float:
-        """Returns the time for which its link has long answers to send.
+        """Returns how long its link is busy with long answers, in seconds.
 
-        What was reported gets less by itself.
+        The reported time decreases by the age of the report.
         """
         if self.load is None:
             return 0.0
-        return max(0.0, self.load.link_backlog_s - (now - self.load_at))
+        return max(
+            0.0, self.load.link_backlog_s - (now - self.load_received_at)
+        )
 
     def begin(self, now: float, work_s: float) -> None:
-        """Counts a call that is being sent and takes `work_s` as expected."""
+        """Counts a call that is sent, with an expected work time in seconds."""
         self.in_flight += 1
-        if work_s <= _QUICK_S:
-            if not self.awaiting:
-                self.quiet_since = now
-            self.awaiting += 1
+        if work_s <= _MAX_SHORT_WORK_S:
+            if not self.awaiting_first_byte:
+                self.silent_since = now
+            self.awaiting_first_byte += 1
         if self.ejected_until:
             self.probing = True
 
     def record_answer(
         self, now: float, latency_s: float, work_s: float
     ) -> None:
-        """Notes that a call was answered; the upstream is well."""
-        self._note_byte(now, work_s)
-        self.failures = 0
+        """Records an answer, which shows that the upstream is healthy."""
+        self._record_first_byte(now, work_s)
+        self.consecutive_failures = 0
         self.ejected_until = 0.0
         self.ejections = 0
-        slowness = latency_s / max(work_s, _LEAST_WORK_S)
-        if self.slowness:
-            self.slowness += _NEWEST * (slowness - self.slowness)
+        latency_ratio = latency_s / max(work_s, _MIN_WORK_S)
+        if self.latency_ratio:
+            self.latency_ratio += _LATENCY_EWMA_WEIGHT * (
+                latency_ratio - self.latency_ratio
+            )
         else:
-            self.slowness = slowness
+            self.latency_ratio = latency_ratio
 
     def record_refusal(self, now: float, work_s: float) -> None:
-        """Notes that it refused a call: it lives, but takes no work now."""
-        self._note_byte(now, work_s)
-        self.backoff_until = now + _REFUSED_S
+        """Records that it refused a call: it is alive but overloaded."""
+        self._record_first_byte(now, work_s)
+        self.backoff_until = now + _BACKOFF_S
 
     def record_failure(
         self, now: float, work_s: float, failures: int = 1
     ) -> None:
-        """Notes a failure; some prove more than one."""
+        """Records a failed call.
+
+        Args:
+            now: Time of the failure, in seconds.
+            work_s: Expected work time of the call, in seconds.
+            failures: Number of failures that it counts as.
+        """
         self.record_cancellation(work_s)
         self._count_failures(now, failures)
 
     def record_doubt(self, now: float) -> None:
-        """Notes that a call gets no answer in reasonable time.
+        """Records that a call was not answered in the expected time.
 
-        The call goes on. Were that noted at its end alone, a frozen upstream
-        would be sent calls until the deadline of the first.
+        The call continues. If only its end were recorded, calls would be sent
+        to a frozen upstream until the deadline of the first call.
         """
         self.probing = False
         self._count_failures(now, 1)
 
     def _count_failures(self, now: float, failures: int) -> None:
-        self.failures += failures
-        if self.failures < _MAX_FAILURES and not self.ejected_until:
+        self.consecutive_failures += failures
+        if self.consecutive_failures < _MAX_FAILURES and not self.ejected_until:
             return
-        length_s = _FIRST_EJECTION_S * 2**self.ejections
-        self.ejected_until = now + min(length_s, _MAX_EJECTION_S)
+        ejection_s = _FIRST_EJECTION_S * 2**self.ejections
+        self.ejected_until = now + min(ejection_s, _MAX_EJECTION_S)
         self.ejections = min(self.ejections + 1, 10)
 
     def record_cancellation(self, work_s: float) -> None:
-        """Notes that the caller left before an answer: proves nothing."""
+        """Records that a call was cancelled before it was answered.
+
+        This shows nothing about the health of the upstream.
+        """
         self.probing = False
-        if work_s <= _QUICK_S:
-            self.awaiting -= 1
+        if work_s <= _MAX_SHORT_WORK_S:
+            self.awaiting_first_byte -= 1
 
-    def record_result(self, good: bool) -> None:
-        """Notes whether a call that reached it was run and answered well."""
-        self.success_rate += _NEWEST_RESULT * (good - self.success_rate)
-        self.success_rate = max(_LEAST_SOUNDNESS, self.success_rate)
+    def record_result(self, succeeded: bool) -> None:
+        """Records whether a call that reached it was run and succeeded."""
+        self.success_rate += _SUCCESS_EWMA_WEIGHT * (
+            succeeded - self.success_rate
+        )
+        self.success_rate = max(_MIN_SUCCESS_RATE, self.success_rate)
 
     def end(self) -> None:
-        """Counts a call as ended, its answer included."""
+        """Counts a call whose answer has ended."""
         self.in_flight -= 1
 
     def is_stalled(self, now: float) -> bool:
-        """Returns whether quick calls wait and nothing at all comes back.
+        """Returns whether short calls wait and the upstream sends nothing.
 
-        Calls to a frozen upstream would otherwise each wait for their
-        deadline before it counts as failed.
+        Otherwise each call to a frozen upstream would wait until its deadline
+        before it counted as failed.
         """
-        return self.awaiting > 0 and now - self.quiet_since > STALL_S
+        return (
+            self.awaiting_first_byte > 0 and now - self.silent_since > STALL_S
+        )
 
-    def may_take(self, now: float) -> bool:
-        """Returns whether it may be sent work before the others are tried."""
+    def is_available(self, now: float) -> bool:
+        """Returns whether it may be picked like any other upstream."""
         if self.ejected_until or now < self.backoff_until:
             return False
-        return not (self.awaiting and self.is_stalled(now))
+        return not (self.awaiting_first_byte and self.is_stalled(now))
 
     def may_probe(self, now: float) -> bool:
-        """Returns whether it is time to try an ejected upstream by one call."""
-        ended = 0.0 < self.ejected_until <= now
-        return ended and not self.probing
+        """Returns whether a call may probe it, as its ejection has expired."""
+        expired = 0.0 < self.ejected_until <= now
+        return expired and not self.probing
 
-    def _note_byte(self, now: float, work_s: float) -> None:
+    def _record_first_byte(self, now: float, work_s: float) -> None:
         self.record_cancellation(work_s)
-        self.answered_at = now
-        self.quiet_since = now
+        self.last_answer_at = now
+        self.silent_since = now
 
 
 @generics.remember_choices
@@ -243,19 +273,27 @@
     outcome: object,
     observation: Observation,
     now: float,
-    began: float,
+    sent_at: float,
     work_s: float,
 ) -> None:
-    """Notes what an outcome says about the upstream that gave it."""
+    """Records the outcome of a call for the upstream that it was sent to.
+
+    Args:
+        outcome: The outcome.
+        observation: The observation of the upstream.
+        now: Current time, in seconds.
+        sent_at: When the call was sent, in seconds.
+        work_s: Expected work time of the call, in seconds.
+    """
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
 @record.register
-def _note_answered(
+def _record_answered(
     outcome: outcomes.Answered,
     observation: Observation,
     now: float,
-    began: float,
+    sent_at: float,
     work_s: float,
 ) -> None:
     observation.record_result(
@@ -264,15 +302,15 @@
     if outcome.response.status == outcomes.SHEDDING_STATUS:
         observation.record_refusal(now, work_s)
     else:
-        observation.record_answer(now, now - began, work_s)
+        observation.record_answer(now, now - sent_at, work_s)
 
 
 @record.register
-def _note_replayed(
+def _record_replayed(
     outcome: outcomes.Replayed,
     observation: Observation,
     now: float,
-    began: float,
+    sent_at: float,
     work_s: float,
 ) -> None:
     observation.record_refusal(now, work_s)
@@ -280,11 +318,11 @@
 
 
 @record.register
-def _note_not_run(
+def _record_not_run(
     outcome: outcomes.NotRun,
     observation: Observation,
     now: float,
-    began: float,
+    sent_at: float,
     work_s: float,
 ) -> None:
     if outcome.unreachable:
@@ -294,17 +332,17 @@
         observation.record_result(False)
     observation.record_refusal(now, work_s)
     if not outcome.elsewhere:
-        # The call is at fault, not the upstream.
+        # The call is at fault, not the upstream, so there is no backoff.
         observation.backoff_until = 0.0
 
 
 @record.register(outcomes.Ran)
 @record.register(outcomes.Unknown)
-def _note_failure(
+def _record_failure(
     outcome: outcomes.Ran | outcomes.Unknown,
     observation: Observation,
     now: float,
-    began: float,
+    sent_at: float,
     work_s: float,
 ) -> None:
     observation.record_result(False)
--- a/merlintrestle/requests/load/picking.py
+++ b/merlintrestle/requests/load/picking.py
@@ -1,4 +1,4 @@
-"""Picking: which upstream gets a call."""
+"""Selection of the upstream that a call is sent to."""
 
 from __future__ import annotations
 
@@ -13,81 +13,94 @@
     from merlintrestle.members import table as tables
     from merlintrestle.requests.load import observations
 
-# The own backend server comes first while so many calls end well there; a hop
-# to another daemon costs a millisecond or two, a failure the call.
-_SOUND = 0.8
-# Tries in the own availability zone before the others are as good: one zone may
-# have far more to do than the rest.
-_NEAR_TRIES = 3
-# Pairs drawn at random before all upstreams are looked through.
-_DRAWS = 3
+# While the local backend server has at least this success rate it is preferred:
+# a hop to another daemon costs a millisecond or two, a failure costs the call.
+_MIN_LOCAL_SUCCESS_RATE = 0.8
+# After this many upstreams were tried, the local availability zone is no longer
+# preferred: one zone may have a far higher load than the others.
+_MAX_LOCAL_ZONE_ATTEMPTS = 3
+# Random pairs that are compared before all upstreams are searched.
+_MAX_PAIR_DRAWS = 3
 
 
 class Pool:
-    """The upstreams of a service, prepared once for each set of them.
+    """The upstreams of a service, prepared once for each set of upstreams.
 
     Attributes:
-        upstreams: The set, as the table of members gave it.
-        near: Those in the own availability zone.
-        own: The one beside this daemon; None: another service is.
+        upstreams: The set, as the member table returned it.
+        local_zone: The upstreams in the local availability zone.
+        local: The local backend server; None: it belongs to another service.
     """
 
-    __slots__ = ("near", "own", "upstreams")
+    __slots__ = ("local", "local_zone", "upstreams")
 
     def __init__(
-        self, upstreams: tuple[tables.Upstream, ...], zone: str, own_id: str
+        self, upstreams: tuple[tables.Upstream, ...], zone: str, local_id: str
     ):
         self.upstreams = upstreams
-        self.near = tuple(one for one in upstreams if one.zone == zone)
-        self.own: tables.Upstream | None = None
+        self.local_zone = tuple(
+            upstream for upstream in upstreams if upstream.zone == zone
+        )
+        self.local: tables.Upstream | None = None
         for upstream in upstreams:
-            if upstream.member_id == own_id:
-                self.own = upstream
+            if upstream.member_id == local_id:
+                self.local = upstream
 
 
 class Picker:
-    """Picks upstreams by what this daemon saw of them itself.
+    """Picks upstreams by what this daemon observed of them.
 
-    The own backend server comes first while it has room, as that saves a hop;
-    then the better of two drawn in the own zone, then of two drawn in all.
+    The local backend server is preferred while it has a free slot, which saves
+    a hop. Otherwise the power of two choices is used: first among the upstreams
+    in the local availability zone, then among all upstreams.
     """
 
     def __init__(
         self,
         zone: str,
-        own_id: Callable[[], str],
-        own_has_room: Callable[[], bool],
+        get_local_id: Callable[[], str],
+        has_local_capacity: Callable[[], bool],
         get_time: Callable[[], float],
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ):
-        """Sets the own place, the clock in seconds and the source of chance."""
+        """Initializes a picker without observations.
+
+        Args:
+            zone: The local availability zone.
+            get_local_id: Returns the member id of this daemon.
+            has_local_capacity: Returns whether the local backend server has a
+                free slot.
+            get_time: Returns the time in seconds.
+            rng: Random number generator; None: a new one.
+        """
         self._zone = zone
-        self._own_id = own_id
-        self._own_has_room = own_has_room
+        self._get_local_id = get_local_id
+        self._has_local_capacity = has_local_capacity
         self._get_time = get_time
-        self._chance = chance or random.Random()
-        self._scales = ranking.Ranking()
+        self._rng = rng or random.Random()
+        self._ranking = ranking.Ranking()
         self._pools: dict[str, Pool] = {}
 
     def get_observation(self, member_id: str) -> observations.Observation:
-        """Returns what was seen of an upstream."""
-        return self._scales.observe(member_id)
+        """Returns what was observed of an upstream."""
+        return self._ranking.get_observation(member_id)
 
     def get_details(
         self, upstream: tables.Upstream, count: int
     ) -> ranking.PickDetails:
-        """Returns what decided that an upstream was picked.
+        """Returns the figures by which an upstream was picked.
 
         Args:
-            upstream: The one that was picked.
-            count: How many there are.
+            upstream: The upstream that was picked.
+            count: Number of upstreams.
         """
-        return self._scales.view(upstream, count, self._get_time())
+        return self._ranking.get_details(upstream, count, self._get_time())
 
     def is_zone_peer(self, upstream: tables.Upstream) -> bool:
-        """Returns whether an upstream is another one in the own zone."""
+        """Returns whether it is a remote upstream in the local zone."""
         return (
-            upstream.zone == self._zone and upstream.member_id != self._own_id()
+            upstream.zone == self._zone
+            and upstream.member_id != self._get_local_id()
         )
 
     def pick(
@@ -101,61 +114,70 @@
 
         Args:
             service: Service of the call.
-            upstreams: Its upstreams.
-            tried: Ids of those that the call was sent to already.
-            probe: The call may be the one that tries an ejected upstream.
+            upstreams: Upstreams of the service.
+            tried: Member ids of the upstreams that the call was already sent
+                to.
+            probe: True if the call may probe an ejected upstream.
         """
         pool = self._pools.get(service)
         if pool is None or pool.upstreams is not upstreams:
             pool = self._prepare(service, upstreams)
         now = self._get_time()
-        own = pool.own
+        local = pool.local
         if (
-            own is not None
-            and own.member_id not in tried
-            and self._own_has_room()
-            and self._scales.may_take(own, now)
-            and self._scales.observe(own.member_id).success_rate >= _SOUND
+            local is not None
+            and local.member_id not in tried
+            and self._has_local_capacity()
+            and self._ranking.is_available(local, now)
+            and self._ranking.get_observation(local.member_id).success_rate
+            >= _MIN_LOCAL_SUCCESS_RATE
         ):
-            return own
+            return local
         if probe:
-            due = self._find_probe(pool, tried, now)
-            if due is not None:
-                return due
-        near = pool.near if len(tried) < _NEAR_TRIES else ()
-        # What was found to take no work is not looked at again for this call.
-        avoided = set(tried)
-        for among in (near, pool.upstreams):
-            picked = self._draw(among, avoided, now)
+            ejected = self._find_probe(pool, tried, now)
+            if ejected is not None:
+                return ejected
+        local_zone = (
+            pool.local_zone if len(tried) < _MAX_LOCAL_ZONE_ATTEMPTS else ()
+        )
+        # Upstreams found unavailable are not checked again for this call.
+        excluded = set(tried)
+        for candidates in (local_zone, pool.upstreams):
+            picked = self._draw(candidates, excluded, now)
             if picked is not None:
                 return picked
-        return self._search(pool.upstreams, tried, avoided, now)
+        return self._search(pool.upstreams, tried, excluded, now)
 
     def _prepare(
         self, service: str, upstreams: tuple[tables.Upstream, ...]
     ) -> Pool:
-        before = self._pools.get(service)
-        pool = Pool(upstreams, self._zone, self._own_id())
+        """Builds the pool of a service and updates the observations."""
+        previous = self._pools.get(service)
+        pool = Pool(upstreams, self._zone, self._get_local_id())
         self._pools[service] = pool
         now = self._get_time()
         for upstream in upstreams:
-            self._scales.add(upstream, now)
-        if before is not None:
-            left = {one.member_id: one.ready_since_ms for one in upstreams}
-            for known in before.upstreams:
-                if known.member_id not in left:
-                    self._scales.forget(known.member_id)
-                elif known.ready_since_ms != left[known.member_id]:
-                    self._scales.renew(known.member_id, now)
+            self._ranking.add(upstream, now)
+        if previous is not None:
+            ready_since_ms = {
+                upstream.member_id: upstream.ready_since_ms
+                for upstream in upstreams
+            }
+            for known in previous.upstreams:
+                if known.member_id not in ready_since_ms:
+                    self._ranking.remove(known.member_id)
+                elif known.ready_since_ms != ready_since_ms[known.member_id]:
+                    self._ranking.reset(known.member_id, now)
         return pool
 
     def _find_probe(
         self, pool: Pool, tried: Collection[str], now: float
     ) -> tables.Upstream | None:
-        index = int(self._chance.random() * len(pool.upstreams))
+        """Returns a random upstream if it is due for a probe."""
+        index = int(self._rng.random() * len(pool.upstreams))
         for upstream in pool.upstreams[index : index + 1]:
             if (
-                self._scales.may_probe(upstream, now)
+                self._ranking.may_probe(upstream, now)
                 and upstream.member_id not in tried
             ):
                 return upstream
@@ -163,69 +185,73 @@
 
     def _draw(
         self,
-        among: Sequence[tables.Upstream],
-        avoided: set[str],
+        candidates: Sequence[tables.Upstream],
+        excluded: set[str],
         now: float,
     ) -> tables.Upstream | None:
-        """Returns the better of two drawn that may take work and have room.
+        """Returns the better of two random upstreams with a free slot.
 
-        Those that may take none are added to `avoided`.
+        Unavailable upstreams are added to `excluded`.
         """
-        count = len(among)
+        count = len(candidates)
         if not count:
             return None
-        scales = self._scales
+        upstream_ranking = self._ranking
         best: tables.Upstream | None = None
-        for _ in range(_DRAWS):
+        for _ in range(_MAX_PAIR_DRAWS):
             for index in self._draw_pair(count):
-                upstream = among[index]
-                if upstream.member_id in avoided or upstream is best:
+                upstream = candidates[index]
+                if upstream.member_id in excluded or upstream is best:
                     continue
-                if not scales.may_take(upstream, now):
-                    avoided.add(upstream.member_id)
+                if not upstream_ranking.is_available(upstream, now):
+                    excluded.add(upstream.member_id)
                     continue
-                if best is None or scales.is_better(upstream, best, now):
+                if best is None or upstream_ranking.is_better(
+                    upstream, best, now
+                ):
                     best = upstream
             if best is not None:
-                return None if scales.is_full(best, now) else best
+                return None if upstream_ranking.is_full(best, now) else best
         return None
 
     def _draw_pair(self, count: int) -> tuple[int, int]:
-        """Returns two numbers below a count, other ones if there are two."""
-        chance = self._chance.random
-        first = int(chance() * count)
+        """Returns two random indexes below `count`, distinct if possible."""
+        draw = self._rng.random
+        first = int(draw() * count)
         if count == 1:
             return first, first
-        second = int(chance() * (count - 1))
+        second = int(draw() * (count - 1))
         return first, second + (second >= first)
 
     def _search(
         self,
         upstreams: Sequence[tables.Upstream],
         tried: Collection[str],
-        avoided: set[str],
+        excluded: set[str],
         now: float,
     ) -> tables.Upstream | None:
-        """Returns the best of all, also of those that are better avoided.
+        """Returns the best of all upstreams, including unavailable ones.
 
-        When everything looks ill, what looks ill may be the view from here:
-        work is spread over all rather than refused.
+        If all upstreams look unhealthy, the observations of this daemon may be
+        at fault, so calls are spread over all upstreams instead of refused.
         """
         best: tables.Upstream | None = None
         best_rank = (False, False, 0.0)
         for upstream in upstreams:
             if upstream.member_id in tried:
                 continue
-            seen = self._scales.observe(upstream.member_id)
-            may_take = (
-                upstream.member_id not in avoided
-                and self._scales.may_take(upstream, now)
+            observation = self._ranking.get_observation(upstream.member_id)
+            available = (
+                upstream.member_id not in excluded
+                and self._ranking.is_available(upstream, now)
+            )
+            utilization = self._ranking.compute_utilization(
+                upstream, observation, now
             )
-            weight = self._scales.weigh(upstream, seen, now)
             rank = (
-                may_take,
-                not seen.ejected_until,
-                -weight * (1 + self._chance.random() / 8),
+                available,
+                not observation.ejected_until,
+                -utilization * (1 + self._rng.random() / 8),
             )
             if best is None or rank > best_rank:
                 best, best_rank = upstream, rank
--- a/merlintrestle/requests/load/ranking.py
+++ b/merlintrestle/requests/load/ranking.py
@@ -1,4 +1,4 @@
-"""Weighing: how upstreams compare, by what this daemon saw of them."""
+"""Comparison of upstreams by what this daemon observed of them."""
 
 from __future__ import annotations
 
@@ -12,66 +12,75 @@
 if TYPE_CHECKING:
     from merlintrestle.members import table as tables
 
-_LEAST_SHARE = 0.1
+# Share of its slots that an upstream that just became ready is given at least.
+_MIN_COLD_SHARE = 0.1
 
 
 class PickDetails(NamedTuple):
-    """What decided that an upstream was picked; times are in seconds.
+    """The figures by which an upstream was picked.
 
     Attributes:
-        upstream: The one that was picked.
-        among: How many there are.
-        in_flight: Calls sent to it from here whose answers have not ended.
-        failures: Failures in a row.
-        soundness: Part of the calls lately that ended well.
-        load: What its daemon reported last; None: nothing yet.
-        load_at: When that came.
-        answered_at: When it last answered; 0: never.
-        now: When it was picked.
+        upstream: The upstream that was picked.
+        upstream_count: Number of upstreams it was picked from.
+        in_flight: Calls that this daemon sent to it and whose answers have not
+            ended.
+        consecutive_failures: Failures since its last answer.
+        success_rate: Fraction of the recent calls that succeeded.
+        load: The last load report of its daemon; None: there is none.
+        load_received_at: When the load report was received, in seconds.
+        last_answer_at: When it last answered, in seconds; 0: never.
+        picked_at: When it was picked, in seconds.
     """
 
     upstream: tables.Upstream
-    among: int
+    upstream_count: int
     in_flight: int
-    failures: int
-    soundness: float
+    consecutive_failures: int
+    success_rate: float
     load: loads.Load | None
-    load_at: float
-    answered_at: float
-    now: float
+    load_received_at: float
+    last_answer_at: float
+    picked_at: float
 
     def describe(self) -> dict[str, Any]:
-        """Returns the fields of its log line."""
+        """Returns the fields of the log line."""
         return {
             "upstream": self.upstream.member_id,
             "zone": self.upstream.zone,
             "version": self.upstream.version,
-            "among": self.among,
+            "among": self.upstream_count,
             "in_flight": self.in_flight,
             "suspect": self.upstream.suspect,
-            "failures": self.failures,
-            "soundness": round(self.soundness, 2),
+            "failures": self.consecutive_failures,
+            "soundness": round(self.success_rate, 2),
             "load": self.load and loads.encode_load(self.load),
-            "load_age_ms": round((self.now - self.load_at) * 1000)
+            "load_age_ms": round(
+                (self.picked_at - self.load_received_at) * 1000
+            )
             if self.load
             else None,
-            "answer_age_ms": round((self.now - self.answered_at) * 1000)
-            if self.answered_at
+            "answer_age_ms": round(
+                (self.picked_at - self.last_answer_at) * 1000
+            )
+            if self.last_answer_at
             else None,
         }
 
 
 class Ranking:
-    """Weighs upstreams against each other; times are in seconds."""
+    """Observations of upstreams, and which upstream suits a call better.
+
+    All times are in seconds.
+    """
 
     def __init__(self) -> None:
-        """Begins with nothing seen."""
+        """Initializes a ranking without observations."""
         self._observations: dict[str, observations.Observation] = {}
-        # When each upstream was first known as ready.
+        # When this daemon first knew each upstream as ready, in seconds.
         self._ready_at: dict[str, float] = {}
 
-    def observe(self, member_id: str) -> observations.Observation:
-        """Returns what was seen of an upstream."""
+    def get_observation(self, member_id: str) -> observations.Observation:
+        """Returns what was observed of an upstream."""
         observation = self._observations.get(member_id)
         if observation is None:
             observation = observations.Observation()
@@ -79,18 +88,19 @@
         return observation
 
     def add(self, upstream: tables.Upstream, now: float) -> None:
-        """Notes since when an upstream is known, unless it was before."""
+        """Records when an upstream became known, unless it is known already."""
         self._ready_at.setdefault(upstream.member_id, now)
 
-    def renew(self, member_id: str, now: float) -> None:
-        """Notes that a backend server has started anew."""
-        self.observe(member_id).reset()
+    def reset(self, member_id: str, now: float) -> None:
+        """Records that a backend server was restarted."""
+        self.get_observation(member_id).reset()
         self._ready_at[member_id] = now
 
-    def forget(self, member_id: str) -> None:
-        """Forgets an upstream that is gone, unless calls to it are under way.
+    def remove(self, member_id: str) -> None:
+        """Removes an upstream that left.
 
-        Their outcomes are still to be noted.
+        Its observation is kept while calls to it are in flight, as their
+        outcomes are still to be recorded.
         """
         self._ready_at.pop(member_id, None)
         observation = self._observations.get(member_id)
@@ -98,96 +108,114 @@
             return
         del self._observations[member_id]
 
-    def view(
+    def get_details(
         self, upstream: tables.Upstream, count: int, now: float
     ) -> PickDetails:
-        """Returns what decided that an upstream was picked.
+        """Returns the figures by which an upstream was picked.
 
         Args:
-            upstream: The one that was picked.
-            count: How many there are.
+            upstream: The upstream that was picked.
+            count: Number of upstreams.
             now: Time of the pick, in seconds.
         """
-        seen = self.observe(upstream.member_id)
+        observation = self.get_observation(upstream.member_id)
         return PickDetails(
             upstream,
             count,
-            seen.in_flight,
-            seen.failures,
-            seen.success_rate,
-            seen.load,
-            seen.load_at,
-            seen.answered_at,
+            observation.in_flight,
+            observation.consecutive_failures,
+            observation.success_rate,
+            observation.load,
+            observation.load_received_at,
+            observation.last_answer_at,
             now,
         )
 
-    def may_take(self, upstream: tables.Upstream, now: float) -> bool:
-        """Returns whether an upstream looks well enough for new work."""
+    def is_available(self, upstream: tables.Upstream, now: float) -> bool:
+        """Returns whether an upstream looks healthy enough for new calls."""
         observation = self._observations.get(upstream.member_id)
         if observation is None:
             return not upstream.suspect
-        if not observation.may_take(now):
+        if not observation.is_available(now):
             return False
-        # An answer seen just now goes before a reported suspicion.
-        fresh = now - observation.answered_at < observations.STALL_S
-        return fresh or not upstream.suspect
+        # A recent answer overrides a suspicion that other daemons report.
+        answered_recently = (
+            now - observation.last_answer_at < observations.STALL_S
+        )
+        return answered_recently or not upstream.suspect
 
     def may_probe(self, upstream: tables.Upstream, now: float) -> bool:
-        """Returns whether a call may try if an ejected upstream is well."""
+        """Returns whether a call may probe an ejected upstream."""
         observation = self._observations.get(upstream.member_id)
         return observation is not None and observation.may_probe(now)
 
     def is_full(self, upstream: tables.Upstream, now: float) -> bool:
-        """Returns whether it has as many calls as slots, as far as is known."""
-        calls = self.observe(upstream.member_id).estimate_calls(now)
+        """Returns whether it is known to have at least as many calls as slots.
+
+        Calls of other daemons are only known from its load reports.
+        """
+        calls = self.get_observation(upstream.member_id).estimate_calls(now)
         return calls >= upstream.slots
 
     def is_better(
-        self, one: tables.Upstream, other: tables.Upstream, now: float
+        self, candidate: tables.Upstream, best: tables.Upstream, now: float
     ) -> bool:
-        """Returns whether one more call is better sent to one than another."""
-        seen = self.observe(one.member_id)
-        other_seen = self.observe(other.member_id)
-        weight = self.weigh(one, seen, now)
-        other_weight = self.weigh(other, other_seen, now)
-        if seen.load and other_seen.load:
-            # Seconds until it would have a slot, and its answer the link.
-            weight *= seen.load.hold_s
-            weight += seen.estimate_backlog_s(now)
-            other_weight *= other_seen.load.hold_s
-            other_weight += other_seen.estimate_backlog_s(now)
-        elif seen.slowness and other_seen.slowness:
-            weight *= seen.slowness
-            other_weight *= other_seen.slowness
-        return weight < other_weight
-
-    def weigh(
+        """Returns whether a call is better sent to `candidate` than to `best`.
+
+        Where both have reported their load, the expected waiting times are
+        compared; otherwise their utilization, multiplied by the latency ratio
+        where both are known.
+        """
+        candidate_seen = self.get_observation(candidate.member_id)
+        best_seen = self.get_observation(best.member_id)
+        candidate_cost = self.compute_utilization(
+            candidate, candidate_seen, now
+        )
+        best_cost = self.compute_utilization(best, best_seen, now)
+        if candidate_seen.load and best_seen.load:
+            # Seconds until the call has a slot, plus seconds until its answer
+            # can use the link.
+            candidate_cost *= candidate_seen.load.hold_s
+            candidate_cost += candidate_seen.estimate_backlog_s(now)
+            best_cost *= best_seen.load.hold_s
+            best_cost += best_seen.estimate_backlog_s(now)
+        elif candidate_seen.latency_ratio and best_seen.latency_ratio:
+            candidate_cost *= candidate_seen.latency_ratio
+            best_cost *= best_seen.latency_ratio
+        return candidate_cost < best_cost
+
+    def compute_utilization(
         self,
         upstream: tables.Upstream,
-        seen: observations.Observation,
+        observation: observations.Observation,
         now: float,
     ) -> float:
-        """Returns the load that one more call would make.
+        """Returns the utilization that an upstream has with one more call.
 
-        An upstream that fails some of its calls counts as fuller than it is:
-        its status may well be good, and with its quick failures it looks idle.
-        Squared, one that fails every third call is chosen when its load is
-        less than half of that of the others.
+        The capacity is scaled by the success rate, as an upstream that fails
+        some of its calls may report that it is healthy, and looks idle because
+        failures are quick. The rate is squared so that an upstream that fails
+        every third call is picked only if its load is less than half of the
+        load of the others.
         """
-        calls, soundness = seen.estimate(now)
-        room = upstream.slots * self._get_share(upstream, now) * soundness**2
-        return (calls + 1) / room
+        calls, success_rate = observation.estimate(now)
+        capacity = (
+            upstream.slots
+            * self._get_cold_share(upstream, now)
+            * success_rate**2
+        )
+        return (calls + 1) / capacity
 
-    def _get_share(self, upstream: tables.Upstream, now: float) -> float:
-        """Returns the part of its slots that a cold upstream is given.
+    def _get_cold_share(self, upstream: tables.Upstream, now: float) -> float:
+        """Returns the share of its slots that an upstream is given for its age.
 
-        It is as old as its daemon's clock says, or as it has been known here:
-        one whose daemon's clock is ahead would else seem not to have begun,
-        and get next to nothing until the clocks agree.
+        The age is the time since it became ready by the clock of its daemon. If
+        that clock is ahead, the age is the time since it became known here: a
+        negative age would leave it nearly no calls until the clocks agree.
         """
         age_s = time.time() - upstream.ready_since_ms / 1000
         if age_s < 0:
             age_s = now - self._ready_at.get(upstream.member_id, now)
         if age_s >= backend.COLD_S:
             return 1.0
-        return max(_LEAST_SHARE, age_s / backend.COLD_S)
+        return max(_MIN_COLD_SHARE, age_s / backend.COLD_S)
