--- a/merlintrestle/requests/load/round_trips.py
+++ b/merlintrestle/requests/load/round_trips.py
@@ -1,8 +1,9 @@
-"""Ways: what a hop to another daemon and back takes just now.
+"""Estimation of the round-trip time to other daemons.
 
-Within an availability zone it is a fraction of a millisecond, over a link that
-is full some tenths of a second. A call that leaves that out of account waits at
-its caller's daemon until its time is up, though it was refused long before.
+Within an availability zone a round trip takes a fraction of a millisecond, over
+a saturated link some tenths of a second. If it were not considered, a refusal
+could still be on its return trip when the call times out at its caller's
+daemon.
 """
 
 from __future__ import annotations
@@ -13,46 +14,49 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Weight of the newest hop.
-_NEWEST = 0.2
-# Time in which what was seen loses most of its weight, in seconds: links fill
-# and empty within it.
-_MEMORY_S = 1.0
-# Part of the time of a call that is kept for its way at most: what was seen of
-# other hops must not take all from one that is short.
-_MOST_PART = 0.25
+_EWMA_WEIGHT = 0.2
+# Time constant of the exponential decay of the mean: links become saturated and
+# free again within about this time.
+_DECAY_S = 1.0
+# Greatest fraction of the remaining time of a call that is reserved for the
+# return trip, so that samples of other calls cannot use up all of the time of a
+# call with a short timeout.
+_MAX_RESERVED_FRACTION = 0.25
 
 
 class RoundTripTime:
-    """What hops to other daemons took lately."""
+    """Decaying EWMA of the round-trip time to other daemons."""
 
     def __init__(self, get_time: Callable[[], float]):
-        """Begins with nothing seen; the clock is in seconds."""
+        """Begins without samples; `get_time` returns the time in seconds."""
         self._get_time = get_time
         self._mean_s = 0.0
-        self._noted_at = 0.0
+        self._updated_at = 0.0
 
     def get(self) -> float:
-        """Returns what a hop there and back takes, in seconds."""
+        """Returns the expected round-trip time, in seconds; 0: no samples."""
         if not self._mean_s:
             return 0.0
-        age_s = self._get_time() - self._noted_at
-        return self._mean_s * math.exp(-age_s / _MEMORY_S)
+        age_s = self._get_time() - self._updated_at
+        return self._mean_s * math.exp(-age_s / _DECAY_S)
 
-    def record(self, took_s: float) -> None:
-        """Takes in a hop that the other daemon answered at once."""
-        mean_s = self.get() or took_s
-        self._noted_at = self._get_time()
-        self._mean_s = mean_s + _NEWEST * (took_s - mean_s)
+    def record(self, round_trip_s: float) -> None:
+        """Records a round trip, without the time spent at the other daemon."""
+        mean_s = self.get() or round_trip_s
+        self._updated_at = self._get_time()
+        self._mean_s = mean_s + _EWMA_WEIGHT * (round_trip_s - mean_s)
 
-    def reserve(self, left_s: float) -> float:
-        """Returns what a refusal needs to come back in time, in seconds.
+    def reserve(self, remaining_s: float) -> float:
+        """Returns the time to reserve for the return trip of a refusal.
 
         Args:
-            left_s: Time that is left of the call.
+            remaining_s: Remaining time of the call, in seconds.
+
+        Returns:
+            The time in seconds.
         """
-        return min(self.get(), _MOST_PART * max(0.0, left_s))
+        return min(self.get(), _MAX_RESERVED_FRACTION * max(0.0, remaining_s))
 
-    def has_time(self, left_s: float) -> bool:
-        """Returns whether an answer could come back in the time left."""
-        return left_s > self.get()
+    def has_time(self, remaining_s: float) -> bool:
+        """Returns whether an answer could arrive in the remaining time."""
+        return remaining_s > self.get()
--- a/merlintrestle/requests/load/startup.py
+++ b/merlintrestle/requests/load/startup.py
@@ -1,4 +1,4 @@
-"""Joining: calls that come before a new daemon has heard of any upstream."""
+"""Handling of calls that arrive before a new daemon knows any upstream."""
 
 from __future__ import annotations
 
@@ -11,55 +11,60 @@
     from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
 
-# Time after its start in which a daemon still hears of upstreams that have
-# long been there, in seconds.
+# How long after its start a daemon may still be discovering upstreams that were
+# ready before.
 STARTUP_S = 2.0
-# Part of the latency target for which a call may wait: what is left is enough
+# Fraction of the latency target for which a call may wait. The rest is enough
 # for a call that takes no longer than usual.
-_PART = 0.5
-# Time between two looks at the table, in seconds.
-_POLL_S = 0.02
-# When callers may come back to a daemon that is joining, in seconds.
-_RETRY_S = 0.2
-_RETRY_LATER_S = 1.0
+_MAX_WAIT_FRACTION = 0.5
+_POLL_INTERVAL_S = 0.02
+# When callers may retry, during the startup of the daemon and later.
+_STARTUP_RETRY_AFTER_S = 0.2
+_RETRY_AFTER_S = 1.0
 
 
 class StartupWait:
-    """Has calls wait for the first upstream of their service, not for long.
+    """Makes calls wait for the first upstream of their service after a start.
 
-    A daemon opens as soon as it has a version. All that come in the next
-    moments would be refused though their upstreams are there: whoever starts
-    a whole fleet anew finds it refusing for as long again as it was down.
+    A daemon opens its port as soon as it has a version. Without the wait it
+    would refuse all calls until it has discovered their upstreams, although
+    these are ready: when a whole fleet is restarted, that would double the time
+    in which calls are refused.
     """
 
     def __init__(
         self, table: interfaces.MemberTable, get_time: Callable[[], float]
     ):
-        """Sets where upstreams are known and the clock, in seconds."""
+        """Initializes the wait; `begin` starts the startup period.
+
+        Args:
+            table: The member table, which lists the known upstreams.
+            get_time: Returns the time in seconds.
+        """
         self._table = table
         self._get_time = get_time
-        self._until = 0.0
+        self._startup_ends_at = 0.0
 
     def begin(self) -> None:
-        """Notes that the daemon opens now."""
-        self._until = self._get_time() + STARTUP_S
+        """Begins the startup period, as the daemon opens its port."""
+        self._startup_ends_at = self._get_time() + STARTUP_S
 
     @property
     def retry_after_s(self) -> float:
-        """When a call that found no upstream is worth sending again."""
-        return _RETRY_S if self._is_joining() else _RETRY_LATER_S
+        """When a caller may retry a call without an upstream, in seconds."""
+        return _STARTUP_RETRY_AFTER_S if self._is_starting() else _RETRY_AFTER_S
 
     async def wait(self, call: calls.Call) -> bool:
         """Waits for an upstream; returns whether there is one."""
         if self._table.get_upstreams(call.service):
             return True
-        until = self._get_time() + call.plan.latency_s * _PART
-        until = min(until, self._until)
+        wait_until = self._get_time() + call.plan.latency_s * _MAX_WAIT_FRACTION
+        wait_until = min(wait_until, self._startup_ends_at)
         while not self._table.get_upstreams(call.service):
-            if self._get_time() >= until:
+            if self._get_time() >= wait_until:
                 return False
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
         return True
 
-    def _is_joining(self) -> bool:
-        return self._get_time() < self._until
+    def _is_starting(self) -> bool:
+        return self._get_time() < self._startup_ends_at
