--- a/merlintrestle/requests/load/budgets.py
+++ b/merlintrestle/requests/load/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets: how many retries the daemons of a fleet may make together."""
+"""Retry budgets, which limit the retries of all daemons of a fleet."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Retries for one call where the settings do not say: one call in ten.
-_RATIO = 0.1
-# Retries beside these in one window, for each daemon, where they do not say.
-_SLACK = 10.0
-# Length of the window where they do not say, in seconds.
-_WINDOW_S = 10.0
-# Part of a bound of the whole fleet that is used: daemons come and go, and each
-# takes its part of the slack by the number that it knows.
-_USED_PART = 0.75
-# Parts in which a window is counted.
-_PARTS = 20
+# Default retries for each call.
+_DEFAULT_RATIO = 0.1
+# Default additional retries of each daemon in one window.
+_DEFAULT_SLACK = 10.0
+_DEFAULT_WINDOW_S = 10.0
+# Fraction of the bounds of the fleet that is used. The rest covers daemons that
+# join and leave, as each daemon divides the slack by the number of daemons that
+# it knows.
+_USED_FRACTION = 0.75
+# Buckets into which a sliding window is divided.
+_BUCKETS = 20
 
 
 class Bounds(NamedTuple):
-    """What bounds the retries of a service in any window.
+    """Limits of the retries of a service in any window.
 
     Attributes:
         ratio: Retries for each call.
-        slack: Retries beside these.
+        slack: Additional retries.
         window_s: Length of the window, in seconds.
     """
 
@@ -37,43 +37,45 @@
 
 
 class Budgets:
-    """The budgets of all services, as parts of one that the fleet shares.
+    """The retry budgets of all services at this daemon.
 
-    Every daemon sees its own retries alone. Each takes an equal part of the
-    slack, and a ratio of its own calls, so that the sum keeps to the bound
-    however the calls are spread.
+    A daemon only knows its own retries. It may use an equal share of the slack
+    of the fleet, and retries in proportion to its own calls, so that the sum
+    over all daemons is within the bounds however the calls are distributed.
     """
 
     def __init__(
         self,
-        count: Callable[[], int],
+        count_daemons: Callable[[], int],
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Begins with the usual bounds.
+        """Begins with the default bounds.
 
         Args:
-            count: Returns the number of daemons.
+            count_daemons: Returns the number of daemons.
             get_time: Returns the time in seconds.
         """
-        self._count = count
+        self._count_daemons = count_daemons
         self._get_time = get_time
         self._budgets: dict[str, Budget] = {}
         self.set_bounds(0.0, 0.0, 0.0)
 
     def set_bounds(self, ratio: float, slack: float, window_s: float) -> None:
-        """Sets the bounds; budgets begin afresh.
+        """Sets the bounds of the fleet, and resets all budgets.
 
         Args:
             ratio: Retries that the fleet may make for each call of a service;
-                0: the usual.
-            slack: Retries that it may make beside these in one window; 0: each
-                daemon has a slack of its own.
-            window_s: Length of the window, in seconds; 0: the usual.
+                0: the default.
+            slack: Additional retries of the fleet in one window; 0: the default
+                for each daemon.
+            window_s: Length of the window, in seconds; 0: the default.
         """
         self._bounds = Bounds(
-            ratio * _USED_PART or _RATIO, _SLACK, window_s or _WINDOW_S
+            ratio * _USED_FRACTION or _DEFAULT_RATIO,
+            _DEFAULT_SLACK,
+            window_s or _DEFAULT_WINDOW_S,
         )
-        self._slack = slack * _USED_PART
+        self._fleet_slack = slack * _USED_FRACTION
         self._budgets.clear()
 
     def get(self, service: str) -> Budget:
@@ -82,30 +84,34 @@
         if budget is None:
             budget = Budget(self._bounds, self._get_time)
             self._budgets[service] = budget
-        if self._slack:
-            budget.slack = max(1.0, self._slack / max(1, self._count()))
+        if self._fleet_slack:
+            budget.slack = max(
+                1.0, self._fleet_slack / max(1, self._count_daemons())
+            )
         return budget
 
 
 class Budget:
-    """Counts calls and retries of one service in a sliding window.
+    """Retry budget of one service: calls and retries in a sliding window.
 
-    Without it, a service that answers slowly gets each call several times
-    just when it can least bear it, and stays down under its own retries.
-    Retries that calls earned and did not need are there when some backend
-    servers fail for a few seconds: a bucket of few tokens, refilled by each
-    call, left most failures of these seconds to their callers.
+    Without a budget, an overloaded service that answers slowly would receive
+    each call several times, and the retries would keep it overloaded.
+
+    Retries that were allowed by the calls of the window and not used are
+    available when some backend servers fail for a few seconds. A token bucket
+    of a few tokens, refilled by each call, left most failures of such seconds
+    to the callers.
 
     Attributes:
-        slack: Retries in one window beside those for its calls.
+        slack: Retries in one window in addition to those for its calls.
     """
 
     __slots__ = (
         "_bounds",
+        "_bucket_number",
+        "_buckets",
         "_calls",
         "_get_time",
-        "_part",
-        "_parts",
         "_retries",
         "slack",
     )
@@ -115,14 +121,19 @@
         bounds: Bounds,
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Sets what bounds the retries, and the clock in seconds."""
+        """Begins without calls.
+
+        Args:
+            bounds: Limits of the retries.
+            get_time: Returns the time in seconds.
+        """
         self.slack = bounds.slack
         self._bounds = bounds
         self._get_time = get_time
-        self._part = 0
-        # Calls and retries of the parts of the window, the newest last.
-        self._parts: collections.deque[list[float]] = collections.deque(
-            [[0, 0]], maxlen=_PARTS + 1
+        self._bucket_number = 0
+        # Calls and retries of each bucket of the window, the newest last.
+        self._buckets: collections.deque[list[float]] = collections.deque(
+            [[0, 0]], maxlen=_BUCKETS + 1
         )
         self._calls = 0.0
         self._retries = 0.0
@@ -130,44 +141,48 @@
     @property
     def balance(self) -> float:
         """Retries that may be made now."""
-        self._turn()
-        # The oldest part is partly outside of the window: its retries count,
-        # its calls do not.
+        self._advance()
+        # The oldest bucket is partly outside of the window, so its retries are
+        # counted and its calls are not.
         return self._bounds.ratio * self._calls + self.slack - self._retries
 
     def record_call(self) -> None:
-        """Counts a first try."""
-        self._turn()
-        self._parts[-1][0] += 1
+        """Counts the first attempt of a call."""
+        self._advance()
+        self._buckets[-1][0] += 1
         self._calls += 1
 
     def try_spend(self) -> bool:
-        """Takes one retry; False if the budget is used up."""
+        """Counts a retry; returns False if the budget is used up."""
         if self.balance < 1:
             return False
-        self._parts[-1][1] += 1
+        self._buckets[-1][1] += 1
         self._retries += 1
         return True
 
-    def charge(self, part: float) -> None:
-        """Counts a call as a repeat in part, as it may be made by one.
+    def charge(self, fraction: float) -> None:
+        """Counts a fraction of a call as a retry.
+
+        The call may be made on behalf of a repeat, which makes it a repeat as
+        well. If such calls were not counted, half of the bound would have to be
+        reserved for them although they are rare.
 
-        Not counted, these calls would have to be left room for: half of the
-        bound for what is rare.
+        Args:
+            fraction: Probability that the call is a repeat, from 0 to 1.
         """
-        if part:
-            self._parts[-1][1] += part
-            self._retries += part
-
-    def _turn(self) -> None:
-        """Begins a new part of the window when it is time."""
-        part = int(self._get_time() * _PARTS / self._bounds.window_s)
-        if part == self._part:
+        if fraction:
+            self._buckets[-1][1] += fraction
+            self._retries += fraction
+
+    def _advance(self) -> None:
+        """Begins a new bucket when the time of the last one is over."""
+        bucket_number = int(self._get_time() * _BUCKETS / self._bounds.window_s)
+        if bucket_number == self._bucket_number:
             return
-        for _ in range(min(part - self._part, _PARTS + 1)):
-            self._parts.append([0, 0])
-        self._part = part
-        full = len(self._parts) > _PARTS
-        counted = list(self._parts)[1 if full else 0 :]
+        for _ in range(min(bucket_number - self._bucket_number, _BUCKETS + 1)):
+            self._buckets.append([0, 0])
+        self._bucket_number = bucket_number
+        full = len(self._buckets) > _BUCKETS
+        counted = list(self._buckets)[1 if full else 0 :]
         self._calls = sum(calls for calls, _ in counted)
-        self._retries = sum(retries for _, retries in self._parts)
+        self._retries = sum(retries for _, retries in self._buckets)
--- a/merlintrestle/requests/load/refused_callers.py
+++ b/merlintrestle/requests/load/refused_callers.py
@@ -1,7 +1,8 @@
-"""Urgency: since when a caller that was turned away has been asking.
+"""Recognition of callers that retry after a refusal.
 
-A caller that comes back does so as a new request. What it asks for and the time
-until which it waits are those of before, and both together name it.
+A caller retries with a new request. The retry is recognised by what it asks for
+together with the end of the caller's wait, which are both those of the first
+request.
 """
 
 from __future__ import annotations
@@ -12,79 +13,93 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# How far the end of a caller's wait may seem to move between two requests, in
-# seconds: what it states is rounded to milliseconds and travels some.
-_TOLERANCE_S = 0.02
-# Callers that are remembered at most; a daemon that answers 300 calls a second
-# and refuses every second one has some 300 that still wait.
-_MOST = 4096
+# Greatest difference between the deadlines of two requests of one caller. The
+# stated timeout is rounded to milliseconds, and the request takes time to
+# arrive.
+_DEADLINE_TOLERANCE_S = 0.02
+# A daemon that receives 300 calls a second and refuses every second one has
+# about 300 refused callers that still wait.
+_MAX_CALLERS = 4096
 
 
-class _Caller(NamedTuple):
-    """One caller that was turned away.
+class _RefusedCaller(NamedTuple):
+    """A caller that was refused.
 
     Attributes:
-        asks_for: What it asked for.
-        until: When its wait ends, in seconds.
-        since: When its first request came, in seconds.
+        request_key: Route of its request, and the path and query.
+        deadline: When its wait ends, in seconds.
+        first_request_at: When its first request arrived, in seconds.
     """
 
-    asks_for: tuple[str, str]
-    until: float
-    since: float
+    request_key: tuple[str, str]
+    deadline: float
+    first_request_at: float
 
 
 class RefusedCallers:
-    """Callers that were turned away here and still wait.
+    """Callers that this daemon refused and that still wait.
 
-    Callers of one route need not wait equally long. Judged by the time that it
-    has left, one that is impatient from the start would be taken for one that
-    has been waiting, and be refused as late by a daemon with room for it.
+    Timeouts of callers of one route may differ. If the time since the first
+    request were derived from the remaining time, a caller with a short timeout
+    would be taken for one that has been waiting, and be refused as late by a
+    daemon that has capacity for it.
     """
 
     def __init__(self, get_time: Callable[[], float]):
-        """Sets the clock, in seconds."""
+        """Begins without callers; `get_time` returns the time in seconds."""
         self._get_time = get_time
-        self._callers: dict[tuple[str, str], list[_Caller]] = {}
-        self._order: collections.deque[_Caller] = collections.deque()
+        self._callers: dict[tuple[str, str], list[_RefusedCaller]] = {}
+        self._order: collections.deque[_RefusedCaller] = collections.deque()
 
     def add(
-        self, asks_for: tuple[str, str], until: float, since: float
+        self,
+        request_key: tuple[str, str],
+        deadline: float,
+        first_request_at: float,
     ) -> None:
-        """Remembers a caller that was turned away.
+        """Adds a caller that was refused.
 
         Args:
-            asks_for: Its route, and the path and query.
-            until: When its wait ends, in seconds.
-            since: When its first request came, in seconds.
+            request_key: Route of its request, and the path and query.
+            deadline: When its wait ends, in seconds.
+            first_request_at: When its first request arrived, in seconds.
         """
-        self._forget()
-        caller = _Caller(asks_for, until, since)
+        self._remove_oldest()
+        caller = _RefusedCaller(request_key, deadline, first_request_at)
         self._order.append(caller)
-        self._callers.setdefault(asks_for, []).append(caller)
+        self._callers.setdefault(request_key, []).append(caller)
 
-    def pop(self, asks_for: tuple[str, str], until: float) -> float | None:
-        """Returns since when a caller has been asking; None: it is new.
+    def pop(
+        self, request_key: tuple[str, str], deadline: float
+    ) -> float | None:
+        """Returns when the first request of a caller arrived.
 
-        It comes back once for each time that it was turned away.
+        The caller is removed, as each refusal accounts for one retry.
+
+        Args:
+            request_key: Route of its request, and the path and query.
+            deadline: When its wait ends, in seconds.
+
+        Returns:
+            The time in seconds; None: this is its first request.
         """
-        for caller in self._callers.get(asks_for, ()):
-            if abs(caller.until - until) <= _TOLERANCE_S:
-                self._drop(caller)
-                return caller.since
+        for caller in self._callers.get(request_key, ()):
+            if abs(caller.deadline - deadline) <= _DEADLINE_TOLERANCE_S:
+                self._remove(caller)
+                return caller.first_request_at
         return None
 
-    def _forget(self) -> None:
-        """Drops the oldest that wait no more, or are too many."""
+    def _remove_oldest(self) -> None:
+        """Removes the oldest callers if they timed out or are too many."""
         now = self._get_time()
         order = self._order
-        while order and (order[0].until < now or len(order) >= _MOST):
-            self._drop(order.popleft())
+        while order and (order[0].deadline < now or len(order) >= _MAX_CALLERS):
+            self._remove(order.popleft())
 
-    def _drop(self, caller: _Caller) -> None:
-        callers = self._callers.get(caller.asks_for)
+    def _remove(self, caller: _RefusedCaller) -> None:
+        callers = self._callers.get(caller.request_key)
         if callers is None or caller not in callers:
             return
         callers.remove(caller)
         if not callers:
-            del self._callers[caller.asks_for]
+            del self._callers[caller.request_key]
--- a/merlintrestle/requests/load/repeats.py
+++ b/merlintrestle/requests/load/repeats.py
@@ -1,8 +1,10 @@
-"""Repeats: calls that run at the own backend server after a first send.
+"""Tracking of the repeats that run at the local backend server.
 
-A call that the backend server makes while it runs one of them is a repeat as
-well, for it may have been made before. Nothing in such a call tells on whose
-behalf it is made.
+A repeat is a run of a call that may have run before. A call that the backend
+server makes while it runs a repeat is a repeat as well, as it may also have
+been made before. Nothing in such a call identifies the call on whose behalf it
+is made, so it counts as a repeat with the fraction of the running calls that
+are repeats.
 """
 
 from __future__ import annotations
@@ -14,7 +16,7 @@
 
 
 class Repeats:
-    """Counts the calls that run at the own backend server."""
+    """Counts the calls that run at the local backend server."""
 
     def __init__(self) -> None:
         self._running = 0
@@ -24,18 +26,19 @@
         """Counts a call that is sent to the backend server.
 
         Returns:
-            Whether it is a repeat, for `end`: while it runs the call may be
-            sent anew elsewhere, which does not make this run a repeat.
+            Whether this run is a repeat, to be passed to `end`. While it runs,
+            the call may be sent to another upstream, which sets `call.repeat`
+            but does not make this run a repeat.
         """
         self._running += 1
         self._repeats += call.repeat
         return call.repeat
 
     def end(self, repeat: bool) -> None:
-        """Counts a call as ended."""
+        """Counts a call that has ended."""
         self._running -= 1
         self._repeats -= repeat
 
     def get_ratio(self) -> float:
-        """Returns the part of the running calls that are repeats."""
+        """Returns the fraction of the running calls that are repeats."""
         return self._repeats / self._running if self._repeats else 0.0
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -1,4 +1,4 @@
-"""Retries: which failed calls are tried again, and how many in all."""
+"""Rules for retries and hedges of calls."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 from merlintrestle.requests.calls import call as calls
 from merlintrestle.requests.calls import outcomes
 
-# A first try is in doubt after the greatest of these, if as much is left for
-# another: this time, and multiples of the latency target and of the expected
-# work.
-_LEAST_TRY_S = 0.25
-_LATENCY_FACTOR = 3.0
+# A call may be hedged after the greatest of this time, a multiple of its
+# latency target and a multiple of its expected work time, if as much time
+# remains for the hedge.
+_MIN_HEDGE_DELAY_S = 0.25
+_LATENCY_TARGET_FACTOR = 3.0
 _WORK_FACTOR = 10.0
 
 
 class Retry(enum.Enum):
-    """Whether a failed call may be tried at another upstream."""
+    """Whether a failed call may be retried at another upstream."""
 
     NO = enum.auto()
-    # No backend server saw it: no amplification of work.
+    # No backend server received it, so a retry does not amplify the load.
     FREE = enum.auto()
-    # It may have run, or met an overload: taken from the budget.
+    # It may have run, or was refused by an overloaded backend server, so the
+    # retry is charged to the budget.
     BUDGETED = enum.auto()
 
 
 @generics.remember_choices
 @functools.singledispatch
 def classify(outcome: object, call: calls.Call) -> Retry:
-    """Returns whether a call with this outcome may be tried again."""
+    """Returns whether a call with this outcome may be retried."""
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
@@ -40,21 +41,23 @@
         return Retry.NO
     if not outcome.reached:
         return Retry.FREE
-    # What was sent from here alone and turned away has not run anywhere.
-    return Retry.BUDGETED if call.repeat else _limit(call)
+    # A repeat that only this daemon sent, and that was refused each time, has
+    # not run anywhere.
+    return Retry.BUDGETED if call.repeat else _forbid_nested(call)
 
 
 @classify.register
 def _classify_ran(outcome: outcomes.Ran, call: calls.Call) -> Retry:
-    return _limit(call) if call.plan.repeatable else Retry.NO
+    return _forbid_nested(call) if call.plan.repeatable else Retry.NO
 
 
 @classify.register
 def _classify_unknown(outcome: outcomes.Unknown, call: calls.Call) -> Retry:
-    # Work with a key is safe to send again: the daemon that gets it finds the
-    # claim of the first try and asks its holder instead of running it.
+    # A call with an idempotency key is safe to retry: the daemon that receives
+    # it finds the claim of the first attempt, and asks the holder for the
+    # answer instead of running the call.
     if call.plan.repeatable or call.key:
-        return _limit(call)
+        return _forbid_nested(call)
     return Retry.NO
 
 
@@ -64,7 +67,7 @@
         outcome.response.status == outcomes.SHEDDING_STATUS
         and call.plan.repeatable
     ):
-        return _limit(call)
+        return _forbid_nested(call)
     return Retry.NO
 
 
@@ -73,43 +76,55 @@
     return Retry.NO
 
 
-def _limit(call: calls.Call) -> Retry:
-    """Forbids retries of retries, and retries under a call that has its own.
+def _forbid_nested(call: calls.Call) -> Retry:
+    """Forbids retries of retries, and retries below a call that has its own.
 
-    With calls nested N deep and each level trying twice, the lowest service
-    would see 2**N calls for one; with this rule it sees at most two.
+    With calls nested N levels deep and two attempts at each level, the lowest
+    service would receive 2**N calls for each call of a caller. With this rule
+    it receives at most two.
     """
     return Retry.NO if call.attempt else Retry.BUDGETED
 
 
 def compute_hedge_time(call: calls.Call, now: float) -> float:
-    """Returns when a first try is in doubt, so that another one is left.
+    """Returns when a call may be hedged, as its first attempt takes too long.
 
-    A frozen upstream would otherwise use up the whole deadline of each call
-    that is sent to it before it is known to be frozen. The limit is far beyond
-    what the targets expect of a call, and there is none where no time or no
-    further try would be left.
+    Without hedges a frozen upstream would use up the whole time of each call
+    that is sent to it before it is known to be frozen. The delay is far longer
+    than the targets expect a call to take. If no time or no further attempt
+    would remain, the deadline is returned, so that there is no hedge.
+
+    Args:
+        call: The call.
+        now: Time of its first attempt, in seconds.
+
+    Returns:
+        Time of the event loop, in seconds.
     """
     plan = call.plan
     if not plan.repeatable or plan.large or call.attempt:
         return call.deadline
-    limit_s = max(
-        _LEAST_TRY_S,
-        _LATENCY_FACTOR * plan.latency_s,
+    delay_s = max(
+        _MIN_HEDGE_DELAY_S,
+        _LATENCY_TARGET_FACTOR * plan.latency_s,
         _WORK_FACTOR * plan.work_s,
     )
-    if now + 2 * limit_s > call.deadline or not call.body.repeatable:
+    if now + 2 * delay_s > call.deadline or not call.body.repeatable:
         return call.deadline
-    return now + limit_s
+    return now + delay_s
 
 
 def combine(
     earlier: outcomes.Outcome | None, latest: outcomes.Outcome
 ) -> outcomes.Outcome:
-    """Returns what is true of a call after several tries.
+    """Returns the outcome of a call after several attempts.
+
+    If the last attempt was refused, an earlier one may still have run, so the
+    call must not be reported as "not run".
 
-    A last try that did not run proves nothing about the first: a call that may
-    have run before must not be called "not run" by its last refusal.
+    Args:
+        earlier: Outcome of the attempts before; None: there were none.
+        latest: Outcome of the last attempt.
     """
     if isinstance(latest, outcomes.NotRun) and isinstance(
         earlier, (outcomes.Ran, outcomes.Unknown)
