--- a/tests/requests/load/test_round_trips.py
+++ b/tests/requests/load/test_round_trips.py
@@ -1,4 +1,4 @@
-"""Tests of what hops to other daemons take."""
+"""Tests of the estimate of the round-trip time to other daemons."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from tests.requests.load import fleets
 from tests.requests.load import simulations
 
-# Work that may not be repeated, whose route ends it before its caller would.
+# Work that must not be repeated, whose route has a shorter timeout than its
+# callers.
 _PAYOUT = builders.build_plan(
     "payout",
     repeatable=False,
@@ -22,38 +23,44 @@
 )
 
 
-class WayTest(unittest.TestCase):
+class RoundTripTimeTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = fakes.Clock()
-        self.way = round_trips.RoundTripTime(self.clock.get_time)
-
-    def test_nothing_is_kept_where_nothing_was_seen(self) -> None:
-        self.assertEqual(self.way.reserve(0.5), 0.0)
-        self.assertTrue(self.way.has_time(0.001))
-
-    def test_what_the_way_takes_is_kept_for_refusals(self) -> None:
-        """Guards against refusals that come back when the time is over."""
-        self.way.record(0.1)
-        self.assertAlmostEqual(self.way.reserve(1.0), 0.1)
-        self.assertAlmostEqual(self.way.reserve(0.2), 0.05)
-        self.assertFalse(self.way.has_time(0.05))
-
-    def test_what_was_seen_is_soon_forgotten(self) -> None:
-        """Guards against calls refused for a link that is free again."""
-        self.way.record(0.3)
+        self.round_trip = round_trips.RoundTripTime(self.clock.get_time)
+
+    def test_nothing_is_reserved_without_samples(self) -> None:
+        self.assertEqual(self.round_trip.reserve(0.5), 0.0)
+        self.assertTrue(self.round_trip.has_time(0.001))
+
+    def test_round_trip_is_reserved_for_refusals(self) -> None:
+        """Guards against refusals that arrive after the deadline."""
+        self.round_trip.record(0.1)
+        self.assertAlmostEqual(self.round_trip.reserve(1.0), 0.1)
+        self.assertAlmostEqual(self.round_trip.reserve(0.2), 0.05)
+        self.assertFalse(self.round_trip.has_time(0.05))
+
+    def test_mean_decays(self) -> None:
+        """Guards against refusals because of a link that is free again."""
+        self.round_trip.record(0.3)
         self.clock.now += 5.0
-        self.assertLess(self.way.get(), 0.01)
+        self.assertLess(self.round_trip.get(), 0.01)
+
+
+class SaturatedLinkTest(unittest.TestCase):
+    """Payouts with a round trip of a quarter of a second.
 
+    Round trips over a saturated link take that long.
+    """
 
-class FullLinkTest(unittest.TestCase):
-    """Payouts over hops of a quarter of a second, as over a full link."""
+    def test_call_that_was_not_offered_is_not_in_doubt(self) -> None:
+        """Guards against "unknown" for payouts that reached no backend server.
 
-    def test_what_was_not_offered_is_not_in_doubt(self) -> None:
-        """Guards against callers of payouts that may not ask again."""
+        Callers must not retry a payout with that outcome.
+        """
         servers = [fleets.Server(0.26)] * 8
         rate = 1.3 * 8 * 6 / 0.26
         callers = simulations.Callers(_PAYOUT, rate, 0.26, 2.3, 1)
-        played = fleets.simulate(
-            servers, callers, 8.0, daemons=40, slots=6, way_s=0.25
+        fleet = fleets.simulate(
+            servers, callers, 8.0, daemons=40, slots=6, round_trip_s=0.25
         )
-        self.assertEqual(played.counts["in doubt"], 0, played.counts)
+        self.assertEqual(fleet.counts["in doubt"], 0, fleet.counts)
