--- a/tests/requests/load/test_budgets.py
+++ b/tests/requests/load/test_budgets.py
@@ -1,4 +1,4 @@
-"""How many retries all daemons together make."""
+"""Tests of the budget for the retries of all daemons."""
 
 from __future__ import annotations
 
@@ -19,45 +19,46 @@
         self.budgets.set_bounds(0.2, 62.0, 10.0)
 
     def call(self, count: int) -> None:
-        """Makes calls, evenly over five seconds."""
+        """Makes calls, evenly distributed over five seconds."""
         for _ in range(count):
             self.clock.now += 5.0 / count
             self.budgets.get("kassa").record_call()
 
     def retry(self) -> int:
-        """Makes as many retries as there may be; returns their number."""
+        """Makes as many retries as the budget allows, and returns how many."""
         count = 0
         while self.budgets.get("kassa").try_spend():
             count += 1
         return count
 
-    def test_failures_of_a_second_are_made_good(self) -> None:
+    def test_budget_covers_failures_of_a_second(self) -> None:
         """Callers get answers when some backend servers begin to fail.
 
-        A daemon made a hundred calls a second and none failed. Now every
-        fourth call of a second does. With tokens that each call refills up to
-        a few, all but ten of the 25 failures stayed with their callers.
+        A daemon makes a hundred calls per second, and after five seconds
+        without failures every fourth call of a second fails. With a token
+        bucket of a few tokens, refilled by each call, only ten of the 25
+        failures were retried.
         """
         self.call(500)
         self.assertGreaterEqual(self.retry(), 25)
 
-    def test_a_quiet_service_has_its_part_of_the_slack(self) -> None:
-        """Thirteen daemons share three quarters of 62 retries."""
+    def test_service_without_calls_has_its_share_of_the_slack(self) -> None:
+        """Three quarters of 62 retries are divided among thirteen daemons."""
         self.assertEqual(self.retry(), 3)
         self.clock.now += 10.6
         self.assertEqual(self.retry(), 3)
 
-    def test_retries_are_not_saved_up_beyond_the_window(self) -> None:
+    def test_unused_retries_expire_after_the_window(self) -> None:
         self.call(500)
         self.clock.now += 20.0
         self.assertEqual(self.retry(), 3)
 
     def test_calls_made_by_repeats_count_as_repeats(self) -> None:
-        """The service that is called gets no more repeats than its bound.
+        """The called service receives no more repeats than its bound allows.
 
-        Every second call that runs beside this daemon is a repeat, and each
-        makes a call of its own. Twenty of these are ten repeats, which leave
-        nothing of the bound for others.
+        Every second call that runs at the local backend server is a repeat, and
+        every running call makes a nested call. Twenty nested calls count as ten
+        repeats, which use up the bound.
         """
         for _ in range(20):
             self.budgets.get("kassa").record_call()
@@ -65,19 +66,19 @@
         self.assertEqual(self.retry(), 0)
 
     @hypothesis.given(strategies.integers(0, 2**32))
-    def test_no_window_has_more_than_its_part(self, seed: int) -> None:
-        """No ten seconds hold more retries than their calls allow."""
-        chance = random.Random(seed)
+    def test_no_window_exceeds_the_bound(self, seed: int) -> None:
+        """No ten seconds contain more retries than their calls allow."""
+        rng = random.Random(seed)
         clock = fakes.Clock()
         budget = budgets.Budget(budgets.Bounds(0.1, 2.0, 10.0), clock.get_time)
         called, retried = [], []
         for _ in range(300):
-            clock.now += chance.expovariate(chance.choice((2.0, 50.0)))
+            clock.now += rng.expovariate(rng.choice((2.0, 50.0)))
             budget.record_call()
             called.append(clock.now)
-            if chance.random() < 0.5 and budget.try_spend():
+            if rng.random() < 0.5 and budget.try_spend():
                 retried.append(clock.now)
         for end in retried:
-            inside = sum(end - 10.0 < at <= end for at in retried)
-            allowed = sum(end - 10.0 < at <= end for at in called)
-            self.assertLessEqual(inside, 0.1 * allowed + 2.0)
+            retry_count = sum(end - 10.0 < at <= end for at in retried)
+            call_count = sum(end - 10.0 < at <= end for at in called)
+            self.assertLessEqual(retry_count, 0.1 * call_count + 2.0)
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -1,4 +1,4 @@
-"""Which upstreams a call asks for a free slot, and where it waits then."""
+"""Tests of polling for a free slot, and of where a call then waits."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
         self.upstreams = [builders.build_upstream(n) for n in range(4)]
 
     def test_call_waits_where_the_load_is_known(self) -> None:
-        seen = observations.Observation()
-        self.assertFalse(seen.has_recent_load(10.0))
-        seen.record_load(10.0, loads.Load(3, 4, 0.1))
-        self.assertTrue(seen.has_recent_load(10.5))
-        self.assertFalse(seen.has_recent_load(12.0))
+        observation = observations.Observation()
+        self.assertFalse(observation.has_recent_load(10.0))
+        observation.record_load(10.0, loads.Load(3, 4, 0.1))
+        self.assertTrue(observation.has_recent_load(10.5))
+        self.assertFalse(observation.has_recent_load(12.0))
         self.assertIs(polls.choose_wait(True, False), calls.Wait.NORMAL)
 
-    def test_call_waits_shortly_in_the_own_zone(self) -> None:
+    def test_call_waits_shortly_in_the_local_zone(self) -> None:
         self.assertIs(polls.choose_wait(False, True), calls.Wait.SHORT)
         self.assertIs(polls.choose_wait(False, False), calls.Wait.NONE)
 
-    def test_call_waits_where_that_takes_the_shortest(self) -> None:
+    def test_call_waits_at_the_upstream_with_the_shortest_wait(self) -> None:
         for upstream, wait_s in zip(
             self.upstreams, (0.3, 0.1, 0.2, 0.4), strict=True
         ):
@@ -42,67 +42,69 @@
         self.assertTrue(self.polls.is_complete(4))
         self.assertIs(self.polls.take_best(), self.upstreams[1])
 
-    def test_no_more_are_asked_than_there_are(self) -> None:
+    def test_polling_ends_when_all_upstreams_were_polled(self) -> None:
         self.polls.add(self.upstreams[0], 0.1)
         self.polls.add(self.upstreams[1], 0.1)
         self.assertTrue(self.polls.is_complete(2))
 
-    def test_nobody_is_asked_over_a_full_link(self) -> None:
-        """Guards against calls that ask until they are late."""
+    def test_upstreams_are_not_polled_over_a_saturated_link(self) -> None:
+        """Guards against calls that are late because of the polling."""
         self.assertTrue(polls.is_worthwhile(0.05, 1.0))
         self.assertFalse(polls.is_worthwhile(0.15, 1.0))
 
 
 class FreeSlotTest(unittest.IsolatedAsyncioTestCase):
-    """Daemons that know nothing yet of the load of their upstreams."""
+    """Daemons that have no load reports of their upstreams."""
 
-    async def test_free_upstream_takes_what_a_full_one_refuses(self) -> None:
-        """No caller waits at a full backend server beside a free one.
+    async def test_call_that_a_full_upstream_refuses_runs_elsewhere(
+        self,
+    ) -> None:
+        """A call does not wait at a full backend server while another is free.
 
-        The daemon has never heard of either. It sends the call to the full
-        one, which would have it wait for as long as its one call lasts.
+        The daemon has no load report of either. If it sends the call to the
+        full one, the call would wait there until the running call ends.
         """
-        began = asyncio.Event()
-        go_on = asyncio.Event()
+        long_call_began = asyncio.Event()
+        resume = asyncio.Event()
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             if request.raw_path == "/long":
-                began.set()
-                await go_on.wait()
+                long_call_began.set()
+                await resume.wait()
             return web.Response(body=b"ok")
 
         plan = builders.build_plan(latency_s=4.0)
         running = builders.build_snapshot({"/": plan})
         for _ in range(4):
-            began.clear()
-            go_on.clear()
+            long_call_began.clear()
+            resume.clear()
             async with (
                 builders.run_nodes(
                     3, handler=answer, running=running, slots=1
                 ) as nodes,
                 builders.open_client() as client,
             ):
-                near, full, free = nodes
-                near.proxy.backend.announce("kassa", "127.0.0.1:1", 0)
-                known = near.table.upstreams
-                known["kassa"] = known["kassa"][1:]
+                local, full, free = nodes
+                local.proxy.backend.announce("kassa", "127.0.0.1:1", 0)
+                upstreams = local.table.upstreams
+                upstreams["kassa"] = upstreams["kassa"][1:]
                 full.table.upstreams["kassa"] = (full.build_upstream(),)
-                held = asyncio.create_task(client.get(full.url + "/long"))
-                await began.wait()
+                long_call = asyncio.create_task(client.get(full.url + "/long"))
+                await long_call_began.wait()
                 async with asyncio.timeout(builders.GUARD_S):
-                    got = await client.get(near.url + "/x")
-                self.assertEqual(got.status, 200)
+                    response = await client.get(local.url + "/x")
+                self.assertEqual(response.status, 200)
                 self.assertEqual(free.served, [("GET", "/x")])
-                go_on.set()
-                self.assertEqual((await held).status, 200)
+                resume.set()
+                self.assertEqual((await long_call).status, 200)
 
-    async def test_all_are_full(self) -> None:
-        """The caller's call waits at one of them and is answered there."""
-        go_on = asyncio.Event()
+    async def test_all_upstreams_are_full(self) -> None:
+        """The call waits at one of them and is answered there."""
+        resume = asyncio.Event()
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             if request.raw_path == "/long":
-                await go_on.wait()
+                await resume.wait()
             return web.Response(body=b"ok")
 
         plan = builders.build_plan(latency_s=4.0)
@@ -115,22 +117,24 @@
             ) as nodes,
             builders.open_client() as client,
         ):
-            near = nodes[0]
-            near.proxy.backend.announce("kassa", "127.0.0.1:1", 0)
-            known = near.table.upstreams
-            known["kassa"] = known["kassa"][1:]
-            held = []
+            local = nodes[0]
+            local.proxy.backend.announce("kassa", "127.0.0.1:1", 0)
+            upstreams = local.table.upstreams
+            upstreams["kassa"] = upstreams["kassa"][1:]
+            long_calls = []
             for node in nodes[1:]:
                 node.table.upstreams["kassa"] = (node.build_upstream(),)
-                held.append(asyncio.create_task(client.get(node.url + "/long")))
+                long_calls.append(
+                    asyncio.create_task(client.get(node.url + "/long"))
+                )
             while not all(node.served for node in nodes[1:]):
                 await asyncio.sleep(0.01)
-            waiting = asyncio.create_task(client.get(near.url + "/x"))
+            waiting = asyncio.create_task(client.get(local.url + "/x"))
             while not any(
                 node.proxy._admission.get_load().calls > 1 for node in nodes[1:]
             ):
                 await asyncio.sleep(0.01)
             self.assertFalse(waiting.done())
-            go_on.set()
+            resume.set()
             self.assertEqual((await waiting).status, 200)
-            await asyncio.gather(*held)
+            await asyncio.gather(*long_calls)
--- a/tests/requests/load/test_retries.py
+++ b/tests/requests/load/test_retries.py
@@ -1,4 +1,4 @@
-"""Failed calls are tried again only where it is safe, and not too often."""
+"""Tests of the rules for retries, and of their limit."""
 
 from __future__ import annotations
 
@@ -13,24 +13,25 @@
 from merlintrestle.requests.transport import headers
 from tests.requests import builders
 
-_CARRIED = (headers.DEADLINE, headers.DEPTH, headers.ATTEMPT)
+_FORWARDED_HEADERS = (headers.DEADLINE, headers.DEPTH, headers.ATTEMPT)
 
 
 async def break_connection(request: web.BaseRequest) -> web.StreamResponse:
-    """Takes a request and closes its connection without an answer."""
+    """Receives a request and closes its connection without an answer."""
     assert request.transport is not None
     request.transport.abort()
     return web.Response()
 
 
 class RetriesTest(unittest.IsolatedAsyncioTestCase):
-    """The backend servers count how often they saw a call."""
+    """Retries over real connections, counted by the backend servers."""
 
-    async def test_not_repeatable_work_is_not_sent_again(self) -> None:
-        """The caller hears "unknown", and one backend server saw the call.
+    async def test_call_that_is_not_repeatable_is_not_retried(self) -> None:
+        """The outcome is "unknown", and one backend server received the call.
 
-        The backend server takes a payout without a key and breaks the
-        connection. Whether it ran is not known, so it must not be sent again.
+        The backend server receives a payout without an idempotency key and
+        breaks the connection. The payout may have run, so it must not be
+        retried.
         """
         plan = builders.build_plan(repeatable=False)
         async with (
@@ -45,7 +46,7 @@
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
         self.assertEqual(sum(len(node.served) for node in nodes), 1)
 
-    async def test_refused_work_goes_elsewhere(self) -> None:
+    async def test_refused_call_is_retried_elsewhere(self) -> None:
         async with (
             builders.run_nodes(3) as nodes,
             builders.open_client() as client,
@@ -64,8 +65,9 @@
     ) -> None:
         """The caller gets its answer from another upstream.
 
-        A backend server takes calls and answers none; its daemon is well, so
-        that nothing looks broken. The call would wait for its deadline.
+        A backend server accepts calls and answers none. Its daemon is healthy,
+        so nothing looks broken, and without a hedge the call would wait until
+        its deadline.
         """
         frozen: list[builders.Node] = []
 
@@ -89,10 +91,11 @@
         self.assertEqual([len(node.served) for node in nodes], [1, 1])
 
     async def test_budget_bounds_retries(self) -> None:
-        """Callers see failures; the service sees few calls more than theirs.
+        """The service receives few calls more than its callers make.
 
-        Every backend server breaks every connection. Without a budget each
-        call would be run three times, just when the service is in trouble.
+        Every backend server breaks every connection, so all calls fail. Without
+        a budget each call would be run three times while the service is failing
+        anyway.
         """
         async with (
             builders.run_nodes(3, handler=break_connection) as nodes,
@@ -105,10 +108,10 @@
         self.assertGreater(served, 100)
 
     async def test_nested_calls_do_not_multiply(self) -> None:
-        """One caller's call reaches the lowest service twice at most.
+        """A call reaches the lowest of four nested services at most twice.
 
-        Four calls are nested and the lowest backend server breaks. Every
-        level would try again, so the lowest would see 2**4 calls or more.
+        The lowest backend server breaks the connection. If every level retried,
+        it would receive at least 2**4 calls.
         """
         urls: list[str] = []
         lowest: list[str] = []
@@ -118,10 +121,12 @@
             if level == 0:
                 lowest.append(request.path)
                 return await break_connection(request)
-            carried = {name: request.headers[name] for name in _CARRIED}
+            forwarded = {
+                name: request.headers[name] for name in _FORWARDED_HEADERS
+            }
             async with aiohttp.ClientSession() as session:
                 answer = await session.get(
-                    f"{urls[0]}/{level - 1}", headers=carried
+                    f"{urls[0]}/{level - 1}", headers=forwarded
                 )
                 if answer.status != 200:
                     return await break_connection(request)
@@ -138,10 +143,12 @@
 
     async def test_loop_between_services_ends(self) -> None:
         async def loop(request: web.BaseRequest) -> web.StreamResponse:
-            carried = {name: request.headers[name] for name in _CARRIED}
+            forwarded = {
+                name: request.headers[name] for name in _FORWARDED_HEADERS
+            }
             async with (
                 aiohttp.ClientSession() as session,
-                session.get(urls[0] + "/x", headers=carried) as answer,
+                session.get(urls[0] + "/x", headers=forwarded) as answer,
             ):
                 return web.Response(status=answer.status)
 
@@ -156,10 +163,11 @@
         self.assertEqual(len(nodes[0].served), 8)
 
     def test_last_refusal_does_not_hide_an_earlier_run(self) -> None:
-        """The caller hears "unknown", not the "not run" of the last try.
+        """The outcome is "unknown", not the "not run" of the last attempt.
 
-        The first try broke after it was sent, the second was refused. Stated
-        alone, the refusal would have the caller pay a second time.
+        The connection of the first attempt broke after the call was sent, and
+        the second attempt was refused. With the outcome "not run" the caller
+        would make the payout a second time.
         """
         refused = outcomes.NotRun("leaving")
         for earlier in (outcomes.Unknown("broke"), outcomes.Ran("cut")):
