--- a/merlintrestle/requests/load/__init__.py
+++ b/merlintrestle/requests/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load: where calls go, how many run, and which are tried again."""
+"""Load balancing, admission control and retries of calls."""
--- a/merlintrestle/requests/load/acceptance.py
+++ b/merlintrestle/requests/load/acceptance.py
@@ -1,8 +1,8 @@
-"""Acceptance: how many of the calls that it is given a backend server takes.
+"""Measurement of the fraction of calls that a backend server accepts.
 
-A backend server may turn calls away though it has room for them, and report
-that it is well. The daemon beside it sees all of its calls and knows within a
-second; of a large fleet the other daemons send it a call now and then.
+A backend server may reject calls though it has free slots and reports that it
+is healthy. The local daemon sees all of its calls and detects this within a
+second; in a large fleet each other daemon sends it a call only now and then.
 """
 
 from __future__ import annotations
@@ -17,49 +17,59 @@
 
 events = event_logs.EventLog("requests")
 
-# Weight of the newest call: some ten calls tell a backend server that turns
-# every third one away from the others.
-_NEWEST = 0.1
-# Time in which what was seen loses most of its weight, in seconds. A backend
-# server that is given nothing any more could not show that it is well again.
-_MEMORY_S = 2.0
-# Below this part a backend server counts as one that turns calls away.
-_SOUND = 0.8
-# What waits for a backend server that takes nothing must stay finite.
-_LEAST = 0.1
+# Weight of the latest call in the moving average: about ten calls distinguish a
+# backend server that rejects every third call from the others.
+_EWMA_WEIGHT = 0.1
+# Time constant with which recorded rejections decay, in seconds. Without decay,
+# a backend server that gets no more calls could not show that it has recovered.
+_DECAY_S = 2.0
+# Below this acceptance rate a backend server counts as rejecting calls.
+_MIN_HEALTHY_RATE = 0.8
+# Lower limit of the acceptance rate: the expected wait for a backend server
+# that accepts nothing must stay finite.
+_MIN_RATE = 0.1
 
 
-class Acceptance:
-    """The part of the calls that the own backend server took lately."""
+class AcceptanceRate:
+    """Recent fraction of calls that the local backend server accepted."""
 
     def __init__(self, get_time: Callable[[], float]):
-        """Begins with all; `get_time` returns the time in seconds."""
+        """Starts with a rate of 1.
+
+        Args:
+            get_time: Returns the monotonic time in seconds.
+        """
         self._get_time = get_time
-        self._refused = 0.0
-        self._noted_at = get_time()
+        self._refused_ratio = 0.0
+        self._recorded_at = get_time()
 
     def get(self) -> float:
-        """Returns the part that was taken, up to 1."""
-        age_s = self._get_time() - self._noted_at
-        return max(_LEAST, 1.0 - self._refused * math.exp(-age_s / _MEMORY_S))
+        """Returns the accepted fraction, at most 1."""
+        age_s = self._get_time() - self._recorded_at
+        return max(
+            _MIN_RATE, 1.0 - self._refused_ratio * math.exp(-age_s / _DECAY_S)
+        )
 
     def is_healthy(self) -> bool:
-        """Returns whether nearly all calls were taken."""
-        # Most backend servers take all calls, and are asked about it at each.
-        return not self._refused or self.get() >= _SOUND
+        """Returns whether nearly all calls were accepted."""
+        # Fast path: this is checked for each call, and most backend servers
+        # accept all.
+        return not self._refused_ratio or self.get() >= _MIN_HEALTHY_RATE
 
-    def record(self, taken: bool) -> None:
-        """Notes a call that was given to the backend server."""
-        if taken and not self._refused:
+    def record(self, is_accepted: bool) -> None:
+        """Records whether the backend server accepted a call."""
+        if is_accepted and not self._refused_ratio:
             return
-        was_sound = self.is_healthy()
-        refused = 1.0 - self.get()
-        self._noted_at = self._get_time()
-        self._refused = refused + _NEWEST * ((not taken) - refused)
-        if self.is_healthy() != was_sound:
-            self._tell_change()
+        was_healthy = self.is_healthy()
+        refused_ratio = 1.0 - self.get()
+        self._recorded_at = self._get_time()
+        self._refused_ratio = refused_ratio + _EWMA_WEIGHT * (
+            (not is_accepted) - refused_ratio
+        )
+        if self.is_healthy() != was_healthy:
+            self._log_change()
 
-    def _tell_change(self) -> None:
+    def _log_change(self) -> None:
         accepted = round(self.get(), 2)
         if self.is_healthy():
             events.note("backend server takes its calls", accepted=accepted)
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which calls the own backend server is given, and when."""
+"""Admission control for calls to the local backend server."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     from merlintrestle.requests.calls import outcomes
     from merlintrestle.requests.load import queues
 
-# Weight of the newest call in the mean time that a slot is held.
-_NEWEST = 0.1
-# Part of the mean time that a slot is held which a call must have left. Within
-# half of it a third of the calls end at most, as work times are skewed.
-_LEAST_HOLD_PART = 0.5
+# Weight of the latest call in the moving average of slot hold times.
+_HOLD_EWMA_WEIGHT = 0.1
+# Fraction of the mean hold time that must remain before a call's deadline. Work
+# times are skewed: at most a third of the calls end within half of the mean.
+_MIN_HOLD_FRACTION = 0.5
 
 
 class Admission:
-    """Lets calls in to the own backend server, or refuses them."""
+    """Admits calls to the local backend server or refuses them."""
 
     def __init__(
         self,
@@ -39,24 +39,33 @@
         table: interfaces.MemberTable,
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Sets what is known of slots, targets and others, and the clock."""
+        """Initialises the admission control.
+
+        Args:
+            backend: The local backend server, with its number of slots.
+            holder: Holds the snapshot with the declared targets.
+            table: Lists the upstreams of each service.
+            get_time: Returns the monotonic time in seconds.
+        """
         self._get_time = get_time
         self._backend = backend
-        self._acceptance = acceptance.Acceptance(get_time)
+        self._acceptance = acceptance.AcceptanceRate(get_time)
         self._slots = slots_lib.Slots(backend, holder, table)
-        self._waits = waits.Waits(self._slots, self._acceptance)
+        self._queue_admission = waits.QueueAdmission(
+            self._slots, self._acceptance
+        )
 
     @property
     def in_flight(self) -> int:
-        """Calls that hold a slot."""
+        """Number of calls that hold a slot."""
         return self._slots.in_flight
 
     def is_busy(self) -> bool:
-        """Returns whether the own backend server is at work on some call."""
+        """Returns whether the local backend server runs any call."""
         return self._slots.in_flight > 0
 
     def has_capacity(self) -> bool:
-        """Returns whether some slot is free, so that work may stay here."""
+        """Returns whether the local backend server has capacity for a call."""
         backend = self._backend
         return (
             self._slots.in_flight < backend.slots
@@ -65,7 +74,7 @@
         )
 
     def get_load(self) -> loads.Load:
-        """Returns what other daemons are told of the own backend server."""
+        """Returns the load that is reported to other daemons."""
         return loads.Load(
             self._slots.in_flight + self._slots.waiting,
             self._backend.slots,
@@ -74,10 +83,11 @@
         )
 
     async def acquire(self, call: calls.Call) -> outcomes.NotRun | None:
-        """Takes a slot, waiting as long as the latency target allows.
+        """Acquires a slot, waiting as long as the latency target allows.
 
         Returns:
-            Why there is none; None: the call holds a slot until `leave`.
+            None if the call holds a slot, until `release`; otherwise the
+            refusal.
         """
         refusal = self._check_backend(call)
         if refusal is not None:
@@ -85,67 +95,74 @@
         queue = self._slots.get_queue(call)
         self._slots.update_shares()
         if self._is_too_late(queue, call):
-            return refusals.refuse_late()
-        # Calls of other classes may wait: those that had room were woken.
-        room = not queue.waiting and self._slots.has_room(queue)
+            return refusals.refuse_too_late()
+        # Other classes may have waiting calls: those for which there was a
+        # slot have been granted one already.
+        has_free_slot = not queue.waiting and self._slots.has_free_slot(queue)
         if call.wait is not calls.Wait.NORMAL:
-            refusal = self._waits.check(queue, call, room)
+            refusal = self._queue_admission.check(queue, call, has_free_slot)
             if refusal is not None:
                 return refusal
-        if room:
-            self._slots.take(queue)
+        if has_free_slot:
+            self._slots.acquire(queue)
         else:
-            refusal = await self._wait(queue, call)
+            refusal = await self._wait_for_slot(queue, call)
         call.admitted_at = self._get_time()
         return refusal
 
     def release(self, call: calls.Call) -> None:
-        """Gives a slot back."""
+        """Releases the slot of a call."""
         queue = self._slots.get_queue(call)
         held_s = self._get_time() - call.admitted_at
-        queue.hold_s += _NEWEST * (held_s - queue.hold_s)
-        self._slots.give_back(queue)
+        queue.hold_s += _HOLD_EWMA_WEIGHT * (held_s - queue.hold_s)
+        self._slots.release(queue)
 
     def record_acceptance(self, taken: bool) -> None:
-        """Notes whether the backend server took a call that had a slot."""
+        """Records whether the backend server accepted an admitted call.
+
+        Args:
+            taken: False if the backend server rejected the call.
+        """
         self._acceptance.record(taken)
 
     def estimate_retry_delay(self, call: calls.Call) -> float:
-        """Returns when it is worth asking the backend server again, in s.
+        """Returns the retry delay after the backend server rejects a call.
 
-        It refused though a slot was given out: by the time that a call holds
-        one, others have ended there. Callers that were told to wait a second
-        came back late; a backend server that turns away every second call
-        takes the next one as soon as any.
+        The delay, in seconds, is the mean hold time of a slot: other calls end
+        on the backend server within it. With a fixed delay of one second,
+        callers retried too late to meet their targets; a backend server that
+        rejects every second call is as likely to accept an early retry.
         """
-        return max(refusals.LEAST_RETRY_S, self._slots.get_queue(call).hold_s)
+        return max(
+            refusals.MIN_RETRY_AFTER_S, self._slots.get_queue(call).hold_s
+        )
 
     def _check_backend(self, call: calls.Call) -> outcomes.NotRun | None:
         backend = self._backend
         if backend.service != call.service:
-            return refusals.refuse_foreign()
+            return refusals.refuse_wrong_service()
         if backend.state != control_pb2.READY:
-            return refusals.refuse_leaving()
+            return refusals.refuse_not_ready()
         return None
 
     def _is_too_late(self, queue: queues.ClassQueue, call: calls.Call) -> bool:
         """Returns whether a call has no chance to end before its deadline.
 
-        It would hold a slot until then, and its caller could not tell what
-        became of it.
+        It would hold a slot until its deadline, and the caller could not tell
+        whether it ran.
         """
-        left_s = call.refuse_by - asyncio.get_running_loop().time()
-        return left_s < _LEAST_HOLD_PART * queue.hold_s
+        remaining_s = call.refuse_by - asyncio.get_running_loop().time()
+        return remaining_s < _MIN_HOLD_FRACTION * queue.hold_s
 
-    async def _wait(
+    async def _wait_for_slot(
         self, queue: queues.ClassQueue, call: calls.Call
     ) -> outcomes.NotRun | None:
-        """Has a call wait for a slot, and its story tell of it."""
-        began = self._get_time()
+        """Waits for a slot and adds the wait to the call's decision log."""
+        began_at = self._get_time()
         waiting = self._slots.waiting
-        refusal = await self._waits.wait(queue, call)
+        refusal = await self._queue_admission.wait(queue, call)
         if refusal is None:
-            refusal = self._check_again(queue, call)
+            refusal = self._recheck_backend(queue, call)
         call.story.add(
             "waited for a slot",
             outcome="refused" if refusal else "admitted",
@@ -153,14 +170,14 @@
             in_flight=self._slots.in_flight,
             slots=self._slots.count,
             hold_ms=round(queue.hold_s * 1000),
-            took_ms=round((self._get_time() - began) * 1000),
+            took_ms=round((self._get_time() - began_at) * 1000),
         )
         return refusal
 
-    def _check_again(
+    def _recheck_backend(
         self, queue: queues.ClassQueue, call: calls.Call
     ) -> outcomes.NotRun | None:
         refusal = self._check_backend(call)
         if refusal is not None:
-            self._slots.give_back(queue)
+            self._slots.release(queue)
         return refusal
--- a/merlintrestle/requests/load/refusals.py
+++ b/merlintrestle/requests/load/refusals.py
@@ -1,49 +1,49 @@
-"""Refusals: what callers hear that get no slot, and when they may come back."""
+"""Refusals of calls that get no slot, with the time to retry after."""
 
 from __future__ import annotations
 
 from merlintrestle.requests.calls import outcomes
 
 # A backend server with a dozen slots has one free every few hundredths of a
-# second. Callers that come back so soon may still be answered within the
+# second. Callers that retry this soon may still be answered within the latency
 # target.
-LEAST_RETRY_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 
 
-def refuse_foreign() -> outcomes.NotRun:
-    """Refuses a call of a service that the own backend server does not have."""
+def refuse_wrong_service() -> outcomes.NotRun:
+    """Refuses a call to a service that is not the local one."""
     return outcomes.NotRun(
         "this instance does not serve the service", elsewhere=True
     )
 
 
-def refuse_leaving() -> outcomes.NotRun:
-    """Refuses a call as the backend server takes none."""
+def refuse_not_ready() -> outcomes.NotRun:
+    """Refuses a call because the backend server is draining or down."""
     return outcomes.NotRun(
         "the backend server is leaving or down", elsewhere=True
     )
 
 
-def refuse_late() -> outcomes.NotRun:
-    """Refuses a call whose time is too short; it may come back with more."""
+def refuse_too_late() -> outcomes.NotRun:
+    """Refuses a call with too little time; a retry may allow more."""
     return outcomes.NotRun(
-        "too little time is left for an answer", retry_after_s=LEAST_RETRY_S
+        "too little time is left for an answer", retry_after_s=MIN_RETRY_AFTER_S
     )
 
 
-def refuse_slotless() -> outcomes.NotRun:
-    """Refuses a call as the backend server has not a single slot."""
+def refuse_no_slots() -> outcomes.NotRun:
+    """Refuses a call because the backend server has no slots at all."""
     return _refuse("the backend server has no slots", 1.0)
 
 
-def refuse_full(back_s: float) -> outcomes.NotRun:
-    """Refuses a call for which no slot comes free in time."""
-    return _refuse("no free slot in time", back_s)
+def refuse_full(retry_after_s: float) -> outcomes.NotRun:
+    """Refuses a call for which no slot is free in time."""
+    return _refuse("no free slot in time", retry_after_s)
 
 
-def refuse_unqueued(back_s: float) -> outcomes.NotRun:
-    """Refuses a call that may go elsewhere, before it waits."""
-    return _refuse("no free slot just now", back_s, unqueued=True)
+def refuse_unqueued(retry_after_s: float) -> outcomes.NotRun:
+    """Refuses a call that has other upstreams before it waits here."""
+    return _refuse("no free slot just now", retry_after_s, unqueued=True)
 
 
 def _refuse(
@@ -51,7 +51,7 @@
 ) -> outcomes.NotRun:
     return outcomes.NotRun(
         reason,
-        retry_after_s=max(LEAST_RETRY_S, retry_after_s),
+        retry_after_s=max(MIN_RETRY_AFTER_S, retry_after_s),
         elsewhere=True,
         overloaded=True,
         unqueued=unqueued,
--- a/merlintrestle/requests/load/shares.py
+++ b/merlintrestle/requests/load/shares.py
@@ -1,4 +1,4 @@
-"""Shares: what each class of work may use of a backend server's slots."""
+"""Shares of a backend server's slots for each class of work."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 
     from merlintrestle.documents import snapshot
 
-# Slots above the mean need, for calls that come unevenly.
-_HEADROOM = 1.5
+# Headroom above the mean demand in slots, for calls that arrive unevenly: a
+# ratio, and a number of slots on top.
+_HEADROOM_RATIO = 1.5
 _BURST_SLOTS = 1.0
 
 
 class Share(NamedTuple):
-    """What one class of work may use, derived from the targets.
+    """The slots that one class of work may use, derived from the targets.
 
     Attributes:
-        guarantee: Slots that it gets whenever it needs them.
-        reserve: Slots that must stay free for more important classes when it
-            borrows more.
-        wait_s: Longest wait for a slot, in seconds.
-        large: True for long transfers, which never give a borrowed slot back
-            in time.
+        guaranteed_slots: Slots that the class gets whenever it needs them.
+        reserved_slots: Slots that must stay free for more important classes
+            when the class borrows slots.
+        max_wait_s: Longest wait for a slot, in seconds.
+        large: True for long transfers, which hold a borrowed slot too long for
+            others to get it back in time.
         importance: 1 (shed first) to 5 (shed last).
     """
 
-    guarantee: float
-    reserve: int
-    wait_s: float
+    guaranteed_slots: float
+    reserved_slots: int
+    max_wait_s: float
     large: bool
     importance: int
 
@@ -43,7 +44,7 @@
 
     Attributes:
         classes: Shares by organisation and name of the class.
-        large_slots: Slots that all long transfers together may hold.
+        large_slots: Slots that all long transfers together may hold at once.
     """
 
     classes: dict[tuple[str, str], Share]
@@ -53,40 +54,48 @@
 def compute_shares(
     classes: Iterable[snapshot.ClassPlan], slots: int, service_slots: int
 ) -> Shares:
-    """Derives the shares of a backend server from the targets.
+    """Computes the shares of a backend server's slots from the targets.
 
-    A class is promised its part of the slots, but no more than it needs at its
-    expected rate with some headroom; what is left may be lent to transfers.
+    A class is guaranteed slots in proportion to its demand, but no more than it
+    needs at its declared rate with some headroom. Long transfers may borrow the
+    remaining slots.
 
     Args:
         classes: All classes of work of the service.
-        slots: Slots of this backend server.
-        service_slots: Slots of all backend servers of the service.
+        slots: Number of slots of this backend server.
+        service_slots: Number of slots of all backend servers of the service.
+
+    Returns:
+        The shares of all classes.
     """
     plans = tuple(classes)
     demand = sum(plan.rate * plan.work_s for plan in plans) or 1.0
-    part = slots / max(slots, service_slots)
+    slots_fraction = slots / max(slots, service_slots)
     shares = {}
     for plan in plans:
-        own = plan.rate * plan.work_s
-        need = own * part * _HEADROOM + _BURST_SLOTS
-        # A class whose rate is not stated has no claim to an idle slot: its
-        # calls go first in the queue, and of a dozen slots one comes free
-        # within hundredths of a second. A slot kept for calls that may never
-        # come would be a twelfth of the service, refused under load.
-        greater = any(
-            other.importance > plan.importance and other.rate for other in plans
+        class_demand = plan.rate * plan.work_s
+        max_needed = (
+            class_demand * slots_fraction * _HEADROOM_RATIO + _BURST_SLOTS
+        )
+        # No slot is reserved for a more important class that declares no rate:
+        # its calls are served first from the queue, and of a dozen slots one
+        # becomes free within hundredths of a second. A slot reserved for calls
+        # that may never arrive would be a twelfth of the capacity, and calls
+        # would be refused for lack of it under load.
+        reserves_slot = any(
+            other_plan.importance > plan.importance and other_plan.rate
+            for other_plan in plans
         )
         shares[plan.organisation, plan.name] = Share(
-            guarantee=min(slots * own / demand, need),
-            reserve=1 if greater and slots > 2 else 0,
-            wait_s=max(0.0, plan.latency_s - plan.work_s),
+            guaranteed_slots=min(slots * class_demand / demand, max_needed),
+            reserved_slots=1 if reserves_slot and slots > 2 else 0,
+            max_wait_s=max(0.0, plan.latency_s - plan.work_s),
             large=plan.large,
             importance=plan.importance,
         )
-    small = sum(
-        max(1.0, share.guarantee)
+    small_slots = sum(
+        max(1.0, share.guaranteed_slots)
         for share in shares.values()
         if not share.large
     )
-    return Shares(shares, max(1, math.floor(slots - small)))
+    return Shares(shares, max(1, math.floor(slots - small_slots)))
--- a/merlintrestle/requests/load/slots.py
+++ b/merlintrestle/requests/load/slots.py
@@ -1,4 +1,4 @@
-"""Slots: whom the slots of the own backend server are given to."""
+"""Allocation of the slots of the local backend server to calls."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
 
-# Waiting calls per slot, of all classes together.
-WAITING_PER_SLOT = 4
+# Maximum number of waiting calls of all classes together, for each slot.
+MAX_WAITING_PER_SLOT = 4
 
 
 class Slots:
-    """The slots of the own backend server and the calls that wait for one.
+    """The slots of the local backend server and the calls that wait for one.
 
-    A class of work gets the slots promised to it whenever it needs them and
-    borrows what others leave unused. Borrowed slots are not taken back: they
-    come free after one call. That is soon enough but for long transfers, which
-    therefore borrow only what is promised to nobody.
+    A class of work gets its guaranteed slots whenever it needs them and borrows
+    slots that other classes leave unused. A borrowed slot is not revoked: it
+    becomes free when the call ends. This is soon enough for all but long
+    transfers, which therefore borrow only slots that no class is guaranteed.
 
     Attributes:
-        count: How many there are.
-        in_flight: Calls that hold one.
-        waiting: Calls that wait for one.
+        count: Number of slots.
+        in_flight: Number of calls that hold a slot.
+        waiting: Number of calls that wait for a slot.
     """
 
     def __init__(
@@ -39,7 +39,13 @@
         holder: interfaces.Holder,
         table: interfaces.MemberTable,
     ):
-        """Sets what is known of slots, targets and others."""
+        """Initialises the slots.
+
+        Args:
+            backend: The local backend server, with its number of slots.
+            holder: Holds the snapshot with the declared targets.
+            table: Lists the upstreams of each service.
+        """
         self._backend = backend
         self._holder = holder
         self._table = table
@@ -48,12 +54,12 @@
         self.waiting = 0
         self._queues: dict[tuple[str, str], queues.ClassQueue] = {}
         self._large_in_flight = 0
-        self._large_count = 1
+        self._max_large_in_flight = 1
         self._plan: snapshot.ServicePlan | None = None
         self._upstreams: tuple[tables.Upstream, ...] = ()
 
     def get_queue(self, call: calls.Call) -> queues.ClassQueue:
-        """Returns the queue of a call's class."""
+        """Returns the queue of the call's class of work."""
         key = (call.organisation, call.plan.name)
         queue = self._queues.get(key)
         if queue is None:
@@ -62,7 +68,7 @@
         return queue
 
     def update_shares(self) -> None:
-        """Derives the shares again where targets or upstreams changed."""
+        """Recomputes the shares if targets, upstreams or slots have changed."""
         running = self._holder.running
         service = self._backend.service
         plan = running.services.get(service) if running else None
@@ -79,131 +85,143 @@
         self._upstreams = upstreams
         self.count = count
         self._add_queues(plan)
-        self._share()
+        self._compute_shares()
 
-    def has_room(self, queue: queues.ClassQueue) -> bool:
-        """Returns whether a class may take one more slot now."""
+    def has_free_slot(self, queue: queues.ClassQueue) -> bool:
+        """Returns whether a class may use another slot now."""
         share = queue.share
         free = self.count - self.in_flight
         if free <= 0:
             return False
-        if share.large and self._large_in_flight >= self._large_count:
+        if share.large and self._large_in_flight >= self._max_large_in_flight:
             return False
-        return queue.under_guarantee or free > share.reserve
+        return queue.below_guarantee or free > share.reserved_slots
 
-    def take(self, queue: queues.ClassQueue) -> None:
-        """Gives a slot to a call of a class."""
+    def acquire(self, queue: queues.ClassQueue) -> None:
+        """Acquires a slot for a call of a class."""
         queue.in_flight += 1
         self.in_flight += 1
         if queue.share.large:
             self._large_in_flight += 1
 
-    def give_back(self, queue: queues.ClassQueue) -> None:
-        """Takes back the slot of a call and gives it to one that waits."""
+    def release(self, queue: queues.ClassQueue) -> None:
+        """Releases the slot of a call and grants it to a waiting one."""
         queue.in_flight -= 1
         self.in_flight -= 1
         if queue.share.large:
             self._large_in_flight -= 1
         if self.waiting:
-            self.wake()
+            self.grant_free_slots()
 
-    def wake(self) -> None:
-        """Gives free slots to calls that wait."""
+    def grant_free_slots(self) -> None:
+        """Grants free slots to waiting calls."""
         while self.waiting:
             ready = [
                 queue
                 for queue in self._queues.values()
-                if queue.waiting and self.has_room(queue)
+                if queue.waiting and self.has_free_slot(queue)
             ]
             if not ready:
                 return
-            queue = max(ready, key=queues.ClassQueue.rank)
+            queue = max(ready, key=queues.ClassQueue.get_class_priority)
             granted = queue.waiting.pop(0).granted
             self.waiting -= 1
-            # One that was cancelled has not left the queue yet.
+            # A cancelled call may still be in the queue.
             if not granted.done():
-                self.take(queue)
+                self.acquire(queue)
                 granted.set_result(True)
 
     def add(self, queue: queues.ClassQueue, waiter: queues.Waiter) -> None:
-        """Has a call wait at its place."""
+        """Adds a waiting call to its queue."""
         queue.add(waiter)
         self.waiting += 1
 
     def remove(self, queue: queues.ClassQueue, waiter: queues.Waiter) -> None:
-        """Has a call wait no longer, if it still does."""
+        """Removes a call from its queue if it still waits there."""
         if waiter in queue.waiting:
             queue.waiting.remove(waiter)
             self.waiting -= 1
 
-    def make_room(self, queue: queues.ClassQueue) -> bool:
-        """Sheds a waiting call of the least important class if it must."""
-        if self.waiting < self.count * WAITING_PER_SLOT:
+    def ensure_queue_space(self, queue: queues.ClassQueue) -> bool:
+        """Returns whether another call may wait, shedding one if needed.
+
+        If the queues are full, the last waiting call of the least important
+        class is shed, provided that this class is less important than the one
+        of `queue`.
+        """
+        if self.waiting < self.count * MAX_WAITING_PER_SLOT:
             return True
-        waiting = [other for other in self._queues.values() if other.waiting]
-        least = min(waiting, key=lambda other: other.share.importance)
-        if least.share.importance >= queue.share.importance:
+        candidates = [
+            candidate
+            for candidate in self._queues.values()
+            if candidate.waiting
+        ]
+        least_important = min(
+            candidates, key=lambda candidate: candidate.share.importance
+        )
+        if least_important.share.importance >= queue.share.importance:
             return False
-        waiter = least.waiting.pop()
+        waiter = least_important.waiting.pop()
         self.waiting -= 1
-        waiter.give_up()
+        waiter.stop_waiting()
         return True
 
     def estimate_wait(
         self, queue: queues.ClassQueue, waiter: queues.Waiter
     ) -> float:
-        """Returns the time until a call that comes now would get a slot.
+        """Returns the expected wait of a new call for a slot, in seconds.
 
-        The class gets what is promised to it and what the others leave, or
-        its turn when the slots come free one after the other, whichever is
-        sooner.
+        It is the shorter of two estimates: the wait for the slots that the
+        class can use (guaranteed, or left unused by other classes), and the
+        wait for its turn as slots become free one after the other.
         """
-        ahead = bisect.bisect_right(queue.waiting, waiter) + 1
-        promised_s = ahead * queue.hold_s / self._count_usable(queue)
+        position = bisect.bisect_right(queue.waiting, waiter) + 1
+        class_wait_s = position * queue.hold_s / self._count_usable_slots(queue)
         if queue.share.large:
-            return promised_s
-        before = self._count_before(queue, waiter)
-        in_turn_s = (before + ahead) * self.get_mean_hold() / self.count
-        return min(promised_s, in_turn_s)
+            return class_wait_s
+        ahead = self._count_ahead(queue, waiter)
+        in_turn_s = (ahead + position) * self.get_mean_hold() / self.count
+        return min(class_wait_s, in_turn_s)
 
     def get_mean_hold(self) -> float:
-        """Returns how long the calls in flight hold their slots, in seconds."""
+        """Returns the mean hold time of the calls in flight, in seconds."""
         busy = [queue for queue in self._queues.values() if queue.in_flight]
         if not busy:
             return 0.0
         held_s = sum(queue.in_flight * queue.hold_s for queue in busy)
         return held_s / self.in_flight
 
-    def _count_usable(self, queue: queues.ClassQueue) -> float:
-        """Returns how many slots a class has, promised or left by others."""
-        left = self.count - (self.in_flight - queue.in_flight)
+    def _count_usable_slots(self, queue: queues.ClassQueue) -> float:
+        """Returns the slots that a class can use, guaranteed or unused."""
+        available = self.count - (self.in_flight - queue.in_flight)
         if queue.share.large:
-            left = min(left, self._large_count)
-        return max(1.0, queue.share.guarantee, left)
+            available = min(available, self._max_large_in_flight)
+        return max(1.0, queue.share.guaranteed_slots, available)
 
-    def _count_before(
+    def _count_ahead(
         self, queue: queues.ClassQueue, waiter: queues.Waiter
     ) -> int:
-        """Returns how many waiting calls of other classes go before a call."""
-        key = queue.order(not waiter.late)
+        """Returns the number of calls of other classes ahead of a call."""
+        priority = queue.get_call_priority(not waiter.late)
         return sum(
-            other.count_before(key)
-            for other in self._queues.values()
-            if other is not queue
+            other_queue.count_ahead(priority)
+            for other_queue in self._queues.values()
+            if other_queue is not queue
         )
 
     def _add_queues(self, plan: snapshot.ServicePlan | None) -> None:
-        for one in plan.classes if plan else ():
-            key = (one.organisation, one.name)
+        for class_plan in plan.classes if plan else ():
+            key = (class_plan.organisation, class_plan.name)
             if key not in self._queues:
-                self._queues[key] = queues.ClassQueue(one)
+                self._queues[key] = queues.ClassQueue(class_plan)
 
-    def _share(self) -> None:
-        # Classes of routes by host are known from their calls alone.
+    def _compute_shares(self) -> None:
+        # Classes of routes by host are in no plan: they are known only from
+        # their calls.
         classes = [queue.plan for queue in self._queues.values()]
         service_count = sum(upstream.slots for upstream in self._upstreams)
         computed = shares.compute_shares(classes, self.count, service_count)
-        self._large_count = computed.large_slots
+        self._max_large_in_flight = computed.large_slots
         for key, queue in self._queues.items():
             queue.share = computed.classes[key]
         self._large_in_flight = sum(
--- a/merlintrestle/requests/load/waits.py
+++ b/merlintrestle/requests/load/waits.py
@@ -1,4 +1,4 @@
-"""Waits: whether a call may wait for a slot, and how long."""
+"""Waiting of calls for a slot of the local backend server."""
 
 from __future__ import annotations
 
@@ -14,47 +14,62 @@
     from merlintrestle.requests.load import acceptance as acceptances
     from merlintrestle.requests.load import slots as slots_lib
 
-# Part of the usual wait that is short. What is expected is rough, as more
-# important calls may come meanwhile, and a longer wait would be in vain.
-_SHORT_PART = 0.125
+# Longest short wait, as a fraction of the normal one. The estimate of the wait
+# is rough, as more important calls may arrive meanwhile, and a longer wait
+# would often end without a slot.
+_SHORT_WAIT_FRACTION = 0.125
 
 
-class Waits:
-    """Has calls wait for a slot that comes free in time, and refuses others."""
+class QueueAdmission:
+    """Lets calls wait for a slot that is free in time and refuses others."""
 
     def __init__(
         self,
         slots: slots_lib.Slots,
-        acceptance: acceptances.Acceptance,
+        acceptance: acceptances.AcceptanceRate,
     ):
-        """Sets the slots, and how many calls the backend server takes."""
+        """Initialises the queue admission.
+
+        Args:
+            slots: The slots of the local backend server.
+            acceptance: The fraction of calls that the backend server accepts.
+        """
         self._slots = slots
         self._acceptance = acceptance
-        # Calls in time were refused shortly before: late ones have no chance.
-        self._full_until = 0.0
+        # Until then late calls are refused at once: calls in time were refused
+        # recently, so a late one has no chance of a slot.
+        self._refuse_late_until = 0.0
 
     def check(
-        self, queue: queues.ClassQueue, call: calls.Call, room: bool
+        self, queue: queues.ClassQueue, call: calls.Call, has_free_slot: bool
     ) -> outcomes.NotRun | None:
-        """Refuses a call that may go elsewhere if it would wait too long here.
+        """Refuses a call that has other upstreams if it would wait too long.
+
+        The refusal states the expected wait. If the backend server rejects
+        calls, these are retried on it or on another upstream, which adds a mean
+        hold time to the wait for each further attempt to be expected.
 
-        It is told how long. Calls that the backend server turns away are made
-        again, there or elsewhere; it takes that much longer until one has been
-        taken.
+        Args:
+            queue: The queue of the call's class.
+            call: The call, whose wait is limited.
+            has_free_slot: Whether the call would get a slot at once.
+
+        Returns:
+            The refusal; None if the call is admitted or may wait.
         """
-        sound = self._acceptance.is_healthy()
-        if room and sound:
+        healthy = self._acceptance.is_healthy()
+        if has_free_slot and healthy:
             return None
         if not self._slots.count:
-            return refusals.refuse_slotless()
+            return refusals.refuse_no_slots()
         now = asyncio.get_running_loop().time()
         expected_s = self._slots.estimate_wait(
             queue, _build_waiter(queue, call, now)
         )
-        short = expected_s <= _SHORT_PART * queue.get_patience(
+        short = expected_s <= _SHORT_WAIT_FRACTION * queue.get_max_wait(
             call.latency_deadline - now
         )
-        if sound and short and call.wait is calls.Wait.SHORT:
+        if healthy and short and call.wait is calls.Wait.SHORT:
             return None
         expected_s += queue.hold_s * (1 / self._acceptance.get() - 1)
         return refusals.refuse_unqueued(expected_s)
@@ -65,41 +80,41 @@
         """Waits for a slot as long as the latency target allows.
 
         Returns:
-            Why there is none; None: the call holds a slot.
+            None if the call holds a slot, otherwise the refusal.
         """
         if not self._slots.count:
-            return refusals.refuse_slotless()
+            return refusals.refuse_no_slots()
         loop = asyncio.get_running_loop()
         now = loop.time()
         waiter = _build_waiter(queue, call, now)
-        limit_s = self._limit(queue, call, waiter.late, now)
+        max_wait_s = self._get_max_wait(queue, call, waiter.late, now)
         expected_s = self._slots.estimate_wait(queue, waiter)
-        if expected_s > limit_s or not self._slots.make_room(queue):
+        if expected_s > max_wait_s or not self._slots.ensure_queue_space(queue):
             return self._refuse(queue, waiter, expected_s, now)
-        if await self._queue(queue, waiter, limit_s):
+        if await self._wait_in_queue(queue, waiter, max_wait_s):
             return None
         expected_s = self._slots.estimate_wait(queue, waiter)
         return self._refuse(queue, waiter, expected_s, loop.time())
 
-    async def _queue(
-        self, queue: queues.ClassQueue, waiter: queues.Waiter, limit_s: float
+    async def _wait_in_queue(
+        self, queue: queues.ClassQueue, waiter: queues.Waiter, max_wait_s: float
     ) -> bool:
-        """Waits in the queue and returns whether the call got a slot."""
+        """Waits in the queue; returns whether the call was granted a slot."""
         self._slots.add(queue, waiter)
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(limit_s, waiter.give_up)
+        timer = loop.call_later(max_wait_s, waiter.stop_waiting)
         granted = waiter.granted
         try:
             return await granted
         except asyncio.CancelledError:
             if granted.done() and not granted.cancelled() and granted.result():
-                self._slots.give_back(queue)
+                self._slots.release(queue)
             raise
         finally:
             timer.cancel()
             self._slots.remove(queue, waiter)
 
-    def _limit(
+    def _get_max_wait(
         self,
         queue: queues.ClassQueue,
         call: calls.Call,
@@ -107,12 +122,14 @@
         now: float,
     ) -> float:
         """Returns how long a call may wait for a slot, in seconds."""
-        left_s = call.refuse_by - now - queue.hold_s
+        remaining_s = call.refuse_by - now - queue.hold_s
         if not late:
-            return min(queue.get_patience(call.latency_deadline - now), left_s)
-        if now < self._full_until:
+            return min(
+                queue.get_max_wait(call.latency_deadline - now), remaining_s
+            )
+        if now < self._refuse_late_until:
             return 0.0
-        return min(queue.get_late_patience(), left_s / 2)
+        return min(queue.get_max_late_wait(), remaining_s / 2)
 
     def _refuse(
         self,
@@ -121,19 +138,19 @@
         expected_s: float,
         now: float,
     ) -> outcomes.NotRun:
-        """Refuses a call for which no slot comes free in time.
+        """Refuses a call for which no slot is free in time.
 
-        A caller that might still be answered within the target comes back as
-        soon as a slot may be free. One that cannot comes back once what waits
-        here now has been served or refused: sooner, it would meet the same
-        queue, be refused again, and for good.
+        A caller that can still be answered within its target may retry as soon
+        as a slot is expected to be free. Any other may retry once the calls
+        that wait now have been served or refused: with an earlier retry it
+        would find the same queue, be refused again and use up its retries.
         """
         if not waiter.late:
-            self._full_until = now + queue.plan.latency_s
-        back_s = max(refusals.LEAST_RETRY_S, expected_s)
-        if not queue.is_in_time(waiter.due - now - back_s):
-            back_s = max(back_s, queue.plan.latency_s)
-        return refusals.refuse_full(back_s)
+            self._refuse_late_until = now + queue.plan.latency_s
+        retry_after_s = max(refusals.MIN_RETRY_AFTER_S, expected_s)
+        if not queue.is_in_time(waiter.latency_deadline - now - retry_after_s):
+            retry_after_s = max(retry_after_s, queue.plan.latency_s)
+        return refusals.refuse_full(retry_after_s)
 
 
 def _build_waiter(
--- a/tests/requests/load/test_acceptance.py
+++ b/tests/requests/load/test_acceptance.py
@@ -1,10 +1,10 @@
-"""What a daemon knows of a backend server that turns calls away."""
+"""Tests of the measured acceptance rate of a backend server."""
 
 from __future__ import annotations
 
 import unittest
 
-from merlintrestle.requests import backend
+from merlintrestle.requests import backend as backends
 from merlintrestle.requests.calls import call as calls
 from merlintrestle.requests.load import acceptance
 from merlintrestle.requests.load import admission
@@ -16,28 +16,28 @@
 
 
 class AcceptanceTest(unittest.TestCase):
-    """A backend server on a clock of its own."""
+    """The acceptance rate of a backend server on a simulated clock."""
 
     def setUp(self) -> None:
         self.clock = fakes.Clock()
-        self.acceptance = acceptance.Acceptance(self.clock.get_time)
+        self.acceptance = acceptance.AcceptanceRate(self.clock.get_time)
 
-    def test_every_second_call_is_turned_away(self) -> None:
+    def test_every_second_call_is_rejected(self) -> None:
         for number in range(20):
             self.acceptance.record(number % 2 == 0)
         self.assertFalse(self.acceptance.is_healthy())
         self.assertAlmostEqual(self.acceptance.get(), 0.5, delta=0.1)
 
-    def test_one_in_twenty_is_turned_away(self) -> None:
+    def test_one_in_twenty_calls_is_rejected(self) -> None:
         for number in range(100):
             self.acceptance.record(number % 20 != 0)
             self.assertTrue(self.acceptance.is_healthy())
 
-    def test_it_is_given_calls_again_after_some_seconds(self) -> None:
-        """A backend server that is well again does not stay idle for good.
+    def test_rate_recovers_after_some_seconds(self) -> None:
+        """A backend server that has recovered does not stay idle forever.
 
-        It turned all calls away, so others were chosen. Without calls nothing
-        would show that it takes them again.
+        It rejected all calls, so other upstreams were picked. Without calls,
+        nothing shows that it accepts them again.
         """
         for _ in range(100):
             self.acceptance.record(False)
@@ -47,44 +47,44 @@
 
 
 class SheddingTest(unittest.IsolatedAsyncioTestCase):
-    """A backend server with free slots that turns calls away."""
+    """A backend server with free slots that rejects calls."""
 
     async def asyncSetUp(self) -> None:
-        own = backend.LocalBackend()
-        own.announce("kassa", "127.0.0.1:1", 4, control_pb2.READY)
-        self.slots = admission.Admission(
-            own,
+        backend = backends.LocalBackend()
+        backend.announce("kassa", "127.0.0.1:1", 4, control_pb2.READY)
+        self.admission = admission.Admission(
+            backend,
             fakes.Holder(builders.build_snapshot()),
             fakes.Table(),
             fakes.Clock().get_time,
         )
         for number in range(20):
-            self.slots.record_acceptance(number % 2 == 0)
+            self.admission.record_acceptance(number % 2 == 0)
 
-    async def test_call_that_may_go_elsewhere_is_sent_on(self) -> None:
-        """The caller's call goes to a backend server that takes it.
+    async def test_call_with_other_upstreams_is_refused(self) -> None:
+        """The call is sent to a backend server that accepts it instead.
 
-        Passed on here it would be turned away every second time, and each
-        repeat is paid for from a budget that ends within seconds.
+        Admitted here, it would be rejected every second time, and each retry
+        spends a budget that is used up within seconds.
         """
         call = builders.build_call()
         call.wait = calls.Wait.NONE
-        refusal = await self.slots.acquire(call)
+        refusal = await self.admission.acquire(call)
         assert refusal is not None
         self.assertTrue(refusal.unqueued)
-        self.assertEqual(self.slots.in_flight, 0)
-
-    async def test_call_that_has_asked_elsewhere_is_taken(self) -> None:
-        self.assertIsNone(await self.slots.acquire(builders.build_call()))
-
-    async def test_own_calls_do_not_stay(self) -> None:
-        self.assertFalse(self.slots.has_capacity())
-
-    async def test_other_daemons_hear_of_it(self) -> None:
-        """A daemon that has sent it no call lately knows with one answer."""
-        told = loads.decode_load(loads.encode_load(self.slots.get_load()))
-        assert told is not None
-        seen = observations.Observation()
-        seen.record_load(10.0, told)
-        self.assertLess(seen.estimate_success_rate(10.5), 0.7)
-        self.assertEqual(seen.estimate_success_rate(20.0), 1.0)
+        self.assertEqual(self.admission.in_flight, 0)
+
+    async def test_call_that_polled_other_upstreams_is_admitted(self) -> None:
+        self.assertIsNone(await self.admission.acquire(builders.build_call()))
+
+    async def test_local_calls_are_sent_elsewhere(self) -> None:
+        self.assertFalse(self.admission.has_capacity())
+
+    async def test_other_daemons_receive_the_rate(self) -> None:
+        """A daemon without recent calls to it detects it by one answer."""
+        load = loads.decode_load(loads.encode_load(self.admission.get_load()))
+        assert load is not None
+        observation = observations.Observation()
+        observation.record_load(10.0, load)
+        self.assertLess(observation.estimate_success_rate(10.5), 0.7)
+        self.assertEqual(observation.estimate_success_rate(20.0), 1.0)
--- a/tests/requests/load/test_queues.py
+++ b/tests/requests/load/test_queues.py
@@ -1,4 +1,4 @@
-"""Whose turn it is at a full backend server, and what callers get of it."""
+"""Tests of the order of service and the results on a full backend server."""
 
 from __future__ import annotations
 
@@ -19,63 +19,71 @@
 class TurnTest(unittest.TestCase):
     """Calls that wait for one of two slots."""
 
-    def play(self, *dues: float) -> list[float]:
-        """Has calls wait whose targets end at these times; returns the turns.
+    def simulate(self, *latency_deadlines_s: float) -> list[float]:
+        """Lets calls wait for a slot and returns the order of service.
 
         Args:
-            *dues: Seconds from now on until each call's target is over.
+            *latency_deadlines_s: The latency deadline of each call, in seconds
+                from now.
+
+        Returns:
+            The latency deadlines in the order in which the calls get a slot.
         """
 
         async def run() -> list[float]:
-            played = simulations.Simulation(2)
-            held = [await played.occupy(_LOOKUP, 0.4) for _ in range(2)]
+            simulation = simulations.Simulation(2)
+            held = [await simulation.occupy(_LOOKUP, 0.4) for _ in range(2)]
             turns: list[float] = []
             waiting = [
-                asyncio.create_task(played.wait_for_slot(_LOOKUP, due, turns))
-                for due in dues
+                asyncio.create_task(
+                    simulation.wait_for_slot(_LOOKUP, deadline_s, turns)
+                )
+                for deadline_s in latency_deadlines_s
             ]
             await asyncio.sleep(0)
             for call in held:
-                played.release(call)
+                simulation.release(call)
             await asyncio.gather(*waiting)
             return turns
 
         with asyncio.Runner(loop_factory=model.SimulatedLoop) as runner:
             return runner.run(run())
 
-    def test_a_caller_that_comes_back_goes_first(self) -> None:
-        """Who was refused before is answered in time, and so is the other.
+    def test_caller_that_retries_is_served_first(self) -> None:
+        """The refused caller and the other one are both answered in time.
 
-        Two calls wait for a slot. One came later, but its caller was refused
-        0.1 s ago and came back: its target ends sooner.
+        Two calls wait for a slot. One arrived later, but is the retry of a
+        caller that was refused 0.1 s ago: its latency deadline is earlier.
         """
-        self.assertEqual(self.play(0.4, 0.3), [0.3, 0.4])
+        self.assertEqual(self.simulate(0.4, 0.3), [0.3, 0.4])
 
-    def test_a_late_call_yields(self) -> None:
+    def test_late_call_is_served_last(self) -> None:
         """A call that is late already does not make the next one late too.
 
-        It waits behind one that can still be answered in time, though it came
-        before, and gets what that one leaves.
+        It waits behind a call that can still be answered in time, though it
+        arrived before, and gets a slot after that one.
         """
-        self.assertEqual(self.play(0.0, 0.4), [0.4, 0.0])
+        self.assertEqual(self.simulate(0.0, 0.4), [0.4, 0.0])
 
     def test_late_calls_are_refused_at_once_while_others_are(self) -> None:
-        """A caller isn't kept waiting for a slot that it will not get.
+        """A caller does not wait for a slot that it will not get.
 
-        Calls in time are refused, so all free slots go to such calls for some
-        time to come. A late one would wait in vain.
+        Calls in time are refused, so all free slots are granted to such calls
+        for some time. A late call would wait and get none.
         """
 
         async def run() -> None:
-            played = simulations.Simulation(1)
-            await played.occupy(_LOOKUP, 0.4)
+            simulation = simulations.Simulation(1)
+            await simulation.occupy(_LOOKUP, 0.4)
             turns: list[float] = []
             rivals = [
-                asyncio.create_task(played.wait_for_slot(_LOOKUP, 0.4, turns))
-                for _ in range(slots.WAITING_PER_SLOT * 2)
+                asyncio.create_task(
+                    simulation.wait_for_slot(_LOOKUP, 0.4, turns)
+                )
+                for _ in range(slots.MAX_WAITING_PER_SLOT * 2)
             ]
             await asyncio.sleep(0)
-            self.assertIsNotNone(await played.request_slot(_LOOKUP, 0.0))
+            self.assertIsNotNone(await simulation.request_slot(_LOOKUP, 0.0))
             for rival in rivals:
                 rival.cancel()
 
@@ -84,42 +92,42 @@
 
 
 class LoadTest(unittest.TestCase):
-    """What callers get of a backend server with too much to do."""
+    """Results of callers of an overloaded backend server."""
 
     def test_more_calls_than_slots(self) -> None:
-        """Nearly all slots serve calls in time, and few callers come late.
+        """Nearly all slots serve calls in time, and few answers are late.
 
-        Callers ask for 1.1 times what the backend server can do and come back
-        when refused. With each attempt taken for a first one, and twice the
-        usual time left for it, 0.63 were answered in time and 0.19 late (mean
-        of these loads); now 0.74 and 0.09.
+        Callers demand 1.1 times the capacity of the backend server and retry
+        when refused. If each attempt counted as a first one and twice the usual
+        time were kept free for it, 0.63 of the calls would be answered in time
+        and 0.19 late (mean of these loads), instead of 0.74 and 0.09.
         """
         in_time, late = [], []
         for work_s in (0.08, 0.13, 0.2):
-            played = simulations.simulate(
+            simulation = simulations.simulate(
                 _SLOTS,
                 30.0,
                 simulations.Callers(
                     _LOOKUP, 1.1 * _SLOTS / work_s, work_s, 2.5, 2
                 ),
             )
-            in_time.append(played.get_ratio("lookup", "in time"))
-            late.append(played.get_ratio("lookup", "late"))
+            in_time.append(simulation.get_ratio("lookup", "in time"))
+            late.append(simulation.get_ratio("lookup", "late"))
         self.assertGreater(sum(in_time) / 3, 0.7)
         self.assertLess(sum(late) / 3, 0.12)
 
-    def test_checks_are_not_refused_beside_payouts(self) -> None:
-        """Calls on whose behalf a check is made do not fail for want of it.
+    def test_checks_are_not_refused_while_payouts_overload(self) -> None:
+        """Parent calls of checks do not fail because a check is refused.
 
-        Payouts alone ask for 1.2 times the slots. Checks are as important and
-        take a fifth of their time, so they go first.
+        Payouts alone demand 1.2 times the slots. Checks are as important and
+        take a fifth of their time, so they are served first.
         """
         payout = _LOOKUP._replace(name="payout", latency_s=0.5, importance=4)
         check = payout._replace(name="check", latency_s=0.12)
-        played = simulations.simulate(
+        simulation = simulations.simulate(
             _SLOTS,
             30.0,
             simulations.Callers(payout, 1.2 * _SLOTS / 0.16, 0.16, 1.2, 1),
             simulations.Callers(check, 0.3 * _SLOTS / 0.03, 0.03, 0.4, 0),
         )
-        self.assertLess(played.get_ratio("check", "refused"), 0.01)
+        self.assertLess(simulation.get_ratio("check", "refused"), 0.01)
--- a/tools/policies.py
+++ b/tools/policies.py
@@ -1,7 +1,7 @@
 """Compares policies on plays of the model, by paired seeds.
 
-`python -m tools.policies --set load.queues._MOST_HOLDS=2.0 --seeds 8` plays
-each load with the code as it stands and with one constant changed.
+`python -m tools.policies --set load.queues._TYPICAL_HOLD_RATIO=2.0 --seeds 8`
+plays each load with the code as it stands and with one constant changed.
 """
 
 from __future__ import annotations
