--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -1,9 +1,9 @@
-"""Links: which long answers an outgoing link gets through in time, and when.
+"""Admission and scheduling of long answers on the outgoing network link.
 
-A link that is full carries no more for being asked for more: begun together,
-all transfers share it and all end late, and checks wait behind them. What it
-carries is observed, not configured: the limit of a virtual link is seldom
-known where the daemon runs.
+A full link carries no more bytes when more transfers start: transfers that
+start together share it and all end late, and short answers wait behind them.
+The rate of the link is measured, not configured: the limit of a virtual link is
+seldom known where the daemon runs.
 """
 
 from __future__ import annotations
@@ -24,243 +24,277 @@
 
     from merlintrestle.requests.calls import call as calls
 
-# Part of the latency target for which a late call may wait for the link: it
-# only fills what calls in time leave.
-_LATE_PART = 0.5
-# A receiver is slow if bytes on their way to it take as many times as long as
-# the link needs for all that may be on its way.
-_SLOW_TIMES = 5
-# No caller is told to come back sooner, in seconds.
-_LEAST_RETRY_S = 0.05
+# Maximum wait of a late call for the link, as a fraction of the latency target:
+# it only gets capacity that calls in time leave unused.
+_MAX_LATE_WAIT_FRACTION = 0.5
+# A receiver is slow if bytes in transit to it take more than this multiple of
+# the time in which the link carries a full send window.
+_SLOW_RATIO = 5
+# Shortest retry delay stated to a caller, in seconds.
+_MIN_RETRY_AFTER_S = 0.05
 
 
 class OutgoingLink:
-    """The outgoing link to other daemons.
+    """The outgoing network link to other daemons.
 
     Attributes:
-        reserved_bytes: Bytes of long answers that have not left yet.
-        unsent: Those of them that were handed over.
-        rate: Bytes per second that it carries; 0: it was never full.
-        get_time: The clock, in seconds.
+        reserved_bytes: Bytes of long answers that have not been sent yet.
+        unsent: Those of the reserved bytes that were written to a connection.
+        rate: Rate of the link in bytes per second; 0 if it was never full.
+        get_time: Returns the time in seconds, on the clock of deadlines.
     """
 
     def __init__(self, get_time: Callable[[], float] = time.monotonic):
-        """Sets the clock; it is that of deadlines."""
+        """Initialises an idle link.
+
+        Args:
+            get_time: Returns the time in seconds, on the clock of deadlines.
+        """
         self.reserved_bytes = 0
         self.unsent = 0
         self.rate = 0.0
         self.get_time = get_time
-        self._measured_rate = rates.DrainRate()
-        self._promises: set[reservations.Transfer] = set()
-        self._sent = 0
+        self._measured_rate = rates.MeasuredRate()
+        self._transfers: set[reservations.Transfer] = set()
+        self._sent_bytes = 0
         self._busy_since: float | None = None
-        self._means: dict[tuple[str, str], reservations.Means] = {}
-        self._full_until = 0.0
+        self._means: dict[tuple[str, str], reservations.AnswerStats] = {}
+        self._refuse_late_until = 0.0
         self._waiting: list[
             tuple[reservations.Transfer, asyncio.Future[None]]
         ] = []
 
     def get_backlog_s(self) -> float:
-        """Returns how long calls in time keep the link busy, in seconds."""
-        return self.get_seconds(self._count_before((False, math.inf)))
+        """Returns how long answers in time occupy the link, in seconds."""
+        return self.get_transfer_s(self._count_bytes_ahead((False, math.inf)))
 
-    def get_seconds(self, size: float) -> float:
-        """Returns how long the link needs for some bytes, in seconds."""
+    def get_transfer_s(self, size: float) -> float:
+        """Returns how long the link takes to carry some bytes, in seconds."""
         return size / self.rate if self.rate else 0.0
 
-    def get_slow_s(self) -> float:
-        """Returns after what time what was handed over is slow, in seconds."""
-        least = self._measured_rate.get_least()
-        ahead_s = self._get_ahead() / least if least else reservations.AHEAD_S
-        return _SLOW_TIMES * ahead_s
+    def get_slow_threshold_s(self) -> float:
+        """Returns the shortest transit time of a slow receiver, in seconds."""
+        min_rate = self._measured_rate.get_lower_bound()
+        window_s = (
+            self._get_send_window() / min_rate
+            if min_rate
+            else reservations.SEND_WINDOW_S
+        )
+        return _SLOW_RATIO * window_s
 
     def admit(
         self, call: calls.Call
     ) -> reservations.Transfer | outcomes.NotRun:
-        """Promises a call its part of the link, or refuses it.
+        """Reserves link capacity for the answer of a call or refuses the call.
+
+        An answer that would not be sent in time only makes others late. A link
+        with at most one long answer in progress, not counting those to slow
+        receivers, accepts any call: if slow receivers made the link seem slow,
+        the next answer shows its true rate.
 
-        An answer that would not be through in time only makes others late. A
-        link with one long answer to send at most, but for slow receivers,
-        takes any call: where these had it taken for slow itself, the next one
-        shows what it carries.
+        Args:
+            call: The call, which is not running yet.
+
+        Returns:
+            The transfer that holds the reservation, or the refusal.
         """
         key = (call.organisation, call.plan.name)
-        means = self._means.setdefault(key, reservations.Means())
-        own_s = self.get_seconds(means.size + means.spread)
-        least_s = means.head_s + own_s
-        # Judged by progress, a long transfer has no latency target to miss.
+        stats = self._means.setdefault(key, reservations.AnswerStats())
+        transfer_s = self.get_transfer_s(stats.size + stats.deviation)
+        min_s = stats.head_s + transfer_s
+        # Long transfers are monitored by progress and have no latency target.
         late = (
-            call.plan.large or self.get_time() + least_s > call.latency_deadline
+            call.plan.large or self.get_time() + min_s > call.latency_deadline
         )
-        before = self._count_before(reservations.get_order(call, late))
-        before_s = self.get_seconds(before)
-        # Only its claim tells whether a call with a key has run before; by
-        # itself, the link must not call it "not run".
-        claimed = bool(call.key) and not call.plan.repeatable
+        bytes_ahead = self._count_bytes_ahead(
+            reservations.get_order(call, late)
+        )
+        wait_s = self.get_transfer_s(bytes_ahead)
+        # Only the claim of a call with a key tells whether the call has run
+        # before, so the link must not report it as "not run".
+        needs_claim = bool(call.key) and not call.plan.repeatable
         if (
-            means.size > reservations.CHUNK_BYTES
-            and sum(not one.slow for one in self._promises) > 1
-            and not claimed
-            and not self._has_room(
-                call, before_s, max(least_s, before_s + own_s), late
+            stats.size > reservations.CHUNK_BYTES
+            and sum(not transfer.slow for transfer in self._transfers) > 1
+            and not needs_claim
+            and not self._has_capacity(
+                call, wait_s, max(min_s, wait_s + transfer_s), late
             )
         ):
             return outcomes.NotRun(
                 "no room on the link in time",
-                retry_after_s=max(_LEAST_RETRY_S, before_s),
+                retry_after_s=max(_MIN_RETRY_AFTER_S, wait_s),
                 elsewhere=True,
                 overloaded=True,
             )
-        return reservations.Transfer(self, means, call, late)
+        return reservations.Transfer(self, stats, call, late)
 
-    def change_promise(
+    def change_reservation(
         self, transfer: reservations.Transfer, before: int, after: int
     ) -> None:
-        """Changes the bytes that are promised to a transfer."""
+        """Changes the bytes that are reserved for a transfer."""
         self.reserved_bytes += after - before
         if after:
-            self._promises.add(transfer)
+            self._transfers.add(transfer)
         else:
-            self._promises.discard(transfer)
+            self._transfers.discard(transfer)
 
     def note_sent(self, count: int) -> None:
-        """Notes that bytes have left."""
-        self._sent += count
+        """Records that bytes have left the host."""
+        self._sent_bytes += count
 
     def update_rate(self) -> None:
-        """Notes that all transfers have told what has left by now.
-
-        A time at whose end nothing waits says nothing of the rate: the link
-        was idle for some of it. So it was where the loop stood still, and a
-        look comes so late that all on its way may have left long before. Where
-        all has left and transfers wait for room, it carries more than was
-        thought.
+        """Updates the measured rate and wakes waiting transfers.
+
+        Called after all transfers have reported what has been sent. An interval
+        at whose end no bytes wait says nothing about the rate: the link was
+        idle for some of it. The same holds if the event loop was blocked and
+        the interval is so long that all bytes in transit may have left well
+        before its end. If all bytes have left and transfers wait for their
+        turn, the link is faster than was measured.
         """
         now = self.get_time()
         busy = bool(self.unsent or self._waiting)
         if busy and self._busy_since is not None:
-            self._note_drain(now, now - self._busy_since)
-        self._sent = 0
+            self._record_sample(now, now - self._busy_since)
+        self._sent_bytes = 0
         self._busy_since = now if busy else None
-        self._wake()
+        self._wake_waiting()
 
-    def _note_drain(self, now: float, since_s: float) -> None:
-        if since_s <= reservations.AHEAD_S:
+    def _record_sample(self, now: float, interval_s: float) -> None:
+        if interval_s <= reservations.SEND_WINDOW_S:
             self._measured_rate.record(
-                now, since_s, self._sent, self._is_shared()
+                now, interval_s, self._sent_bytes, self._has_several_receivers()
             )
             self.rate = self._measured_rate.get()
 
     async def wait_for_turn(self, transfer: reservations.Transfer) -> None:
-        """Waits until it is a transfer's turn to hand over a piece.
+        """Waits until a transfer may write its next chunk.
 
-        It waits no longer than the link needs for all that is promised, late
-        ones too. Receivers slower than the link hold what is on its way, and
-        nothing would be sent to the others.
+        The wait is limited to the time in which the link carries all reserved
+        bytes, including those of late answers. Otherwise receivers slower than
+        the link could occupy the send window, and nothing would be sent to the
+        others.
+
+        Args:
+            transfer: The transfer that has a chunk to write.
         """
-        if not self._waiting and self._may_hand_over(
-            transfer, self._get_room()
+        if not self._waiting and self._may_write(
+            transfer, self._get_window_space()
         ):
             return
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         waiting = (transfer, turn)
-        bisect.insort(self._waiting, waiting, key=lambda one: one[0])
+        bisect.insort(self._waiting, waiting, key=lambda entry: entry[0])
         try:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._get_patience_s()):
+                async with asyncio.timeout(self._get_max_turn_wait_s()):
                     await turn
         finally:
             if waiting in self._waiting:
                 self._waiting.remove(waiting)
 
-    def _get_patience_s(self) -> float:
-        """Returns how long one waits for room at most, in seconds."""
-        least = self._measured_rate.get_least()
+    def _get_max_turn_wait_s(self) -> float:
+        """Returns the maximum wait of a transfer for its turn, in seconds."""
+        min_rate = self._measured_rate.get_lower_bound()
         return max(
-            reservations.STALLED_S,
-            self.reserved_bytes / least if least else 0.0,
+            reservations.STALL_TIMEOUT_S,
+            self.reserved_bytes / min_rate if min_rate else 0.0,
         )
 
-    def _wake(self) -> None:
-        """Has transfers go on that wait, as far as there is room."""
-        room = self._get_room()
+    def _wake_waiting(self) -> None:
+        """Wakes waiting transfers as far as the send window has space."""
+        space = self._get_window_space()
         for waiting in list(self._waiting):
             transfer, turn = waiting
-            if turn.done() or not self._may_hand_over(transfer, room):
+            if turn.done() or not self._may_write(transfer, space):
                 continue
             self._waiting.remove(waiting)
             turn.set_result(None)
-            room -= reservations.CHUNK_BYTES
+            space -= reservations.CHUNK_BYTES
 
-    def _may_hand_over(
-        self, transfer: reservations.Transfer, room: float
-    ) -> bool:
-        """Returns whether the link has room, and the receiver takes more."""
-        return room > 0 and not (
+    def _may_write(self, transfer: reservations.Transfer, space: float) -> bool:
+        """Returns whether a transfer may write a chunk now.
+
+        There must be space in the send window, and a slow receiver must have
+        less than a chunk in transit.
+        """
+        return space > 0 and not (
             transfer.slow and transfer.unsent >= reservations.CHUNK_BYTES
         )
 
-    def _is_shared(self) -> bool:
-        """Returns whether more than one receiver is being sent to, or waits.
+    def _has_several_receivers(self) -> bool:
+        """Returns whether several transfers have bytes in transit or wait.
 
-        What one alone takes may be the receiver's limit, not the link's.
+        The rate to a single receiver may be limited by that receiver instead of
+        the link.
         """
-        receivers = {one for one in self._promises if one.unsent}
-        receivers.update(one for one, _ in self._waiting)
-        return len(receivers) > 1
+        active = {transfer for transfer in self._transfers if transfer.unsent}
+        active.update(transfer for transfer, _ in self._waiting)
+        return len(active) > 1
 
-    def _count_before(self, order: tuple[bool, float]) -> int:
-        """Returns the bytes that leave before those of one with an order.
+    def _count_bytes_ahead(self, order: tuple[bool, float]) -> int:
+        """Returns the bytes that are sent before an answer.
 
-        Of transfers that go after it, only what was handed over does, and of
-        one with a slow receiver no more than that has of the link.
+        For transfers that are scheduled after it these are only the bytes in
+        transit, and for slow receivers only the part of them that occupies the
+        link.
+
+        Args:
+            order: The scheduling order of the answer, as `Transfer.order`.
         """
         return sum(
-            one.left
-            if one.order <= order and not one.slow
-            else one.count_ahead()
-            for one in self._promises
+            transfer.remaining
+            if transfer.order <= order and not transfer.slow
+            else transfer.count_blocking_bytes()
+            for transfer in self._transfers
         )
 
-    def _has_room(
-        self, call: calls.Call, before_s: float, needed_s: float, late: bool
+    def _has_capacity(
+        self, call: calls.Call, wait_s: float, needed_s: float, late: bool
     ) -> bool:
-        """Returns whether an answer would be through in time.
+        """Returns whether an answer would be sent in time.
 
         Args:
-            call: What is answered.
-            before_s: Work of the link that goes before it, in seconds.
-            needed_s: Time until it would be through, in seconds.
-            late: It has no latency target, or misses it in any case.
+            call: The call that is answered.
+            wait_s: Time in which the link sends the bytes ahead of the answer,
+                in seconds.
+            needed_s: Time until the answer would be sent, in seconds.
+            late: Whether the call has no latency target or misses it in any
+                case.
         """
         now = self.get_time()
         plan = call.plan
         if not late:
             if now + needed_s <= call.latency_deadline:
                 return True
-            self._full_until = now + plan.latency_s
+            self._refuse_late_until = now + plan.latency_s
             return False
         if now + needed_s > call.refuse_by:
             return False
         if plan.large:
             return True
         return (
-            now >= self._full_until and before_s <= plan.latency_s * _LATE_PART
+            now >= self._refuse_late_until
+            and wait_s <= plan.latency_s * _MAX_LATE_WAIT_FRACTION
         )
 
-    def _get_room(self) -> float:
-        """Returns the bytes that may be handed over now."""
-        return self._get_ahead() - sum(
-            one.count_ahead() for one in self._promises
+    def _get_window_space(self) -> float:
+        """Returns the bytes that may be written now."""
+        return self._get_send_window() - sum(
+            transfer.count_blocking_bytes() for transfer in self._transfers
         )
 
-    def _get_ahead(self) -> float:
-        """Returns the bytes that may be on their way at once.
+    def _get_send_window(self) -> float:
+        """Returns the bytes that may be in transit at once.
 
-        Where one receiver is all that was seen, it is by what that one takes:
-        it loses nothing by that, and others have their part besides.
+        If only a single receiver has been measured, the window follows the rate
+        of that receiver: it loses nothing by this, and other receivers get
+        their bytes in addition.
         """
-        least = self._measured_rate.get_least()
-        if not least:
+        min_rate = self._measured_rate.get_lower_bound()
+        if not min_rate:
             return math.inf
-        return max(2 * reservations.CHUNK_BYTES, least * reservations.AHEAD_S)
+        return max(
+            2 * reservations.CHUNK_BYTES, min_rate * reservations.SEND_WINDOW_S
+        )
--- a/merlintrestle/requests/load/rates.py
+++ b/merlintrestle/requests/load/rates.py
@@ -1,93 +1,93 @@
-"""Rates: what a link carries, as seen by what leaves while bytes wait."""
+"""Measurement of the rate of a network link."""
 
 from __future__ import annotations
 
 import collections
 from typing import NamedTuple
 
-# Time over which the drain of a link is averaged, in seconds. The greatest of
-# shorter samples is the luckiest one, and most answers promised by that would
-# come late.
+# Time over which the rate of a link is averaged, in seconds. The maximum of
+# shorter samples is too high by chance, and most answers admitted by it would
+# be late.
 _SAMPLE_S = 1.0
-# The same as long as there is no sample: better a rough figure at once than
-# seconds in which everything is begun.
+# Minimum time before there is a sample, in seconds: a rough rate at once is
+# better than seconds in which every transfer is admitted.
 _FIRST_SAMPLE_S = 0.1
-# How long the greatest sample counts, in seconds. Transfers to slow receivers
-# show less than the link carries; within this time quick ones come along.
-_AGE_S = 10.0
+# Maximum age of a sample, in seconds. Transfers to slow receivers show less
+# than the rate of the link; within this time there are transfers to fast ones.
+_MAX_SAMPLE_AGE_S = 10.0
 
 
 class _Sample(NamedTuple):
-    """The drain of a link over `_SAMPLE_S`.
+    """The rate of a link averaged over `_SAMPLE_S`.
 
     Attributes:
-        at: When it was complete, in seconds.
+        completed_at: Time of the clock at its end, in seconds.
         rate: Bytes per second.
     """
 
-    at: float
+    completed_at: float
     rate: float
 
 
-class DrainRate:
-    """The rate of a link, observed while something waits for it.
+class MeasuredRate:
+    """The rate of a link, measured while bytes wait for it.
 
-    What leaves a link that nothing waits for shows how much was asked of it,
-    not what it carries. Likewise, what one receiver alone takes shows at least
-    what it carries, and may be far less.
+    The bytes sent while nothing waits show the demand, not the rate of the
+    link. Likewise, the rate to a single receiver is only a lower bound of the
+    rate of the link and may be far below it.
     """
 
     def __init__(self) -> None:
-        self._waited_s = 0.0
+        self._busy_s = 0.0
         self._shared_s = 0.0
-        self._drained = 0
-        self._least = 0.0
+        self._sent_bytes = 0
+        self._lower_bound = 0.0
         self._samples: collections.deque[_Sample] = collections.deque()
 
     def get(self) -> float:
-        """Returns bytes per second; 0: nothing ever waited for long."""
+        """Returns bytes per second; 0 if bytes never waited long enough."""
         if self._samples:
-            return max(one.rate for one in self._samples)
-        return self._get_running() if self._was_shared() else 0.0
+            return max(sample.rate for sample in self._samples)
+        return self._get_current_rate() if self._was_shared() else 0.0
 
-    def get_least(self) -> float:
-        """Returns bytes per second that were seen, if to one receiver only."""
-        return self.get() or max(self._least, self._get_running())
+    def get_lower_bound(self) -> float:
+        """Returns a lower bound of the rate, in bytes per second."""
+        return self.get() or max(self._lower_bound, self._get_current_rate())
 
     def record(
-        self, now: float, waited_s: float, drained: int, shared: bool = True
+        self, now: float, busy_s: float, sent_bytes: int, shared: bool = True
     ) -> None:
-        """Notes what left in a time in which something waited throughout.
+        """Records the bytes sent in an interval in which bytes always waited.
 
         Args:
-            now: The end of that time, in seconds of the clock.
-            waited_s: Its length, in seconds.
-            drained: Bytes that left.
-            shared: They went to more than one receiver.
+            now: Time of the clock at the end of the interval, in seconds.
+            busy_s: Length of the interval, in seconds.
+            sent_bytes: Bytes sent in the interval.
+            shared: Whether the bytes went to more than one receiver.
         """
-        self._waited_s += waited_s
-        self._shared_s += waited_s if shared else 0.0
-        self._drained += drained
-        if self._waited_s >= _SAMPLE_S:
+        self._busy_s += busy_s
+        self._shared_s += busy_s if shared else 0.0
+        self._sent_bytes += sent_bytes
+        if self._busy_s >= _SAMPLE_S:
             self._add_sample(now)
-            self._waited_s = self._shared_s = 0.0
-            self._drained = 0
+            self._busy_s = self._shared_s = 0.0
+            self._sent_bytes = 0
 
     def _add_sample(self, now: float) -> None:
-        """Adds what was seen; of one receiver alone only if it is more."""
-        rate = self._drained / self._waited_s
+        """Adds a sample; of a single receiver only if it raises the rate."""
+        rate = self._sent_bytes / self._busy_s
         samples = self._samples
         if not self._was_shared() and not 0 < self.get() < rate:
-            self._least = max(self._least, rate)
+            self._lower_bound = max(self._lower_bound, rate)
             return
         samples.append(_Sample(now, rate))
-        while samples[0].at < now - _AGE_S:
+        while samples[0].completed_at < now - _MAX_SAMPLE_AGE_S:
             samples.popleft()
 
-    def _get_running(self) -> float:
-        if self._waited_s < _FIRST_SAMPLE_S:
+    def _get_current_rate(self) -> float:
+        if self._busy_s < _FIRST_SAMPLE_S:
             return 0.0
-        return self._drained / self._waited_s
+        return self._sent_bytes / self._busy_s
 
     def _was_shared(self) -> bool:
-        return self._shared_s > self._waited_s / 2
+        return self._shared_s > self._busy_s / 2
--- a/merlintrestle/requests/load/reservations.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -1,4 +1,4 @@
-"""Promises: what one long answer has of the outgoing link."""
+"""Reservations of outgoing link capacity for long answers."""
 
 from __future__ import annotations
 
@@ -9,249 +9,278 @@
 
     from merlintrestle.requests.calls import call as calls
 
-# Answers up to this size are small, in bytes: a dozen packets. They wait for no
-# transfer, and transfers are sent in pieces of this size.
+# Size of the chunks in which transfers are sent: a dozen packets. Answers up to
+# this size are small and wait for no transfer.
 CHUNK_BYTES = 16 * 1024
-# Weight of the newest answer in the means of a class.
-_NEWEST = 0.1
-# What may wait on its way at once, in seconds of the link: a check finds it
-# before it, and it keeps the link busy between two looks.
-AHEAD_S = 0.06
-# A transfer of which nothing leaves for so long has a receiver that takes
-# nothing, in seconds: several times what may be on its way before it.
-STALLED_S = 5 * AHEAD_S
+# Weight of the latest answer in the moving averages of its class.
+_EWMA_WEIGHT = 0.1
+# Bytes that may be in transit at once, as the time in seconds in which the link
+# carries them. A short answer waits behind them, and they keep the link busy
+# between two polls of the connections.
+SEND_WINDOW_S = 0.06
+# A transfer of which no byte is sent for this time has a stalled receiver:
+# several times the send window, which may be ahead of it.
+STALL_TIMEOUT_S = 5 * SEND_WINDOW_S
 
 
-class Carrier(Protocol):
-    """The link that carries the answers; see `links.Link`."""
+class TransferLink(Protocol):
+    """The link that carries the answers; see `links.OutgoingLink`.
+
+    Attributes:
+        unsent: Bytes that were written to a connection and not sent yet.
+        get_time: Returns the time in seconds, on the clock of deadlines.
+    """
 
     unsent: int
     get_time: Callable[[], float]
 
-    def get_seconds(self, size: float) -> float:
-        """Returns how long it needs for some bytes, in seconds."""
+    def get_transfer_s(self, size: float) -> float:
+        """Returns how long the link takes to carry some bytes, in seconds."""
 
-    def get_slow_s(self) -> float:
-        """Returns after what time what was handed over is slow, in seconds."""
+    def get_slow_threshold_s(self) -> float:
+        """Returns the shortest transit time of a slow receiver, in seconds."""
 
-    def change_promise(
+    def change_reservation(
         self, transfer: Transfer, before: int, after: int
     ) -> None:
-        """Changes the bytes that are promised to a transfer."""
+        """Changes the bytes that are reserved for a transfer."""
 
     def note_sent(self, count: int) -> None:
-        """Notes that bytes have left."""
+        """Records that bytes have left the host."""
 
     async def wait_for_turn(self, transfer: Transfer) -> None:
-        """Waits until it is a transfer's turn to hand over a piece."""
+        """Waits until a transfer may write its next chunk."""
 
 
-class Means:
-    """What the answers of one class of work were like lately.
+class AnswerStats:
+    """Statistics of the recent answers of one class of work.
 
     Attributes:
-        size: Bytes of an answer; 0: none was seen.
-        spread: How far answers are from that, in bytes.
-        head_s: Time until an answer began, in seconds.
+        size: Mean size in bytes; 0 if no answer was recorded.
+        deviation: Mean absolute deviation of the size, in bytes.
+        head_s: Mean time until the head of the answer, in seconds.
     """
 
-    __slots__ = ("head_s", "size", "spread")
+    __slots__ = ("head_s", "size", "deviation")
 
     def __init__(self) -> None:
         self.size = 0.0
-        self.spread = 0.0
+        self.deviation = 0.0
         self.head_s = 0.0
 
-    def note(self, size: int, head_s: float) -> None:
-        """Takes in an answer."""
+    def record(self, size: int, head_s: float) -> None:
+        """Records an answer.
+
+        Args:
+            size: Its size in bytes.
+            head_s: Time until its head, in seconds.
+        """
         if not self.size:
             self.size = size
             self.head_s = head_s
             return
-        self.spread += _NEWEST * (abs(size - self.size) - self.spread)
-        self.size += _NEWEST * (size - self.size)
-        self.head_s += _NEWEST * (head_s - self.head_s)
+        self.deviation += _EWMA_WEIGHT * (
+            abs(size - self.size) - self.deviation
+        )
+        self.size += _EWMA_WEIGHT * (size - self.size)
+        self.head_s += _EWMA_WEIGHT * (head_s - self.head_s)
 
 
 class Transfer:
-    """One answer on its way through the link.
+    """The transfer of one answer over the link.
 
-    Bytes are `left` from the promise until they have left, and besides `unsent`
-    from when they were handed over, so that `left` is never less.
-    `Link.promised` is the sum of `left`, and `Link.unsent` that of `unsent`,
-    but for receivers that take nothing.
+    Bytes count as `remaining` from their reservation until they are sent, and
+    as `unsent` as well from when they are written to the connection, so that
+    `remaining` is never less than `unsent`. `OutgoingLink.reserved_bytes` is
+    the sum of `remaining` and `OutgoingLink.unsent` that of `unsent`, except
+    for stalled receivers.
 
     Attributes:
-        left: Bytes that are promised to it and have not left yet.
-        unsent: Those of them that were handed over.
-        order: Smaller goes first: calls in time by the end of their targets,
-            after them late ones by their deadlines, in seconds.
-        slow: Its receiver takes less than the link brings.
+        remaining: Bytes that are reserved for the answer and not sent yet.
+        unsent: Those of the remaining bytes that were written.
+        order: Scheduling order, the smallest first: calls in time by their
+            latency deadlines, then late ones by their deadlines, in seconds.
+        slow: Whether the receiver is slower than the link.
     """
 
     __slots__ = (
-        "_began",
+        "_began_at",
         "_call",
         "_head_s",
-        "_open",
+        "_size_pending",
         "_link",
-        "_means",
-        "_moved_at",
+        "_stats",
+        "_progress_at",
         "_stalled",
-        "left",
+        "remaining",
         "order",
         "slow",
         "unsent",
-        "_old",
-        "_old_at",
+        "_window_bytes",
+        "_window_at",
     )
 
     def __init__(
-        self, link: Carrier, means: Means, call: calls.Call, late: bool
+        self,
+        link: TransferLink,
+        stats: AnswerStats,
+        call: calls.Call,
+        late: bool,
     ):
-        """Promises an answer the mean size of its class.
+        """Reserves the mean size of the class for an answer.
 
         Args:
-            link: The link.
-            means: What answers of the class are like.
-            call: What is answered.
-            late: It has no latency target, or misses it in any case.
+            link: The link that carries the answer.
+            stats: Statistics of the answers of the call's class.
+            call: The call that is answered.
+            late: Whether the call has no latency target or misses it in any
+                case.
         """
-        self.left = 0
+        self.remaining = 0
         self.unsent = 0
         self.slow = False
         self.order = get_order(call, late)
         self._link = link
         self._call = call
-        self._means = means
-        self._began = link.get_time()
-        self._moved_at = self._began
+        self._stats = stats
+        self._began_at = link.get_time()
+        self._progress_at = self._began_at
         self._head_s = 0.0
-        self._open = False
+        self._size_pending = False
         self._stalled = False
-        self._old = 0
-        self._old_at = self._began
-        if means.size > CHUNK_BYTES:
-            self._set_left(round(means.size))
+        # Unsent bytes of the window that is measured, and its start.
+        self._window_bytes = 0
+        self._window_at = self._began_at
+        if stats.size > CHUNK_BYTES:
+            self._set_remaining(round(stats.size))
 
     def __lt__(self, other: Transfer) -> bool:
-        """Returns whether it goes before another: late calls go last."""
+        """Returns whether the transfer is scheduled before the other."""
         return self.order < other.order
 
     def record_head(self, typical: bool = True) -> None:
-        """Notes that an answer begins whose size only its end shows.
+        """Records the head of an answer, whose size is not known yet.
 
         Args:
-            typical: It is one that its class is known by; not so an error.
+            typical: Whether the answer counts in the statistics of its class;
+                False for errors.
         """
-        self._head_s = self._link.get_time() - self._began
-        self._open = typical
+        self._head_s = self._link.get_time() - self._began_at
+        self._size_pending = typical
 
     def record_size(self, size: int) -> None:
-        """Notes how many bytes an answer had, unless it said so before."""
-        if self._open:
-            self._open = False
-            self._means.note(size, self._head_s)
+        """Records the size of an answer unless it was recorded before."""
+        if self._size_pending:
+            self._size_pending = False
+            self._stats.record(size, self._head_s)
 
     def set_size(self, size: int, typical: bool = True) -> None:
-        """Sets the bytes of the answer, once its head has come.
+        """Sets the size of the answer when its head has been received.
 
         Args:
-            size: The bytes.
-            typical: As for `note_head`.
+            size: The size in bytes.
+            typical: As for `record_head`.
         """
         self.record_head(typical)
         self.record_size(size)
         if (
-            self._link.get_time() + self._link.get_seconds(size)
+            self._link.get_time() + self._link.get_transfer_s(size)
             > self._call.latency_deadline
         ):
-            # Larger than others of its class, it misses its target in any
-            # case; going first, it would have all others miss theirs.
+            # The answer is larger than others of its class and misses its
+            # target in any case; sent first, it would make all others miss
+            # theirs.
             self.order = get_order(self._call, True)
-        self._set_left(size if size > CHUNK_BYTES else 0)
+        self._set_remaining(size if size > CHUNK_BYTES else 0)
 
     async def wait_for_turn(self) -> None:
-        """Waits until the link has room for the next piece."""
+        """Waits until the next chunk may be written."""
         await self._link.wait_for_turn(self)
 
     def record_written(self, count: int) -> None:
-        """Notes that bytes were handed over to be sent."""
+        """Records that bytes were written to the connection."""
         if not self.unsent:
-            self._moved_at = self._old_at = self._link.get_time()
-            self._old = count
+            self._progress_at = self._window_at = self._link.get_time()
+            self._window_bytes = count
         self._set_unsent(self.unsent + count)
-        if self.left < self.unsent:
-            # An answer without a stated length is longer than its class.
-            self._set_left(self.unsent)
+        if self.remaining < self.unsent:
+            # An answer without a stated size is longer than the mean.
+            self._set_remaining(self.unsent)
 
     def update_unsent(self, unsent: int) -> None:
-        """Notes how many of the bytes handed over have not left yet.
+        """Updates the number of written bytes that have not been sent yet.
+
+        The bytes of a stalled receiver are no work for the link. If they
+        counted as such, they would block all other transfers until the
+        connection to that receiver is closed.
 
-        What waits for a receiver that takes nothing is not the link's work.
-        Counted as such, it would keep all others from the link, until that
-        receiver is given up.
+        Args:
+            unsent: Bytes that were written and not sent yet.
         """
         now = self._link.get_time()
         sent = self.unsent - unsent
         if sent > 0:
-            self._moved_at = now
+            self._progress_at = now
             self._set_stalled(False)
             self._link.note_sent(sent)
             self._set_unsent(unsent)
-            self._set_left(max(unsent, self.left - sent))
-            self._note_pace(now, sent)
-        elif self.unsent and now - self._moved_at > STALLED_S:
-            # It is handed no more either, though it leaves all the room.
+            self._set_remaining(max(unsent, self.remaining - sent))
+            self._update_slow(now, sent)
+        elif self.unsent and now - self._progress_at > STALL_TIMEOUT_S:
+            # A stalled transfer writes no more chunks either, though its bytes
+            # leave the whole send window to others.
             self.slow = True
             self._set_stalled(True)
 
-    def count_ahead(self) -> int:
-        """Returns the bytes on their way that others wait for.
+    def count_blocking_bytes(self) -> int:
+        """Returns the bytes in transit that other transfers wait for.
 
-        More than a piece before a slow receiver waits for that one, not for
-        the link, and takes nothing from others.
+        Of a slow receiver this is one chunk at most: further bytes wait for the
+        receiver instead of the link and delay no others.
         """
         return min(self.unsent, CHUNK_BYTES) if self.slow else self.unsent
 
-    def _note_pace(self, now: float, sent: int) -> None:
-        """Notes whether what was on its way has left in good time."""
-        took_s = now - self._old_at
-        self._old -= sent
-        if self._old <= 0 or took_s > self._link.get_slow_s():
-            self.slow = took_s > self._link.get_slow_s()
-        if self._old <= 0:
-            self._old = self.unsent
-            self._old_at = now
+    def _update_slow(self, now: float, sent: int) -> None:
+        """Updates `slow` by the transit time of the bytes in the window."""
+        transit_s = now - self._window_at
+        self._window_bytes -= sent
+        if (
+            self._window_bytes <= 0
+            or transit_s > self._link.get_slow_threshold_s()
+        ):
+            self.slow = transit_s > self._link.get_slow_threshold_s()
+        if self._window_bytes <= 0:
+            self._window_bytes = self.unsent
+            self._window_at = now
 
     def end(self) -> None:
-        """Gives back what is left of the promise."""
+        """Releases the remaining reservation."""
         self._set_unsent(0)
-        self._set_left(0)
+        self._set_remaining(0)
 
     def _set_stalled(self, stalled: bool) -> None:
-        """Takes its bytes from the link, or gives them back to it."""
+        """Excludes the bytes of a stalled receiver from those of the link."""
         if stalled == self._stalled:
             return
         self._stalled = stalled
         if stalled:
             self._link.unsent -= self.unsent
-            self._link.change_promise(self, self.left, 0)
+            self._link.change_reservation(self, self.remaining, 0)
         else:
             self._link.unsent += self.unsent
-            self._link.change_promise(self, 0, self.left)
+            self._link.change_reservation(self, 0, self.remaining)
 
     def _set_unsent(self, unsent: int) -> None:
         if not self._stalled:
             self._link.unsent += unsent - self.unsent
         self.unsent = unsent
 
-    def _set_left(self, left: int) -> None:
+    def _set_remaining(self, remaining: int) -> None:
         if not self._stalled:
-            self._link.change_promise(self, self.left, left)
-        self.left = left
+            self._link.change_reservation(self, self.remaining, remaining)
+        self.remaining = remaining
 
 
 def get_order(call: calls.Call, late: bool) -> tuple[bool, float]:
-    """Returns when the answer of a call goes, as `Transfer.order`."""
+    """Returns the scheduling order of an answer, as `Transfer.order`."""
     return late, call.deadline if late else call.latency_deadline
