--- a/merlintrestle/requests/load/loads.py
+++ b/merlintrestle/requests/load/loads.py
@@ -1,35 +1,38 @@
-"""Load of a backend server as the daemon beside it reports it.
+"""Encoding of the load that a daemon reports for its backend server.
 
-A daemon sees only the calls that it sent itself. With many daemons these are
-a small part of what an upstream has in flight, and the upstream that looks
-idle from here may be the one that all the others have chosen as well.
+A daemon sees only the calls that it sent itself. With many daemons these are a
+small fraction of the calls in flight at an upstream, and the upstream that
+seems idle to one daemon may be the one that all others have picked as well.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# A greater figure is told as this one. Read as malformed instead, the load of
-# the busiest upstream would be the one that nobody knows.
-_MAX_FIGURE = 1_000_000
-# Daemons of versions before do not tell of their link, nor of what is taken.
-_FIELDS = (3, 4, 5, 6)
-_WHOLE = 100
-_UNTOLD = [0, 0, 0, 0, _WHOLE, 0]
+# Greater values are reported as this one. If they were rejected as malformed,
+# the load of the busiest upstream would be unknown to all.
+_MAX_VALUE = 1_000_000
+# Numbers of fields that are accepted: daemons of earlier versions report
+# neither the backlog of their link nor the acceptance rate nor the server time.
+_FIELD_COUNTS = (3, 4, 5, 6)
+_FULL_PERCENT = 100
+_DEFAULT_FIELDS = [0, 0, 0, 0, _FULL_PERCENT, 0]
 
 
 class Load(NamedTuple):
-    """What a daemon reports with each answer.
+    """The load that a daemon reports with each answer.
 
     Attributes:
-        calls: Calls that hold a slot of the backend server or wait for one.
-        slots: Calls that it runs at once.
-        hold_s: How long a call holds a slot on the average, in seconds.
-        link_backlog_s: How long the link needs for the long answers that are
-            promised to other daemons, in seconds.
-        accepted: Part of the calls that the backend server took lately.
-        server_time_s: How long the call that is answered was there, in seconds;
-            None: not told. The rest of its time it was on its way.
+        calls: Number of calls that hold a slot of the backend server or wait
+            for one.
+        slots: Number of calls that the backend server runs at once.
+        hold_s: Mean time that a call holds a slot, in seconds.
+        link_backlog_s: How long the link needs to send the reserved bytes of
+            long answers to other daemons, in seconds.
+        accepted: Fraction of the recent calls that the backend server accepted.
+        server_time_s: How long the answered call was at the reporting daemon,
+            in seconds; None if not reported. The rest of the round trip was
+            transit.
     """
 
     calls: int
@@ -41,38 +44,38 @@
 
 
 def encode_load(load: Load) -> str:
-    """Returns a load as the text of a header."""
-    hold_ms = min(round(load.hold_s * 1000), _MAX_FIGURE)
-    link_ms = min(round(load.link_backlog_s * 1000), _MAX_FIGURE)
-    calls = min(load.calls, _MAX_FIGURE)
-    slots = min(load.slots, _MAX_FIGURE)
-    accepted = round(load.accepted * _WHOLE)
+    """Encodes a load as the text of a header."""
+    hold_ms = min(round(load.hold_s * 1000), _MAX_VALUE)
+    link_ms = min(round(load.link_backlog_s * 1000), _MAX_VALUE)
+    calls = min(load.calls, _MAX_VALUE)
+    slots = min(load.slots, _MAX_VALUE)
+    accepted = round(load.accepted * _FULL_PERCENT)
     text = f"{calls},{slots},{hold_ms},{link_ms},{accepted}"
     if load.server_time_s is None:
         return text
-    return f"{text},{min(round(load.server_time_s * 1000), _MAX_FIGURE)}"
+    return f"{text},{min(round(load.server_time_s * 1000), _MAX_VALUE)}"
 
 
 def decode_load(text: str) -> Load | None:
-    """Returns the load in the text of a header; None: it is malformed."""
-    figures = text.split(",")
-    count = len(figures)
-    # Numbers of Python may have signs, blanks and underscores as well.
-    if count not in _FIELDS or not "".join(figures).isdecimal():
+    """Decodes the load in the text of a header; None if malformed."""
+    fields = text.split(",")
+    count = len(fields)
+    # int() would also accept signs, blanks and underscores.
+    if count not in _FIELD_COUNTS or not "".join(fields).isdecimal():
         return None
     try:
-        stated = list(map(int, figures))
+        values = list(map(int, fields))
     except ValueError:
         return None
-    if max(stated) > _MAX_FIGURE:
+    if max(values) > _MAX_VALUE:
         return None
-    told = stated + _UNTOLD[count:]
-    calls, slots, hold_ms, link_ms, accepted, spent_ms = told
+    all_values = values + _DEFAULT_FIELDS[count:]
+    calls, slots, hold_ms, link_ms, accepted, server_time_ms = all_values
     return Load(
         calls,
         slots,
         hold_ms / 1000,
         link_ms / 1000,
-        min(accepted, _WHOLE) / _WHOLE,
-        spent_ms / 1000 if count == _FIELDS[-1] else None,
+        min(accepted, _FULL_PERCENT) / _FULL_PERCENT,
+        server_time_ms / 1000 if count == _FIELD_COUNTS[-1] else None,
     )
--- a/tests/requests/load/test_loads.py
+++ b/tests/requests/load/test_loads.py
@@ -1,4 +1,4 @@
-"""The load of a backend server in the text of a header."""
+"""Tests of the encoding of a load as the text of a header."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 
 class LoadTest(unittest.TestCase):
-    def test_comes_as_it_was_sent(self) -> None:
+    def test_decodes_what_was_encoded(self) -> None:
         load = loads.Load(3, 10, 0.25, 1.5, 0.55)
         self.assertEqual(loads.decode_load(loads.encode_load(load)), load)
 
-    def test_figures_beyond_what_is_read(self) -> None:
-        """The load of an overloaded upstream is known, if not exactly.
+    def test_values_above_the_maximum(self) -> None:
+        """The load of an overloaded upstream is known, though not exactly.
 
-        Its link has half an hour of work. Others that could not read this
-        would keep the last load they had read and go on choosing it.
+        The backlog of its link is half an hour. Daemons that could not decode
+        the header would keep the last decoded load and continue to pick the
+        upstream.
         """
         load = loads.Load(2_000_000, 10, 5000.0, 1988.0)
         decoded = loads.decode_load(loads.encode_load(load))
         self.assertEqual(decoded, loads.Load(1_000_000, 10, 1000.0, 1000.0))
 
     def test_daemon_of_an_earlier_release(self) -> None:
-        """It tells three figures, or four, of any size it can read."""
+        """It reports only three or four values."""
         self.assertEqual(loads.decode_load("3,10,250"), loads.Load(3, 10, 0.25))
         self.assertEqual(
             loads.decode_load("3,10,250,1500"), loads.Load(3, 10, 0.25, 1.5)
