--- a/merlintrestle/requests/serving/__init__.py
+++ b/merlintrestle/requests/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request through a daemon, from its sender to the answer."""
+"""Serving of requests by a daemon, from reception to the answer."""
--- a/merlintrestle/requests/serving/attempts.py
+++ b/merlintrestle/requests/serving/attempts.py
@@ -1,4 +1,4 @@
-"""Tries: the sends of one call that are under way at the same time."""
+"""Attempts of one call that are in flight at the same time."""
 
 from __future__ import annotations
 
@@ -23,213 +23,231 @@
     """One send of a call to one upstream.
 
     Attributes:
-        upstream: Where it is sent.
-        anew: True if it goes over a new connection, as the one of an earlier
-            try at the same upstream is silent.
+        upstream: The upstream.
+        new_connection: Whether it must use a new connection, as the connection
+            of an earlier attempt at the same upstream is silent.
         wait: How long it may wait for a slot there.
-        doubts: Why its answer may well not come, as far as that was found.
+        doubts: Reasons found so far why its answer may not come.
     """
 
     upstream: tables.Upstream
-    anew: bool = False
+    new_connection: bool = False
     wait: calls.Wait = calls.Wait.NORMAL
     doubts: set[doubts_.Doubt] = dataclasses.field(default_factory=set)
 
     @property
-    def doubtful(self) -> bool:
-        """True once its answer may well not come."""
+    def in_doubt(self) -> bool:
+        """True once its answer may not come."""
         return bool(self.doubts)
 
 
-class Ended(NamedTuple):
-    """A try has ended.
+class AttemptEnded(NamedTuple):
+    """An attempt has ended.
 
     Attributes:
-        one: The try.
-        outcome: What became of it.
+        attempt: The attempt.
+        outcome: Its outcome.
     """
 
-    one: Attempt
+    attempt: Attempt
     outcome: outcomes.Outcome
 
 
-class Doubtful(NamedTuple):
-    """A try goes on, but its answer may well not come.
+class AttemptInDoubt(NamedTuple):
+    """An attempt is still in flight, but its answer may not come.
 
     Attributes:
-        one: The try.
-        doubt: Why.
-        again: True if it was in doubt for that before.
+        attempt: The attempt.
+        doubt: Why its answer may not come.
+        repeated: True if this doubt was reported for it before.
     """
 
-    one: Attempt
+    attempt: Attempt
     doubt: doubts_.Doubt
-    again: bool
+    repeated: bool
 
 
 class Attempts:
-    """Runs the tries of a call side by side until one of them counts.
+    """Runs the attempts of a call concurrently until the call has its outcome.
 
-    Most calls need one try alone, so the first one runs in the task of the
-    call itself: a task of its own would cost every call two more turns of the
-    event loop. What decides about further tries runs beside it once the first
-    one is in doubt, and ends it when it has an outcome.
+    Most calls need only one attempt, so the first one runs in the task of the
+    call itself: a separate task would cost every call two more iterations of
+    the event loop. Once the first attempt is in doubt, the supervisor, which
+    decides on further attempts, runs in a task of its own. It interrupts the
+    first attempt when the call has its outcome.
     """
 
     def __init__(self) -> None:
         self._running: dict[asyncio.Future[outcomes.Outcome], Attempt] = {}
         self._ended: collections.deque[asyncio.Future[outcomes.Outcome]]
         self._ended = collections.deque()
-        self._doubtful: collections.deque[Doubtful] = collections.deque()
-        self._news: asyncio.Future[None] | None = None
-        self._first: _First | None = None
-        self._overseer: asyncio.Task[outcomes.Outcome] | None = None
+        self._doubts: collections.deque[AttemptInDoubt] = collections.deque()
+        self._wakeup: asyncio.Future[None] | None = None
+        self._first_attempt: _FirstAttempt | None = None
+        self._supervisor: asyncio.Task[outcomes.Outcome] | None = None
         self._returned = False
 
     @property
     def count(self) -> int:
-        """Tries that run."""
+        """Number of attempts in flight."""
         return len(self._running)
 
     @property
-    def in_doubt(self) -> bool:
-        """True if each try that runs is in doubt."""
-        return all(one.doubtful for one in self._running.values())
+    def all_in_doubt(self) -> bool:
+        """True if each attempt in flight is in doubt."""
+        return all(attempt.in_doubt for attempt in self._running.values())
 
     async def run(
         self,
-        one: Attempt,
+        attempt: Attempt,
         send: Coroutine[Any, Any, outcomes.Outcome],
-        oversee: Callable[[], Coroutine[Any, Any, outcomes.Outcome]],
+        supervise: Callable[[], Coroutine[Any, Any, outcomes.Outcome]],
     ) -> outcomes.Outcome:
-        """Runs the first try, and then others as far as they are needed.
+        """Runs the first attempt, and further ones as needed.
 
         Args:
-            one: The first try.
-            send: What sends the call there.
-            oversee: Decides about the others by `wait`; what it returns is the
-                outcome of the call.
+            attempt: The first attempt.
+            send: Sends the call to its upstream.
+            supervise: Decides on further attempts by the events that
+                `wait_for_event` returns; returns the outcome of the call.
 
         Raises:
-            bodies.BodyError: The caller's body stopped half-way.
+            bodies.BodyError: The caller's body is incomplete.
         """
-        outcome = await self._run(one, send, oversee)
+        outcome = await self._run(attempt, send, supervise)
         self._returned = True
         return outcome
 
     def start(
-        self, one: Attempt, send: Coroutine[Any, Any, outcomes.Outcome]
+        self, attempt: Attempt, send: Coroutine[Any, Any, outcomes.Outcome]
     ) -> None:
-        """Begins a further try."""
+        """Starts a further attempt."""
         task = asyncio.create_task(send)
-        self._running[task] = one
-        task.add_done_callback(self._note_end)
-
-    def report(self, one: Attempt, doubt: doubts_.Doubt) -> None:
-        """Takes in that a try is in doubt."""
-        self._doubtful.append(Doubtful(one, doubt, doubt in one.doubts))
-        one.doubts.add(doubt)
-        if self._first is not None and self._overseer is None:
-            self._overseer = asyncio.create_task(self._first.oversee())
-            self._overseer.add_done_callback(self._end_first)
+        self._running[task] = attempt
+        task.add_done_callback(self._record_end)
+
+    def report_doubt(self, attempt: Attempt, doubt: doubts_.Doubt) -> None:
+        """Reports that the answer of an attempt may not come."""
+        self._doubts.append(
+            AttemptInDoubt(attempt, doubt, doubt in attempt.doubts)
+        )
+        attempt.doubts.add(doubt)
+        if self._first_attempt is not None and self._supervisor is None:
+            self._supervisor = asyncio.create_task(
+                self._first_attempt.supervise()
+            )
+            self._supervisor.add_done_callback(self._interrupt_first)
         self._wake()
 
-    async def wait(self) -> Ended | Doubtful:
-        """Returns what happens next; ends go before doubts.
+    async def wait_for_event(self) -> AttemptEnded | AttemptInDoubt:
+        """Waits for the next event; ended attempts come before doubts.
 
         Raises:
-            bodies.BodyError: The caller's body stopped half-way.
+            bodies.BodyError: The caller's body is incomplete.
         """
         while True:
             if self._ended:
-                ended = self._ended.popleft()
-                return Ended(self._running.pop(ended), ended.result())
-            if self._doubtful:
-                doubtful = self._doubtful.popleft()
-                if doubtful.one in self._running.values():
-                    return doubtful
+                future = self._ended.popleft()
+                return AttemptEnded(self._running.pop(future), future.result())
+            if self._doubts:
+                event = self._doubts.popleft()
+                if event.attempt in self._running.values():
+                    return event
                 continue
-            self._news = asyncio.get_running_loop().create_future()
-            await self._news
+            self._wakeup = asyncio.get_running_loop().create_future()
+            await self._wakeup
 
     def close(self) -> None:
-        """Cancels the tries that still run, and drops their answers.
+        """Cancels the attempts in flight, and drops their answers.
 
-        Left running, they would be work for a caller that has its answer or
-        has left. The answer that was returned is kept: it may be long, and only
-        its beginning has come.
+        Nobody needs their work any more: the caller has its answer or has
+        disconnected. The answer that was returned is kept, as the rest of a
+        long one is still to come.
         """
-        if self._overseer is not None and not self._returned:
-            self._overseer.add_done_callback(outcomes.release_unused)
-            self._overseer.cancel()
-        for one in self._running:
-            one.remove_done_callback(self._note_end)
-            one.add_done_callback(outcomes.release_unused)
-            one.cancel()
+        if self._supervisor is not None and not self._returned:
+            self._supervisor.add_done_callback(outcomes.release_unused)
+            self._supervisor.cancel()
+        for future in self._running:
+            future.remove_done_callback(self._record_end)
+            future.add_done_callback(outcomes.release_unused)
+            future.cancel()
         self._running.clear()
 
     async def _run(
         self,
-        one: Attempt,
+        attempt: Attempt,
         send: Coroutine[Any, Any, outcomes.Outcome],
-        oversee: Callable[[], Coroutine[Any, Any, outcomes.Outcome]],
+        supervise: Callable[[], Coroutine[Any, Any, outcomes.Outcome]],
     ) -> outcomes.Outcome:
-        first = self._first = _First(oversee)
-        self._running[first.ended] = one
+        first = self._first_attempt = _FirstAttempt(supervise)
+        self._running[first.outcome] = attempt
         try:
-            first.ended.set_result(await send)
+            first.outcome.set_result(await send)
         except asyncio.CancelledError:
-            if self._overseer is None or not first.was_interrupted():
+            if self._supervisor is None or not first.clear_interruption():
                 raise
-            return await self._overseer
+            return await self._supervisor
         finally:
-            self._first = None
-        self._note_end(first.ended)
-        return await (self._overseer or oversee())
+            self._first_attempt = None
+        self._record_end(first.outcome)
+        return await (self._supervisor or supervise())
 
-    def _note_end(self, ended: asyncio.Future[outcomes.Outcome]) -> None:
-        self._ended.append(ended)
+    def _record_end(self, future: asyncio.Future[outcomes.Outcome]) -> None:
+        self._ended.append(future)
         self._wake()
 
-    def _end_first(self, overseer: asyncio.Task[outcomes.Outcome]) -> None:
-        del overseer
-        if self._first is not None:
-            self._first.interrupt()
+    def _interrupt_first(
+        self, supervisor: asyncio.Task[outcomes.Outcome]
+    ) -> None:
+        del supervisor
+        if self._first_attempt is not None:
+            self._first_attempt.interrupt()
 
     def _wake(self) -> None:
-        if self._news is not None and not self._news.done():
-            self._news.set_result(None)
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
 
-class _First:
-    """The first try of a call while the task of the call awaits it.
+class _FirstAttempt:
+    """The first attempt of a call while the task of the call awaits it.
 
     Attributes:
-        ended: Its outcome, once there is one.
-        oversee: Decides about further tries.
+        outcome: Its outcome, once it has ended.
+        supervise: Decides on further attempts.
     """
 
-    __slots__ = ("_cancelling", "_interrupted", "_task", "ended", "oversee")
+    __slots__ = (
+        "_prior_cancellations",
+        "_interrupted",
+        "_task",
+        "outcome",
+        "supervise",
+    )
 
     def __init__(
-        self, oversee: Callable[[], Coroutine[Any, Any, outcomes.Outcome]]
+        self, supervise: Callable[[], Coroutine[Any, Any, outcomes.Outcome]]
     ):
         task = asyncio.current_task()
         assert task is not None
         loop = asyncio.get_running_loop()
-        self.ended: asyncio.Future[outcomes.Outcome] = loop.create_future()
-        self.oversee = oversee
+        self.outcome: asyncio.Future[outcomes.Outcome] = loop.create_future()
+        self.supervise = supervise
         self._task = task
-        self._cancelling = task.cancelling()
+        self._prior_cancellations = task.cancelling()
         self._interrupted = False
 
     def interrupt(self) -> None:
-        """Ends the wait for it, as the call has its outcome."""
+        """Cancels the wait for the attempt, as the call has its outcome."""
         self._interrupted = True
         self._task.cancel()
 
-    def was_interrupted(self) -> bool:
-        """Takes the interruption back; False if the caller left as well."""
+    def clear_interruption(self) -> bool:
+        """Undoes the cancellation by `interrupt`, if there was one.
+
+        Returns:
+            True if nothing else has cancelled the task; False if `interrupt`
+            was not called, or if the caller has disconnected as well.
+        """
         if not self._interrupted:
             return False
-        return self._task.uncancel() <= self._cancelling
+        return self._task.uncancel() <= self._prior_cancellations
--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -1,4 +1,4 @@
-"""Callers: the requests that come from outside, on the port for callers."""
+"""Handling of requests on the caller port."""
 
 from __future__ import annotations
 
@@ -21,60 +21,62 @@
     from merlintrestle.requests.calls import routing
     from merlintrestle.requests.reports import latencies as latencies_
     from merlintrestle.requests.reports import statistics as statistics_
-    from merlintrestle.requests.serving import dispatch as dispatches
-    from merlintrestle.requests.serving import serving_state as standings
+    from merlintrestle.requests.serving import dispatch
+    from merlintrestle.requests.serving import serving_state as serving_states
 
 
 class CallerHandler:
-    """Answers callers by way of an upstream."""
+    """Answers callers by sending their calls to upstreams."""
 
     def __init__(
         self,
-        standing: standings.ServingState,
+        state: serving_states.ServingState,
         dialect: object,
-        dispatch: dispatches.Dispatcher,
+        dispatcher: dispatch.Dispatcher,
         statistics: statistics_.Statistics,
         latencies: latencies_.Latencies,
-        is_working: Callable[[], bool],
+        is_busy: Callable[[], bool],
     ):
-        """Sets the parts.
+        """Initializes the handler.
 
         Args:
-            standing: Whether requests are taken.
-            dialect: How the callers speak.
-            dispatch: Sends calls to upstreams.
-            statistics: What became of the calls of each class.
-            latencies: How long callers waited.
-            is_working: Returns whether the own backend server is at work.
+            state: The serving state of this daemon.
+            dialect: The dialect of the callers.
+            dispatcher: Sends calls to upstreams.
+            statistics: Counts the outcomes of the calls of each class.
+            latencies: Records how long callers waited.
+            is_busy: Returns whether the local backend server runs a call.
         """
-        self._is_working = is_working
-        self._standing = standing
+        self._is_busy = is_busy
+        self._state = state
         self._dialect = dialect
-        self._dispatch = dispatch
+        self._dispatcher = dispatcher
         self._statistics = statistics
         self._latencies = latencies
         self._get_time = asyncio.get_running_loop().time
-        self._returns = refused_callers.RefusedCallers(self._get_time)
+        self._refused_callers = refused_callers.RefusedCallers(self._get_time)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers a request."""
         response = await self._answer(request)
-        return responses.close_if(self._standing.leaving, response)
+        return responses.force_close_if(
+            self._state.caller_keep_alive_disabled, response
+        )
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
         began = self._get_time()
-        running = self._standing.get_running(
-            dialects.may_be_nested(self._dialect, request, self._is_working())
+        running = self._state.get_running(
+            dialects.may_be_nested(self._dialect, request, self._is_busy())
         )
         if isinstance(running, outcomes.NotRun):
             return self._refuse(running, request)
         match = dialects.match_caller(self._dialect, running, request)
         if isinstance(match, outcomes.NotRun):
             return self._refuse(match, request)
-        self._standing.enter()
+        self._state.begin_call()
         try:
-            asked = self._read_asked(request, match, began)
-            call = await parsing.read_call(request, match, asked, began)
+            metadata = self._read_metadata(request, match, began)
+            call = await parsing.read_call(request, match, metadata, began)
             if isinstance(call, outcomes.NotRun):
                 return self._refuse(call, request)
             call.story.add(
@@ -83,41 +85,48 @@
                 service=match.service,
                 work=match.plan.name,
                 left_ms=round((call.deadline - began) * 1000),
-                limit=_name_limit(call, asked),
-                waited_ms=asked.waited_ms,
+                limit=_get_timeout_source(call, metadata),
+                waited_ms=metadata.waited_ms,
             )
-            return await self._serve(request, call, began, asked)
+            return await self._serve(request, call, began, metadata)
         finally:
-            self._standing.leave()
+            self._state.end_call()
 
-    def _read_asked(
+    def _read_metadata(
         self, request: web.BaseRequest, match: routing.Match, began: float
     ) -> parsing.CallMetadata:
-        """Returns what a caller asks for, and since when."""
-        asked = dialects.read_metadata(self._dialect, request)
-        if asked.timeout_ms is None or not asked.retries_keep_deadline:
-            return asked
-        since = self._returns.pop(
-            (match.route, request.raw_path), began + asked.timeout_ms / 1000
+        """Returns the metadata of a request, with the time waited so far.
+
+        A caller that retries with the same deadline does not state when its
+        first request came. The time waited is then computed from its earlier
+        request, which was refused here.
+        """
+        metadata = dialects.read_metadata(self._dialect, request)
+        if metadata.timeout_ms is None or not metadata.retries_keep_deadline:
+            return metadata
+        first_request_at = self._refused_callers.pop(
+            (match.route, request.raw_path), began + metadata.timeout_ms / 1000
+        )
+        if first_request_at is None:
+            return metadata
+        return metadata._replace(
+            waited_ms=round((began - first_request_at) * 1000)
         )
-        if since is None:
-            return asked
-        return asked._replace(waited_ms=round((began - since) * 1000))
 
-    def _note_return(
+    def _remember_refused_caller(
         self,
         request: web.BaseRequest,
         call: calls.Call,
         began: float,
-        asked: parsing.CallMetadata,
+        metadata: parsing.CallMetadata,
     ) -> None:
-        """Remembers a caller that got no answer, as it may come back."""
-        if asked.timeout_ms is None or not asked.retries_keep_deadline:
+        """Remembers a caller that got no answer, as it may retry."""
+        if metadata.timeout_ms is None or not metadata.retries_keep_deadline:
             return
-        self._returns.add(
+        self._refused_callers.add(
             (call.route, request.raw_path),
-            began + asked.timeout_ms / 1000,
-            began - asked.waited_ms / 1000,
+            began + metadata.timeout_ms / 1000,
+            began - metadata.waited_ms / 1000,
         )
 
     async def _serve(
@@ -125,20 +134,24 @@
         request: web.BaseRequest,
         call: calls.Call,
         began: float,
-        asked: parsing.CallMetadata,
+        metadata: parsing.CallMetadata,
     ) -> web.StreamResponse:
         try:
-            outcome = await responses.catch_body_error(self._dispatch.run(call))
-            took_s = self._get_time() - began
+            outcome = await responses.catch_body_error(
+                self._dispatcher.run(call)
+            )
+            duration_s = self._get_time() - began
             if not isinstance(outcome, outcomes.Answered):
-                self._note_return(request, call, began, asked)
+                self._remember_refused_caller(request, call, began, metadata)
             try:
-                response = await responses.finish(
+                response = await responses.respond(
                     request, outcome, self._dialect
                 )
             finally:
-                self._statistics.note(call.plan, outcome, took_s)
-                self._latencies.note(call.plan, call.service, outcome, took_s)
+                self._statistics.note(call.plan, outcome, duration_s)
+                self._latencies.note(
+                    call.plan, call.service, outcome, duration_s
+                )
         except BaseException as error:
             stories.end_cut(call.story, error, self._get_time() - began)
             raise
@@ -151,9 +164,11 @@
         return dialects.render(self._dialect, refusal, request)
 
 
-def _name_limit(call: calls.Call, asked: parsing.CallMetadata) -> str:
-    """Returns whose limit ends the time of a call."""
-    limit_ms = asked.timeout_ms
-    if limit_ms is not None and limit_ms / 1000 < call.plan.deadline_s:
+def _get_timeout_source(
+    call: calls.Call, metadata: parsing.CallMetadata
+) -> str:
+    """Returns where the timeout that determines the deadline comes from."""
+    timeout_ms = metadata.timeout_ms
+    if timeout_ms is not None and timeout_ms / 1000 < call.plan.deadline_s:
         return "caller"
     return "class of work"
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -1,8 +1,8 @@
-"""The way of a call from its caller to an upstream, tried again if safe.
+"""Dispatch of calls to upstreams, with retries and hedged attempts.
 
-A call that may be at work somewhere is given up only by proof: its answer, a
-refusal, a broken connection, or the end of its time. Whatever else makes a try
-doubtful is only a reason to try another upstream as well.
+An attempt that may be running somewhere is abandoned only on proof: an answer,
+a refusal, a broken connection, or the deadline of the call. Any other sign that
+its answer may not come is only a reason for a hedge at another upstream.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from merlintrestle.requests.load import round_trips
 from merlintrestle.requests.load import startup
 from merlintrestle.requests.serving import attempt_runner
-from merlintrestle.requests.serving import attempts as tries_
-from merlintrestle.requests.serving import retry_state as progress_
+from merlintrestle.requests.serving import attempts as attempts_
+from merlintrestle.requests.serving import retry_state as retry_states
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,7 +26,7 @@
     from merlintrestle.requests import interfaces
     from merlintrestle.requests.load import budgets as budgets_
     from merlintrestle.requests.load import picking
-    from merlintrestle.requests.serving import local_runner as besides
+    from merlintrestle.requests.serving import local_runner as local_runners
     from merlintrestle.requests.transport import forwarding
 
 
@@ -34,233 +34,266 @@
     """Sends calls to upstreams of their service.
 
     Attributes:
-        joining: Has calls wait while the daemon learns of upstreams.
+        startup_wait: Delays calls while a new daemon learns of upstreams.
     """
 
     def __init__(
         self,
-        member_id: Callable[[], str],
+        get_member_id: Callable[[], str],
         table: interfaces.MemberTable,
         picker: picking.Picker,
-        beside: besides.LocalRunner,
+        local_runner: local_runners.LocalRunner,
         forwarder: forwarding.Forwarder,
         get_time: Callable[[], float],
         budgets: budgets_.Budgets,
-        lanes: interfaces.SubsetSelector,
+        subsets: interfaces.SubsetSelector,
     ):
-        """Sets the parts; `member_id` gives the id of this daemon."""
+        """Initializes the dispatcher.
+
+        Args:
+            get_member_id: Returns the member id of this daemon.
+            table: The upstreams of each service.
+            picker: Picks upstreams.
+            local_runner: Runs calls on the local backend server.
+            forwarder: Sends calls to other daemons.
+            get_time: Returns the time, in seconds.
+            budgets: The retry budgets of the services.
+            subsets: Selects the upstreams that an attempt may use.
+        """
         self._table = table
-        self._lanes = lanes
+        self._subsets = subsets
         self._picker = picker
         self._get_time = get_time
         self._budgets = budgets
-        self._beside = beside
-        self._way = round_trips.RoundTripTime(get_time)
-        self._sending = attempt_runner.AttemptRunner(
-            member_id, table, picker, beside, forwarder, get_time, self._way
+        self._local_runner = local_runner
+        self._round_trip = round_trips.RoundTripTime(get_time)
+        self._attempt_runner = attempt_runner.AttemptRunner(
+            get_member_id,
+            table,
+            picker,
+            local_runner,
+            forwarder,
+            get_time,
+            self._round_trip,
         )
-        self.joining = startup.StartupWait(table, get_time)
+        self.startup_wait = startup.StartupWait(table, get_time)
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
-        """Returns the answer of an upstream, or the failure to state.
+        """Returns the answer of an upstream, or the failure of the call.
 
-        The first answer that counts wins; tries that still run are cancelled
-        then, and all of them at once when the caller leaves.
+        The first final answer wins, and the other attempts are cancelled. All
+        attempts are cancelled if the caller disconnects.
         """
         budget = self._budgets.get(call.service)
         budget.record_call()
-        budget.charge(self._beside.repeats.get_ratio())
-        if not await self.joining.wait(call):
+        budget.charge(self._local_runner.repeats.get_ratio())
+        if not await self.startup_wait.wait(call):
             return self._refuse(call)
-        tries = tries_.Attempts()
+        attempts = attempts_.Attempts()
         try:
-            progress = progress_.RetryState(call, budget, tries, self._way)
-            return await self._run(progress)
+            state = retry_states.RetryState(
+                call, budget, attempts, self._round_trip
+            )
+            return await self._run(state)
         finally:
-            tries.close()
+            attempts.close()
 
-    async def _run(self, progress: progress_.RetryState) -> outcomes.Outcome:
-        first = self._choose(progress)
+    async def _run(self, state: retry_states.RetryState) -> outcomes.Outcome:
+        first = self._choose_attempt(state)
         if first is None:
-            return self._refuse(progress.call)
-        tries = progress.tries
-        send = self._sending.run(first, progress.call, tries)
-        oversee = functools.partial(self._oversee, progress)
-        return await tries.run(first, send, oversee)
+            return self._refuse(state.call)
+        attempts = state.attempts
+        send = self._attempt_runner.run(first, state.call, attempts)
+        supervise = functools.partial(self._supervise, state)
+        return await attempts.run(first, send, supervise)
 
-    async def _oversee(
-        self, progress: progress_.RetryState
+    async def _supervise(
+        self, state: retry_states.RetryState
     ) -> outcomes.Outcome:
-        """Decides by what its tries come to until the call has its outcome."""
+        """Handles the events of its attempts until the call has an outcome."""
         while True:
-            news = await progress.tries.wait()
-            if isinstance(news, tries_.Doubtful):
-                self._answer_doubt(news, progress)
+            event = await state.attempts.wait_for_event()
+            if isinstance(event, attempts_.AttemptInDoubt):
+                self._handle_doubt(event, state)
                 continue
-            outcome = self._answer_end(news, progress)
+            outcome = self._handle_end(event, state)
             if outcome is not None:
                 return outcome
 
-    def _answer_end(
-        self, ended: tries_.Ended, progress: progress_.RetryState
+    def _handle_end(
+        self, event: attempts_.AttemptEnded, state: retry_states.RetryState
     ) -> outcomes.Outcome | None:
-        """Returns what the caller gets; None: another try may yet count."""
-        latest = ended.outcome
-        progress.note(latest)
-        if isinstance(latest, outcomes.NotRun) and latest.unqueued:
-            progress.polls.add(ended.one.upstream, latest.retry_after_s or 0.0)
-            if self._poll_on(progress):
+        """Returns the outcome of the call; None while attempts are pending."""
+        outcome = event.outcome
+        state.record(outcome)
+        if isinstance(outcome, outcomes.NotRun) and outcome.unqueued:
+            state.polls.add(
+                event.attempt.upstream, outcome.retry_after_s or 0.0
+            )
+            if self._continue_polling(state):
                 return None
-        if _counts(latest):
-            return latest
-        if self._retry(latest, progress):
+        if _is_final(outcome):
+            return outcome
+        if self._retry(outcome, state):
             return None
-        if progress.tries.count:
-            progress.discard()
+        if state.attempts.count:
+            state.discard_answer()
             return None
-        if not isinstance(latest, outcomes.Answered):
-            progress.call.story.add(
+        if not isinstance(outcome, outcomes.Answered):
+            state.call.story.add(
                 "given up",
-                tries=len(progress.tried),
-                reached=progress.reached,
-                budget=round(progress.budget.balance, 1),
-                left_ms=progress.call.get_remaining_ms(),
+                tries=len(state.upstream_ids),
+                reached=state.reached_count,
+                budget=round(state.budget.balance, 1),
+                left_ms=state.call.get_remaining_ms(),
             )
-        return progress.outcome
+        return state.outcome
 
     def _retry(
-        self, latest: outcomes.Outcome, progress: progress_.RetryState
+        self, outcome: outcomes.Outcome, state: retry_states.RetryState
     ) -> bool:
-        """Tries another upstream after one that failed, if that is safe."""
-        call = progress.call
-        count = len(self._table.get_upstreams(call.service))
-        if not progress.may_try(count) or not call.body.repeatable:
+        """Sends a call to another upstream after a failure, if that is safe."""
+        call = state.call
+        upstream_count = len(self._table.get_upstreams(call.service))
+        if (
+            not state.may_attempt_another(upstream_count)
+            or not call.body.repeatable
+        ):
             return False
-        retry = retries.classify(latest, call)
+        retry = retries.classify(outcome, call)
         if retry is retries.Retry.NO:
             return False
-        if retry is retries.Retry.BUDGETED and not progress.spend():
+        if retry is retries.Retry.BUDGETED and not state.try_spend():
             return False
-        if isinstance(latest, (outcomes.Ran, outcomes.Unknown)):
-            call.suspect |= latest.broken
-        progress.discard()
-        return self._try_another(progress)
+        if isinstance(outcome, (outcomes.Ran, outcomes.Unknown)):
+            call.suspect |= outcome.broken
+        state.discard_answer()
+        return self._start_another(state)
 
-    def _poll_on(self, progress: progress_.RetryState) -> bool:
-        """Asks one more upstream for a free slot, or has the call wait.
+    def _continue_polling(self, state: retry_states.RetryState) -> bool:
+        """Polls one more upstream for a free slot, or queues the call.
 
-        All that were asked count as one that refused: the call waits where
-        that takes the shortest, and if it is refused there, others that are
-        as good as these would do so too.
+        The call is queued at the polled upstream with the shortest wait. All
+        polled upstreams count as one refusal: if that one refuses the call as
+        well, other upstreams that are as good would do so too.
         """
-        call = progress.call
-        if not progress.may_go_on() or not call.body.repeatable:
+        call = state.call
+        if not state.may_attempt() or not call.body.repeatable:
             return False
-        count = len(self._table.get_upstreams(call.service))
+        upstream_count = len(self._table.get_upstreams(call.service))
         if (
-            not progress.polls.is_complete(count)
-            and progress.may_try(count)
-            and self._try_another(progress)
+            not state.polls.is_complete(upstream_count)
+            and state.may_attempt_another(upstream_count)
+            and self._start_another(state)
         ):
             return True
-        progress.refusals += 1
-        best = progress.polls.take_best()
+        state.refusal_count += 1
+        best = state.polls.take_best()
         call.story.add("all full", waits_at=best.member_id)
-        self._start(tries_.Attempt(best), progress)
+        self._start(attempts_.Attempt(best), state)
         return True
 
-    def _answer_doubt(
-        self, doubtful: tries_.Doubtful, progress: progress_.RetryState
+    def _handle_doubt(
+        self, event: attempts_.AttemptInDoubt, state: retry_states.RetryState
     ) -> None:
-        """Sends a call as well whose try is in doubt, if that is safe."""
-        call = progress.call
-        one, doubt, again = doubtful
-        if not again:
+        """Hedges a call whose attempt is in doubt, if that is safe."""
+        call = state.call
+        attempt, doubt, repeated = event
+        if not repeated:
             call.story.add(
                 "in doubt",
-                upstream=one.upstream.member_id,
+                upstream=attempt.upstream.member_id,
                 why=doubt.name.lower(),
             )
-        count = len(self._table.get_upstreams(call.service))
-        others = progress.may_try(count)
+        upstream_count = len(self._table.get_upstreams(call.service))
+        has_alternatives = state.may_attempt_another(upstream_count)
         if (
-            (others or doubt.concerns_connection_only)
-            and progress.may_send_as_well()
-            and progress.spend()
+            (has_alternatives or doubt.concerns_connection_only)
+            and state.may_hedge()
+            and state.try_spend()
         ):
-            self._send_as_well(doubtful, others, progress)
+            self._hedge(event, has_alternatives, state)
 
-    def _send_as_well(
+    def _hedge(
         self,
-        doubtful: tries_.Doubtful,
-        others: bool,
-        progress: progress_.RetryState,
+        event: attempts_.AttemptInDoubt,
+        has_alternatives: bool,
+        state: retry_states.RetryState,
     ) -> None:
-        """Sends a call a second time, which is paid for.
+        """Sends a call a second time; the retry budget is already charged.
 
-        There is no third time, so another upstream comes first also where the
-        connection alone is in doubt: an upstream that turns out to be slow
-        after a second send to it would hold the call until its deadline.
+        There is no third attempt, so another upstream is preferred even if only
+        the connection is in doubt: if the same upstream turned out to be slow,
+        the call would wait there until its deadline.
         """
-        if others and self._try_another(progress):
+        if has_alternatives and self._start_another(state):
             return
-        if doubtful.doubt.concerns_connection_only:
-            again = tries_.Attempt(doubtful.one.upstream, anew=True)
-            self._start(again, progress)
+        if event.doubt.concerns_connection_only:
+            attempt = attempts_.Attempt(
+                event.attempt.upstream, new_connection=True
+            )
+            self._start(attempt, state)
 
-    def _try_another(self, progress: progress_.RetryState) -> bool:
-        """Sends a call to an upstream not tried yet; False: there is none."""
-        one = self._choose(progress)
-        if one is not None:
-            self._start(one, progress)
-        return one is not None
+    def _start_another(self, state: retry_states.RetryState) -> bool:
+        """Sends a call to a further upstream; returns False if none is left."""
+        attempt = self._choose_attempt(state)
+        if attempt is not None:
+            self._start(attempt, state)
+        return attempt is not None
 
-    def _choose(self, progress: progress_.RetryState) -> tries_.Attempt | None:
-        """Returns a try at an upstream not tried yet; None: there is none."""
-        call = progress.call
-        lane = self._lanes.choose(
+    def _choose_attempt(
+        self, state: retry_states.RetryState
+    ) -> attempts_.Attempt | None:
+        """Returns an attempt at a further upstream; None if none is left."""
+        call = state.call
+        subset = self._subsets.choose(
             call.service, self._table.get_upstreams(call.service)
         )
-        upstreams = lane.upstreams
+        upstreams = subset.upstreams
         upstream = self._picker.pick(
-            lane.name, upstreams, progress.tried, call.plan.repeatable
+            subset.name, upstreams, state.upstream_ids, call.plan.repeatable
         )
         if upstream is None:
             return None
-        if progress.tried:
-            left = round(progress.budget.balance, 1)
-            call.story.add("sent again", budget=left)
-        progress.tried.add(upstream.member_id)
-        view = self._picker.get_details(upstream, len(upstreams))
-        call.story.add_later("picked", view.describe)
-        # A body that is passed on in pieces cannot be offered to others.
+        if state.upstream_ids:
+            balance = round(state.budget.balance, 1)
+            call.story.add("sent again", budget=balance)
+        state.upstream_ids.add(upstream.member_id)
+        details = self._picker.get_details(upstream, len(upstreams))
+        call.story.add_later("picked", details.describe)
+        # A body that is streamed can be sent to one upstream only, so its call
+        # waits there without polling others.
         wait = calls.Wait.NORMAL
-        way_s = self._way.get()
+        round_trip_s = self._round_trip.get()
         if call.body.held is not None and polls.is_worthwhile(
-            way_s, call.plan.latency_s
+            round_trip_s, call.plan.latency_s
         ):
-            seen = self._picker.get_observation(upstream.member_id)
-            known = len(upstreams) == 1 or seen.has_recent_load(
+            observation = self._picker.get_observation(upstream.member_id)
+            load_known = len(upstreams) == 1 or observation.has_recent_load(
                 self._get_time()
             )
-            wait = polls.choose_wait(known, self._picker.is_zone_peer(upstream))
-        return tries_.Attempt(upstream, wait=wait)
+            wait = polls.choose_wait(
+                load_known, self._picker.is_zone_peer(upstream)
+            )
+        return attempts_.Attempt(upstream, wait=wait)
 
     def _start(
-        self, one: tries_.Attempt, progress: progress_.RetryState
+        self, attempt: attempts_.Attempt, state: retry_states.RetryState
     ) -> None:
-        tries = progress.tries
-        tries.start(one, self._sending.run(one, progress.call, tries))
+        attempts = state.attempts
+        attempts.start(
+            attempt, self._attempt_runner.run(attempt, state.call, attempts)
+        )
 
     def _refuse(self, call: calls.Call) -> outcomes.NotRun:
         return outcomes.NotRun(
             f"no backend server of {call.service} is known",
-            retry_after_s=self.joining.retry_after_s,
+            retry_after_s=self.startup_wait.retry_after_s,
         )
 
 
-def _counts(outcome: outcomes.Outcome) -> bool:
-    """Returns whether an answer goes to the caller, whatever else runs."""
+def _is_final(outcome: outcomes.Outcome) -> bool:
+    """Returns whether an outcome is returned without waiting for others."""
     if isinstance(outcome, outcomes.Answered):
         return outcome.response.status != outcomes.SHEDDING_STATUS
     return isinstance(outcome, outcomes.Replayed)
--- a/merlintrestle/requests/serving/local_runner.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -1,4 +1,4 @@
-"""The way of a call beside its backend server: admitted, then forwarded."""
+"""Execution of calls on the local backend server."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from merlintrestle.requests.unrepeatable import claims as claims_
 
 
-_ANOTHER_VERSION = outcomes.NotRun(
+_OTHER_VERSION_ACTIVE = outcomes.NotRun(
     "another version of the service gets its calls",
     retry_after_s=0.1,
     elsewhere=True,
@@ -28,11 +28,11 @@
 
 
 class LocalRunner:
-    """Runs calls on the own backend server.
+    """Admits calls and forwards them to the local backend server.
 
     Attributes:
-        at_most_once: The way of calls that may not be repeated.
-        repeats: What of the calls that run here is a repeat.
+        at_most_once: Runs the calls that must not be repeated.
+        repeats: Counts the running calls and those of them that are repeats.
     """
 
     def __init__(
@@ -45,7 +45,18 @@
         dialect: object,
         observer: interfaces.Observer,
     ):
-        """Sets the parts; the dialect is that of the backend server."""
+        """Initializes the runner.
+
+        Args:
+            backend: The local backend server.
+            admission: Admits calls to the slots of the backend server.
+            forwarder: Sends calls to the backend server.
+            claims: Claims on calls that must not be repeated.
+            crashes: Tracks which calls were in flight at crashes of the
+                backend server.
+            dialect: The dialect of the backend server.
+            observer: Records the answers of the backend server for roll-outs.
+        """
         self._observer = observer
         self._dialect = dialect
         self._backend = backend
@@ -58,23 +69,23 @@
         )
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
-        """Admits a call and forwards it, or refuses it as not run."""
+        """Admits a call and forwards it, or refuses it."""
         if not self._observer.may_run():
-            return _ANOTHER_VERSION
-        turn = await self._crashes.acquire_suspect_slot(call)
-        if isinstance(turn, outcomes.NotRun):
-            return turn
-        if turn is None:
+            return _OTHER_VERSION_ACTIVE
+        release_suspect_slot = await self._crashes.acquire_suspect_slot(call)
+        if isinstance(release_suspect_slot, outcomes.NotRun):
+            return release_suspect_slot
+        if release_suspect_slot is None:
             return await self._run(call)
         try:
             outcome = await self._run(call)
         except BaseException:
-            turn()
+            release_suspect_slot()
             raise
         if isinstance(outcome, outcomes.Answered):
-            outcome.add_release_callback(turn)
+            outcome.add_release_callback(release_suspect_slot)
         else:
-            turn()
+            release_suspect_slot()
         return outcome
 
     async def _run(self, call: calls.Call) -> outcomes.Outcome:
@@ -89,8 +100,8 @@
             self._admission.release(call)
             raise
         if isinstance(outcome, outcomes.NotRun) and outcome.reached:
-            turnover_s = self._admission.estimate_retry_delay(call)
-            outcome = dataclasses.replace(outcome, retry_after_s=turnover_s)
+            retry_after_s = self._admission.estimate_retry_delay(call)
+            outcome = dataclasses.replace(outcome, retry_after_s=retry_after_s)
         if isinstance(outcome, outcomes.Answered):
             outcome.add_release_callback(lambda: self._admission.release(call))
         else:
@@ -98,8 +109,8 @@
         return outcome
 
     async def _forward(self, call: calls.Call) -> outcomes.Outcome:
-        # Not the time of the event loop: that is as old as the loop's turn, so
-        # a daemon that thaws in the middle of one would not see the pause.
+        # Not the time of the event loop, which is taken once per iteration: a
+        # daemon that is frozen and resumes within one would miss the pause.
         if time.monotonic() >= call.refuse_by:
             return outcomes.TOO_LATE
         refusal = self._crashes.check(call)
@@ -116,8 +127,8 @@
             self._crashes.end(call, False)
             self.repeats.end(repeat)
             raise
-        self._note_given(outcome)
-        self._note(call, outcome)
+        self._record_acceptance(outcome)
+        self._track_crashes(call, outcome)
         if not isinstance(outcome, outcomes.NotRun):
             self._observer.record_answer(
                 call.plan.name, _is_failure(outcome), time.monotonic() - began
@@ -128,36 +139,44 @@
             self.repeats.end(repeat)
         return outcome
 
-    def _note_given(self, outcome: outcomes.Outcome) -> None:
-        """Notes whether the backend server took a call that reached it."""
+    def _record_acceptance(self, outcome: outcomes.Outcome) -> None:
+        """Records whether the backend server accepted a call it received."""
         if not isinstance(outcome, outcomes.NotRun):
             self._admission.record_acceptance(taken=True)
         elif outcome.reached:
             self._admission.record_acceptance(taken=False)
 
-    def _note(self, call: calls.Call, outcome: outcomes.Outcome) -> None:
+    def _track_crashes(
+        self, call: calls.Call, outcome: outcomes.Outcome
+    ) -> None:
+        """Passes the end of a call, and a possible crash, to the tracker."""
         crashes = self._crashes
         if isinstance(outcome, outcomes.Answered):
-            outcome.add_release_callback(lambda: self._end(call, outcome))
+            outcome.add_release_callback(
+                lambda: self._end_tracking(call, outcome)
+            )
             return
-        if _shows_crash(outcome):
+        if _may_show_crash(outcome):
             crashes.record_disconnect()
         crashes.end(call, False)
 
-    def _end(self, call: calls.Call, answered: outcomes.Answered) -> None:
+    def _end_tracking(
+        self, call: calls.Call, answered: outcomes.Answered
+    ) -> None:
         if answered.truncated:
             self._crashes.record_disconnect()
         self._crashes.end(call, not answered.truncated)
 
 
 def _is_failure(outcome: outcomes.Outcome) -> bool:
-    """Returns whether the backend server failed a call that it took."""
+    """Returns whether a call that the backend server accepted failed."""
     if isinstance(outcome, outcomes.Answered):
         return outcome.response.status >= outcomes.MIN_SERVER_ERROR_STATUS
     return True
 
 
-def _shows_crash(outcome: outcomes.Outcome) -> bool:
+def _may_show_crash(outcome: outcomes.Outcome) -> bool:
+    """Returns whether the backend server may have crashed during a call."""
     if isinstance(outcome, outcomes.NotRun):
         return outcome.unreachable
     if isinstance(outcome, (outcomes.Ran, outcomes.Unknown)):
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -1,4 +1,4 @@
-"""Peers: the calls that other daemons send for the own backend server."""
+"""Handling of requests of other daemons on the peer port."""
 
 from __future__ import annotations
 
@@ -21,45 +21,52 @@
 
 if TYPE_CHECKING:
     from merlintrestle.requests.calls import call as calls
-    from merlintrestle.requests.load import admission
+    from merlintrestle.requests.load import admission as admissions
     from merlintrestle.requests.load import links
     from merlintrestle.requests.load import reservations
-    from merlintrestle.requests.serving import local_runner as besides
-    from merlintrestle.requests.serving import serving_state as standings
+    from merlintrestle.requests.serving import local_runner as local_runners
+    from merlintrestle.requests.serving import serving_state as serving_states
 
-# How much of answers may wait here for the link, in bytes: the smallest
-# instances have some 200 MB. What is more waits in the backend server.
-_MAX_AHEAD_BYTES = 8 * 1024 * 1024
+# Maximum bytes of answers that are buffered here for the link; the rest stays
+# in the backend server. The smallest instances have some 200 MB of memory.
+_MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 
-# Status codes of answers that have no body, and of those that succeeded.
-_BODILESS = (204, 304)
-_SUCCESSFUL = range(200, 300)
+# Status codes of answers without a body, and of successful answers.
+_BODILESS_STATUSES = (204, 304)
+_SUCCESS_STATUSES = range(200, 300)
 
-_OWN_DIALECT = dialects.NativeDialect()
+_NATIVE_DIALECT = dialects.NativeDialect()
 _MALFORMED = outcomes.NotRun("what is passed on is malformed", 400, None)
 
 
 class PeerHandler:
-    """Answers other daemons by way of the own backend server."""
+    """Answers other daemons by running calls on the local backend server."""
 
     def __init__(
         self,
-        standing: standings.ServingState,
-        beside: besides.LocalRunner,
-        slots: admission.Admission,
+        state: serving_states.ServingState,
+        local_runner: local_runners.LocalRunner,
+        admission: admissions.Admission,
         link: links.OutgoingLink,
     ):
-        """Sets the parts; the link is that to other daemons."""
+        """Initializes the handler.
+
+        Args:
+            state: The serving state of this daemon.
+            local_runner: Runs calls on the local backend server.
+            admission: Admits calls to the slots of the backend server.
+            link: The outgoing link to other daemons.
+        """
         self._link = link
         self._transfers = transfers.Transfers(link)
-        self._standing = standing
-        self._beside = beside
-        self._slots = slots
+        self._state = state
+        self._local_runner = local_runner
+        self._admission = admission
         self._registry = probes.Registry()
         self._get_time = asyncio.get_running_loop().time
 
     def close(self) -> None:
-        """Ends the looks at what is on its way."""
+        """Stops the monitoring of transfers."""
         self._transfers.close()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -71,35 +78,39 @@
         response = await self._answer(request, call_id)
         if not response.prepared:
             response.headers[headers.CALL] = call_id
-        return responses.close_if(self._standing.leaving_peers, response)
+        return responses.force_close_if(
+            self._state.peer_keep_alive_disabled, response
+        )
 
     async def _answer(
         self, request: web.BaseRequest, call_id: str
     ) -> web.StreamResponse:
         began = self._get_time()
-        running = self._standing.get_running()
+        running = self._state.get_running()
         if isinstance(running, outcomes.NotRun):
             return outcomes.render(running)
         match = parsing.match_peer(request)
         if isinstance(match, outcomes.NotRun):
             return outcomes.render(match)
-        asked = metadata.decode_metadata(request.headers.get(headers.PASSED))
-        if asked is None:
+        call_metadata = metadata.decode_metadata(
+            request.headers.get(headers.PASSED)
+        )
+        if call_metadata is None:
             return outcomes.render(_MALFORMED)
         progress = self._registry.enter(call_id)
-        self._standing.enter()
+        self._state.begin_call()
         try:
-            call = await parsing.read_call(request, match, asked, began)
+            call = await parsing.read_call(request, match, call_metadata, began)
             if isinstance(call, outcomes.NotRun):
                 return outcomes.render(call)
             call.story.add(
                 "passed on",
-                left_ms=asked.timeout_ms,
-                way_back_ms=asked.return_trip_ms,
+                left_ms=call_metadata.timeout_ms,
+                way_back_ms=call_metadata.return_trip_ms,
             )
             return await self._serve(request, call, began, progress, call_id)
         finally:
-            self._standing.leave()
+            self._state.end_call()
             self._registry.leave(call_id)
 
     async def _serve(
@@ -113,27 +124,28 @@
         transfer = self._link.admit(call)
         if isinstance(transfer, outcomes.NotRun):
             stories.end_story(call.story, transfer, self._get_time() - began)
-            return await responses.finish(
+            return await responses.respond(
                 request,
                 transfer,
-                _OWN_DIALECT,
-                added=self._describe_answer(call_id, began),
+                _NATIVE_DIALECT,
+                extra_headers=self._build_answer_headers(call_id, began),
             )
         try:
             outcome = await self._run(call, transfer, request.method)
-            response = await responses.finish(
+            response = await responses.respond(
                 request,
                 outcome,
-                _OWN_DIALECT,
+                _NATIVE_DIALECT,
                 progress,
-                self._describe_answer(call_id, began),
+                self._build_answer_headers(call_id, began),
                 functools.partial(self._transfers.send, transfer=transfer),
             )
         except BaseException as error:
             stories.end_cut(call.story, error, self._get_time() - began)
             raise
         finally:
-            # What is still on its way is given back as it leaves.
+            # The reservation of bytes that are still unsent ends once they are
+            # sent.
             if not transfer.unsent:
                 transfer.end()
         stories.end_story(call.story, outcome, self._get_time() - began)
@@ -142,25 +154,26 @@
     async def _run(
         self, call: calls.Call, transfer: reservations.Transfer, method: str
     ) -> outcomes.Outcome:
-        """Runs a call; what it holds comes free once its answer is read.
+        """Runs a call; its slot is released once its answer is read.
 
-        A slot held while an answer waits for the link is a slot that checks
-        wait for, though the backend server has nothing left to do.
+        A slot that is held until the answer is sent would keep other calls
+        waiting while the answer waits for the link, although the backend
+        server is done with the call.
         """
-        outcome = await responses.catch_body_error(self._beside.run(call))
+        outcome = await responses.catch_body_error(self._local_runner.run(call))
         if not isinstance(outcome, outcomes.Answered):
             return outcome
         response, held = outcome.response, outcome.body
-        _note_answer(outcome, transfer, method)
-        if held is None and self._link.reserved_bytes <= _MAX_AHEAD_BYTES:
+        _record_answer(outcome, transfer, method)
+        if held is None and self._link.reserved_bytes <= _MAX_BUFFERED_BYTES:
             response.content.on_eof(functools.partial(_release_soon, outcome))
         return outcome
 
-    def _describe_answer(
+    def _build_answer_headers(
         self, call_id: str, began: float
     ) -> tuple[tuple[str, str], ...]:
-        """Returns what tells a daemon which call is answered, and the load."""
-        load = self._slots.get_load()._replace(
+        """Returns headers with the id of the call and the current load."""
+        load = self._admission.get_load()._replace(
             link_backlog_s=self._link.get_backlog_s(),
             server_time_s=self._get_time() - began,
         )
@@ -170,21 +183,21 @@
         )
 
 
-def _note_answer(
+def _record_answer(
     answered: outcomes.Answered, transfer: reservations.Transfer, method: str
 ) -> None:
-    """Tells a transfer what is known of its answer once that begins.
+    """Records the size of an answer, as far as its head states it.
 
-    Errors and answers without a body don't tell what its class is like. Taken
-    for that, a burst of them would have downloads begun that the link can't
-    carry.
+    Errors and answers without a body are not typical of the answers of their
+    class of work. Counted as typical, a burst of them would lower the expected
+    size, and more downloads would be admitted than the link can carry.
     """
     response, held = answered.response, answered.body
-    if method == "HEAD" or response.status in _BODILESS:
+    if method == "HEAD" or response.status in _BODILESS_STATUSES:
         transfer.set_size(0, typical=False)
         return
     size = response.content_length if held is None else len(held)
-    typical = response.status in _SUCCESSFUL
+    typical = response.status in _SUCCESS_STATUSES
     if size is None:
         transfer.record_head(typical)
     else:
@@ -192,8 +205,8 @@
 
 
 def _release_soon(answered: outcomes.Answered) -> None:
-    """Frees what a call holds, after what is being read now.
+    """Releases what a call holds in the next iteration of the event loop.
 
-    At its end, the connection of an answer is still being read from.
+    When the end of the answer is seen, its connection is still being read.
     """
     asyncio.get_running_loop().call_soon(answered.release)
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: the data path of one daemon."""
+"""Proxy of a daemon, which serves callers and other daemons."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from merlintrestle.requests import backend
 from merlintrestle.requests.calls import dialect as dialects
 from merlintrestle.requests.crashing import crashes
-from merlintrestle.requests.load import admission
+from merlintrestle.requests.load import admission as admissions
 from merlintrestle.requests.load import budgets
 from merlintrestle.requests.load import links
 from merlintrestle.requests.load import picking
@@ -32,7 +32,7 @@
 from merlintrestle.requests.unrepeatable import recall
 from merlintrestle.rollouts import observer as observers
 from merlintrestle.rollouts import subsets
-from merlintrestle.rollouts import tracker as books
+from merlintrestle.rollouts import tracker as trackers
 
 if TYPE_CHECKING:
     from merlintrestle.requests import interfaces
@@ -41,34 +41,37 @@
 
 events = event_logs.EventLog("requests")
 
-_OWN_DIALECT = dialects.NativeDialect()
-# Part of the bound of retries that calls sent anew to the same upstream add:
-# few of them reach it twice, as their connection was gone.
-_BESIDE_PART = 0.2
-# Time between checks of the own backend server, in seconds.
-_CHECK_S = 1.0
-_CHECK_DOWN_S = 0.2
-# Time between two looks at what waits for the link and at the event loop, in
-# seconds: often enough to meet a full buffer, too seldom to cost anything.
-_LOOK_S = 0.5
+_NATIVE_DIALECT = dialects.NativeDialect()
+# Bounds on calls that are sent again to the local backend server, as a fraction
+# of the bounds on retries, to which they add: few of these calls reach it
+# twice, as their first connection was already gone.
+_RESEND_FRACTION = 0.2
+# Intervals between checks of the local backend server, in seconds.
+_CHECK_INTERVAL_S = 1.0
+_DOWN_CHECK_INTERVAL_S = 0.2
+# Interval between measurements of the bytes that wait for the link and of the
+# lateness of the event loop, in seconds: short enough to see a full buffer, too
+# long to cost anything.
+_TRAFFIC_INTERVAL_S = 0.5
 
 
 class Proxy(mode.Service):
     """Serves callers and the other daemons.
 
     Attributes:
-        backend: The own backend server.
-        statistics: What became of the calls of each class.
-        latencies: How long callers waited, and why they were refused.
-        traffic: What went over the link, and what waited for it.
-        caller_port: Bound port for callers, once started.
+        backend: The local backend server.
+        statistics: Counts the outcomes of the calls of each class.
+        latencies: Records how long callers waited, and why they were refused.
+        traffic: Reports the bytes sent over the link, and those that waited.
+        caller_port: Bound port for callers, once open.
         peer_port: Bound port for other daemons, once started.
-        defer_caller_port: Set before `start`: `open_callers` opens their port.
+        defer_caller_port: If True, `start` does not open the port for callers;
+            `open_caller_port` does. Set it before `start`.
         control_port: Port on which this daemon answers recalls; set it before
             `start` where the setting is 0.
-        crashes: Takes strikes of other daemons (`crashes.strikes.add`) and
-            sends own ones (`crashes.send_strike`).
-        observer: What is seen of the own backend server in a roll-out.
+        crashes: Receives the strikes of other daemons (`crashes.strikes.add`)
+            and sends those of this daemon (`crashes.send_strike`).
+        observer: Records answers of the local backend server in a roll-out.
         recalls: gRPC servicer to be added to the control server.
     """
 
@@ -78,21 +81,21 @@
         holder: interfaces.Holder,
         table: interfaces.MemberTable,
         store: interfaces.Store,
-        dialect: object = _OWN_DIALECT,
-        book: books.RolloutTracker | None = None,
+        dialect: object = _NATIVE_DIALECT,
+        tracker: trackers.RolloutTracker | None = None,
     ):
-        """Sets the parts; nothing is opened before `start`.
+        """Initializes the proxy; no port is opened before `start`.
 
         Args:
             settings: Settings of the daemon.
-            holder: The version that runs.
+            holder: Holds the running configuration version.
             table: The upstreams of each service.
-            store: Keeps claims.
-            dialect: How callers and backend servers speak.
-            book: The roll-outs; None: there are none.
+            store: Stores claims.
+            dialect: The dialect of callers and of the backend server.
+            tracker: The roll-outs; None: there are none.
         """
         super().__init__()
-        book = book or books.RolloutTracker(table.get_upstreams)
+        tracker = tracker or trackers.RolloutTracker(table.get_upstreams)
         self._dialect = dialect
         self.backend = backend.LocalBackend()
         self.caller_port = 0
@@ -102,14 +105,14 @@
         self._settings = settings
         self._state = serving_state.ServingState(holder)
         self._budgets = budgets.Budgets(table.count_usable)
-        self._beside_budgets = budgets.Budgets(table.count_usable)
+        self._resend_budgets = budgets.Budgets(table.count_usable)
         self.set_retry_bounds(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_s
         )
         self._traffics = traffic.build_traffics()
         self._link = links.OutgoingLink()
         self._forwarder = forwarding.Forwarder(
-            self._beside_budgets,
+            self._resend_budgets,
             dialects.accepts_unframed_answers(dialect),
             self._traffics,
         )
@@ -124,16 +127,19 @@
             time.monotonic,
         )
         self.recalls = recall.RecallServicer(claims)
-        self._admission = slots = admission.Admission(
+        self._admission = admission = admissions.Admission(
             self.backend, holder, table
         )
         self.crashes = crashes.CrashTracker(self.backend)
         self.observer = observers.Observer(
-            book, self.backend, self._get_member_id, lambda: slots.in_flight
+            tracker,
+            self.backend,
+            self._get_member_id,
+            lambda: admission.in_flight,
         )
         self._local_runner = local_runner.LocalRunner(
             self.backend,
-            slots,
+            admission,
             self._forwarder,
             claims,
             self.crashes,
@@ -146,34 +152,42 @@
             picking.Picker(
                 settings.zone,
                 self._get_member_id,
-                slots.has_capacity,
+                admission.has_capacity,
                 time.monotonic,
             ),
             self._local_runner,
             self._forwarder,
             time.monotonic,
             self._budgets,
-            subsets.SubsetSelector(book, settings.trial_share),
+            subsets.SubsetSelector(tracker, settings.trial_share),
         )
 
     def set_retry_bounds(
         self, ratio: float, slack: float, window_s: float
     ) -> None:
-        """Bounds the retries of the whole fleet; see the settings."""
+        """Sets the bounds on the retries of the whole fleet.
+
+        See `budgets.Budgets.set_bounds` for the meaning of 0.
+
+        Args:
+            ratio: Retries for each call of a service.
+            slack: Retries besides these in one window.
+            window_s: Length of the window, in seconds.
+        """
         self._budgets.set_bounds(ratio, slack, window_s)
-        self._beside_budgets.set_bounds(
-            ratio * _BESIDE_PART, slack * _BESIDE_PART, window_s
+        self._resend_budgets.set_bounds(
+            ratio * _RESEND_FRACTION, slack * _RESEND_FRACTION, window_s
         )
 
     async def on_start(self) -> None:
-        """Opens the port for peers, and that for callers if not held."""
+        """Opens the peer port and, unless deferred, the caller port."""
         self._member_id = f"{self._settings.address}:{self.control_port}"
         loop = asyncio.get_running_loop()
         self.statistics = statistics.Statistics(loop.time)
         await self._forwarder.start()
         self.backend.on_restart = self._forwarder.drop_idle
         address = self._settings.address
-        caller_side = callers.CallerHandler(
+        caller_handler = callers.CallerHandler(
             self._state,
             self._dialect,
             self._dispatch,
@@ -181,18 +195,18 @@
             self.latencies,
             self._admission.is_busy,
         )
-        self._peer_side = peers.PeerHandler(
+        self._peer_handler = peers.PeerHandler(
             self._state, self._local_runner, self._admission, self._link
         )
         traffics = self._traffics
         self._caller_server = server.Server(
-            caller_side.handle, traffics.callers
+            caller_handler.handle, traffics.callers
         )
         self._peer_server = server.Server(
-            self._peer_side.handle, traffics.peers
+            self._peer_handler.handle, traffics.peers
         )
         self.traffic = traffic.TrafficReport(
-            traffics, self._link, self._get_held_back, loop.time
+            traffics, self._link, self._count_unsent_bytes, loop.time
         )
         await self._peer_server.start(address, self._settings.peer_port)
         self.peer_port = self._peer_server.port
@@ -201,48 +215,52 @@
 
     async def open_caller_port(self) -> None:
         """Opens the port for callers."""
-        self._dispatch.joining.begin()
+        self._dispatch.startup_wait.begin()
         address = self._settings.address
         await self._caller_server.start(address, self._settings.port)
         self.caller_port = self._caller_server.port
 
     async def on_stop(self) -> None:
-        """Cuts what is still in flight; `drain` comes first."""
+        """Closes all connections; call `drain` first to finish the calls."""
         await self._caller_server.close()
         await self._peer_server.close()
-        self._peer_side.close()
+        self._peer_handler.close()
         self._local_runner.at_most_once.close()
         await self._forwarder.close()
         await self._recall_client.close()
 
     def disable_caller_keep_alive(self) -> None:
-        """Has callers go elsewhere; serves those that come.
+        """Closes each caller's connection with its next answer.
 
-        Other daemons go on sending calls for the own backend server, which
-        may well outlive this process and cannot be reached without it.
+        Callers then connect to another daemon; those that still come are
+        served. Other daemons continue to send calls for the local backend
+        server, which may outlive this process and is reachable only through it.
         """
-        self._state.leaving = True
+        self._state.caller_keep_alive_disabled = True
 
     def disable_keep_alive(self) -> None:
-        """Has other daemons go elsewhere too; serves those that come."""
+        """Closes connections of callers and daemons with the next answer.
+
+        Requests that still come are served.
+        """
         self.disable_caller_keep_alive()
-        self._state.leaving_peers = True
+        self._state.peer_keep_alive_disabled = True
 
-    async def drain(self, limit_s: float) -> bool:
+    async def drain(self, timeout_s: float) -> bool:
         """Refuses new work and waits for all work in flight.
 
         Args:
-            limit_s: Longest wait, in seconds.
+            timeout_s: Maximum wait, in seconds.
 
         Returns:
-            True if nothing is in flight any more.
+            True if no work is in flight any more, False after a timeout.
         """
         self.disable_keep_alive()
         self.backend.drain()
         self._state.draining = True
         try:
-            async with asyncio.timeout(limit_s):
-                await self._finish_calls()
+            async with asyncio.timeout(timeout_s):
+                await self._wait_for_calls()
                 await self._caller_server.flush()
                 await self._peer_server.flush()
         except TimeoutError:
@@ -250,11 +268,11 @@
             return False
         return True
 
-    async def _finish_calls(self) -> None:
-        """Waits until no call is in flight, and no claimed one runs on.
+    async def _wait_for_calls(self) -> None:
+        """Waits until neither calls nor claimed calls are in flight.
 
-        Claimed calls go on after their callers have left; their backend
-        server may still make a call of its own through this daemon.
+        Claimed calls continue after their callers have disconnected, and the
+        backend server may still make calls for them through this daemon.
         """
         tasks = self._local_runner.at_most_once.tasks
         while self.in_flight or tasks:
@@ -265,38 +283,40 @@
     @mode.Service.task
     async def _check_backend(self) -> None:
         while not self.should_stop:
-            # One that sends heartbeats tells of its own return, and under
-            # another id; connections to it would only take its slots.
+            # A backend server that sends heartbeats announces its restart
+            # itself, with a new id; a check would only use one of its slots.
             reachable = (
                 bool(self.backend.instance_id) or await self.backend.check()
             )
-            await self.sleep(_CHECK_S if reachable else _CHECK_DOWN_S)
+            await self.sleep(
+                _CHECK_INTERVAL_S if reachable else _DOWN_CHECK_INTERVAL_S
+            )
 
     @mode.Service.task
     async def _watch_traffic(self) -> None:
         loop = asyncio.get_running_loop()
         while not self.should_stop:
-            due = loop.time() + _LOOK_S
-            await self.sleep(_LOOK_S)
-            self.traffic.look(max(0.0, loop.time() - due))
+            expected_at = loop.time() + _TRAFFIC_INTERVAL_S
+            await self.sleep(_TRAFFIC_INTERVAL_S)
+            self.traffic.look(max(0.0, loop.time() - expected_at))
 
-    def _get_held_back(self) -> int:
-        """Returns the bytes of answers that wait to be sent."""
+    def _count_unsent_bytes(self) -> int:
+        """Returns the bytes of answers that wait to be sent on both ports."""
         servers = (self._caller_server, self._peer_server)
-        return sum(one.get_held_back() for one in servers)
+        return sum(listener.get_held_back() for listener in servers)
 
     @property
     def in_flight(self) -> int:
-        """Calls that are not yet answered whole."""
+        """Number of calls whose answers are not yet complete."""
         return self._state.in_flight
 
     @property
-    def is_claiming(self) -> bool:
-        """True while claimed calls run, also those without a caller."""
+    def has_claimed_calls(self) -> bool:
+        """True while claimed calls run, even if their callers have left."""
         return bool(self._local_runner.at_most_once.tasks)
 
     def get_class_statuses(self) -> list[control_pb2.ClassStatus]:
-        """Returns what became of the calls of each class lately."""
+        """Returns the recent outcomes of the calls of each class."""
         return self.statistics.get_statuses()
 
     def _get_member_id(self) -> str:
--- a/merlintrestle/requests/serving/responses.py
+++ b/merlintrestle/requests/serving/responses.py
@@ -1,4 +1,4 @@
-"""Answering: from the outcome of a call to what its sender gets."""
+"""Responses to callers and other daemons, built from outcomes of calls."""
 
 from __future__ import annotations
 
@@ -17,54 +17,60 @@
     from collections.abc import Awaitable
 
 
-def close_if(leaving: bool, response: web.StreamResponse) -> web.StreamResponse:
-    """Has the connection close after this answer if the daemon stops.
+def force_close_if(
+    condition: bool, response: web.StreamResponse
+) -> web.StreamResponse:
+    """Closes the connection after this answer if the condition is true.
 
-    Cut at the end of the drain, it may just have got another request, and
-    its caller could not tell whether that ran.
+    A daemon that is about to stop does so: a connection that is cut at the end
+    of the drain may just have carried another request, and its caller could
+    not know whether that ran.
     """
-    if leaving:
+    if condition:
         response.force_close()
     return response
 
 
 async def catch_body_error(
-    run: Awaitable[outcomes.Outcome],
+    outcome: Awaitable[outcomes.Outcome],
 ) -> outcomes.Outcome:
-    """Returns the outcome of a call, also where the caller's body stopped."""
+    """Returns the outcome of a call, also for an incomplete request body."""
     try:
-        return await run
+        return await outcome
     except bodies.BodyError as error:
         return outcomes.Unknown(str(error), 400)
 
 
-async def finish(
+async def respond(
     request: web.BaseRequest,
     outcome: outcomes.Outcome,
     dialect: object,
     progress: probes.Progress | None = None,
-    added: tuple[tuple[str, str], ...] = (),
-    send: streams.Sender | None = None,
+    extra_headers: tuple[tuple[str, str], ...] = (),
+    send_body: streams.Sender | None = None,
 ) -> web.StreamResponse:
-    """Answers a request by the outcome of its call.
+    """Answers a request with the outcome of its call.
 
     Args:
         request: The request.
-        outcome: What became of its call.
-        dialect: How its sender speaks.
-        progress: Counts what is passed on of a long answer.
-        added: Headers to add.
-        send: Sends the body of a long answer; None: as its pieces come.
+        outcome: The outcome of its call.
+        dialect: The dialect of its sender.
+        progress: Counts the bytes that are relayed of a long answer.
+        extra_headers: Headers to add.
+        send_body: Sends the body of a long answer; None: each chunk is sent as
+            it arrives.
     """
     if isinstance(outcome, outcomes.Answered):
-        return await _relay(request, outcome, progress, added, send)
+        return await _relay(
+            request, outcome, progress, extra_headers, send_body
+        )
     if isinstance(outcome, outcomes.Replayed):
         response = outcomes.render(outcome)
     else:
         response = dialects.render(dialect, outcome, request)
-    response.headers.extend(added)
+    response.headers.extend(extra_headers)
     if not request.content.is_eof():
-        # What is left of the body must not be taken for the next request.
+        # The unread rest of the body must not be parsed as the next request.
         response.force_close()
     return response
 
@@ -73,11 +79,13 @@
     request: web.BaseRequest,
     answered: outcomes.Answered,
     progress: probes.Progress | None,
-    added: tuple[tuple[str, str], ...],
-    send: streams.Sender | None,
+    extra_headers: tuple[tuple[str, str], ...],
+    send_body: streams.Sender | None,
 ) -> web.StreamResponse:
     try:
-        return await streams.relay(request, answered, progress, added, send)
+        return await streams.relay(
+            request, answered, progress, extra_headers, send_body
+        )
     except (aiohttp.ClientError, OSError) as error:
         answered.truncated = isinstance(error, aiohttp.ClientError)
         raise ConnectionError("the answer was cut") from error
--- a/merlintrestle/requests/serving/serving_state.py
+++ b/merlintrestle/requests/serving/serving_state.py
@@ -1,4 +1,4 @@
-"""Standing: whether this daemon takes requests, and which are in flight."""
+"""Serving state of a daemon: requests in flight, drain and keep-alive."""
 
 from __future__ import annotations
 
@@ -13,20 +13,26 @@
 
 
 class ServingState:
-    """What the two ports of a daemon share.
+    """State shared by the caller port and the peer port of a daemon.
 
     Attributes:
-        in_flight: Calls that are not yet answered whole.
-        leaving: True once callers are to find another daemon.
-        leaving_peers: True once other daemons are to send calls elsewhere.
+        in_flight: Number of calls whose answers are not yet complete.
+        caller_keep_alive_disabled: True once each answer to a caller closes
+            its connection, so that callers connect to another daemon.
+        peer_keep_alive_disabled: True once each answer to another daemon
+            closes its connection.
         draining: True once new work is refused.
     """
 
     def __init__(self, holder: interfaces.Holder):
-        """Sets what holds the version that runs."""
+        """Initializes the state.
+
+        Args:
+            holder: Holds the running configuration version.
+        """
         self.in_flight = 0
-        self.leaving = False
-        self.leaving_peers = False
+        self.caller_keep_alive_disabled = False
+        self.peer_keep_alive_disabled = False
         self.draining = False
         self._holder = holder
         self._idle = asyncio.Event()
@@ -35,11 +41,12 @@
     def get_running(
         self, nested: bool = False
     ) -> snapshot.Snapshot | outcomes.NotRun:
-        """Returns the version that runs, or why no request is taken.
+        """Returns the running version, or a refusal.
 
         Args:
-            nested: The request is made on behalf of one that may be in flight
-                here; refused, that one would be cut off after all.
+            nested: Whether the request may be made on behalf of a request that
+                is in flight here. It is served during a drain too: refusing it
+                would make the request in flight fail.
         """
         if self.draining and not nested:
             return outcomes.NotRun("this daemon is stopping", elsewhere=True)
@@ -51,13 +58,13 @@
             )
         return running
 
-    def enter(self) -> None:
-        """Counts a call that begins."""
+    def begin_call(self) -> None:
+        """Counts a call as in flight."""
         self.in_flight += 1
         self._idle.clear()
 
-    def leave(self) -> None:
-        """Counts a call that has ended."""
+    def end_call(self) -> None:
+        """Counts a call as ended."""
         self.in_flight -= 1
         if not self.in_flight:
             self._idle.set()
--- a/tests/requests/serving/test_bad_input.py
+++ b/tests/requests/serving/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input of callers: a clear error, and nothing is passed on."""
+"""Tests that malformed requests of callers get an error and go no further."""
 
 from __future__ import annotations
 
@@ -58,10 +58,10 @@
 
 
 class BadInputTest(unittest.IsolatedAsyncioTestCase):
-    """Raw bytes are sent to the port for callers."""
+    """Raw bytes are sent to the caller port."""
 
     async def exchange(self, port: int, sent: bytes) -> bytes:
-        """Sends bytes, then ends, and returns all that comes."""
+        """Sends bytes, closes the sending side, and returns all received."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(sent)
         try:
@@ -82,8 +82,8 @@
                     self.assertEqual(answer.count(b"HTTP/1."), 1)
             self.assertEqual(node.served, [])
 
-    async def test_body_that_stops_half_way(self) -> None:
-        """Nothing of a small body reaches the backend server."""
+    async def test_incomplete_small_body(self) -> None:
+        """No part of an incomplete small body reaches the backend server."""
         async with builders.run_nodes(1) as (node,):
             for head in (b"Content-Length: 10", b"Transfer-Encoding: chunked"):
                 _, writer = await asyncio.open_connection(
@@ -96,27 +96,27 @@
                 while not node.proxy.in_flight:
                     await asyncio.sleep(0)
                 writer.close()
-                while node.proxy.in_flight or node.proxy.is_claiming:
+                while node.proxy.in_flight or node.proxy.has_claimed_calls:
                     await asyncio.sleep(0)
             self.assertEqual(node.served, [])
 
-    async def test_body_in_chunks_that_are_none(self) -> None:
-        """The caller is told at once, not when its deadline is near.
+    async def test_malformed_chunks(self) -> None:
+        """The caller gets an error at once, not only near its deadline.
 
-        Its headers are well, so the call is under way when its body turns
-        out to be malformed. The library keeps that for the time after the
-        call, which would wait for the rest of the body until its deadline.
+        The headers are valid, so the call is in flight when its body turns
+        out to be malformed. The library reports that only after the call, and
+        the call would wait for the rest of the body until its deadline.
         """
-        patient = {"/": builders.build_plan(deadline_s=600.0)}
-        running = builders.build_snapshot(patient)
+        plans = {"/": builders.build_plan(deadline_s=600.0)}
+        running = builders.build_snapshot(plans)
         async with builders.run_nodes(1, running=running) as (node,):
-            for begin in (b"", b"2\r\nab\r\n"):
+            for first_bytes in (b"", b"2\r\nab\r\n"):
                 reader, writer = await asyncio.open_connection(
                     "127.0.0.1", node.proxy.caller_port
                 )
                 writer.write(
                     b"POST /kassa/x HTTP/1.1\r\nHost: a\r\n"
-                    b"Transfer-Encoding: chunked\r\n\r\n" + begin
+                    b"Transfer-Encoding: chunked\r\n\r\n" + first_bytes
                 )
                 while not node.proxy.in_flight:
                     await asyncio.sleep(0)
@@ -126,11 +126,12 @@
                 self.assertRegex(answer, b"^HTTP/1.1 400 ")
                 writer.close()
 
-    async def test_large_body_that_stops_half_way(self) -> None:
-        """The backend server sees a broken request, not a shorter whole one.
+    async def test_incomplete_large_body(self) -> None:
+        """The backend server sees a broken request, not a complete short one.
 
-        Its beginning was passed on before it broke off. Were the request ended
-        cleanly, half an upload would be filed as all of it.
+        The beginning of the body is forwarded before it breaks off. If the
+        request were ended cleanly, half an upload would be stored as a complete
+        one.
         """
         seen: asyncio.Queue[str] = asyncio.Queue()
 
@@ -150,7 +151,7 @@
             asyncio.timeout(builders.GUARD_S),
             builders.run_nodes(1, handler=read) as (node,),
         ):
-            for head, sent, then in (
+            for head, sent, rest in (
                 (b"Content-Length: 200000", b"x" * 100_000, b""),
                 (b"Transfer-Encoding: chunked", b"5\r\nhello\r\n", b""),
                 (
@@ -170,15 +171,15 @@
                     + sent
                 )
                 self.assertEqual(await seen.get(), "begun")
-                if then:
-                    writer.write(then)
+                if rest:
+                    writer.write(rest)
                 else:
                     writer.close()
                 self.assertEqual(await seen.get(), "broken")
                 writer.close()
 
-    async def test_body_that_is_announced(self) -> None:
-        """A caller that asks first is told to go on before it sends."""
+    async def test_expect_100_continue(self) -> None:
+        """A caller that expects "100 Continue" gets it before it sends."""
         async with builders.run_nodes(1) as (node,):
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", node.proxy.caller_port
@@ -196,12 +197,12 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 200 "))
 
     async def test_slow_sender(self) -> None:
-        """The caller is refused; it holds neither slot nor backend server."""
-        patient = {"/": builders.build_plan(deadline_s=60.0)}
+        """The caller is refused; it takes no slot of the backend server."""
+        plans = {"/": builders.build_plan(deadline_s=60.0)}
         with mock.patch.object(bodies, "STALL_S", 0.02):
             async with (
                 builders.run_nodes(
-                    1, running=builders.build_snapshot(patient)
+                    1, running=builders.build_snapshot(plans)
                 ) as (node,),
                 asyncio.timeout(builders.GUARD_S),
             ):
@@ -219,11 +220,11 @@
             self.assertEqual(node.served, [])
 
     async def test_caller_that_does_not_read(self) -> None:
-        """The caller is cut off, and its slot comes free.
+        """The connection of the caller is closed, and its slot is released.
 
-        It asks for a bundle and then reads nothing; its host may be gone. The
-        daemon waits to write, and the slot would be held for good: as many
-        such callers as there are slots would stop the backend server.
+        The caller requests a bundle and then reads nothing; its host may be
+        gone. The daemon waits to write, and the slot would be held forever: as
+        many such callers as there are slots would block the backend server.
         """
 
         async def send(request: web.BaseRequest) -> web.StreamResponse:
@@ -248,7 +249,7 @@
                 writer.close()
 
     async def test_headers_that_never_end(self) -> None:
-        """The connection is closed; it would hold its buffer for good."""
+        """Guards against connections that hold their buffers forever."""
         with mock.patch.object(server, "FIRST_REQUEST_S", 0.02):
             async with builders.run_nodes(1) as (node,):
                 reader, writer = await asyncio.open_connection(
@@ -256,13 +257,13 @@
                 )
                 writer.write(b"GET /kassa/x HTTP/1.1\r\nHost: a\r\n")
                 async with asyncio.timeout(builders.GUARD_S):
-                    # Closed before the daemon has read them, it is reset.
+                    # It is reset if the daemon has not read all the headers.
                     with contextlib.suppress(ConnectionResetError):
                         self.assertEqual(await reader.read(), b"")
                 writer.close()
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
-        """Each answer is that of its own request, in the order of sending."""
+        """Each request gets its own answer, in the order of sending."""
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             return web.Response(text=f"<{request.path}>")
@@ -277,18 +278,18 @@
                 b"GET /kassa/3 HTTP/1.1\r\nHost: a\r\n"
                 b"Connection: close\r\n\r\n"
             )
-            got = await reader.read()
+            received = await reader.read()
             writer.close()
-        places = [got.find(b"</%d>" % number) for number in (1, 2, 3)]
-        self.assertNotIn(-1, places)
-        self.assertEqual(places, sorted(places))
+        positions = [received.find(b"</%d>" % number) for number in (1, 2, 3)]
+        self.assertNotIn(-1, positions)
+        self.assertEqual(positions, sorted(positions))
 
     async def test_answers_without_a_clear_end(self) -> None:
-        """The caller hears "ran", never half an answer that looks whole.
+        """The caller gets "ran", never half an answer that looks complete.
 
-        The backend server marks the end of its answer by closing alone, so
-        that nobody can tell a cut from the end. A transfer encoding that does
-        not end in chunks marks none either.
+        The backend server marks the end of its answer only by closing the
+        connection, so that a truncated answer looks complete. A transfer
+        encoding whose last coding is not chunked marks no end either.
         """
         sent = b""
 
@@ -317,16 +318,18 @@
                     self.assertEqual(outcome, "ran")
             plain.close()
 
-    async def test_own_headers_are_not_believed(self) -> None:
-        """A caller cannot choose a class, and a backend server no outcome."""
+    async def test_internal_headers_from_outside_are_ignored(self) -> None:
+        """Callers can't choose a class, nor backend servers an outcome."""
         seen: dict[str, str] = {}
 
-        async def look(request: web.BaseRequest) -> web.StreamResponse:
+        async def record_headers(
+            request: web.BaseRequest,
+        ) -> web.StreamResponse:
             seen.update(request.headers)
             return web.Response(headers={"Merlintrestle-Outcome": "not-run"})
 
         async with (
-            builders.run_nodes(1, handler=look) as (node,),
+            builders.run_nodes(1, handler=record_headers) as (node,),
             builders.open_client() as client,
         ):
             answer = await client.get(
