--- a/tests/requests/serving/test_side_by_side.py
+++ b/tests/requests/serving/test_concurrent_attempts.py
@@ -1,4 +1,4 @@
-"""Tries that run side by side, one of which fails."""
+"""Tests of concurrent attempts, one of which fails."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 _LATENCY_S = 0.02
 
 
-class SideBySideTest(unittest.IsolatedAsyncioTestCase):
-    async def test_failure_of_a_second_send_does_not_end_the_first(
+class ConcurrentAttemptsTest(unittest.IsolatedAsyncioTestCase):
+    async def test_failure_of_a_hedge_does_not_end_the_first_attempt(
         self,
     ) -> None:
-        """Guards against work in time that another's broken answer ends."""
-        go_on = asyncio.Event()
+        """Guards against a timely answer lost to a broken second attempt."""
+        proceed = asyncio.Event()
         served: list[str] = []
 
         async def work(request: web.BaseRequest) -> web.StreamResponse:
             served.append(request.raw_path)
             if len(served) == 1:
-                await go_on.wait()
+                await proceed.wait()
                 return web.Response(body=b"whole")
-            asyncio.get_running_loop().call_later(0.1, go_on.set)
+            asyncio.get_running_loop().call_later(0.1, proceed.set)
             assert request.transport is not None
             request.transport.abort()
             return web.Response()
--- a/tests/requests/serving/test_deadlines.py
+++ b/tests/requests/serving/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Calls at work are ended when their time is over, and not before."""
+"""Tests that running calls end at their deadlines, and not before."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
-    """A backend server behind another daemon works on a call."""
+    """The backend server of another daemon runs a call."""
 
     def setUp(self) -> None:
         self.cancelled_at: asyncio.Future[float] | None = None
 
     async def work(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers quick calls, and works on others until it is cut off."""
+        """Answers quick calls, and runs others until they are cancelled."""
         if request.raw_path == "/quick":
             return web.Response(body=b"whole")
         loop = asyncio.get_running_loop()
@@ -36,10 +36,13 @@
             raise
         return web.Response()
 
-    async def test_call_at_work_has_all_of_its_time_after_a_full_link(
+    async def test_call_keeps_its_deadline_after_a_full_link(
         self,
     ) -> None:
-        """Guards against work given up for the time that a way back took."""
+        """Guards against calls cut short by the time of a return trip.
+
+        The link was full before, so the reserved return trip is long.
+        """
         loop = asyncio.get_running_loop()
         self.cancelled_at = loop.create_future()
         async with relays.connect_after_full_link(
@@ -51,16 +54,20 @@
             ended = await self.cancelled_at
         self.assertGreaterEqual(ended - began, builders.SHORT_S)
 
-    async def test_story_tells_whose_limit_ended_a_call_and_when(self) -> None:
-        """Guards against calls given up early that look like late ones."""
+    async def test_story_shows_which_timeout_ended_a_call_and_when(
+        self,
+    ) -> None:
+        """Guards against calls that end early but look late in the logs."""
         loop = asyncio.get_running_loop()
         self.cancelled_at = loop.create_future()
-        told: dict[str, dict[str, Any]] = {}
+        fields_by_event: dict[str, dict[str, Any]] = {}
 
-        def note(story: stories.Story, event: str, **fields: Any) -> None:
-            told.setdefault(event, fields)
+        def record_event(
+            story: stories.Story, event: str, **fields: Any
+        ) -> None:
+            fields_by_event.setdefault(event, fields)
 
-        patch = mock.patch.object(stories.Story, "add", note)
+        patch = mock.patch.object(stories.Story, "add", record_event)
         async with relays.connect(self.work, running=_SHORT) as (
             nodes,
             _,
@@ -69,6 +76,6 @@
             sent = {headers.DEADLINE: "500"}
             with patch:
                 await client.get(nodes[0].url + "/slow", headers=sent)
-        self.assertEqual(told["routed"]["limit"], "caller")
-        self.assertLessEqual(told["tried"]["left_ms"], 0)
-        self.assertLessEqual(told["given up"]["left_ms"], 0)
+        self.assertEqual(fields_by_event["routed"]["limit"], "caller")
+        self.assertLessEqual(fields_by_event["tried"]["left_ms"], 0)
+        self.assertLessEqual(fields_by_event["given up"]["left_ms"], 0)
--- a/tests/requests/serving/test_drain.py
+++ b/tests/requests/serving/test_drain.py
@@ -1,4 +1,4 @@
-"""Planned stops of daemons and of backend servers."""
+"""Tests of planned stops of daemons and of backend servers."""
 
 from __future__ import annotations
 
@@ -12,39 +12,43 @@
 from merlintrestle.schema import control_pb2
 from tests.requests import builders
 
-_CARRIED = (headers.DEADLINE, headers.DEPTH, headers.ATTEMPT)
+_NESTED_CALL_HEADERS = (headers.DEADLINE, headers.DEPTH, headers.ATTEMPT)
 
 
 class DrainTest(unittest.IsolatedAsyncioTestCase):
-    """What is in flight goes on; what is new is refused as not run."""
+    """Calls in flight continue; new ones are refused as not run."""
 
     def setUp(self) -> None:
-        self.begun = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.started = asyncio.Event()
+        self.proceed = asyncio.Event()
         self.urls: list[str] = []
 
     async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers when the test lets it."""
-        self.begun.set()
-        await self.go_on.wait()
+        """Answers once the test allows it."""
+        self.started.set()
+        await self.proceed.wait()
         return web.Response(body=b"whole")
 
     async def nest(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Waits, and then makes a call of its own through its daemon."""
+        """Waits, and then makes a nested call through its daemon."""
         if request.path == "/check":
             return web.Response(body=b"sealed")
         await self.wait(request)
-        carried = {name: request.headers[name] for name in _CARRIED}
+        nested_headers = {
+            name: request.headers[name] for name in _NESTED_CALL_HEADERS
+        }
         async with (
             aiohttp.ClientSession() as session,
-            session.get(self.urls[0] + "/check", headers=carried) as answer,
+            session.get(
+                self.urls[0] + "/check", headers=nested_headers
+            ) as answer,
         ):
             return web.Response(body=await answer.read())
 
     async def test_payout_whose_caller_left(self) -> None:
-        """The daemon waits for a payout though nobody waits for its answer.
+        """The daemon waits for a payout although its caller has disconnected.
 
-        Its caller will come again; ended now, the payout would be "unknown".
+        The caller will retry; a payout that is cut short would be "unknown".
         """
         async with (
             builders.run_nodes(1, handler=self.wait) as (node,),
@@ -53,21 +57,21 @@
             call = asyncio.create_task(
                 client.post(node.url + "/payouts", headers={headers.KEY: "k"})
             )
-            await self.begun.wait()
+            await self.started.wait()
             call.cancel()
             while node.proxy.in_flight:
                 await asyncio.sleep(0)
             draining = asyncio.create_task(node.proxy.drain(60))
             await asyncio.sleep(0)
             self.assertFalse(draining.done())
-            self.go_on.set()
+            self.proceed.set()
             self.assertTrue(await draining)
 
     async def test_call_of_a_request_in_flight(self) -> None:
-        """The caller gets its whole answer although the daemon drains.
+        """The caller gets its complete answer although the daemon drains.
 
-        Its backend server makes a call of its own for it, through the daemon
-        that drains. Refused as new work, it would fail what is in flight.
+        The backend server makes a nested call for it through the draining
+        daemon. If that were refused as new work, the call in flight would fail.
         """
         async with (
             builders.run_nodes(2, handler=self.nest) as nodes,
@@ -75,10 +79,10 @@
         ):
             self.urls.append(nodes[0].url)
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
-            await self.begun.wait()
+            await self.started.wait()
             draining = asyncio.create_task(nodes[0].proxy.drain(60))
             await asyncio.sleep(0)
-            self.go_on.set()
+            self.proceed.set()
             self.assertEqual(await (await call).read(), b"sealed")
             self.assertTrue(await draining)
         self.assertEqual(nodes[1].served, [("GET", "/check")])
@@ -89,7 +93,7 @@
             builders.open_client() as client,
         ):
             call = asyncio.create_task(client.get(node.url + "/x"))
-            await self.begun.wait()
+            await self.started.wait()
             node.proxy.backend.announce(
                 "kassa",
                 f"127.0.0.1:{node.backend.port}",
@@ -98,12 +102,12 @@
             )
             refused = await client.get(node.url + "/x")
             self.assertEqual(refused.headers[headers.OUTCOME], "not-run")
-            self.go_on.set()
+            self.proceed.set()
             self.assertEqual(await (await call).read(), b"whole")
         self.assertEqual(len(node.served), 1)
 
     async def test_draining_daemon_takes_no_work_for_others(self) -> None:
-        """Its callers would keep it from ever coming to an end."""
+        """Guards against drains that never end while callers keep coming."""
         async with (
             builders.run_nodes(2) as nodes,
             builders.open_client() as client,
@@ -117,28 +121,29 @@
 
     async def test_announcement_does_not_end_the_drain(self) -> None:
         async with builders.run_nodes(1) as (node,):
-            own = node.proxy.backend
+            backend = node.proxy.backend
             await node.proxy.drain(1)
-            own.announce("kassa", own.address, 12, control_pb2.READY)
-            self.assertEqual(own.state, control_pb2.DRAINING)
+            backend.announce("kassa", backend.address, 12, control_pb2.READY)
+            self.assertEqual(backend.state, control_pb2.DRAINING)
 
-    async def test_limit_of_the_drain(self) -> None:
+    async def test_timeout_of_the_drain(self) -> None:
         async with (
             builders.run_nodes(1, handler=self.wait) as (node,),
             builders.open_client() as client,
         ):
             call = asyncio.create_task(client.get(node.url + "/x"))
-            await self.begun.wait()
+            await self.started.wait()
             self.assertFalse(await node.proxy.drain(0.01))
-            self.go_on.set()
+            self.proceed.set()
             await call
 
     async def test_caller_that_reads_slowly(self) -> None:
-        """The clerk gets the whole bundle though the daemon ends meanwhile.
+        """A slow caller gets its whole bundle although the daemon stops.
 
-        The daemon has the last bytes from the backend server, but not all of
-        them have gone to the operating system as the clerk's line is slow.
-        What a process still holds when it ends is lost, and the bundle cut.
+        The daemon has received the last bytes from the backend server, but has
+        not yet passed all of them to the operating system, as the connection of
+        the caller is slow. Bytes that a process still holds when it ends are
+        lost, and the bundle would be truncated.
         """
         async with builders.run_nodes(1) as (node,):
             bundle = builders.Bundle(node)
@@ -150,33 +155,35 @@
             reading = asyncio.create_task(reader.read())
             self.assertTrue(await draining)
             for transport in node.list_transports():
-                # As the end of the process does.
+                # Like the end of the process.
                 transport.abort()
-            got = await reading
+            received = await reading
             writer.close()
-        # Its pieces are zeros, and nothing else that is sent is.
-        self.assertEqual(got.count(0), bundle.length)
-        self.assertTrue(got.endswith(b"\r\n0\r\n\r\n"))
+        # The bundle consists of zero bytes; nothing else that is sent does.
+        self.assertEqual(received.count(0), bundle.length)
+        self.assertTrue(received.endswith(b"\r\n0\r\n\r\n"))
 
-    async def test_call_that_a_payout_without_caller_makes(self) -> None:
-        """A nested call gets its whole answer though its payout has ended.
+    async def test_nested_call_of_a_payout_without_caller(self) -> None:
+        """A nested call gets its complete answer although its payout has ended.
 
-        The caller of the payout has left, and the backend server ends it
-        before a call of its own that runs through the same daemon.
+        The caller of the payout has disconnected, and the backend server ends
+        the payout before the nested call, which uses the same daemon.
         """
 
         async def pay(request: web.BaseRequest) -> web.StreamResponse:
             if request.path == "/check":
                 return await self.wait(request)
-            carried = {name: request.headers[name] for name in _CARRIED}
-            paying.set()
-            await go_on_paying.wait()
-            get = client.get(self.urls[0] + "/check", headers=carried)
+            nested_headers = {
+                name: request.headers[name] for name in _NESTED_CALL_HEADERS
+            }
+            payout_started.set()
+            await payout_may_end.wait()
+            get = client.get(self.urls[0] + "/check", headers=nested_headers)
             nested.append(asyncio.ensure_future(get))
-            await self.begun.wait()
+            await self.started.wait()
             return web.Response()
 
-        paying, go_on_paying = asyncio.Event(), asyncio.Event()
+        payout_started, payout_may_end = asyncio.Event(), asyncio.Event()
         nested: list[asyncio.Future[aiohttp.ClientResponse]] = []
         async with (
             builders.run_nodes(2, handler=pay) as (node, _),
@@ -187,41 +194,42 @@
             call = asyncio.create_task(
                 client.post(node.url + "/payouts", headers={headers.KEY: "k"})
             )
-            await paying.wait()
+            await payout_started.wait()
             call.cancel()
             while node.proxy.in_flight:
                 await asyncio.sleep(0)
             draining = asyncio.create_task(node.proxy.drain(60))
             await asyncio.sleep(0)
-            go_on_paying.set()
-            await self.begun.wait()
+            payout_may_end.set()
+            await self.started.wait()
             while claims:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
             self.assertFalse(draining.done())
-            self.go_on.set()
+            self.proceed.set()
             answer = await nested[0]
             self.assertEqual(await answer.read(), b"whole")
             self.assertTrue(await draining)
 
-    async def test_connections_are_not_used_on(self) -> None:
-        """Callers send their next request to a daemon that does not stop.
+    async def test_connections_are_closed_after_their_answers(self) -> None:
+        """Callers send their next request to a daemon that is not stopping.
 
-        The daemon drains while a caller waits on a kept connection. Left open
-        after the answer, it would be cut at the end of the drain, maybe just
-        as the caller has sent a payout over it; its fate would be unknown.
+        The daemon drains while a caller waits on a kept connection. If the
+        connection stayed open after the answer, it would be cut at the end of
+        the drain, possibly just after the caller has sent a payout over it,
+        whose outcome would be unknown.
         """
         async with (
             builders.run_nodes(1, handler=self.wait) as (node,),
             builders.open_client() as client,
         ):
             call = asyncio.create_task(client.get(node.url + "/x"))
-            await self.begun.wait()
+            await self.started.wait()
             draining = asyncio.create_task(node.proxy.drain(60))
             await asyncio.sleep(0)
             refused = await client.get(node.url + "/x")
             self.assertEqual(refused.headers["Connection"], "close")
-            self.go_on.set()
+            self.proceed.set()
             answer = await call
             self.assertEqual(answer.headers["Connection"], "close")
             self.assertEqual(await answer.read(), b"whole")
--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -1,4 +1,4 @@
-"""At most once holds whatever happens in whatever order."""
+"""Tests of at-most-once execution under any sequence of faults."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.requests import interleaving
 
 _DAEMON = strategies.integers(0, 2)
-# What happens, how often, and the values of its detail.
-_CHOICES: list[tuple[str, int, list[int]]] = [
+# Kind of an action, its weight, and the values of its detail.
+_ACTION_KINDS: list[tuple[str, int, list[int]]] = [
     ("send", 4, [1, 1, 1, 0]),
     ("release", 8, [0, 0, 1, 2]),
     ("crash", 1, [0]),
@@ -29,7 +29,7 @@
 _ACTION = strategies.sampled_from(
     [
         (kind, detail)
-        for kind, weight, details in _CHOICES
+        for kind, weight, details in _ACTION_KINDS
         for _ in range(weight)
         for detail in details * (12 // len(details))
     ]
@@ -40,14 +40,14 @@
 )
 _FATES = ("answered", "refused", "broken")
 _FAULTS = list(fakes.Fault)
-# A claim is sure to be kept this long, in seconds.
-_KEPT_S = 23 * 3600
+# Minimum time for which a claim is kept, in seconds.
+_MIN_CLAIM_LIFETIME_S = 23 * 3600
 
 
-async def play(
+async def simulate(
     actions: list[tuple[str, int, int]],
 ) -> interleaving.World:
-    """Plays actions over three daemons, then lets all come to an end."""
+    """Simulates actions on three daemons, then lets all calls end."""
     world = interleaving.World()
     for kind, number, detail in actions:
         if kind == "send":
@@ -73,18 +73,18 @@
 
 
 class InterleavingTest(unittest.TestCase):
-    """Lost answers, resends, crashes, pauses, late writes, lapsed leases."""
+    """Lost answers, resends, crashes, pauses, late writes, expired leases."""
 
     @hypothesis.settings(max_examples=400, deadline=None)
     @hypothesis.given(strategies.lists(_ACTION, max_size=60))
     def test_at_most_once_and_honest(
         self, actions: list[tuple[str, int, int]]
     ) -> None:
-        world = asyncio.run(play(actions))
+        world = asyncio.run(simulate(actions))
         for key in ("a", "b"):
             times = sorted(run.at for run in world.runs if run.key == key)
             for earlier, later in zip(times, times[1:], strict=False):
-                self.assertGreater(later - earlier, _KEPT_S)
+                self.assertGreater(later - earlier, _MIN_CLAIM_LIFETIME_S)
         ran = {run.sending for run in world.runs}
         for sending, (_, outcome) in world.results.items():
             if isinstance(outcome, outcomes.NotRun):
@@ -92,18 +92,19 @@
 
     def test_every_sending_ends(self) -> None:
         actions = [("send", number, 1) for number in (0, 1, 2, 0)]
-        world = asyncio.run(play(actions))
+        world = asyncio.run(simulate(actions))
         self.assertEqual(len(world.runs), 1)
         self.assertEqual(len(world.results), 4)
 
     def test_released_claim_is_taken_over(self) -> None:
-        """The second sending runs: the first proved that it did not.
+        """The second sending runs, as the first one provably did not.
 
-        The first daemon gave up as the store was slow, and its write took
-        effect afterwards. Asked, it says that it will never run the request.
+        The first daemon gives up because the store is slow, and its write takes
+        effect afterwards. In reply to a recall it states that it will never run
+        the request.
         """
         world = asyncio.run(
-            play(
+            simulate(
                 [
                     ("send", 0, 1),
                     ("release", 0, 0),
@@ -122,12 +123,13 @@
     def test_read_after_a_lost_answer_is_stale(self) -> None:
         """The second sending runs, the first never does.
 
-        The first daemon's claim was written and the answer lost; the read
-        that settles it comes from before the write and shows no claim. The
-        daemon gives up its claim, and says so when the second one asks.
+        The claim of the first daemon is written, but the answer of the store is
+        lost. The daemon reads the claim to resolve it, but gets the state from
+        before the write, which shows no claim. It gives up its claim, and says
+        so when the second daemon recalls it.
         """
         world = asyncio.run(
-            play(
+            simulate(
                 [
                     ("send", 0, 1),
                     ("release", 0, 0),
@@ -143,15 +145,17 @@
         self.assertEqual([run.sending for run in world.runs], [1])
 
     def test_holder_is_silent_or_has_forgotten(self) -> None:
-        """The second caller hears "unknown"; nothing runs twice.
+        """The second caller gets "unknown"; nothing runs twice.
 
         The first daemon freezes, or is replaced, while its backend server runs
-        the payout. Whether it ran is then known to nobody.
+        the payout. Nobody knows then whether it ran.
         """
-        begun = [("send", 0, 1), *[("release", 0, 0)] * 3]
-        asked = [("send", 1, 1), *[("release", 1, 0)] * 4]
+        first_sending = [("send", 0, 1), *[("release", 0, 0)] * 3]
+        second_sending = [("send", 1, 1), *[("release", 1, 0)] * 4]
         for fault in ("freeze", "crash"):
-            world = asyncio.run(play([*begun, (fault, 0, 0), *asked]))
+            world = asyncio.run(
+                simulate([*first_sending, (fault, 0, 0), *second_sending])
+            )
             self.assertIsInstance(world.results[1][1], outcomes.Unknown)
             self.assertEqual([run.sending for run in world.runs], [0])
 
@@ -159,8 +163,8 @@
 class ThawTest(unittest.IsolatedAsyncioTestCase):
     """A daemon that was frozen after its claim checks before it forwards.
 
-    Its caller was told "unknown" long ago, or its claim has expired and the
-    same payout has run elsewhere. Each check is enough for its own case.
+    In the meantime its caller got "unknown", or its claim has expired and the
+    same payout has run elsewhere. Each check alone suffices for its case.
     """
 
     async def asyncSetUp(self) -> None:
--- a/tests/requests/serving/test_path.py
+++ b/tests/requests/serving/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary way of a request, through one and through two daemons."""
+"""Tests of ordinary requests through one and through two daemons."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class PathTest(unittest.IsolatedAsyncioTestCase):
     """Requests reach a backend server and their answers come back."""
 
-    async def test_own_backend(self) -> None:
+    async def test_local_backend(self) -> None:
         async with builders.run_nodes(1) as (node,):
             async with builders.open_client() as client:
                 answer = await client.post(node.url + "/x?y=1", data=b"in")
@@ -25,24 +25,24 @@
             self.assertEqual(answer.headers["X-Backend"], "yes")
             self.assertEqual(node.served, [("POST", "/x?y=1")])
 
-    async def test_far_backend(self) -> None:
+    async def test_remote_backend(self) -> None:
         async with builders.run_nodes(2) as (near, far):
             near.proxy.backend.announce("kassa", "127.0.0.1:1", 0)
-            known = near.table.upstreams
-            known["kassa"] = known["kassa"][1:]
+            upstreams = near.table.upstreams
+            upstreams["kassa"] = upstreams["kassa"][1:]
             async with builders.open_client() as client:
                 answer = await client.post(near.url + "/x", data=b"in")
                 self.assertEqual(await answer.read(), b"ok:in")
             self.assertEqual(far.served, [("POST", "/x")])
 
-    async def test_large_bodies_both_ways(self) -> None:
+    async def test_large_bodies_in_both_directions(self) -> None:
         content = os.urandom(3_000_000)
 
         async def echo(request: web.BaseRequest) -> web.StreamResponse:
             answer = web.StreamResponse()
             await answer.prepare(request)
-            async for piece in request.content.iter_any():
-                await answer.write(piece)
+            async for chunk in request.content.iter_any():
+                await answer.write(chunk)
             await answer.write_eof()
             return answer
 
@@ -56,10 +56,10 @@
             self.assertEqual(await answer.read(), content)
 
     async def test_caller_that_waits_before_it_sends_its_body(self) -> None:
-        """The caller gets its answer; it is told to go on with its body.
+        """The caller gets "100 Continue", and then its answer.
 
-        It sends its headers with "Expect: 100-continue" and waits. Not told,
-        it would wait until the daemon gives up its body as stopped half-way.
+        It sends its headers with "Expect: 100-continue" and waits. Without that
+        response it would wait until the daemon refuses its body as incomplete.
         """
         async with builders.run_nodes(1) as (node,):
             reader, writer = await asyncio.open_connection(
@@ -70,19 +70,20 @@
                 b"Expect: 100-continue\r\nConnection: close\r\n\r\n"
             )
             async with asyncio.timeout(builders.GUARD_S):
-                told = await reader.readuntil(b"\r\n\r\n")
+                interim = await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"in")
                 answer = await reader.read()
             writer.close()
-        self.assertEqual(told, b"HTTP/1.1 100 Continue\r\n\r\n")
+        self.assertEqual(interim, b"HTTP/1.1 100 Continue\r\n\r\n")
         self.assertIn(b"HTTP/1.1 200 OK", answer)
         self.assertTrue(answer.endswith(b"ok:in"))
 
-    async def test_cut_answer_is_not_shown_whole(self) -> None:
-        """The caller sees an error, never half an answer that looks whole.
+    async def test_truncated_answer_does_not_look_complete(self) -> None:
+        """The caller gets an error, never half an answer that looks complete.
 
         The backend server sends a part of a chunked body and is then killed.
-        Were the chunked body ended cleanly, half of it would look complete.
+        If the daemon ended the chunked body cleanly, half of it would look
+        complete.
         """
 
         async def cut(request: web.BaseRequest) -> web.StreamResponse:
@@ -101,15 +102,15 @@
             self.assertIsNone(answer)
 
     async def test_caller_that_leaves_ends_the_work(self) -> None:
-        """The backend server is told, through two daemons, and stops.
+        """A disconnect reaches the backend server through two daemons.
 
-        Its caller has gone; work that goes on holds a slot for nobody.
+        If the call went on without its caller, it would hold a slot in vain.
         """
-        begun = asyncio.Event()
+        started = asyncio.Event()
         ended = asyncio.Event()
 
         async def wait(request: web.BaseRequest) -> web.StreamResponse:
-            begun.set()
+            started.set()
             try:
                 await asyncio.Event().wait()
             finally:
@@ -117,49 +118,51 @@
             return web.Response()
 
         async with builders.run_nodes(2, handler=wait) as (near, far):
-            known = near.table.upstreams
-            known["kassa"] = known["kassa"][1:]
+            upstreams = near.table.upstreams
+            upstreams["kassa"] = upstreams["kassa"][1:]
             async with builders.open_client() as client:
                 call = asyncio.create_task(client.get(near.url + "/x"))
-                await begun.wait()
+                await started.wait()
                 call.cancel()
                 await ended.wait()
             while near.proxy.in_flight or far.proxy.in_flight:
                 await asyncio.sleep(0)
 
-    async def test_deadline_is_carried(self) -> None:
-        """Each call down the line is told what is left to the first caller."""
-        told: list[int] = []
+    async def test_deadline_is_propagated(self) -> None:
+        """Backend servers get the remaining time of the first caller."""
+        remaining_ms: list[int] = []
 
-        async def look(request: web.BaseRequest) -> web.StreamResponse:
-            told.append(int(request.headers[headers.DEADLINE]))
+        async def record_deadline(
+            request: web.BaseRequest,
+        ) -> web.StreamResponse:
+            remaining_ms.append(int(request.headers[headers.DEADLINE]))
             return web.Response()
 
-        async with builders.run_nodes(2, handler=look) as (near, _):
-            known = near.table.upstreams
-            known["kassa"] = known["kassa"][1:]
+        async with builders.run_nodes(2, handler=record_deadline) as (near, _):
+            upstreams = near.table.upstreams
+            upstreams["kassa"] = upstreams["kassa"][1:]
             async with builders.open_client() as client:
-                for left in ({}, {headers.DEADLINE: "700"}):
-                    await client.get(near.url + "/x", headers=left)
+                for sent_headers in ({}, {headers.DEADLINE: "700"}):
+                    await client.get(near.url + "/x", headers=sent_headers)
         # The class allows 5 s.
-        self.assertLessEqual(told[0], 5000)
-        self.assertGreater(told[0], 700)
-        self.assertLessEqual(told[1], 700)
+        self.assertLessEqual(remaining_ms[0], 5000)
+        self.assertGreater(remaining_ms[0], 700)
+        self.assertLessEqual(remaining_ms[1], 700)
 
     async def test_killed_daemon_shows_no_half_answer(self) -> None:
-        """An HTTP/1.0 caller sees a reset, not half an answer that looks whole.
+        """An HTTP/1.0 caller gets a reset, not an answer that looks complete.
 
-        To such a caller the close of the connection alone marks the end of an
-        answer without a length. The daemon is killed half-way, and the
-        operating system closes its connections for it.
+        For such a caller only the close of the connection marks the end of an
+        answer without a length. The daemon is killed during the answer, and the
+        operating system closes its connections.
         """
-        begun = asyncio.Event()
+        started = asyncio.Event()
 
         async def send(request: web.BaseRequest) -> web.StreamResponse:
             answer = web.StreamResponse()
             await answer.prepare(request)
             await answer.write(b"half")
-            begun.set()
+            started.set()
             await asyncio.Event().wait()
             return answer
 
@@ -168,18 +171,21 @@
                 "127.0.0.1", node.proxy.caller_port
             )
             writer.write(b"GET /kassa/x HTTP/1.0\r\nHost: a\r\n\r\n")
-            await begun.wait()
+            await started.wait()
             async with asyncio.timeout(builders.GUARD_S):
                 await reader.readuntil(b"half")
                 for transport in node.list_transports():
-                    # Closes without a word from the daemon, as a kill does.
+                    # Closes without action of the daemon, like a kill.
                     transport.abort()
                 with self.assertRaises(ConnectionResetError):
                     await reader.read()
             writer.close()
 
-    async def test_whole_answer_to_an_old_caller(self) -> None:
-        """What marks a killed daemon must not cut an answer that is whole."""
+    async def test_complete_answer_to_an_http_1_0_caller(self) -> None:
+        """Guards against connections that are reset after a complete answer.
+
+        The reset is only meant to mark the answer of a killed daemon.
+        """
         content = os.urandom(3_000_000)
 
         async def send(request: web.BaseRequest) -> web.StreamResponse:
@@ -225,7 +231,7 @@
                 self.assertIn(answer.status, (400, 404))
             self.assertEqual(node.served, [])
 
-    async def test_nobody_announced(self) -> None:
+    async def test_no_backend_server_announced(self) -> None:
         node = builders.Node()
         async with node, builders.open_client() as client:
             await node.start()
@@ -234,12 +240,12 @@
             self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
 
     async def test_drain_waits_for_the_answer_in_flight(self) -> None:
-        begun = asyncio.Event()
-        go_on = asyncio.Event()
+        started = asyncio.Event()
+        proceed = asyncio.Event()
 
         async def wait(request: web.BaseRequest) -> web.StreamResponse:
-            begun.set()
-            await go_on.wait()
+            started.set()
+            await proceed.wait()
             return web.Response(body=b"whole")
 
         async with (
@@ -247,26 +253,26 @@
             builders.open_client() as client,
         ):
             call = asyncio.ensure_future(client.get(node.url + "/x"))
-            await begun.wait()
+            await started.wait()
             drain = asyncio.ensure_future(node.proxy.drain(60))
             await asyncio.sleep(0)
             refused = await client.get(node.url + "/x")
             self.assertEqual(refused.headers[headers.OUTCOME], "not-run")
             self.assertFalse(drain.done())
-            go_on.set()
+            proceed.set()
             self.assertEqual(await (await call).read(), b"whole")
             self.assertTrue(await drain)
 
-    async def test_stop_cuts_what_is_still_in_flight(self) -> None:
-        """A daemon stops though a call is still in flight after the drain.
+    async def test_stop_cuts_calls_still_in_flight(self) -> None:
+        """A daemon stops although a call is still in flight after the drain.
 
-        The platform's final kill would otherwise end it, with its leases and
-        its members' records left behind.
+        Otherwise the platform would kill it in the end, and its leases and
+        member records would be left behind.
         """
-        begun = asyncio.Event()
+        started = asyncio.Event()
 
         async def hang(request: web.BaseRequest) -> web.StreamResponse:
-            begun.set()
+            started.set()
             await asyncio.Event().wait()
             return web.Response()
 
@@ -277,7 +283,7 @@
             call = asyncio.ensure_future(
                 builders.fetch(client, node.url + "/x")
             )
-            await begun.wait()
+            await started.wait()
             self.assertFalse(await node.proxy.drain(0))
             await node.proxy.stop()
             self.assertIsNone(await call)
--- a/tests/requests/serving/test_refusals_in_time.py
+++ b/tests/requests/serving/test_refusals_in_time.py
@@ -1,4 +1,4 @@
-"""Refusals of another daemon that come back while their caller still waits."""
+"""Tests that refusals of other daemons arrive before the caller's deadline."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _SlowStore(fakes.Store):
-    """Answers no write for longer than any call waits."""
+    """Delays the answer to each write beyond the deadline of any call."""
 
     async def put(self, *arguments: Any) -> Any:
         await asyncio.sleep(builders.GUARD_S)
@@ -27,14 +27,14 @@
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
-    """What never reached a backend server is not left in doubt."""
+    """Calls that never reached a backend server are refused as not run."""
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers at once."""
         del request
         return web.Response()
 
-    async def test_suspect_that_does_not_get_its_turn(self) -> None:
+    async def test_suspect_that_gets_no_suspect_slot(self) -> None:
         """Guards against a 504 for a call that waited for other suspects."""
         async with relays.connect_after_full_link(
             self.answer, running=_SHORT
@@ -48,7 +48,7 @@
             slot.release()
         self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
 
-    async def test_payout_whose_claim_the_store_does_not_take(self) -> None:
+    async def test_payout_whose_claim_is_not_written_in_time(self) -> None:
         """Guards against a 504 for a payout that was never claimed."""
         async with relays.connect_after_full_link(
             self.answer, running=_SHORT, store=_SlowStore()
--- a/tests/requests/serving/test_time_left.py
+++ b/tests/requests/serving/test_remaining_time.py
@@ -1,4 +1,4 @@
-"""Work and answers that end before the caller's time is over."""
+"""Tests that work and answers may use all of the time until the deadline."""
 
 from __future__ import annotations
 
@@ -17,26 +17,30 @@
 from tests.requests import builders
 from tests.requests import relays
 
-# Headers state whole milliseconds.
-_ROUNDED_S = 0.001
+# Headers state deadlines in whole milliseconds.
+_ROUNDING_S = 0.001
 _SHORT = builders.build_snapshot(builders.build_short_plans())
 _ARCHIVE = b"a" * 8_000_000
 
 
-class TimeLeftTest(unittest.IsolatedAsyncioTestCase):
-    """A backend server that stops work at the time that it is told."""
+class RemainingTimeTest(unittest.IsolatedAsyncioTestCase):
+    """A backend server that stops work at the deadline that it gets."""
 
-    async def test_backend_server_is_told_all_of_the_time_left(self) -> None:
-        """Guards against work that its backend server ends too soon."""
+    async def test_backend_server_gets_all_of_the_remaining_time(self) -> None:
+        """Guards against work that its backend server ends too early."""
         loop = asyncio.get_running_loop()
         ends: list[float] = []
 
-        async def note(request: web.BaseRequest) -> web.StreamResponse:
-            told_s = int(request.headers[headers.DEADLINE]) / 1000
-            ends.append(loop.time() + told_s)
+        async def record_deadline(
+            request: web.BaseRequest,
+        ) -> web.StreamResponse:
+            remaining_s = int(request.headers[headers.DEADLINE]) / 1000
+            ends.append(loop.time() + remaining_s)
             return web.Response()
 
-        async with relays.connect_after_full_link(note, running=_SHORT) as (
+        async with relays.connect_after_full_link(
+            record_deadline, running=_SHORT
+        ) as (
             nodes,
             client,
         ):
@@ -45,13 +49,13 @@
                     began = loop.time()
                     await client.request(method, nodes[0].url + path)
                     self.assertGreaterEqual(
-                        ends[-1], began + builders.SHORT_S - _ROUNDED_S
+                        ends[-1], began + builders.SHORT_S - _ROUNDING_S
                     )
 
-    async def test_claimed_payout_is_waited_for_all_of_the_time_left(
+    async def test_claimed_payout_is_waited_for_until_the_deadline(
         self,
     ) -> None:
-        """Guards against claimed work called "still running" too soon."""
+        """Guards against claimed work reported "still running" too early."""
         loop = asyncio.get_running_loop()
 
         async def work(request: web.BaseRequest) -> web.StreamResponse:
@@ -70,12 +74,12 @@
             self.assertGreaterEqual(loop.time() - began, builders.SHORT_S)
         self.assertEqual(answer.status, 504)
 
-    async def test_answer_that_came_while_the_event_loop_stood_still(
+    async def test_answer_that_arrives_while_the_event_loop_is_blocked(
         self,
     ) -> None:
-        """Guards against whole answers that are dropped as not in time."""
+        """Guards against complete answers that are dropped as late."""
 
-        async def answer_and_hold_up(
+        async def answer_and_block(
             request: web.BaseRequest,
         ) -> web.StreamResponse:
             answer = web.StreamResponse()
@@ -83,13 +87,13 @@
             await answer.prepare(request)
             await answer.write(b"whole")
             await answer.write_eof()
-            _hold_up()
+            _block_event_loop()
             return answer
 
         async with (
-            builders.run_nodes(
-                1, handler=answer_and_hold_up, running=_SHORT
-            ) as (node,),
+            builders.run_nodes(1, handler=answer_and_block, running=_SHORT) as (
+                node,
+            ),
             builders.open_client() as client,
         ):
             answer = await client.get(node.url + "/x")
@@ -99,16 +103,16 @@
 
 
 class SlowCallerTest(unittest.IsolatedAsyncioTestCase):
-    """A caller takes a long answer from another daemon, with a pause."""
+    """A caller reads a long answer from another daemon, with a pause."""
 
     async def test_pause_of_a_caller_is_no_silence_of_the_peer(self) -> None:
-        """Guards against answers cut as the caller's daemon reads no more."""
-        asked = asyncio.Semaphore(0)
+        """Guards against answers cut while the caller's daemon doesn't read."""
+        probed = asyncio.Semaphore(0)
         ask = probes.ask
 
-        async def count(*arguments: Any) -> probes.View:
+        async def count_probe(*arguments: Any) -> probes.View:
             view = await ask(*arguments)
-            asked.release()
+            probed.release()
             return view
 
         async def send(request: web.BaseRequest) -> web.StreamResponse:
@@ -120,13 +124,13 @@
 
         with (
             mock.patch.object(watches, "TRANSFER_S", 0.1),
-            mock.patch.object(probes, "ask", count),
+            mock.patch.object(probes, "ask", count_probe),
         ):
             async with relays.connect(send) as (nodes, _, _client):
-                reader, writer = await _ask_slowly(nodes[0])
+                reader, writer = await _request_archive(nodes[0])
                 async with asyncio.timeout(builders.GUARD_S):
                     for _ in range(2):
-                        await asked.acquire()
+                        await probed.acquire()
                     try:
                         head = await reader.readuntil(b"\r\n\r\n")
                         body = await reader.readexactly(len(_ARCHIVE))
@@ -136,15 +140,15 @@
         self.assertEqual(len(body), len(_ARCHIVE))
 
 
-def _hold_up() -> None:
-    """Holds the event loop up until the time of the call is over."""
+def _block_event_loop() -> None:
+    """Blocks the event loop until the deadline of the call has passed."""
     time.sleep(builders.SHORT_S)
 
 
-async def _ask_slowly(
+async def _request_archive(
     node: builders.Node,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Asks for an archive over a connection that takes little unread."""
+    """Requests an archive over a connection with a small receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     sock.setblocking(False)
--- a/tests/requests/serving/test_sessions.py
+++ b/tests/requests/serving/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions (tests/roots/requests)."""
+"""Tests of whole sessions against golden files in tests/roots/requests."""
 
 from __future__ import annotations
 
@@ -12,40 +12,42 @@
 from tests.requests import sessions
 
 _KEY = {headers.KEY: "ticket-7"}
-_PIECE = b"x" * 100_000
+_HALF = b"x" * 100_000
 
 
 class SessionsTest(unittest.IsolatedAsyncioTestCase):
-    """Each test plays a session and compares it with its file."""
+    """Each test runs a session and compares its log with the golden file."""
 
     def setUp(self) -> None:
         self.session = sessions.Session()
-        self.begun = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.started = asyncio.Event()
+        self.proceed = asyncio.Event()
 
     async def pay(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Books a payout and answers when the test lets it."""
+        """Books a payout and answers once the test allows it."""
         self.session.see(request)
-        self.begun.set()
-        await self.go_on.wait()
+        self.started.set()
+        await self.proceed.wait()
         return web.Response(text="booked, ticket 7")
 
     async def send_archive(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
-        """Sends half an archive, and the rest when the test lets it."""
+        """Sends half an archive, and the rest once the test allows it."""
         self.session.see(request)
         answer = web.StreamResponse()
-        answer.content_length = 2 * len(_PIECE)
+        answer.content_length = 2 * len(_HALF)
         await answer.prepare(request)
-        await answer.write(_PIECE)
-        self.begun.set()
-        await self.go_on.wait()
-        await answer.write(_PIECE)
+        await answer.write(_HALF)
+        self.started.set()
+        await self.proceed.wait()
+        await answer.write(_HALF)
         return answer
 
-    async def die(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Dies of "/poison" and answers the rest."""
+    async def crash_on_poison(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
+        """Crashes on "/poison" and answers all other requests."""
         self.session.see(request)
         if request.path == "/poison":
             number = self.session.find(request)
@@ -54,32 +56,32 @@
         return web.Response(text="well")
 
     async def test_payout_whose_answer_is_lost(self) -> None:
-        """The caller gets the answer of the only run when it sends again."""
+        """The caller gets the answer of the only run when it retries."""
         session = self.session
         async with (
             builders.run_nodes(2, True, handler=self.pay) as session.nodes,
             builders.open_client() as client,
         ):
-            lost = asyncio.create_task(
+            first_call = asyncio.create_task(
                 session.call(client, 1, "POST", "/payouts", headers=_KEY)
             )
-            await self.begun.wait()
-            lost.cancel()
+            await self.started.wait()
+            first_call.cancel()
             session.say("caller loses its connection")
-            again = asyncio.create_task(
+            retry = asyncio.create_task(
                 session.call(client, 2, "POST", "/payouts", headers=_KEY)
             )
             await asyncio.sleep(0)
             session.say("backend server 1 answers")
-            self.go_on.set()
-            await again
+            self.proceed.set()
+            await retry
             await session.nodes[0].control.stop(0)
             session.say("daemon 1 dies")
             await session.call(client, 2, "POST", "/payouts", headers=_KEY)
         session.compare(self, "payout")
 
     async def test_drain_during_a_download(self) -> None:
-        """The download is whole; new work is refused at once meanwhile."""
+        """The download is complete; meanwhile new work is refused at once."""
         session = self.session
         async with (
             builders.run_nodes(2, handler=self.send_archive) as session.nodes,
@@ -90,7 +92,7 @@
             session.say("daemon 1 sends all work to daemon 2")
             path = "/archive/7"
             async with client.get(first.url + path) as answer:
-                await self.begun.wait()
+                await self.started.wait()
                 session.say("caller has the beginning of the archive")
                 draining = asyncio.create_task(second.proxy.drain(60))
                 await asyncio.sleep(0)
@@ -98,7 +100,7 @@
                 await session.call(client, 2, "GET", path)
                 await session.call(client, 1, "GET", path)
                 self.assertFalse(draining.done())
-                self.go_on.set()
+                self.proceed.set()
                 body = await answer.read()
             session.say(f"caller has {len(body)} bytes of the archive")
             self.assertTrue(await draining)
@@ -106,18 +108,20 @@
         session.compare(self, "drain")
 
     async def test_crash_causing_request(self) -> None:
-        """Two of four backend servers die; the other two go on serving."""
+        """Two of four backend servers crash; the other two go on serving."""
         session = self.session
         async with (
-            builders.run_nodes(4, handler=self.die) as session.nodes,
+            builders.run_nodes(
+                4, handler=self.crash_on_poison
+            ) as session.nodes,
             builders.open_client() as client,
         ):
-            # Each daemon tries its own backend server and then the next one.
-            for place, node in enumerate(session.nodes):
-                after = session.nodes[(place + 1) % 4]
+            # Each daemon calls its local backend server, then the next one.
+            for position, node in enumerate(session.nodes):
+                next_node = session.nodes[(position + 1) % 4]
                 node.table.upstreams["kassa"] = (
                     node.build_upstream(),
-                    after.build_upstream(),
+                    next_node.build_upstream(),
                 )
             await session.call(client, 1, "GET", "/poison")
             for number in (1, 2, 3, 4):
--- a/tests/requests/serving/test_smuggling.py
+++ b/tests/requests/serving/test_smuggling.py
@@ -1,4 +1,4 @@
-"""Requests that pass for something else on their way."""
+"""Tests of requests that try to smuggle another one past a daemon."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class SmugglingTest(unittest.IsolatedAsyncioTestCase):
-    """Raw requests, as no well-behaved client sends them."""
+    """Raw requests that no well-behaved client sends."""
 
     async def exchange(
         self, node: builders.Node, target: str, *lines: bytes
     ) -> bytes:
-        """Sends a POST without a body; returns the whole answer."""
+        """Sends a POST without a body; returns the complete answer."""
         head = f"POST {target} HTTP/1.1\r\nHost: a\r\n".encode()
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", node.proxy.caller_port
         )
-        closing = (b"Content-Length: 0", b"Connection: close")
-        for line in (*lines, *closing):
+        last_lines = (b"Content-Length: 0", b"Connection: close")
+        for line in (*lines, *last_lines):
             head += line + b"\r\n"
         writer.write(head + b"\r\n")
         async with asyncio.timeout(builders.GUARD_S):
@@ -38,9 +38,9 @@
     async def test_escaped_slash_after_the_service(self) -> None:
         """The caller is refused; nothing reaches the backend server.
 
-        "/kassa%2Flookup/payouts" decodes to the class of lookups, which may
-        be repeated, while what follows the first plain slash is the payout
-        that the backend server would run, without a claim.
+        "/kassa%2Flookup/payouts" decodes to a path in the class of lookups,
+        which may be repeated. The path after the first plain slash is that of a
+        payout, which the backend server would run without a claim.
         """
         async with builders.run_nodes(1) as (node,):
             for target in ("/kassa%2Flookup/payouts/1", "/kassa%2Fx"):
@@ -49,10 +49,10 @@
             self.assertEqual(node.served, [])
 
     async def test_empty_segments(self) -> None:
-        """The caller is told that its payout lacks a key.
+        """The caller is refused, as its payout lacks an idempotency key.
 
-        Many servers take "//payouts" for "/payouts"; matched as it stands it
-        would pass for a class that may be repeated.
+        Many servers treat "//payouts" as "/payouts". If it were matched
+        literally, it would get a class that may be repeated.
         """
         async with builders.run_nodes(1) as (node,):
             for target in ("/kassa//payouts/1", "/kassa/%2Fpayouts/1"):
@@ -60,13 +60,13 @@
                 self.assert_refused(answer, 400)
             self.assertEqual(node.served, [])
 
-    async def test_key_named_as_a_header_of_the_connection(self) -> None:
+    async def test_key_named_in_the_connection_header(self) -> None:
         """The payout runs once.
 
-        Its caller names the key in "Connection", so that it would be removed
-        on the way. The first daemon breaks off after its backend server ran
-        the payout; the caller's daemon, which knows the key, tries the next
-        one, which would run it without a claim.
+        Its caller names the key in "Connection", so that it could be removed
+        on the way. The first upstream breaks the connection after its backend
+        server ran the payout. The caller's daemon, which knows the key, retries
+        at the next upstream, which would run the payout without a claim.
         """
         runs = 0
 
@@ -93,12 +93,12 @@
             )
         self.assertEqual(runs, 1)
 
-    async def test_key_of_odd_bytes(self) -> None:
-        """The caller is refused instead of hearing "unknown".
+    async def test_key_that_is_not_ascii(self) -> None:
+        """The caller is refused instead of getting "unknown".
 
         A byte that is not ASCII is lost between daemons: two payouts whose
-        keys differ in it alone would pass for one, and the second seller
-        would get the first one's answer.
+        keys differ only in it would be treated as one, and the second seller
+        would get the answer of the first one.
         """
         async with builders.run_nodes(1) as (node,):
             for key in (b"k\xe9", b"k\xc3\xa9"):
@@ -108,26 +108,27 @@
                 self.assert_refused(answer, 400)
             self.assertEqual(node.served, [])
 
-    async def test_body_whose_length_is_not_passed_on(self) -> None:
-        """The backend server gets one request, with its whole body.
+    async def test_body_whose_length_is_not_forwarded(self) -> None:
+        """The backend server gets one request, with its complete body.
 
-        The caller's length is a header of the connection where it says so,
-        and a body in chunks has none. Sent on without either, the body would
-        be taken for the next request on the connection.
+        A caller can name Content-Length in "Connection", so that it is not
+        forwarded, and a chunked body has none. If the request were forwarded
+        without either, its body would be parsed as the next request on the
+        connection.
         """
         smuggled = b"GET /payouts HTTP/1.1\r\nHost: a\r\n\r\n"
-        long = smuggled + bytes(bodies.MAX_HELD_BYTES)
+        long_body = smuggled + bytes(bodies.MAX_HELD_BYTES)
         for target in ("/kassa/x", "/kassa/payouts/1"):
-            for body in (smuggled, long):
+            for body in (smuggled, long_body):
                 with self.subTest(target, length=len(body)):
                     await self.send_unusual(target, body)
 
     async def send_unusual(self, target: str, body: bytes) -> None:
-        """Sends a body with its length hidden, and in one chunk."""
-        got: list[bytes] = []
+        """Sends a body with its length hidden, and again as one chunk."""
+        bodies_received: list[bytes] = []
 
         async def serve(request: web.BaseRequest) -> web.StreamResponse:
-            got.append(await request.read())
+            bodies_received.append(await request.read())
             return web.Response()
 
         length = b"%d" % len(body)
@@ -151,4 +152,6 @@
                     answer = await reader.readuntil(b"\r\n")
                 writer.close()
                 self.assertEqual(answer, b"HTTP/1.1 200 OK\r\n")
-        self.assertEqual([len(one) for one in got], [len(body)] * 2)
+        self.assertEqual(
+            [len(received) for received in bodies_received], [len(body)] * 2
+        )
