--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -93,7 +93,7 @@
     outcome: outcomes.Failure,
     request: web.BaseRequest,
 ) -> web.Response:
-    response = answers.Short(
+    response = answers.ShortAnswer(
         _choose_status(outcome), "text/plain", outcome.reason + "\n"
     )
     attempt_id = request.headers.get(_ATTEMPT_ID)
--- a/merlintrestle/requests/calls/call.py
+++ b/merlintrestle/requests/calls/call.py
@@ -111,8 +111,8 @@
         digest = hashlib.sha256()
         for text in (self.service, self.method, self.target):
             digest.update(text.encode("utf-8", "surrogateescape") + b"\0")
-        if self.body.held is None:
+        if self.body.buffered is None:
             digest.update(f"length {self.body.length}".encode())
         else:
-            digest.update(self.body.held)
+            digest.update(self.body.buffered)
         return digest.digest()
--- a/merlintrestle/requests/calls/outcomes.py
+++ b/merlintrestle/requests/calls/outcomes.py
@@ -228,7 +228,7 @@
     fields: dict[str, object] = {"outcome": name}
     for field in outcome.__slots__:
         fields[field] = getattr(outcome, field)
-    response = answers.Short(
+    response = answers.ShortAnswer(
         outcome.status, "application/json", json.dumps(fields)
     )
     response.headers[headers.OUTCOME] = name
--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -143,7 +143,7 @@
         + plan.latency_s,
         depth=metadata.depth,
         attempt=metadata.attempt,
-        key=request.headers.get(headers.KEY, ""),
+        key=request.headers.get(headers.IDEMPOTENCY_KEY, ""),
         repeat=metadata.repeat,
         wait=metadata.wait,
         suspect=metadata.suspect,
@@ -159,7 +159,7 @@
 ) -> outcomes.NotRun | None:
     if plan.repeatable:
         return None
-    key = request.headers.get(headers.KEY, "")
+    key = request.headers.get(headers.IDEMPOTENCY_KEY, "")
     if not key and plan.key_required:
         return outcomes.NotRun("Idempotency-Key is missing", 400, None)
     if len(key) > _MAX_KEY_CHARACTERS:
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -109,7 +109,7 @@
         _LATENCY_TARGET_FACTOR * plan.latency_s,
         _WORK_FACTOR * plan.work_s,
     )
-    if now + 2 * delay_s > call.deadline or not call.body.repeatable:
+    if now + 2 * delay_s > call.deadline or not call.body.replayable:
         return call.deadline
     return now + delay_s
 
--- a/merlintrestle/requests/serving/attempt_runner.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -272,7 +272,7 @@
         )
         peer_headers = call.headers.copy()
         peer_headers[headers.PLAN] = plans.encode_plan(call.plan)
-        peer_headers[headers.PASSED] = metadata.encode_metadata(call_metadata)
+        peer_headers[headers.METADATA] = metadata.encode_metadata(call_metadata)
         return peer_headers
 
 
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -157,7 +157,7 @@
         upstream_count = len(self._table.get_upstreams(call.service))
         if (
             not state.may_attempt_another(upstream_count)
-            or not call.body.repeatable
+            or not call.body.replayable
         ):
             return False
         retry = retries.classify(outcome, call)
@@ -178,7 +178,7 @@
         well, other upstreams that are as good would do so too.
         """
         call = state.call
-        if not state.may_attempt() or not call.body.repeatable:
+        if not state.may_attempt() or not call.body.replayable:
             return False
         upstream_count = len(self._table.get_upstreams(call.service))
         if (
@@ -265,7 +265,7 @@
         # waits there without polling others.
         wait = calls.Wait.NORMAL
         round_trip_s = self._round_trip.get()
-        if call.body.held is not None and polls.is_worthwhile(
+        if call.body.buffered is not None and polls.is_worthwhile(
             round_trip_s, call.plan.latency_s
         ):
             observation = self._picker.get_observation(upstream.member_id)
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -58,11 +58,11 @@
             link: The outgoing link to other daemons.
         """
         self._link = link
-        self._transfers = transfers.Transfers(link)
+        self._transfers = transfers.TransferSender(link)
         self._state = state
         self._local_runner = local_runner
         self._admission = admission
-        self._registry = probes.Registry()
+        self._registry = probes.CallRegistry()
         self._get_time = asyncio.get_running_loop().time
 
     def close(self) -> None:
@@ -72,12 +72,12 @@
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers a request."""
         if probes.is_probe(request):
-            status, text = self._registry.answer(request.raw_path)
+            status, text = self._registry.answer_probe(request.raw_path)
             return web.Response(status=status, text=text)
-        call_id = request.headers.get(headers.CALL, "")
+        call_id = request.headers.get(headers.CALL_ID, "")
         response = await self._answer(request, call_id)
         if not response.prepared:
-            response.headers[headers.CALL] = call_id
+            response.headers[headers.CALL_ID] = call_id
         return responses.force_close_if(
             self._state.peer_keep_alive_disabled, response
         )
@@ -93,11 +93,11 @@
         if isinstance(match, outcomes.NotRun):
             return outcomes.render(match)
         call_metadata = metadata.decode_metadata(
-            request.headers.get(headers.PASSED)
+            request.headers.get(headers.METADATA)
         )
         if call_metadata is None:
             return outcomes.render(_MALFORMED)
-        progress = self._registry.enter(call_id)
+        progress = self._registry.add(call_id)
         self._state.begin_call()
         try:
             call = await parsing.read_call(request, match, call_metadata, began)
@@ -111,14 +111,14 @@
             return await self._serve(request, call, began, progress, call_id)
         finally:
             self._state.end_call()
-            self._registry.leave(call_id)
+            self._registry.mark_ended(call_id)
 
     async def _serve(
         self,
         request: web.BaseRequest,
         call: calls.Call,
         began: float,
-        progress: probes.Progress,
+        progress: probes.AnswerProgress,
         call_id: str,
     ) -> web.StreamResponse:
         transfer = self._link.admit(call)
@@ -178,7 +178,7 @@
             server_time_s=self._get_time() - began,
         )
         return (
-            (headers.CALL, call_id),
+            (headers.CALL_ID, call_id),
             (headers.LOAD, loads.encode_load(load)),
         )
 
--- a/merlintrestle/requests/serving/responses.py
+++ b/merlintrestle/requests/serving/responses.py
@@ -45,9 +45,9 @@
     request: web.BaseRequest,
     outcome: outcomes.Outcome,
     dialect: object,
-    progress: probes.Progress | None = None,
+    progress: probes.AnswerProgress | None = None,
     extra_headers: tuple[tuple[str, str], ...] = (),
-    send_body: streams.Sender | None = None,
+    send_body: streams.BodySender | None = None,
 ) -> web.StreamResponse:
     """Answers a request with the outcome of its call.
 
@@ -78,9 +78,9 @@
 async def _relay(
     request: web.BaseRequest,
     answered: outcomes.Answered,
-    progress: probes.Progress | None,
+    progress: probes.AnswerProgress | None,
     extra_headers: tuple[tuple[str, str], ...],
-    send_body: streams.Sender | None,
+    send_body: streams.BodySender | None,
 ) -> web.StreamResponse:
     try:
         return await streams.relay(
--- a/merlintrestle/requests/serving/retry_state.py
+++ b/merlintrestle/requests/serving/retry_state.py
@@ -87,7 +87,7 @@
         call = self.call
         return (
             call.plan.repeatable
-            and call.body.held is not None
+            and call.body.buffered is not None
             and self._may_run_again()
             and self.attempts.all_in_doubt
             and self._has_time()
--- a/merlintrestle/requests/transport/answers.py
+++ b/merlintrestle/requests/transport/answers.py
@@ -123,7 +123,7 @@
         """Does nothing: all is written."""
 
 
-class Short(web.Response):
+class ShortAnswer(web.Response):
     """A short answer that the daemon makes itself, mostly a refusal.
 
     Under load most answers are refusals. To a sender that reads on it is
--- a/merlintrestle/requests/transport/bodies.py
+++ b/merlintrestle/requests/transport/bodies.py
@@ -15,9 +15,9 @@
     import aiohttp
 
 # Bodies up to this size are held whole, so that they can be sent again.
-MAX_HELD_BYTES = 64 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024
 # A sender or receiver that moves nothing for so long is given up.
-STALL_S = 20.0
+STALL_TIMEOUT_S = 20.0
 
 
 class BodyError(errors.MerlintrestleError):
@@ -28,9 +28,9 @@
     """The body of a caller's request.
 
     Attributes:
-        held: The whole body; None if it is passed on in pieces.
+        buffered: The whole body; None if it is passed on in pieces.
         length: Its length in bytes; None: not known before it ends.
-        taken: True once a piece of it was taken and it cannot be sent again.
+        consumed: True once a piece of it was taken and it cannot be sent again.
         error: Why it could not be read; None: nothing wrong.
     """
 
@@ -41,32 +41,34 @@
         content: aiohttp.StreamReader | None = None,
         begun: bytes = b"",
     ):
-        self.held = held
+        self.buffered = held
         self.length = length
-        self.taken = False
+        self.consumed = False
         self.error: BodyError | None = None
         self._content = content
         self._begun = begun
 
     @property
-    def repeatable(self) -> bool:
+    def replayable(self) -> bool:
         """True while the body can be sent from its beginning."""
-        return self.held is not None or not self.taken
+        return self.buffered is not None or not self.consumed
 
     def make_payload(self) -> bytes | AsyncIterator[bytes] | None:
         """Returns what the HTTP client sends; None: no body."""
-        if self.held is not None:
-            return self.held or None
+        if self.buffered is not None:
+            return self.buffered or None
         return self._iterate()
 
     async def _iterate(self) -> AsyncIterator[bytes]:
         assert self._content is not None
-        self.taken = True
+        self.consumed = True
         if self._begun:
             yield self._begun
         while True:
             try:
-                piece = await asyncio.wait_for(self._content.readany(), STALL_S)
+                piece = await asyncio.wait_for(
+                    self._content.readany(), STALL_TIMEOUT_S
+                )
             except (web.RequestPayloadError, OSError, TimeoutError) as error:
                 self.error = BodyError("the request body stopped half-way")
                 raise self.error from error
@@ -97,13 +99,16 @@
         _tell_to_continue(request)
     if length is None and not hold_chunks:
         return Body(None, None, content)
-    if length is not None and length > MAX_HELD_BYTES:
+    if length is not None and length > MAX_BUFFERED_BYTES:
         return Body(None, length, content)
     if content.is_eof():
         return _build_body(content.read_nowait(), content)
     try:
-        async with asyncio.timeout_at(deadline), asyncio.timeout(STALL_S):
-            held = await _read_at_most(content, MAX_HELD_BYTES)
+        async with (
+            asyncio.timeout_at(deadline),
+            asyncio.timeout(STALL_TIMEOUT_S),
+        ):
+            held = await _read_at_most(content, MAX_BUFFERED_BYTES)
     except (web.RequestPayloadError, OSError, TimeoutError) as error:
         raise BodyError("the request body stopped half-way") from error
     return _build_body(held, content)
@@ -116,7 +121,7 @@
     depend on that, for what the request is taken to be depends on it: sent
     again in pieces, the same payout would look like another.
     """
-    if content.is_eof() and len(begun) <= MAX_HELD_BYTES:
+    if content.is_eof() and len(begun) <= MAX_BUFFERED_BYTES:
         return Body(begun, len(begun))
     return Body(None, None, content, begun)
 
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -14,11 +14,11 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.transport import answers
 from merlintrestle.requests.transport import connections
-from merlintrestle.requests.transport import limits
 from merlintrestle.requests.transport import pool as pools
 from merlintrestle.requests.transport import results
 from merlintrestle.requests.transport import streams
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import timeouts
+from merlintrestle.requests.transport import watchdogs
 
 if TYPE_CHECKING:
     import multidict
@@ -79,7 +79,7 @@
         """Opens a connection, or tells why there is none: nothing was sent."""
         left_s = deadline - self._loop.time()
         try:
-            async with limits.bound(min(_CONNECT_S, left_s)):
+            async with timeouts.bound(min(_CONNECT_S, left_s)):
                 traffics = self._traffics
                 connection = await self._pool.open(
                     address,
@@ -98,7 +98,7 @@
     async def run(
         self,
         connection: connections.Connection,
-        watch: watches.Watch,
+        watch: watchdogs.Watchdog,
         target: str,
         call: calls.Call,
         sent_headers: multidict.CIMultiDict[str],
@@ -128,7 +128,7 @@
             body = await streams.read_answer(answer, call.method)
         except TimeoutError:
             connection.abort()
-            return results.NOT_IN_TIME
+            return results.DEADLINE_EXCEEDED
         except (
             aiohttp.ClientError,
             http.HttpProcessingError,
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -16,9 +16,9 @@
 from merlintrestle.requests.transport import exchanges
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import pool as pools
+from merlintrestle.requests.transport import resends
 from merlintrestle.requests.transport import results
-from merlintrestle.requests.transport import seconds
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import watchdogs
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -60,7 +60,7 @@
         self._traffics = traffics or traffics_.build_traffics()
         self._budgets = budgets
         self._accepts_unframed = accepts_unframed
-        self._call_ids = watches.CallIds()
+        self._call_ids = watchdogs.CallIds()
 
     async def start(self) -> None:
         """Opens the pool."""
@@ -96,7 +96,7 @@
         """
         address = own.address
         sent_headers = dialects.build_backend_headers(dialect, call, own)
-        held = call.body.held is not None
+        held = call.body.buffered is not None
         side = exchanges.Side(dialect, _UNACKNOWLEDGED_MS if held else 0)
         pooled = None
         if call.plan.repeatable and held:
@@ -130,10 +130,10 @@
         """Sends a call over a kept connection, and anew if that is doubtful."""
         budget = self._budgets.get(call.service)
         budget.record_call()
-        second = seconds.Second(
+        second = resends.Second(
             pooled, lambda: self._send_second(own, call, side)
         )
-        watch = watches.Watch(
+        watch = watchdogs.Watchdog(
             pooled,
             call.plan.work_s,
             call.deadline,
@@ -148,7 +148,7 @@
             broke = results.broke_while_idle(
                 outcome, idle_s, self._loop.time() - began
             )
-            if broke and call.body.repeatable and budget.try_spend():
+            if broke and call.body.replayable and budget.try_spend():
                 call.story.add(
                     "connection was gone", idle_ms=round(idle_s * 1000)
                 )
@@ -174,7 +174,7 @@
         own: backend.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
-        second: seconds.Second,
+        second: resends.Second,
     ) -> Callable[[], Coroutine[Any, Any, None]] | None:
         """Returns what looks into a backend server that gives no sign.
 
@@ -191,7 +191,7 @@
         own: backend.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
-        second: seconds.Second,
+        second: resends.Second,
     ) -> None:
         """Sends a call anew if the connection alone seems to be silent.
 
@@ -204,7 +204,7 @@
         if (
             await own.check()
             and not call.attempt
-            and call.body.held is not None
+            and call.body.buffered is not None
             and budget.try_spend()
         ):
             call.attempt += 1
@@ -236,7 +236,7 @@
             bodies.BodyError: The caller's body stopped half-way.
         """
         call_id = self._call_ids.take()
-        sent_headers[headers.CALL] = call_id
+        sent_headers[headers.CALL_ID] = call_id
         if anew or not call.plan.repeatable:
             outcome = await self._send_anew(address, target, call, sent_headers)
         else:
@@ -269,15 +269,17 @@
             if isinstance(connection, outcomes.NotRun):
                 return connection
         look = functools.partial(
-            watches.ask_peer,
+            watchdogs.ask_peer,
             self._pool,
             connection,
-            sent_headers[headers.CALL],
+            sent_headers[headers.CALL_ID],
             call.plan.work_s,
             self._pool.has_heard,
             functools.partial(self._report, address, report),
         )
-        watch = watches.Watch(connection, call.plan.work_s, call.deadline, look)
+        watch = watchdogs.Watchdog(
+            connection, call.plan.work_s, call.deadline, look
+        )
         return await self._exchanges.run(
             connection, watch, target, call, sent_headers
         )
@@ -310,12 +312,12 @@
         if not keep:
             sent_headers[hdrs.CONNECTION] = "close"
             connection.force_close()
-        elif call.body.held is None:
+        elif call.body.buffered is None:
             # The server may answer before it has read the body: what is sent
             # next would wait behind that. It is not told so: one that closes
             # with a part of a body unread may have its answer lost.
             connection.force_close()
-        watch = watches.Watch(connection, 0.0, call.deadline, None)
+        watch = watchdogs.Watchdog(connection, 0.0, call.deadline, None)
         return await self._exchanges.run(
             connection, watch, target, call, sent_headers, side
         )
@@ -324,7 +326,7 @@
         self, address: str, call_id: str, answered: outcomes.Answered
     ) -> None:
         task = asyncio.create_task(
-            watches.watch_transfer(
+            watchdogs.watch_transfer(
                 self._pool, address, call_id, answered.response
             )
         )
--- a/merlintrestle/requests/transport/headers.py
+++ b/merlintrestle/requests/transport/headers.py
@@ -25,10 +25,10 @@
 # Load of the backend server beside the daemon that answers, see `loads`.
 LOAD = multidict.istr("Merlintrestle-Load")
 # What else a daemon tells of a call, see `passing`; believed likewise.
-PASSED = multidict.istr("Merlintrestle-Passed")
+METADATA = multidict.istr("Merlintrestle-Passed")
 # Names one attempt at a call between two daemons.
-CALL = multidict.istr("Merlintrestle-Call")
-KEY = multidict.istr("Idempotency-Key")
+CALL_ID = multidict.istr("Merlintrestle-Call")
+IDEMPOTENCY_KEY = multidict.istr("Idempotency-Key")
 
 _PREFIX = "merlintrestle-"
 # Which headers are not passed on, for the names of requests and answers seen so
@@ -55,7 +55,7 @@
     )
 )
 
-_KEPT = frozenset((KEY.lower(),))
+_KEPT = frozenset((IDEMPOTENCY_KEY.lower(),))
 
 
 def copy_end_to_end(
--- a/merlintrestle/requests/transport/probes.py
+++ b/merlintrestle/requests/transport/probes.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Progress:
+class AnswerProgress:
     """How far the answer of a call has come at the daemon that sends it.
 
     Attributes:
@@ -49,38 +49,38 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class ProbeResult:
     """What a peer says about a call.
 
     Attributes:
-        answers: False if the peer did not answer over a new connection.
+        answered: False if the peer did not answer over a new connection.
         in_flight: True if the call is in flight there.
         ended: True if it was in flight there and its answer is sent off.
         written: Bytes of its answer's body that the peer has sent off.
     """
 
-    answers: bool
+    answered: bool
     in_flight: bool = False
     written: int = 0
     ended: bool = False
 
 
-class Registry:
+class CallRegistry:
     """The calls of peers that are in flight here, or were just now."""
 
     def __init__(self) -> None:
-        self._calls: dict[str, Progress] = {}
-        self._ended: collections.OrderedDict[str, Progress]
+        self._calls: dict[str, AnswerProgress] = {}
+        self._ended: collections.OrderedDict[str, AnswerProgress]
         self._ended = collections.OrderedDict()
 
-    def enter(self, call_id: str) -> Progress:
+    def add(self, call_id: str) -> AnswerProgress:
         """Adds a call."""
-        progress = Progress()
+        progress = AnswerProgress()
         if call_id:
             self._calls[call_id] = progress
         return progress
 
-    def leave(self, call_id: str) -> None:
+    def mark_ended(self, call_id: str) -> None:
         """Takes a call for ended."""
         progress = self._calls.pop(call_id, None)
         if progress is None:
@@ -89,7 +89,7 @@
         if len(self._ended) > _MAX_ENDED:
             self._ended.popitem(last=False)
 
-    def answer(self, path: str) -> tuple[int, str]:
+    def answer_probe(self, path: str) -> tuple[int, str]:
         """Returns status and text that answer a probe."""
         call_id = path.removeprefix(PATH)
         progress = self._calls.get(call_id)
@@ -101,16 +101,16 @@
         return _NOT_KNOWN, ""
 
 
-async def ask(pool: pools.Pool, address: str, call_id: str) -> View:
+async def ask(pool: pools.Pool, address: str, call_id: str) -> ProbeResult:
     """Asks a peer about a call over a new connection."""
     try:
         async with asyncio.timeout(_TIMEOUT_S):
             status, text = await _fetch(pool, address, f"{PATH}{call_id}")
         if status == _IN_FLIGHT:
-            return View(True, True, int(text))
+            return ProbeResult(True, True, int(text))
         if status == _ENDED:
-            return View(True, False, int(text), True)
-        return View(True)
+            return ProbeResult(True, False, int(text), True)
+        return ProbeResult(True)
     except (
         aiohttp.ClientError,
         http.HttpProcessingError,
@@ -118,7 +118,7 @@
         TimeoutError,
         ValueError,
     ):
-        return View(False)
+        return ProbeResult(False)
 
 
 async def _fetch(
--- a/merlintrestle/requests/transport/results.py
+++ b/merlintrestle/requests/transport/results.py
@@ -20,7 +20,7 @@
 # A reset of a connection that is gone comes within this time, in seconds: both
 # ends are on one instance.
 _GONE_S = 0.05
-NOT_IN_TIME = outcomes.Unknown(
+DEADLINE_EXCEEDED = outcomes.Unknown(
     "no answer before the deadline", outcomes.TIMEOUT_STATUS
 )
 
@@ -37,9 +37,9 @@
     answer would go to the wrong caller, and so would all that follow it on
     the connection.
     """
-    call_id = sent_headers.get(headers.CALL)
+    call_id = sent_headers.get(headers.CALL_ID)
     if call_id is not None:
-        return answer.headers.get(headers.CALL, call_id) == call_id
+        return answer.headers.get(headers.CALL_ID, call_id) == call_id
     return dialects.is_answer_to(dialect, answer, call)
 
 
--- a/merlintrestle/requests/transport/server.py
+++ b/merlintrestle/requests/transport/server.py
@@ -23,7 +23,7 @@
 events = event_logs.EventLog("requests")
 
 # A new connection that has not sent its first request by then is closed.
-FIRST_REQUEST_S = 10.0
+FIRST_REQUEST_TIMEOUT_S = 10.0
 # Longer than the pools of other daemons keep a connection that is idle.
 _KEEPALIVE_S = 75.0
 # What `close` leaves a request in flight. The library takes 0 for no limit, so
@@ -92,7 +92,9 @@
         """
         held_back = self.get_held_back()
         moved_at = self._loop.time()
-        while held_back and self._loop.time() - moved_at < bodies.STALL_S:
+        while (
+            held_back and self._loop.time() - moved_at < bodies.STALL_TIMEOUT_S
+        ):
             await asyncio.sleep(_FLUSH_S)
             now_held_back = self.get_held_back()
             if now_held_back != held_back:
@@ -132,7 +134,7 @@
         # A sender that never ends its first headers holds a connection and
         # its buffer for good. The library limits idle time only afterwards.
         self._first_request = self._loop.call_later(
-            FIRST_REQUEST_S, self._close_if_silent
+            FIRST_REQUEST_TIMEOUT_S, self._close_if_silent
         )
 
     def connection_lost(self, exc: BaseException | None) -> None:
--- a/merlintrestle/requests/transport/streams.py
+++ b/merlintrestle/requests/transport/streams.py
@@ -28,7 +28,7 @@
 _BODILESS = frozenset((204, 304))
 
 
-class Sender(Protocol):
+class BodySender(Protocol):
     """Sends the body of an answer whose head is sent."""
 
     async def __call__(
@@ -36,7 +36,7 @@
         request: web.BaseRequest,
         answer: web.StreamResponse,
         answered: outcomes.Answered,
-        progress: probes.Progress,
+        progress: probes.AnswerProgress,
     ) -> None:
         """Sends the whole body, and counts it."""
 
@@ -57,7 +57,7 @@
     if content.is_eof():
         return content.read_nowait()
     length = response.content_length
-    if length is not None and length <= bodies.MAX_HELD_BYTES:
+    if length is not None and length <= bodies.MAX_BUFFERED_BYTES:
         return await content.read()
     return None
 
@@ -79,9 +79,9 @@
 async def relay(
     request: web.BaseRequest,
     answered: outcomes.Answered,
-    progress: probes.Progress | None = None,
+    progress: probes.AnswerProgress | None = None,
     added: tuple[tuple[str, str], ...] = (),
-    send: Sender | None = None,
+    send: BodySender | None = None,
 ) -> web.StreamResponse:
     """Passes an answer on, and cuts the caller off if it is cut.
 
@@ -113,7 +113,7 @@
     )
     if not framed:
         answer.force_close()
-    progress = progress or probes.Progress()
+    progress = progress or probes.AnswerProgress()
     watch = _ReceiverWatch(request, progress)
     # The close of the connection is all that marks the end of such an answer.
     unmarked = not framed or (
@@ -131,7 +131,7 @@
         if unmarked:
             await _end_unmarked(request)
     except BaseException:
-        cut(request)
+        reset_connection(request)
         raise
     finally:
         watch.close()
@@ -156,13 +156,15 @@
     slow moves something, and for one that waits nothing is held back.
     """
 
-    def __init__(self, request: web.BaseRequest, progress: probes.Progress):
+    def __init__(
+        self, request: web.BaseRequest, progress: probes.AnswerProgress
+    ):
         """Starts the watch."""
         self._request = request
         self._progress = progress
         self._seen = (0, 0)
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(bodies.STALL_S, self._look)
+        self._timer = self._loop.call_later(bodies.STALL_TIMEOUT_S, self._look)
 
     def close(self) -> None:
         """Ends the watch."""
@@ -175,17 +177,17 @@
         held_back = transport.get_write_buffer_size()
         seen = (self._progress.written, held_back)
         if held_back and seen == self._seen:
-            cut(self._request)
+            reset_connection(self._request)
             return
         self._seen = seen
-        self._timer = self._loop.call_later(bodies.STALL_S, self._look)
+        self._timer = self._loop.call_later(bodies.STALL_TIMEOUT_S, self._look)
 
 
 async def _send(
     request: web.BaseRequest,
     answer: web.StreamResponse,
     answered: outcomes.Answered,
-    progress: probes.Progress,
+    progress: probes.AnswerProgress,
 ) -> None:
     """Sends a body in pieces, as it comes."""
     del request
@@ -195,7 +197,7 @@
         await answer.write(piece)
 
 
-def cut(request: web.BaseRequest) -> None:
+def reset_connection(request: web.BaseRequest) -> None:
     """Resets the caller's connection, so that its answer shows as broken."""
     transport = request.transport
     if transport is None:
--- a/merlintrestle/requests/transport/transfers.py
+++ b/merlintrestle/requests/transport/transfers.py
@@ -23,7 +23,7 @@
 _LOOK_S = 0.012
 
 
-class Transfers:
+class TransferSender:
     """The long answers of a daemon that are on their way.
 
     What an operating system has taken has not left: it takes a hundred
@@ -49,7 +49,7 @@
         request: web.BaseRequest,
         answer: web.StreamResponse,
         answered: outcomes.Answered,
-        progress: probes.Progress,
+        progress: probes.AnswerProgress,
         transfer: reservations.Transfer,
     ) -> None:
         """Sends a body in pieces, each as soon as the link has room for it.
--- a/merlintrestle/requests/transport/watches.py
+++ b/merlintrestle/requests/transport/watchdogs.py
@@ -19,19 +19,19 @@
 
 # A call without a first byte for so long, or for a multiple of its expected
 # work time, is asked about.
-FIRST_BYTE_S = 0.25
+FIRST_BYTE_TIMEOUT_S = 0.25
 _WORK_FACTOR = 4.0
 # What is on its way when the peer says that a call has ended or has not come
 # arrives by then where links are free. On a full one it takes its time just as
 # the question and its answer did, which is waited for if it is longer.
 _GRACE_S = 0.05
 # Time between two looks at a transfer.
-TRANSFER_S = 5.0
+TRANSFER_PROBE_INTERVAL_S = 5.0
 
 
 def get_patience(work_s: float) -> float:
     """Returns how long a call waits before it is asked about, in seconds."""
-    return max(FIRST_BYTE_S, _WORK_FACTOR * work_s)
+    return max(FIRST_BYTE_TIMEOUT_S, _WORK_FACTOR * work_s)
 
 
 class CallIds:
@@ -46,7 +46,7 @@
         return f"{self._prefix}-{next(self._numbers)}"
 
 
-class Watch:
+class Watchdog:
     """Ends the wait for an answer at its deadline; has it looked into before.
 
     It costs a call that is answered soon no timer and no task of its own.
@@ -125,7 +125,7 @@
     while True:
         began = loop.time()
         view = await probes.ask(pool, address, call_id)
-        if not view.answers:
+        if not view.answered:
             if not has_heard(address, began):
                 report(doubts.Doubt.PEER_SILENT)
         elif not view.in_flight:
@@ -158,13 +158,13 @@
     missing = False
     while True:
         received = content.total_bytes
-        await asyncio.sleep(TRANSFER_S)
+        await asyncio.sleep(TRANSFER_PROBE_INTERVAL_S)
         if content.total_bytes != received:
             missing = False
             continue
         view = await probes.ask(pool, address, call_id)
         sent_more = view.written > content.total_bytes
-        late = view.answers and (sent_more or not view.in_flight)
+        late = view.answered and (sent_more or not view.in_flight)
         if response.is_paused():
             late = False
         if missing and late and content.total_bytes == received:
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -314,7 +314,7 @@
     length and once in chunks, therefore looks like two, and may have run.
     """
     reason = "the Idempotency-Key was used for another request"
-    if call.body.held is None:
+    if call.body.buffered is None:
         return outcomes.Unknown(reason, 422)
     return outcomes.NotRun(reason, 422, None)
 
--- a/tests/daemon/test_daemons.py
+++ b/tests/daemon/test_daemons.py
@@ -22,7 +22,7 @@
     "[::1]:x",
     "a\0b:80",
 )
-_KEY = {headers.KEY: "ticket-7"}
+_KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
 
 
 class DaemonsTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -275,7 +275,7 @@
         if reset:
             # What was sent arrives first; a reset may overtake it.
             await asyncio.sleep(0.05)
-            streams.cut(request)
+            streams.reset_connection(request)
         else:
             transport.close()
         return web.Response()
--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -20,7 +20,7 @@
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import probes
 from merlintrestle.requests.transport import server
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import watchdogs
 from merlintrestle.schema import control_pb2
 from merlintrestle.schema import request_pb2_grpc
 from merlintrestle.schema import settings_pb2
@@ -393,16 +393,16 @@
         *waits: Names of the waits; by default the one for the first byte.
         wait_s: What they last, in seconds.
     """
-    for name in waits or ("FIRST_BYTE_S",):
-        case.enterContext(mock.patch.object(watches, name, wait_s))
+    for name in waits or ("FIRST_BYTE_TIMEOUT_S",):
+        case.enterContext(mock.patch.object(watchdogs, name, wait_s))
 
 
 def answer_questions(
-    case: unittest.TestCase, view: probes.View, note: Callable[[], Any]
+    case: unittest.TestCase, view: probes.ProbeResult, note: Callable[[], Any]
 ) -> None:
     """Has each question about a call noted and answered so, in this test."""
 
-    async def ask(*arguments: Any) -> probes.View:
+    async def ask(*arguments: Any) -> probes.ProbeResult:
         note()
         return view
 
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -122,7 +122,7 @@
         """Sends a call to a daemon, and returns its outcome."""
         del target, args
         received = dataclasses.replace(call)
-        call_metadata = metadata.decode_metadata(sent[headers.PASSED])
+        call_metadata = metadata.decode_metadata(sent[headers.METADATA])
         assert call_metadata is not None
         received.wait = call_metadata.wait
         try:
@@ -135,7 +135,7 @@
                 outcome = await self._daemons[address].run(received)
                 await asyncio.sleep(self._round_trip_s / 2)
         except TimeoutError:
-            return results.NOT_IN_TIME
+            return results.DEADLINE_EXCEEDED
         if not isinstance(outcome, outcomes.NotRun):
             return outcome
         answer = outcomes.render(outcome)
--- a/tests/requests/load/slowlinks.py
+++ b/tests/requests/load/slowlinks.py
@@ -119,7 +119,7 @@
         self._slow_link = SlowLink(rate)
         self._controlled = controlled
         self._link = links.OutgoingLink(self._loop.time)
-        self._transfers = transfers.Transfers(self._link)
+        self._transfers = transfers.TransferSender(self._link)
 
     def get_ratio(self, name: str, result: str) -> float:
         """Returns the fraction of the calls of a class with one result."""
@@ -190,7 +190,7 @@
         answered = outcomes.Answered(no_response, bytes(size), [])
         request: Any = connection
         await self._transfers.send(
-            request, request, answered, probes.Progress(), transfer
+            request, request, answered, probes.AnswerProgress(), transfer
         )
 
     def _record(self, call: calls.Call, took_s: float) -> None:
--- a/tests/requests/relays.py
+++ b/tests/requests/relays.py
@@ -23,14 +23,14 @@
 
     Attributes:
         port: Where it listens.
-        passed: Bytes that it passed on, both ways.
+        forwarded_bytes: Bytes that it passed on, both ways.
         delay_s: How late it passes bytes on, in seconds.
     """
 
     def __init__(self, target_port: int):
         """Sets the port that is relayed to."""
         self.port = 0
-        self.passed = 0
+        self.forwarded_bytes = 0
         self.delay_s = 0.0
         self._target_port = target_port
         self._silent_from: asyncio.Event = asyncio.Event()
@@ -48,9 +48,9 @@
         self._server.close()
         for task in self._tasks:
             task.cancel()
-        self.cut()
+        self.reset_connections()
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Resets the connections that are open."""
         for writer in self._writers:
             writer.transport.abort()
@@ -93,12 +93,12 @@
                 return
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            self.passed += len(piece)
+            self.forwarded_bytes += len(piece)
             sink.write(piece)
 
 
 @contextlib.asynccontextmanager
-async def connect(
+async def run_relayed_nodes(
     handler: Any, count: int = 2, **options: Any
 ) -> AsyncIterator[tuple[list[builders.Node], Relay, aiohttp.ClientSession]]:
     """Runs daemons; the first sends all to the others, the second by a relay.
@@ -125,7 +125,7 @@
 
 
 @contextlib.asynccontextmanager
-async def connect_after_full_link(
+async def run_nodes_after_full_link(
     handler: Any, **options: Any
 ) -> AsyncIterator[tuple[list[builders.Node], aiohttp.ClientSession]]:
     """Runs two daemons; the link between them was full, and is free now.
@@ -134,7 +134,7 @@
         handler: Answers at every backend server, "/quick" at once.
         **options: Passed to each node.
     """
-    async with connect(handler, **options) as (nodes, relay, client):
+    async with run_relayed_nodes(handler, **options) as (nodes, relay, client):
         relay.delay_s = _FULL_LINK_S
         await client.get(nodes[0].url + "/quick")
         relay.delay_s = 0.0
--- a/tests/requests/serving/test_bad_input.py
+++ b/tests/requests/serving/test_bad_input.py
@@ -199,7 +199,7 @@
     async def test_slow_sender(self) -> None:
         """The caller is refused; it takes no slot of the backend server."""
         plans = {"/": builders.build_plan(deadline_s=60.0)}
-        with mock.patch.object(bodies, "STALL_S", 0.02):
+        with mock.patch.object(bodies, "STALL_TIMEOUT_S", 0.02):
             async with (
                 builders.run_nodes(
                     1, running=builders.build_snapshot(plans)
@@ -233,7 +233,7 @@
             while True:
                 await answer.write(bytes(64 * 1024))
 
-        with mock.patch.object(bodies, "STALL_S", 0.1):
+        with mock.patch.object(bodies, "STALL_TIMEOUT_S", 0.1):
             async with (
                 builders.run_nodes(1, handler=send) as (node,),
                 asyncio.timeout(builders.GUARD_S),
@@ -250,7 +250,7 @@
 
     async def test_headers_that_never_end(self) -> None:
         """Guards against connections that hold their buffers forever."""
-        with mock.patch.object(server, "FIRST_REQUEST_S", 0.02):
+        with mock.patch.object(server, "FIRST_REQUEST_TIMEOUT_S", 0.02):
             async with builders.run_nodes(1) as (node,):
                 reader, writer = await asyncio.open_connection(
                     "127.0.0.1", node.proxy.caller_port
--- a/tests/requests/serving/test_concurrent_attempts.py
+++ b/tests/requests/serving/test_concurrent_attempts.py
@@ -34,7 +34,7 @@
         running = builders.build_snapshot(
             {"/": builders.build_plan(latency_s=_LATENCY_S, work_s=0.001)}
         )
-        async with relays.connect(work, count=3, running=running) as (
+        async with relays.run_relayed_nodes(work, count=3, running=running) as (
             nodes,
             _,
             client,
--- a/tests/requests/serving/test_deadlines.py
+++ b/tests/requests/serving/test_deadlines.py
@@ -45,7 +45,7 @@
         """
         loop = asyncio.get_running_loop()
         self.cancelled_at = loop.create_future()
-        async with relays.connect_after_full_link(
+        async with relays.run_nodes_after_full_link(
             self.work, running=_SHORT
         ) as (nodes, client):
             began = loop.time()
@@ -68,7 +68,7 @@
             fields_by_event.setdefault(event, fields)
 
         patch = mock.patch.object(stories.Story, "add", record_event)
-        async with relays.connect(self.work, running=_SHORT) as (
+        async with relays.run_relayed_nodes(self.work, running=_SHORT) as (
             nodes,
             _,
             client,
--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -36,7 +36,9 @@
         self.cancelled = asyncio.Semaphore(0)
         self.probed = asyncio.Semaphore(0)
         builders.hasten_doubt(self)
-        builders.answer_questions(self, probes.View(False), self.probed.release)
+        builders.answer_questions(
+            self, probes.ProbeResult(False), self.probed.release
+        )
 
     async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers once the test allows it."""
@@ -73,7 +75,7 @@
         idle, and both were answered with 504 some 0.5 s after their backend
         servers had started them.
         """
-        async with relays.connect(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.started.acquire()
             nodes[0].proxy.disable_caller_keep_alive()
@@ -92,13 +94,13 @@
         self,
     ) -> None:
         """Guards against long answers that are cut at the end of a doubt."""
-        long = b"x" * 4 * bodies.MAX_HELD_BYTES
+        long = b"x" * 4 * bodies.MAX_BUFFERED_BYTES
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             await self.wait(request)
             return web.Response(body=long)
 
-        async with relays.connect(answer) as (nodes, _, client):
+        async with relays.run_relayed_nodes(answer) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.started.acquire()
             await self.wait_for_probes(2)
@@ -111,7 +113,7 @@
         No probe is answered. If each one were logged as a doubt of its own,
         the other decisions would be hidden among them.
         """
-        async with relays.connect(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             with builders.watch_method(stories.Story, "add") as add:
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
                 await self.wait_for_probes(4)
@@ -129,7 +131,7 @@
         upstream, which answers. The work of the first one is not needed any
         more: its connection is closed.
         """
-        async with relays.connect(
+        async with relays.run_relayed_nodes(
             self.wait_first, 3, running=_LONG_DEADLINE
         ) as (
             nodes,
@@ -159,7 +161,9 @@
             return await self.wait(request)
 
         first = asyncio.Event()
-        async with relays.connect(answer, 3, running=_LONG_DEADLINE) as (
+        async with relays.run_relayed_nodes(
+            answer, 3, running=_LONG_DEADLINE
+        ) as (
             nodes,
             _,
             client,
@@ -178,7 +182,7 @@
         Its attempt is in doubt, and the other upstream refuses the call as not
         run. That holds for the second attempt only; the first one still runs.
         """
-        async with relays.connect(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
             slow, closed = nodes[0].table.upstreams["kassa"]
             closed = closed._replace(suspect=True)
             nodes[0].table.upstreams["kassa"] = (slow, closed)
@@ -202,7 +206,7 @@
         it is in doubt.
         """
         plan = builders.build_plan(max_attempts=1)
-        async with relays.connect(
+        async with relays.run_relayed_nodes(
             self.wait, 3, running=builders.build_snapshot({"/": plan})
         ) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
@@ -216,7 +220,7 @@
 
         No upstream answers probes, and the retry budget is used up.
         """
-        async with relays.connect(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
             nodes[0].use_up_budget()
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.wait_for_probes(3)
@@ -230,7 +234,7 @@
         A body that is streamed cannot be sent a second time.
         """
         body = bytes(100_000)
-        async with relays.connect(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
             call = asyncio.create_task(
                 client.put(nodes[0].url + "/x", data=body)
             )
@@ -246,7 +250,9 @@
 
     async def test_caller_that_leaves_ends_both_attempts(self) -> None:
         """Two upstreams run a call whose caller leaves; both stop."""
-        async with relays.connect(self.wait, 3, running=_LONG_DEADLINE) as (
+        async with relays.run_relayed_nodes(
+            self.wait, 3, running=_LONG_DEADLINE
+        ) as (
             nodes,
             _,
             client,
@@ -263,7 +269,7 @@
 
         Two upstreams have the call and neither answers.
         """
-        async with relays.connect(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
             answer = await client.get(
                 nodes[0].url + "/x", headers={headers.DEADLINE: "300"}
             )
@@ -300,10 +306,10 @@
             await asyncio.Event().wait()
         return web.Response(body=b"2nd")
 
-    async def check_slow_upstream(self, view: probes.View) -> None:
+    async def check_slow_upstream(self, view: probes.ProbeResult) -> None:
         """The caller gets the other upstream's answer."""
         builders.answer_questions(self, view, self.probed.set)
-        async with relays.connect(
+        async with relays.run_relayed_nodes(
             self.answer_second, 3, running=_LONG_DEADLINE
         ) as (
             nodes,
@@ -321,7 +327,7 @@
         after; its backend server is slow. If the call were sent to the same
         upstream again, it could not be sent to the other one any more.
         """
-        await self.check_slow_upstream(probes.View(True))
+        await self.check_slow_upstream(probes.ProbeResult(True))
 
     async def test_missing_answer_of_a_slow_upstream(self) -> None:
         """The caller gets the other upstream's answer, not a 504.
@@ -329,15 +335,17 @@
         The answer of the first upstream is lost, and its backend server would
         be slow in a second run as well.
         """
-        await self.check_slow_upstream(probes.View(True, ended=True))
+        await self.check_slow_upstream(probes.ProbeResult(True, ended=True))
 
     async def check_single_run(
         self, plan: snapshot.ClassPlan, has_budget: bool
     ) -> None:
         """Checks that the call runs once and its caller gets the answer."""
-        builders.answer_questions(self, probes.View(True), self.probed.set)
+        builders.answer_questions(
+            self, probes.ProbeResult(True), self.probed.set
+        )
         running = builders.build_snapshot({"/": plan})
-        async with relays.connect(self.wait, running=running) as (
+        async with relays.run_relayed_nodes(self.wait, running=running) as (
             nodes,
             _,
             client,
@@ -374,8 +382,10 @@
         A call is in doubt as its peer is silent, and there is no other
         upstream: nothing is sent, and nothing is paid.
         """
-        builders.answer_questions(self, probes.View(False), self.probed.set)
-        async with relays.connect(self.wait) as (nodes, _, client):
+        builders.answer_questions(
+            self, probes.ProbeResult(False), self.probed.set
+        )
+        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             budget = nodes[0].budget
             balance_before = budget.balance
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
--- a/tests/requests/serving/test_drain.py
+++ b/tests/requests/serving/test_drain.py
@@ -55,7 +55,10 @@
             builders.open_client() as client,
         ):
             call = asyncio.create_task(
-                client.post(node.url + "/payouts", headers={headers.KEY: "k"})
+                client.post(
+                    node.url + "/payouts",
+                    headers={headers.IDEMPOTENCY_KEY: "k"},
+                )
             )
             await self.started.wait()
             call.cancel()
@@ -192,7 +195,10 @@
             self.urls.append(node.url)
             claims = node.proxy._local_runner.at_most_once.tasks
             call = asyncio.create_task(
-                client.post(node.url + "/payouts", headers={headers.KEY: "k"})
+                client.post(
+                    node.url + "/payouts",
+                    headers={headers.IDEMPOTENCY_KEY: "k"},
+                )
             )
             await payout_started.wait()
             call.cancel()
--- a/tests/requests/serving/test_refusals_in_time.py
+++ b/tests/requests/serving/test_refusals_in_time.py
@@ -36,7 +36,7 @@
 
     async def test_suspect_that_gets_no_suspect_slot(self) -> None:
         """Guards against a 504 for a call that waited for other suspects."""
-        async with relays.connect_after_full_link(
+        async with relays.run_nodes_after_full_link(
             self.answer, running=_SHORT
         ) as (nodes, client):
             slot = nodes[1].proxy.crashes._suspect_slot
@@ -50,10 +50,11 @@
 
     async def test_payout_whose_claim_is_not_written_in_time(self) -> None:
         """Guards against a 504 for a payout that was never claimed."""
-        async with relays.connect_after_full_link(
+        async with relays.run_nodes_after_full_link(
             self.answer, running=_SHORT, store=_SlowStore()
         ) as (nodes, client):
             answer = await client.post(
-                nodes[0].url + "/payouts/1", headers={headers.KEY: "k"}
+                nodes[0].url + "/payouts/1",
+                headers={headers.IDEMPOTENCY_KEY: "k"},
             )
         self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
--- a/tests/requests/serving/test_remaining_time.py
+++ b/tests/requests/serving/test_remaining_time.py
@@ -13,7 +13,7 @@
 
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import probes
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import watchdogs
 from tests.requests import builders
 from tests.requests import relays
 
@@ -38,7 +38,7 @@
             ends.append(loop.time() + remaining_s)
             return web.Response()
 
-        async with relays.connect_after_full_link(
+        async with relays.run_nodes_after_full_link(
             record_deadline, running=_SHORT
         ) as (
             nodes,
@@ -63,13 +63,14 @@
                 await asyncio.sleep(1.5 * builders.SHORT_S)
             return web.Response()
 
-        async with relays.connect_after_full_link(work, running=_SHORT) as (
+        async with relays.run_nodes_after_full_link(work, running=_SHORT) as (
             nodes,
             client,
         ):
             began = loop.time()
             answer = await client.post(
-                nodes[0].url + "/payouts/1", headers={headers.KEY: "k"}
+                nodes[0].url + "/payouts/1",
+                headers={headers.IDEMPOTENCY_KEY: "k"},
             )
             self.assertGreaterEqual(loop.time() - began, builders.SHORT_S)
         self.assertEqual(answer.status, 504)
@@ -110,7 +111,7 @@
         probed = asyncio.Semaphore(0)
         ask = probes.ask
 
-        async def count_probe(*arguments: Any) -> probes.View:
+        async def count_probe(*arguments: Any) -> probes.ProbeResult:
             view = await ask(*arguments)
             probed.release()
             return view
@@ -123,10 +124,10 @@
             return answer
 
         with (
-            mock.patch.object(watches, "TRANSFER_S", 0.1),
+            mock.patch.object(watchdogs, "TRANSFER_PROBE_INTERVAL_S", 0.1),
             mock.patch.object(probes, "ask", count_probe),
         ):
-            async with relays.connect(send) as (nodes, _, _client):
+            async with relays.run_relayed_nodes(send) as (nodes, _, _client):
                 reader, writer = await _request_archive(nodes[0])
                 async with asyncio.timeout(builders.GUARD_S):
                     for _ in range(2):
--- a/tests/requests/serving/test_sessions.py
+++ b/tests/requests/serving/test_sessions.py
@@ -11,7 +11,7 @@
 from tests.requests import builders
 from tests.requests import sessions
 
-_KEY = {headers.KEY: "ticket-7"}
+_KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
 _HALF = b"x" * 100_000
 
 
--- a/tests/requests/serving/test_smuggling.py
+++ b/tests/requests/serving/test_smuggling.py
@@ -117,7 +117,7 @@
         connection.
         """
         smuggled = b"GET /payouts HTTP/1.1\r\nHost: a\r\n\r\n"
-        long_body = smuggled + bytes(bodies.MAX_HELD_BYTES)
+        long_body = smuggled + bytes(bodies.MAX_BUFFERED_BYTES)
         for target in ("/kassa/x", "/kassa/payouts/1"):
             for body in (smuggled, long_body):
                 with self.subTest(target, length=len(body)):
--- a/tests/requests/transport/test_answers.py
+++ b/tests/requests/transport/test_answers.py
@@ -29,7 +29,7 @@
 
 
 def _build_short(status: int) -> web.Response:
-    return answers.Short(status, "text/plain", _TEXT)
+    return answers.ShortAnswer(status, "text/plain", _TEXT)
 
 
 def _build_usual(status: int) -> web.Response:
--- a/tests/requests/transport/test_connections.py
+++ b/tests/requests/transport/test_connections.py
@@ -15,7 +15,7 @@
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import pool as pools
 from merlintrestle.requests.transport import results
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import watchdogs
 from tests.requests import builders
 
 if TYPE_CHECKING:
@@ -83,7 +83,8 @@
             await builders.fetch(client, node.url + "/x")
             for key in ("1", "2"):
                 await client.post(
-                    node.url + "/payouts/1", headers={headers.KEY: key}
+                    node.url + "/payouts/1",
+                    headers={headers.IDEMPOTENCY_KEY: key},
                 )
         self.assertEqual(len(set(seen)), 3)
 
@@ -293,7 +294,7 @@
         async def look() -> None:
             await asyncio.Event().wait()
 
-        watch = watches.Watch(connection, 0.0, loop.time() + 0.05, look)
+        watch = watchdogs.Watchdog(connection, 0.0, loop.time() + 0.05, look)
         async with asyncio.timeout(builders.GUARD_S):
             with self.assertRaisesRegex(TimeoutError, "before the deadline"):
                 await connection.read()
@@ -364,7 +365,7 @@
                 self.assertEqual(node.served, [("POST", "/x")])
                 self.assertEqual(bodies.pop(), body)
 
-    @mock.patch.object(bodies, "STALL_S", 0.05)
+    @mock.patch.object(bodies, "STALL_TIMEOUT_S", 0.05)
     async def test_body_that_stops_is_cut_off(self) -> None:
         """The caller is told so, and no server takes the half for whole.
 
--- a/tests/requests/transport/test_heartbeats.py
+++ b/tests/requests/transport/test_heartbeats.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import watchdogs
 from tests.requests import builders
 
 
@@ -22,7 +22,7 @@
         server is slow. Its heartbeats tell that it lives; taken for a silent
         connection, the run was cut and the caller got a 504 in its place.
         """
-        with mock.patch.object(watches, "FIRST_BYTE_S", 0.02):
+        with mock.patch.object(watchdogs, "FIRST_BYTE_TIMEOUT_S", 0.02):
             async with (
                 builders.run_nodes(1, handler=_answer_slowly) as (node,),
                 builders.open_client() as client,
--- a/tests/requests/transport/test_seconds.py
+++ b/tests/requests/transport/test_resends.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.transport import seconds
+from merlintrestle.requests.transport import resends
 
 _BROKE = outcomes.Unknown("the connection broke", broken=True)
 
@@ -19,7 +19,7 @@
         self.first: asyncio.Future[outcomes.Outcome] = asyncio.Future()
         self.latest: asyncio.Future[outcomes.Outcome] = asyncio.Future()
         self.connection = mock.Mock()
-        self.second = seconds.Second(self.connection, self.send_anew)
+        self.second = resends.Second(self.connection, self.send_anew)
         self.freed = mock.Mock()
 
     def build_answer(self) -> outcomes.Answered:
--- a/tests/requests/transport/test_silence.py
+++ b/tests/requests/transport/test_silence.py
@@ -13,7 +13,7 @@
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import pool as pools
 from merlintrestle.requests.transport import probes
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import watchdogs
 from tests.requests import builders
 from tests.requests import relays
 
@@ -27,10 +27,12 @@
         self.begun = asyncio.Event()
         self.go_on = asyncio.Event()
         self.asked = asyncio.Semaphore(0)
-        builders.hasten_doubt(self, "FIRST_BYTE_S", "TRANSFER_S")
+        builders.hasten_doubt(
+            self, "FIRST_BYTE_TIMEOUT_S", "TRANSFER_PROBE_INTERVAL_S"
+        )
         ask = probes.ask
 
-        async def count(*arguments: Any) -> probes.View:
+        async def count(*arguments: Any) -> probes.ProbeResult:
             view = await ask(*arguments)
             self.asked.release()
             return view
@@ -63,7 +65,11 @@
         sent over it would wait for its deadline; a new connection works.
         """
         self.go_on.set()
-        async with relays.connect(self.wait) as (nodes, relay, client):
+        async with relays.run_relayed_nodes(self.wait) as (
+            nodes,
+            relay,
+            client,
+        ):
             url = nodes[0].url + "/x"
             self.assertEqual((await client.get(url)).status, 200)
             relay.silence()
@@ -85,7 +91,7 @@
                 nodes[1].holder.running = None
             return web.Response()
 
-        async with relays.connect(run) as (nodes, relay, client):
+        async with relays.run_relayed_nodes(run) as (nodes, relay, client):
             url = nodes[0].url + "/x"
             self.assertEqual((await client.get(url)).status, 200)
             answer = await client.get(url)
@@ -93,11 +99,17 @@
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
 
     async def test_all_idle_connections_of_that_age_are_dropped(self) -> None:
-        async with relays.connect(self.wait) as (nodes, relay, client):
+        async with relays.run_relayed_nodes(self.wait) as (
+            nodes,
+            relay,
+            client,
+        ):
             url = nodes[0].url + "/x"
             # Held for silent while it was merely slow, a connection would not
             # be kept, and none would be there to go silent.
-            with mock.patch.object(watches, "FIRST_BYTE_S", builders.GUARD_S):
+            with mock.patch.object(
+                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.GUARD_S
+            ):
                 calls = [asyncio.create_task(client.get(url)) for _ in range(3)]
                 await self.begun.wait()
                 self.go_on.set()
@@ -114,7 +126,7 @@
         Nothing comes for long as the backend server takes its time. On its
         connection this looks like silence; the peer says that it is not.
         """
-        async with relays.connect(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             for _ in range(3):
                 await self.asked.acquire()
@@ -123,7 +135,11 @@
             self.assertEqual(len(nodes[1].served), 1)
 
     async def test_waiting_download_is_not_cut(self) -> None:
-        async with relays.connect(self.send_archive) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.send_archive) as (
+            nodes,
+            _,
+            client,
+        ):
             answer = await client.get(nodes[0].url + "/archive")
             for _ in range(3):
                 await self.asked.acquire()
@@ -136,7 +152,11 @@
         The rest of its download is lost between the daemons. Nobody would
         ever tell it, and it would wait for good.
         """
-        async with relays.connect(self.send_archive) as (nodes, relay, client):
+        async with relays.run_relayed_nodes(self.send_archive) as (
+            nodes,
+            relay,
+            client,
+        ):
             call = asyncio.create_task(
                 builders.fetch(client, nodes[0].url + "/archive")
             )
@@ -152,7 +172,11 @@
         answers on them, new ones included.
         """
         self.go_on.set()
-        async with relays.connect(self.wait, 3) as (nodes, relay, client):
+        async with relays.run_relayed_nodes(self.wait, 3) as (
+            nodes,
+            relay,
+            client,
+        ):
             relay.silence(new_ones_too=True)
             for _ in range(4):
                 answer = await client.get(nodes[0].url + "/x")
@@ -167,18 +191,18 @@
         meanwhile: it is not silent, and the work that runs there is not lost.
         """
 
-        async def ask(*arguments: Any) -> probes.View:
+        async def ask(*arguments: Any) -> probes.ProbeResult:
             answer = await client.get(nodes[0].url + "/quick")
             self.assertEqual(answer.status, 200)
             self.go_on.set()
-            return probes.View(False)
+            return probes.ProbeResult(False)
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             if request.path == "/quick":
                 return web.Response(body=b"quick")
             return await self.wait(request)
 
-        async with relays.connect(answer) as (nodes, _, client):
+        async with relays.run_relayed_nodes(answer) as (nodes, _, client):
             with mock.patch.object(probes, "ask", ask):
                 found = await client.get(nodes[0].url + "/x")
             self.assertEqual(await found.read(), b"whole")
@@ -249,7 +273,7 @@
         there is no link, and a connection that takes nothing is dead.
         """
         self.go_on.set()
-        async with relays.connect(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             await client.get(nodes[0].url + "/x")
             limits = []
             for node in nodes:
@@ -288,7 +312,7 @@
         the call anew by itself as well, it would run three times or more.
         """
         self.go_on.set()
-        async with relays.connect(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
             url = nodes[0].url + "/x"
             # Each daemon has an idle connection to its backend server.
             for node in nodes[1:]:
@@ -320,14 +344,16 @@
             builders.run_nodes(1, handler=self.wait, slots=40) as (node,),
             builders.open_client() as client,
         ):
-            with mock.patch.object(watches, "FIRST_BYTE_S", builders.GUARD_S):
+            with mock.patch.object(
+                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.GUARD_S
+            ):
                 # All run at once, so that as many connections are kept.
                 await self.send_wave(client, node, 30)
             await self.send_wave(client, node, 30 + 40)
         self.assertLessEqual(len(node.served), 60 + 10 + 3)
 
     async def test_probe_of_an_unknown_call(self) -> None:
-        async with relays.connect(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             root = f"http://127.0.0.1:{nodes[1].proxy.peer_port}"
             answer = await client.get(root + probes.PATH + "none")
             self.assertEqual(answer.status, 404)
--- a/tests/requests/transport/test_streams.py
+++ b/tests/requests/transport/test_streams.py
@@ -13,7 +13,7 @@
 
 from merlintrestle.requests.transport import bodies
 
-_LARGE = b"x" * (bodies.MAX_HELD_BYTES + 1)
+_LARGE = b"x" * (bodies.MAX_BUFFERED_BYTES + 1)
 
 
 class ReadBodyTest(unittest.IsolatedAsyncioTestCase):
@@ -49,8 +49,8 @@
             self.content.feed_data(b"whole")
             self.content.feed_eof()
             body = await self.read(length, True)
-            self.assertEqual(body.held, b"whole")
-            self.assertTrue(body.repeatable)
+            self.assertEqual(body.buffered, b"whole")
+            self.assertTrue(body.replayable)
 
     async def test_payout_that_stops_half_way_does_not_begin(self) -> None:
         """The caller is refused as not run, though it states no length.
@@ -68,10 +68,10 @@
             await self.asyncSetUp()
             self.content.feed_data(_LARGE)
             body = await self.read(length, hold)
-            self.assertIsNone(body.held)
+            self.assertIsNone(body.buffered)
             self.content.feed_data(b"end")
             self.content.feed_eof()
             collected = await self.collect(body)
             # Compared without a difference shown: it would fill the screen.
             self.assertTrue(collected == _LARGE + b"end")
-            self.assertFalse(body.repeatable)
+            self.assertFalse(body.replayable)
--- a/tests/requests/transport/test_limits.py
+++ b/tests/requests/transport/test_timeouts.py
@@ -13,8 +13,8 @@
 import uvloop
 
 from merlintrestle.requests.transport import exchanges
-from merlintrestle.requests.transport import limits
 from merlintrestle.requests.transport import pool as pools
+from merlintrestle.requests.transport import timeouts
 from tests.requests import builders
 
 _LOOPS = (asyncio.new_event_loop, uvloop.new_event_loop)
@@ -60,18 +60,18 @@
 class BoundTest(unittest.IsolatedAsyncioTestCase):
     async def test_wait_for_what_never_comes_ends(self) -> None:
         with self.assertRaises(TimeoutError):
-            async with limits.bound(0.01):
+            async with timeouts.bound(0.01):
                 await asyncio.Event().wait()
 
     async def test_block_that_ended_is_not_ended_again(self) -> None:
-        async with limits.bound(0.01):
+        async with timeouts.bound(0.01):
             pass
-        async with limits.bound(0.01):
+        async with timeouts.bound(0.01):
             time.sleep(0.02)  # noqa: ASYNC251
             await asyncio.sleep(0)
         await asyncio.sleep(0.05)
 
     async def test_error_of_the_block_is_raised(self) -> None:
         with self.assertRaises(OSError):
-            async with limits.bound(1.0):
+            async with timeouts.bound(1.0):
                 raise OSError
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -238,7 +238,7 @@
     async def asyncSetUp(self) -> None:
         self.clock = fakes.Clock()
         self.link = links.OutgoingLink(self.clock.get_time)
-        self.transfers = transfers.Transfers(self.link)
+        self.transfers = transfers.TransferSender(self.link)
         self.addCleanup(self.transfers.close)
         self.transport = mock.Mock()
         self.transport.is_closing.return_value = False
@@ -259,7 +259,11 @@
         nobody: Any = None
         answered = outcomes.Answered(nobody, bytes(size), [])
         await self.transfers.send(
-            self.request, self.answer, answered, probes.Progress(), transfer
+            self.request,
+            self.answer,
+            answered,
+            probes.AnswerProgress(),
+            transfer,
         )
         return transfer
 
--- a/tests/requests/transport/test_uploads.py
+++ b/tests/requests/transport/test_uploads.py
@@ -117,7 +117,7 @@
 
         The buffers between have room for the longest body that is held.
         """
-        await self.check_pause(bodies.MAX_HELD_BYTES)
+        await self.check_pause(bodies.MAX_BUFFERED_BYTES)
 
     async def test_call_after_an_upload_that_is_not_read_yet(self) -> None:
         """The second caller gets its answer, long before its deadline.
--- a/tests/requests/transport/test_watches.py
+++ b/tests/requests/transport/test_watchdogs.py
@@ -10,7 +10,7 @@
 from merlintrestle.requests.calls import doubts
 from merlintrestle.requests.transport import connections
 from merlintrestle.requests.transport import probes
-from merlintrestle.requests.transport import watches
+from merlintrestle.requests.transport import watchdogs
 from tests.requests import builders
 
 _ADDRESS = "127.0.0.1:1"
@@ -23,7 +23,7 @@
         builders.hasten_doubt(self, wait_s=0.01)
         self.reported: asyncio.Queue[doubts.Doubt] = asyncio.Queue()
 
-    async def ask(self, *views: probes.View, hears: int = 0) -> bool:
+    async def ask(self, *views: probes.ProbeResult, hears: int = 0) -> bool:
         """Asks until all views are given; returns whether more is asked.
 
         Args:
@@ -37,7 +37,7 @@
         asked = 0
         more = asyncio.Event()
 
-        async def answer(*arguments: Any) -> probes.View:
+        async def answer(*arguments: Any) -> probes.ProbeResult:
             nonlocal asked
             if not left:
                 more.set()
@@ -51,7 +51,7 @@
 
         with mock.patch.object(probes, "ask", answer):
             asking = asyncio.create_task(
-                watches.ask_peer(
+                watchdogs.ask_peer(
                     mock.Mock(),
                     connection,
                     "call",
@@ -77,16 +77,18 @@
 
     async def test_silent_peer_is_asked_again(self) -> None:
         """One lost question ends nothing, and the next one may be answered."""
-        silent = probes.View(False)
-        self.assertTrue(await self.ask(silent, silent, probes.View(True, True)))
+        silent = probes.ProbeResult(False)
+        self.assertTrue(
+            await self.ask(silent, silent, probes.ProbeResult(True, True))
+        )
         self.assertEqual(self.list_reported(), [doubts.Doubt.PEER_SILENT] * 2)
 
     async def test_call_that_did_not_arrive(self) -> None:
-        self.assertFalse(await self.ask(probes.View(True)))
+        self.assertFalse(await self.ask(probes.ProbeResult(True)))
         self.assertEqual(self.list_reported(), [doubts.Doubt.NOT_ARRIVED])
 
     async def test_answer_that_went_astray(self) -> None:
-        ended = probes.View(True, ended=True)
+        ended = probes.ProbeResult(True, ended=True)
         self.assertFalse(await self.ask(ended))
         self.assertEqual(self.list_reported(), [doubts.Doubt.ANSWER_MISSING])
 
@@ -97,7 +99,7 @@
         full link. Taken for lost, it would be thrown away and the call run
         again, which would fill the link still more.
         """
-        ended = probes.View(True, ended=True)
+        ended = probes.ProbeResult(True, ended=True)
         self.assertTrue(await self.ask(ended, ended, ended, hears=3))
         self.assertEqual(self.list_reported(), [])
 
@@ -106,21 +108,22 @@
     """What a daemon says of the calls that it had."""
 
     def test_ended_call_is_remembered(self) -> None:
-        registry = probes.Registry()
-        registry.enter("one").written = 7
+        registry = probes.CallRegistry()
+        registry.add("one").written = 7
         path = probes.PATH + "one"
-        self.assertEqual(registry.answer(path), (200, "7"))
-        registry.leave("one")
-        self.assertEqual(registry.answer(path), (410, "7"))
-        self.assertEqual(registry.answer(probes.PATH + "two"), (404, ""))
+        self.assertEqual(registry.answer_probe(path), (200, "7"))
+        registry.mark_ended("one")
+        self.assertEqual(registry.answer_probe(path), (410, "7"))
+        self.assertEqual(registry.answer_probe(probes.PATH + "two"), (404, ""))
 
     def test_memory_is_bounded(self) -> None:
-        registry = probes.Registry()
+        registry = probes.CallRegistry()
         with mock.patch.object(probes, "_MAX_ENDED", 2):
             for name in ("one", "two", "three"):
-                registry.enter(name)
-                registry.leave(name)
+                registry.add(name)
+                registry.mark_ended(name)
         known = [
-            registry.answer(probes.PATH + name)[0] for name in ("one", "two")
+            registry.answer_probe(probes.PATH + name)[0]
+            for name in ("one", "two")
         ]
         self.assertEqual(known, [404, 410])
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-_KEY = {headers.KEY: "ticket-7"}
+_KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
 
 
 class AtMostOnceTest(unittest.IsolatedAsyncioTestCase):
@@ -155,7 +155,8 @@
         ):
             for number in range(10):
                 await client.post(
-                    node.url + "/payouts", headers={headers.KEY: f"{number}"}
+                    node.url + "/payouts",
+                    headers={headers.IDEMPOTENCY_KEY: f"{number}"},
                 )
         # One further write for the lease of the hour.
         self.assertEqual(store.writes, 10 + 1)
@@ -185,7 +186,8 @@
         ):
             for key in ("", "k" * 256):
                 answer = await client.post(
-                    node.url + "/payouts", headers={headers.KEY: key}
+                    node.url + "/payouts",
+                    headers={headers.IDEMPOTENCY_KEY: key},
                 )
                 self.assertEqual(answer.status, 400)
                 self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
@@ -206,7 +208,8 @@
             statuses = []
             for number in range(3):
                 answer = await client.post(
-                    node.url + "/payouts", headers={headers.KEY: str(number)}
+                    node.url + "/payouts",
+                    headers={headers.IDEMPOTENCY_KEY: str(number)},
                 )
                 statuses.append(answer.status)
                 if not number:
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_inquiries.py
@@ -79,7 +79,7 @@
         async with self.run_holder() as (holder, relay, claim):
             recalling = asyncio.create_task(self.recall(claim))
             await holder.received.wait()
-            relay.cut()
+            relay.reset_connections()
             holder.may_answer.set()
             self.assertTrue(await recalling)
 
@@ -122,7 +122,7 @@
             builders.run_nodes(2, True, handler=pay) as (first, second),
             builders.open_client() as client,
         ):
-            sent_headers = {headers.KEY: "ticket-7"}
+            sent_headers = {headers.IDEMPOTENCY_KEY: "ticket-7"}
             abandoned = asyncio.ensure_future(
                 client.post(first.url + "/payouts", headers=sent_headers)
             )
--- a/tests/requests/unrepeatable/test_late_holder.py
+++ b/tests/requests/unrepeatable/test_late_holder.py
@@ -13,7 +13,7 @@
 from merlintrestle.requests.unrepeatable import recall
 from tests.requests import builders
 
-_KEY = {headers.KEY: "ticket-7"}
+_KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
 _MAX_SILENCE_S = 0.2
 
 
--- a/tests/versions/test_fleet.py
+++ b/tests/versions/test_fleet.py
@@ -96,7 +96,7 @@
             address, request, builders.GUARD_S, lambda: came.append(1)
         )
         self.assertEqual(reply.offer.version, 1)
-        self.assertLess(relay.passed, reply.ByteSize() / 3)
+        self.assertLess(relay.forwarded_bytes, reply.ByteSize() / 3)
         self.assertGreater(len(came), 0)
 
     async def test_daemon_of_an_earlier_release_is_asked_for_the_whole(self):
--- a/tools/model.py
+++ b/tools/model.py
@@ -256,7 +256,7 @@
         """Passes a call on to the daemon beside another backend server."""
         del target, others
         passed = dataclasses.replace(call)
-        asked = metadata.decode_metadata(sent[headers.PASSED])
+        asked = metadata.decode_metadata(sent[headers.METADATA])
         assert asked is not None
         passed.wait = asked.wait
         passed.repeat = asked.repeat
