--- a/merlintrestle/daemon/metrics.py
+++ b/merlintrestle/daemon/metrics.py
@@ -54,7 +54,9 @@
             "Members known, by state.",
             labels=("state",),
         )
-        counts = collections.Counter(m.state for m in self._table.members())
+        counts = collections.Counter(
+            m.state for m in self._table.list_members()
+        )
         for state, count in sorted(counts.items()):
             name = control_pb2.MemberState.Name(state).lower()
             members.add_metric((name,), count)
--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -300,7 +300,7 @@
     def _describe_ports(self) -> dict[str, str | int]:
         return {
             "ready": "daemon",
-            "id": self._table.own_id,
+            "id": self._table.local_id,
             "port": self._proxy.caller_port,
             "peer_port": self._proxy.peer_port,
             "control_port": self._control.port,
--- a/merlintrestle/members/exchange.py
+++ b/merlintrestle/members/anti_entropy.py
@@ -28,24 +28,28 @@
 _QUIET_ROUNDS = 4
 
 
-class Exchange:
+class AntiEntropy:
     """Compares the table with other daemons, bucket by bucket.
 
     Attributes:
-        on_reply: Called with each reply before it is sent, to add to it.
-        on_news: Called with each reply that came.
+        on_reply_built: Called with each reply before it is sent, to add to it.
+        on_reply_received: Called with each reply that came.
     """
 
     def __init__(
         self,
         table: table_lib.MemberTable,
-        peers: peers_lib.Peers,
+        peers: peers_lib.PeerClient,
         store: client.StoreClient | None,
         seeds: Sequence[str],
         timing: timing_lib.Timing,
     ):
-        self.on_reply: list[Callable[[control_pb2.MembersReply], None]] = []
-        self.on_news: list[Callable[[control_pb2.MembersReply], None]] = []
+        self.on_reply_built: list[
+            Callable[[control_pb2.MembersReply], None]
+        ] = []
+        self.on_reply_received: list[
+            Callable[[control_pb2.MembersReply], None]
+        ] = []
         self._table = table
         self._peers = peers
         self._store = store
@@ -78,8 +82,8 @@
         """
         if await self._join_by_seeds():
             return
-        await asyncio.sleep(random.uniform(0, self._timing.start_jitter))
-        backoff = timing_lib.Backoff(1.0, self._timing.store_retry_max)
+        await asyncio.sleep(random.uniform(0, self._timing.start_jitter_s))
+        backoff = timing_lib.Backoff(1.0, self._timing.max_store_retry_delay_s)
         while not self._joined.is_set():
             addresses = await self._read_seeds()
             if addresses is not None:
@@ -87,18 +91,18 @@
                 # Nobody answers though the store names everyone: alone.
                 self._joined.set()
                 return
-            await asyncio.sleep(backoff.get_wait())
+            await asyncio.sleep(backoff.get_next_delay())
             await self._contact_any(self._seeds)
 
     async def _join_by_seeds(self) -> bool:
         """Tries the seeds for `start_jitter`; True once a daemon was met."""
         backoff = timing_lib.Backoff(0.1, 1.0)
         loop = asyncio.get_running_loop()
-        tried_until = loop.time() + self._timing.start_jitter
+        tried_until = loop.time() + self._timing.start_jitter_s
         while self._seeds and loop.time() < tried_until:
             if await self._contact_any(self._seeds) or self._joined.is_set():
                 return True
-            await asyncio.sleep(backoff.get_wait())
+            await asyncio.sleep(backoff.get_next_delay())
         return self._joined.is_set()
 
     async def run_round(self) -> str | None:
@@ -129,7 +133,7 @@
         """
         request = control_pb2.MembersRequest(
             bucket_digests=self._table.bucket_digests,
-            members=[self._table.own],
+            members=[self._table.local_member],
         )
         reply = await self._call(peer_id, request)
         self._merge(reply.members)
@@ -155,14 +159,14 @@
             bucket_digests=self._table.bucket_digests,
             members=self._select(buckets, request.members),
         )
-        for add in self.on_reply:
+        for add in self.on_reply_built:
             add(reply)
         return reply
 
     async def _contact_any(self, addresses: Sequence[str]) -> bool:
         """Asks daemons in random order until one answers."""
         for address in random.sample(list(addresses), len(addresses)):
-            if address == self._table.own_id:
+            if address == self._table.local_id:
                 continue
             try:
                 await self._contact_by(address)
@@ -183,13 +187,13 @@
         """
         request = control_pb2.MembersRequest(
             buckets=[random.randrange(table_lib.BUCKETS)],
-            members=[self._table.own],
+            members=[self._table.local_member],
         )
         reply = await self._call(address, request)
         others = [
             member.id
             for member in reply.members
-            if member.id not in (self._table.own_id, address)
+            if member.id not in (self._table.local_id, address)
         ]
         self._merge(reply.members)
         try:
@@ -222,16 +226,16 @@
 
     def _is_alone(self) -> bool:
         """Tells whether no other member is known, as when all start at once."""
-        return len(self._table.usable_ids()) <= 1
+        return len(self._table.list_usable_ids()) <= 1
 
     def _is_quiet(self) -> bool:
         return not self._differing and not any(
-            table_lib.is_gone(member) for member in self._table.members()
+            table_lib.is_gone(member) for member in self._table.list_members()
         )
 
     def _choose_peer(self) -> str | None:
-        own_id = self._table.own_id
-        members = [m for m in self._table.members() if m.id != own_id]
+        own_id = self._table.local_id
+        members = [m for m in self._table.list_members() if m.id != own_id]
         gone = [m.id for m in members if table_lib.is_gone(m)]
         usable = [m.id for m in members if not table_lib.is_gone(m)]
         seeds = [seed for seed in self._seeds if seed != own_id]
@@ -246,9 +250,9 @@
         self, peer_id: str, request: control_pb2.MembersRequest
     ) -> control_pb2.MembersReply:
         reply: control_pb2.MembersReply = await self._peers.call(
-            peer_id, "Members", request, self._timing.fetch
+            peer_id, "Members", request, self._timing.fetch_timeout_s
         )
-        for notify in self.on_news:
+        for notify in self.on_reply_received:
             notify(reply)
         return reply
 
--- a/merlintrestle/members/links.py
+++ b/merlintrestle/members/links.py
@@ -33,7 +33,7 @@
     Attributes:
         peer_id: Id of the peer; empty until its first message.
         outgoing: True if this daemon opened it.
-        box: What the peer is to be told.
+        outbox: What the peer is to be told.
         peer_offer: The newest version that the peer is known to hold.
         patience: Times `Timing.silence` that it may be silent.
         heard_at: Monotonic time of its last message, in seconds.
@@ -45,7 +45,7 @@
         self.peer_id = peer_id
         self.outgoing = outgoing
         self.patience = patience
-        self.box = outbox.Outbox()
+        self.outbox = outbox.Outbox()
         self.peer_offer: control_pb2.Offer | None = None
         self.heard_at = time.monotonic()
         self.writing = False
@@ -93,7 +93,7 @@
         """Tells every neighbour of a record, but the one it came from."""
         for link in self._links:
             if link is not besides:
-                link.box.add_member(member)
+                link.outbox.add_member(member)
 
     def send_strike(self, strike: control_pb2.Strike) -> None:
         """Tells the fleet of a strike; each daemon passes it on once."""
@@ -105,7 +105,7 @@
         """Tells every neighbour of a roll-out, but the one it came from."""
         for link in self._links:
             if link is not besides:
-                link.box.add_rollout(rollout)
+                link.outbox.add_rollout(rollout)
 
     def send_trial(
         self, trial: control_pb2.Trial, besides: Link | None = None
@@ -113,7 +113,7 @@
         """Tells every neighbour what was seen, but the one it came from."""
         for link in self._links:
             if link is not besides:
-                link.box.add_trial(trial)
+                link.outbox.add_trial(trial)
 
     def send_offer(
         self,
@@ -133,7 +133,7 @@
             held = link.peer_offer
             if held is None or held.version < offer.version:
                 delta = make_delta(held)
-                link.box.set_delta(delta)
+                link.outbox.set_delta(delta)
                 if delta is not None:
                     # If the delta is lost the peer hears of the version by
                     # heartbeat, and says what it holds in its own.
@@ -151,8 +151,8 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 while any(map(_has_work, self._links)):
-                    await asyncio.sleep(self._timing.flush / 4)
-                await asyncio.sleep(self._timing.flush)
+                    await asyncio.sleep(self._timing.flush_delay_s / 4)
+                await asyncio.sleep(self._timing.flush_delay_s)
 
     async def run_link(
         self,
@@ -216,7 +216,7 @@
     def _handle(self, link: Link, message: control_pb2.LinkMessage) -> None:
         self._note_offer(link, message.offer)
         for member in message.members:
-            link.box.drop_known(member)
+            link.outbox.drop_known(member)
         for notify in self.on_message:
             notify(link, message)
         for strike in message.strikes:
@@ -237,7 +237,7 @@
         self._strikes[key] = strike.until_ms
         for link in self._links:
             if link is not besides:
-                link.box.add_strike(strike)
+                link.outbox.add_strike(strike)
         return True
 
     def _forget_strikes(self) -> None:
@@ -246,10 +246,10 @@
         self._strikes = dict(kept[-_MAX_STRIKES:])
 
     async def _send(self, link: Link, write: Callable[[Any], Any]) -> None:
-        sender = self._table.own_id
+        sender = self._table.local_id
         told = 0
         while True:
-            message = link.box.take_message()
+            message = link.outbox.take_message()
             message.sender = sender
             message.members_digest = self._table.digest
             sender = ""
@@ -276,12 +276,12 @@
 
     async def _wait_for_work(self, link: Link) -> None:
         """Waits until the next heartbeat is due or something is to be told."""
-        wait = timing_lib.jitter(self._timing.heartbeat)
+        wait = timing_lib.jitter(self._timing.heartbeat_interval_s)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait):
-                await link.box.filled.wait()
-            async with asyncio.timeout(self._timing.flush):
-                await link.box.urgent.wait()
+                await link.outbox.filled.wait()
+            async with asyncio.timeout(self._timing.flush_delay_s):
+                await link.outbox.urgent.wait()
 
     async def _watch_progress(self, link: Link) -> None:
         """Gives up a link whose peer says nothing or takes nothing more.
@@ -301,8 +301,10 @@
         Raises:
             TimeoutError: No progress for `Timing.silence`, times the patience.
         """
-        tick = self._timing.heartbeat / 2
-        rounds = math.ceil(link.patience * self._timing.silence / tick)
+        tick = self._timing.heartbeat_interval_s / 2
+        rounds = math.ceil(
+            link.patience * self._timing.silence_timeout_s / tick
+        )
         unheard = unwritten = 0
         while max(unheard, unwritten) < rounds:
             heard_at, written = link.heard_at, link.written
@@ -334,4 +336,4 @@
 
 
 def _has_work(link: Link) -> bool:
-    return link.writing or link.box.filled.is_set()
+    return link.writing or link.outbox.filled.is_set()
--- a/merlintrestle/members/membership.py
+++ b/merlintrestle/members/membership.py
@@ -10,11 +10,11 @@
 import mode
 
 from merlintrestle import events as event_logs
-from merlintrestle.members import choice
-from merlintrestle.members import exchange
+from merlintrestle.members import anti_entropy
 from merlintrestle.members import links as links_lib
 from merlintrestle.members import peers as peers_lib
 from merlintrestle.members import rendezvous
+from merlintrestle.members import selection
 from merlintrestle.members import suspicion
 from merlintrestle.members import table as table_lib
 from merlintrestle.members import timing as timing_lib
@@ -43,7 +43,7 @@
         table: All members known.
         links: The links to neighbours, and those that others opened.
         peers: Channels for single calls.
-        exchange: Compares the table with other daemons.
+        anti_entropy: Compares the table with other daemons.
         timing: Intervals.
     """
 
@@ -66,15 +66,15 @@
         self.table = table
         self.timing = timing or timing_lib.Timing()
         self.links = links_lib.Links(table, self.timing)
-        self.peers = peers_lib.Peers()
-        self.exchange = exchange.Exchange(
+        self.peers = peers_lib.PeerClient()
+        self.anti_entropy = anti_entropy.AntiEntropy(
             table, self.peers, store, seeds, self.timing
         )
         self._judge = suspicion.Judge(
             table, self.peers, self.links, self.timing
         )
-        key = rendezvous.name_neighbours(table.own_id)
-        self._choice = choice.Choice(table, key, NEIGHBOURS)
+        key = rendezvous.build_neighbours_key(table.local_id)
+        self._choice = selection.MemberSelection(table, key, NEIGHBOURS)
         self._neighbours: dict[str, asyncio.Task[None]] = {}
         self._changed = asyncio.Event()
         self._source: links_lib.Link | None = None
@@ -95,9 +95,9 @@
 
     async def wait_for_contact(self, timeout_s: float) -> bool:
         """Waits for the first answer of another daemon; False: none came."""
-        return await self.exchange.wait_for_contact(timeout_s)
+        return await self.anti_entropy.wait_for_contact(timeout_s)
 
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tells whether no peer has said anything for a while.
 
         A daemon that is cut from its peers, or whose zone has just lost its
@@ -105,15 +105,17 @@
         """
         heard_at = self.links.heard_at
         silent_s = time.monotonic() - heard_at
-        return bool(heard_at) and silent_s > 2 * self.timing.heartbeat
+        return (
+            bool(heard_at) and silent_s > 2 * self.timing.heartbeat_interval_s
+        )
 
     async def contact_unknown(self, addresses: Sequence[str]) -> None:
         """Contacts daemons that the table does not have yet."""
-        await self.exchange.contact_unknown(addresses)
+        await self.anti_entropy.contact_unknown(addresses)
 
-    async def find_others(self) -> None:
+    async def contact_stored_seeds(self) -> None:
         """Contacts daemons that the store names and the table does not."""
-        await self.exchange.find_others()
+        await self.anti_entropy.find_others()
 
     async def serve_link(self, stream: grpc.aio.ServicerContext) -> None:
         """Serves a link that a peer opened, until it ends."""
@@ -136,7 +138,7 @@
         self, request: control_pb2.MembersRequest
     ) -> control_pb2.MembersReply:
         """Takes in and gives members by bucket."""
-        return self.exchange.answer(request)
+        return self.anti_entropy.answer(request)
 
     @mode.Service.task
     async def _choose_neighbours(self) -> None:
@@ -151,11 +153,11 @@
                 return
             self._changed.clear()
             self._update_neighbours()
-            await self.sleep(self.timing.flush)
+            await self.sleep(self.timing.flush_delay_s)
 
     @mode.Service.task
     async def _watch_states(self) -> None:
-        tick = self.timing.heartbeat / 2
+        tick = self.timing.heartbeat_interval_s / 2
         while not self.should_stop:
             before = time.monotonic()
             await self.sleep(tick)
@@ -165,13 +167,15 @@
 
     @mode.Service.task
     async def _join(self) -> None:
-        await self.exchange.join()
+        await self.anti_entropy.join()
 
     @mode.Service.task
     async def _exchange_members(self) -> None:
         while not self.should_stop:
-            await self.sleep(timing_lib.jitter(self.timing.exchange))
-            member_id = await self.exchange.run_round()
+            await self.sleep(
+                timing_lib.jitter(self.timing.anti_entropy_interval_s)
+            )
+            member_id = await self.anti_entropy.run_round()
             if member_id is not None:
                 self._judge.check_soon(member_id)
             self.table.forget_gone()
@@ -190,7 +194,7 @@
     async def _keep_link(self, member_id: str) -> None:
         """Keeps one link open while the peer is a neighbour."""
         backoff = timing_lib.Backoff(
-            self.timing.reconnect, self.timing.reconnect_max
+            self.timing.reconnect_delay_s, self.timing.max_reconnect_delay_s
         )
         patience = 1
         while True:
@@ -202,12 +206,12 @@
                 events.note("link to lost", member=member_id, error=str(error))
                 if isinstance(error, TimeoutError):
                     patience = min(2 * patience, _MOST_PATIENCE)
-            if link.heard_at - began > self.timing.silence:
+            if link.heard_at - began > self.timing.silence_timeout_s:
                 patience = max(1, patience // 2)
-            if time.monotonic() - began > self.timing.silence:
+            if time.monotonic() - began > self.timing.silence_timeout_s:
                 backoff.reset()
             self._judge.check_soon(member_id)
-            await asyncio.sleep(backoff.get_wait())
+            await asyncio.sleep(backoff.get_next_delay())
 
     async def _run_outgoing(self, link: links_lib.Link) -> None:
         channel = peers_lib.open_channel(link.peer_id)
@@ -227,10 +231,10 @@
         A peer that was held for dead learns it from here and refutes.
         """
         events.note("link open", member=link.peer_id, outgoing=link.outgoing)
-        link.box.add_member(self.table.own)
+        link.outbox.add_member(self.table.local_member)
         held = self.table.get(link.peer_id)
         if held is not None:
-            link.box.add_member(held)
+            link.outbox.add_member(held)
 
     def _receive(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
@@ -242,11 +246,11 @@
         finally:
             self._source = None
         if message.members_digest != self.table.digest:
-            self.exchange.note_difference(link.peer_id)
+            self.anti_entropy.note_difference(link.peer_id)
 
     def _spread(self, member: control_pb2.Member) -> None:
         """Passes a record on to the neighbours, and chooses them anew."""
-        besides = None if member.id == self.table.own_id else self._source
+        besides = None if member.id == self.table.local_id else self._source
         self.links.send_member(member, besides)
         self._changed.set()
 
--- a/merlintrestle/members/peers.py
+++ b/merlintrestle/members/peers.py
@@ -85,7 +85,7 @@
     return error.code() is grpc.StatusCode.DEADLINE_EXCEEDED
 
 
-async def refuses(address: str, timeout_s: float) -> bool:
+async def refuses_connection(address: str, timeout_s: float) -> bool:
     """Tells whether the host of an address refuses the connection."""
     host, _, port = address.rpartition(":")
     try:
@@ -116,7 +116,7 @@
     return None if part is grpc.aio.EOF else part
 
 
-class Peers:
+class PeerClient:
     """Calls other daemons; keeps a bounded number of channels.
 
     Attributes:
@@ -283,13 +283,13 @@
             closing.cancel()
         await asyncio.gather(*self._retiring, return_exceptions=True)
 
-    async def is_refused(self, address: str, timeout_s: float) -> bool:
+    async def refuses_connection(self, address: str, timeout_s: float) -> bool:
         """Tells whether the peer's host refuses the connection.
 
         That is proof that the process is gone and that the way to its host
         works, which silence is not.
         """
-        return await refuses(address, timeout_s)
+        return await refuses_connection(address, timeout_s)
 
     def _get_channel(self, address: str) -> grpc.aio.Channel:
         loan = self._lent.get(address)
--- a/merlintrestle/members/rendezvous.py
+++ b/merlintrestle/members/rendezvous.py
@@ -21,7 +21,7 @@
     )
 
 
-def name_neighbours(member_id: str) -> str:
+def build_neighbours_key(member_id: str) -> str:
     """Returns the key by which a member's neighbours are chosen.
 
     The first of them are its witnesses too, whose links carry its marks.
--- a/merlintrestle/members/choice.py
+++ b/merlintrestle/members/selection.py
@@ -33,7 +33,7 @@
     member_id: str
 
 
-def choose_by_link(
+def choose_by_link_speed(
     key: str, members: Sequence[control_pb2.Member], count: int
 ) -> list[str]:
     """Returns the ids of the highest weight, behind wide links if there are.
@@ -60,7 +60,7 @@
     return _Rank(wide, rendezvous.weigh(key, member.id), member.id)
 
 
-class Choice:
+class MemberSelection:
     """The members of highest weight for a key, kept as the table changes.
 
     A record costs one hash; only the loss of a chosen member costs a pass
@@ -115,7 +115,9 @@
 
     def _choose(self) -> None:
         fitting = [
-            member for member in self._table.members() if self._fits(member)
+            member
+            for member in self._table.list_members()
+            if self._fits(member)
         ]
         if self._by_link:
             self._links = {member.id: member.link_mbps for member in fitting}
@@ -157,7 +159,7 @@
         self._chosen = dict(ranked[: self._count])
 
     def _fits(self, member: control_pb2.Member) -> bool:
-        if member.id == self._table.own_id and not self._with_own:
+        if member.id == self._table.local_id and not self._with_own:
             return False
         if self._zone and member.zone != self._zone:
             return False
@@ -166,15 +168,15 @@
         return not table_lib.is_gone(member)
 
 
-def name_zone(purpose: str, zone: str) -> str:
+def build_zone_key(purpose: str, zone: str) -> str:
     """Returns the key of a choice that is made in an availability zone."""
     return f"{purpose}/{zone}"
 
 
-def choose_in_own_zone(
+def choose_in_local_zone(
     table: table_lib.MemberTable, purpose: str, count: int
-) -> Choice:
+) -> MemberSelection:
     """Returns the members of the own zone, this one too, for a purpose."""
-    zone = table.own.zone
-    key = name_zone(purpose, zone)
-    return Choice(table, key, count, zone, with_own=True, by_link=True)
+    zone = table.local_member.zone
+    key = build_zone_key(purpose, zone)
+    return MemberSelection(table, key, count, zone, with_own=True, by_link=True)
--- a/merlintrestle/members/service.py
+++ b/merlintrestle/members/service.py
@@ -133,7 +133,7 @@
     async def Probe(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Reaches a daemon for another; its own id is the plain ping."""
         del context
-        own_id = self._membership.table.own_id
+        own_id = self._membership.table.local_id
         reached = request.member_id == own_id or await self._membership.probe(
             request.member_id
         )
@@ -150,12 +150,12 @@
             in_flight=self._get_in_flight(),
             store_reachable=self._distribution.store_reachable,
         )
-        reply.self.CopyFrom(self._membership.table.own)
+        reply.self.CopyFrom(self._membership.table.local_member)
         if holder.running is not None:
             reply.running.version = holder.running.version
             reply.running.digest = holder.running.digest
         if request.members:
-            reply.members.extend(self._membership.table.members())
+            reply.members.extend(self._membership.table.list_members())
         return reply
 
 
--- a/merlintrestle/members/suspicion.py
+++ b/merlintrestle/members/suspicion.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         table: table_lib.MemberTable,
-        peers: peers_lib.Peers,
+        peers: peers_lib.PeerClient,
         links: links_lib.Links,
         timing: timing_lib.Timing,
     ):
@@ -56,11 +56,11 @@
             elapsed: Seconds since the call before.
             expected: Seconds that it should have been.
         """
-        if elapsed - expected > self._timing.pause:
+        if elapsed - expected > self._timing.pause_threshold_s:
             self._forgive(elapsed - expected)
         for member_id in self._table.suspects():
             age = self._table.get_state_age(member_id)
-            if age > self._timing.suspicion:
+            if age > self._timing.suspicion_timeout_s:
                 self.check_soon(member_id)
 
     def check_soon(self, member_id: str) -> None:
@@ -68,7 +68,7 @@
         member = self._table.get(member_id)
         if member is None or table_lib.is_dead(member):
             return
-        if member_id == self._table.own_id or member_id in self._checks:
+        if member_id == self._table.local_id or member_id in self._checks:
             return
         task = asyncio.create_task(self._check(member_id))
         self._checks[member_id] = task
@@ -77,7 +77,9 @@
     async def reach(self, member_id: str) -> bool:
         """Calls a member directly; False if it does not answer."""
         request = control_pb2.ProbeRequest(member_id=member_id)
-        return await self._probe(member_id, request, self._timing.call)
+        return await self._probe(
+            member_id, request, self._timing.call_timeout_s
+        )
 
     async def _check(self, member_id: str) -> None:
         began = time.monotonic()
@@ -110,23 +112,25 @@
             return
         age = self._table.get_state_age(member_id)
         suspect = member.state == control_pb2.SUSPECT
-        if suspect and age <= self._timing.suspicion:
+        if suspect and age <= self._timing.suspicion_timeout_s:
             return
         events.note("member dead", member=member_id, suspected_s=age)
         self._table.set_state(member_id, control_pb2.DEAD)
 
     async def _reach_by_others(self, member_id: str) -> bool:
         """Asks other members, whose ways to it may work."""
-        not_asked = (self._table.own_id, member_id)
+        not_asked = (self._table.local_id, member_id)
         others = [
-            name for name in self._table.usable_ids() if name not in not_asked
+            name
+            for name in self._table.list_usable_ids()
+            if name not in not_asked
         ]
         helpers = random.sample(others, min(HELPERS, len(others)))
         request = control_pb2.ProbeRequest(member_id=member_id)
         # The helper's own call takes up to one deadline of it.
         answers = await asyncio.gather(
             *(
-                self._probe(helper, request, self._timing.call * 2)
+                self._probe(helper, request, self._timing.call_timeout_s * 2)
                 for helper in helpers
             )
         )
@@ -167,11 +171,13 @@
         if now < self._healthy_from:
             return False
         heard_at = max(self._links.heard_at, self._peers.heard_at)
-        if now - heard_at < 2 * self._timing.silence:
+        if now - heard_at < 2 * self._timing.silence_timeout_s:
             return True
-        return await self._peers.is_refused(member_id, self._timing.call)
+        return await self._peers.refuses_connection(
+            member_id, self._timing.call_timeout_s
+        )
 
     def _forgive(self, late: float) -> None:
         events.warn("paused", late_s=late)
-        self._healthy_from = time.monotonic() + self._timing.silence
+        self._healthy_from = time.monotonic() + self._timing.silence_timeout_s
         self._table.delay_states(late)
--- a/merlintrestle/members/table.py
+++ b/merlintrestle/members/table.py
@@ -58,7 +58,7 @@
     that records may come in any order, and more than once.
 
     Attributes:
-        own_id: Id of this daemon.
+        local_id: Id of this daemon.
         digest: XOR over the digests of all members that are not gone.
         bucket_digests: The same by bucket.
         on_change: Called with each record that was taken in.
@@ -76,7 +76,7 @@
                 which is above that of any earlier process at its address.
             clock: Monotonic time in seconds.
         """
-        self.own_id = own.id
+        self.local_id = own.id
         self.digest = 0
         self.bucket_digests = [0] * BUCKETS
         self.on_change: list[Callable[[control_pb2.Member], None]] = []
@@ -95,15 +95,15 @@
         self._put(first)
 
     @property
-    def own(self) -> control_pb2.Member:
+    def local_member(self) -> control_pb2.Member:
         """The record of this daemon."""
-        return self._members[self.own_id]
+        return self._members[self.local_id]
 
     def get(self, member_id: str) -> control_pb2.Member | None:
         """Returns the record of one member."""
         return self._members.get(member_id)
 
-    def members(self) -> list[control_pb2.Member]:
+    def list_members(self) -> list[control_pb2.Member]:
         """Returns the records of all members, gone ones included."""
         return list(self._members.values())
 
@@ -111,7 +111,7 @@
         """Returns the ids of the members that are suspected."""
         return list(self._suspects)
 
-    def usable_ids(self) -> list[str]:
+    def list_usable_ids(self) -> list[str]:
         """Returns ids of the members that are not gone, own one included."""
         return [
             member.id
@@ -171,7 +171,7 @@
         if fault := validity.find_fault(member):
             events.warn("record refused", member=member.id, error=fault)
             return False
-        if member.id == self.own_id:
+        if member.id == self.local_id:
             self._refute(member)
             return True
         kept = control_pb2.Member()
@@ -198,8 +198,8 @@
 
     def forget_gone(self) -> None:
         """Drops members that have been gone for `GONE_MEMORY_S`."""
-        for member in self.members():
-            if member.id == self.own_id or member.state not in _GONE:
+        for member in self.list_members():
+            if member.id == self.local_id or member.state not in _GONE:
                 continue
             if self.get_state_age(member.id) > GONE_MEMORY_S:
                 del self._members[member.id]
@@ -207,7 +207,7 @@
 
     def _copy_own(self) -> control_pb2.Member:
         own = control_pb2.Member()
-        own.CopyFrom(self.own)
+        own.CopyFrom(self.local_member)
         return own
 
     def _raise_own(self, own: control_pb2.Member) -> None:
--- a/merlintrestle/requests/unrepeatable/inquiries.py
+++ b/merlintrestle/requests/unrepeatable/inquiries.py
@@ -72,7 +72,9 @@
         if reply is not None:
             return reply
         address = recall.get_address(claim)
-        refused = await peers.refuses(address, recall.get_max_silence())
+        refused = await peers.refuses_connection(
+            address, recall.get_max_silence()
+        )
         return _Gone() if refused else None
 
 
--- a/merlintrestle/rollouts/gossip.py
+++ b/merlintrestle/rollouts/gossip.py
@@ -33,8 +33,8 @@
         tracker.on_trial.append(self._send_trial)
         membership.links.on_message.append(self._receive)
         membership.links.on_open.append(self._send_all)
-        membership.exchange.on_reply.append(self._extend_reply)
-        membership.exchange.on_news.append(self._merge_reply)
+        membership.anti_entropy.on_reply_built.append(self._extend_reply)
+        membership.anti_entropy.on_reply_received.append(self._merge_reply)
 
     def _receive(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
@@ -50,9 +50,9 @@
 
     def _send_all(self, link: links_lib.Link) -> None:
         for rollout in self._tracker.list_rollouts():
-            link.box.add_rollout(rollout)
+            link.outbox.add_rollout(rollout)
         for trial in self._tracker.list_trials():
-            link.box.add_trial(trial)
+            link.outbox.add_trial(trial)
 
     def _extend_reply(self, reply: control_pb2.MembersReply) -> None:
         reply.rollouts.extend(self._tracker.list_rollouts())
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -149,7 +149,7 @@
         if self._witnessed:
             await self._floor.learn()
         self._read_at = time.monotonic() + timing_lib.jitter(
-            self._timing.patience
+            self._timing.store_fallback_delay_s
         )
         while not self.should_stop:
             await self._run_newest()
@@ -194,7 +194,7 @@
         if time.monotonic() < self._read_at:
             return
         self._read_at = time.monotonic() + timing_lib.jitter(
-            self._timing.head_refresh
+            self._timing.head_refresh_interval_s
         )
         try:
             await self.watcher.refresh()
@@ -205,7 +205,7 @@
         """Waits for a new version, or for the time to look at the marks."""
         try:
             async with asyncio.timeout(
-                timing_lib.jitter(self._timing.heartbeat)
+                timing_lib.jitter(self._timing.heartbeat_interval_s)
             ):
                 await self._wake_run.wait()
         except TimeoutError:
--- a/merlintrestle/versions/fetcher.py
+++ b/merlintrestle/versions/fetcher.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         archive: archive_lib.Archive,
-        peers: peers_lib.Peers,
+        peers: peers_lib.PeerClient,
         timing: timing_lib.Timing,
         hold: Callable[[snapshot_lib.Snapshot], object],
     ):
@@ -84,7 +84,7 @@
                     return
                 done, fetches = await asyncio.wait(
                     fetches,
-                    timeout=self._timing.hedge,
+                    timeout=self._timing.hedge_delay_s,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 if not self._has_news():
@@ -127,7 +127,7 @@
             request.held.CopyFrom(offer)
         try:
             reply = await self._peers.fetch(
-                peer_id, request, self._timing.fetch, self._note_part
+                peer_id, request, self._timing.fetch_timeout_s, self._note_part
             )
         except peers_lib.PeerError as error:
             events.note("not fetched", member=peer_id, error=str(error))
--- a/merlintrestle/versions/floor.py
+++ b/merlintrestle/versions/floor.py
@@ -57,11 +57,11 @@
 
     async def learn(self) -> None:
         """Asks until the floor is known."""
-        await self._membership.wait_for_contact(self._timing.join)
-        backoff = timing_lib.Backoff(0.2, self._timing.retry_max)
+        await self._membership.wait_for_contact(self._timing.join_timeout_s)
+        backoff = timing_lib.Backoff(0.2, self._timing.max_floor_retry_delay_s)
         attempt = 1
         while not await self.try_learn(attempt):
-            await asyncio.sleep(backoff.get_wait())
+            await asyncio.sleep(backoff.get_next_delay())
             attempt += 1
 
     async def try_learn(self, attempt: int) -> bool:
@@ -104,7 +104,7 @@
             await self._ask_each(self._watcher.turns.list_other_watchers())
 
     async def _ask_each(self, names: Iterable[str]) -> None:
-        own_id = self._membership.table.own_id
+        own_id = self._membership.table.local_id
         lacking = {
             name
             for name in names
@@ -114,12 +114,12 @@
 
     async def _ask(self, name: str) -> None:
         request = control_pb2.FloorRequest(
-            member_id=self._membership.table.own_id,
+            member_id=self._membership.table.local_id,
             uptime_ms=self._get_uptime_ms(),
         )
         try:
             reply = await self._membership.peers.call(
-                name, "Floor", request, self._timing.call
+                name, "Floor", request, self._timing.call_timeout_s
             )
         except peers_lib.PeerError:
             return
@@ -159,7 +159,9 @@
         )
 
     def _has_memory(self, reply: control_pb2.FloorReply) -> bool:
-        needed_ms = self._get_uptime_ms() + 1000 * self._timing.memory
+        needed_ms = (
+            self._get_uptime_ms() + 1000 * self._timing.min_witness_uptime_s
+        )
         return reply.open and reply.memory_ms >= needed_ms
 
     def _is_heard(self) -> bool:
@@ -188,8 +190,8 @@
         """
         if self._watcher.turns.is_chosen():
             return True
-        fleet = len(self._membership.table.usable_ids())
-        share = READ_BUDGET * self._timing.retry_max / 2 / fleet
+        fleet = len(self._membership.table.list_usable_ids())
+        share = READ_BUDGET * self._timing.max_floor_retry_delay_s / 2 / fleet
         return attempt > _PATIENCE and random.random() < share
 
     async def _read_head(self) -> int | None:
--- a/merlintrestle/versions/marks.py
+++ b/merlintrestle/versions/marks.py
@@ -12,9 +12,9 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle import events as event_logs
-from merlintrestle.members import choice as choice_lib
 from merlintrestle.members import peers as peers_lib
 from merlintrestle.members import rendezvous
+from merlintrestle.members import selection as choice_lib
 from merlintrestle.members import table as table_lib
 from merlintrestle.schema import control_pb2
 
@@ -89,10 +89,10 @@
         """
         candidates = [
             member.id
-            for member in self._table.members()
+            for member in self._table.list_members()
             if member.state != control_pb2.LEAVING and member.id != member_id
         ]
-        key = rendezvous.name_neighbours(member_id)
+        key = rendezvous.build_neighbours_key(member_id)
         return rendezvous.choose(key, candidates, WITNESSES)
 
 
@@ -102,14 +102,14 @@
     def __init__(
         self,
         table: table_lib.MemberTable,
-        peers: peers_lib.Peers,
+        peers: peers_lib.PeerClient,
         timing: timing_lib.Timing,
     ):
         self._table = table
         self._peers = peers
         self._timing = timing
-        self._choice = choice_lib.Choice(
-            table, rendezvous.name_neighbours(table.own_id), _CANDIDATES
+        self._choice = choice_lib.MemberSelection(
+            table, rendezvous.build_neighbours_key(table.local_id), _CANDIDATES
         )
         self._marked: dict[tuple[str, int], int] = {}
         self._sending: dict[str, asyncio.Task[bool]] = {}
@@ -171,7 +171,10 @@
     ) -> set[str]:
         lacking = [i for i in witnesses if not self._has_mark(i, version)]
         answers = await asyncio.gather(
-            *(self._peers.is_refused(i, self._timing.call) for i in lacking)
+            *(
+                self._peers.refuses_connection(i, self._timing.call_timeout_s)
+                for i in lacking
+            )
         )
         return {
             name
@@ -210,11 +213,11 @@
     async def _send(self, witness: str, version: int) -> bool:
         process = self._get_process(witness)
         request = control_pb2.MarkRequest(
-            member_id=self._table.own_id, version=version
+            member_id=self._table.local_id, version=version
         )
         try:
             reply = await self._peers.call(
-                witness, "Mark", request, self._timing.call
+                witness, "Mark", request, self._timing.call_timeout_s
             )
         except peers_lib.PeerError as error:
             events.note("not marked", witness=witness, error=str(error))
--- a/merlintrestle/versions/meeting.py
+++ b/merlintrestle/versions/meeting.py
@@ -6,8 +6,8 @@
 
 from merlintrestle import errors
 from merlintrestle import events as event_logs
-from merlintrestle.members import choice as choice_lib
 from merlintrestle.members import seeds as seeds_lib
+from merlintrestle.members import selection as choice_lib
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,8 +34,8 @@
         self._clock = clock
         self._seeds: list[str] = []
         self._seeds_at = 0.0
-        self._find_s = self._timing.seeds_write
-        self._choice = choice_lib.choose_in_own_zone(
+        self._find_s = self._timing.seeds_write_interval_s
+        self._choice = choice_lib.choose_in_local_zone(
             membership.table, "seeds", seeds_lib.SEEDS_PER_ZONE
         )
 
@@ -48,8 +48,10 @@
         records first they meet, and few stay chosen. A store that fails here
         holds back no watch: the watcher names itself again later.
         """
-        own_id = self._membership.table.own_id
-        if any(one.id != own_id for one in self._membership.table.members()):
+        own_id = self._membership.table.local_id
+        if any(
+            one.id != own_id for one in self._membership.table.list_members()
+        ):
             return
         try:
             await self.name_seeds()
@@ -64,11 +66,18 @@
         """
         seeds = self._choice.get()
         age_s = self._clock() - self._seeds_at
-        changed = seeds != self._seeds and age_s >= self._timing.seeds_write
-        if self._seeds and not changed and age_s < self._timing.seeds_check:
+        changed = (
+            seeds != self._seeds
+            and age_s >= self._timing.seeds_write_interval_s
+        )
+        if (
+            self._seeds
+            and not changed
+            and age_s < self._timing.seeds_check_interval_s
+        ):
             await self._find_others(age_s)
             return
-        zone = self._membership.table.own.zone
+        zone = self._membership.table.local_member.zone
         before = await self._source.write_seeds(zone, seeds)
         self._seeds = seeds
         self._seeds_at = self._clock()
@@ -81,7 +90,10 @@
         would find no upstream for most services until the next check. What is
         looked at after 1, 2, 4 and 8 s has been written by then.
         """
-        if age_s < self._find_s or self._find_s >= self._timing.seeds_check:
+        if (
+            age_s < self._find_s
+            or self._find_s >= self._timing.seeds_check_interval_s
+        ):
             return
         self._find_s *= 2
-        await self._membership.find_others()
+        await self._membership.contact_stored_seeds()
--- a/merlintrestle/versions/turns.py
+++ b/merlintrestle/versions/turns.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from merlintrestle.members import choice as choice_lib
+from merlintrestle.members import selection as choice_lib
 from merlintrestle.members import table as table_lib
 
 if TYPE_CHECKING:
@@ -26,10 +26,10 @@
     ):
         """Sets the members; `clock` tells the time in seconds."""
         self._membership = membership
-        self._settle_s = membership.timing.settle
+        self._settle_s = membership.timing.watcher_settling_time_s
         self._clock = clock
         self._chosen_at: float | None = None
-        self._watchers = choice_lib.choose_in_own_zone(
+        self._watchers = choice_lib.choose_in_local_zone(
             membership.table, "watch", WATCHERS_PER_ZONE
         )
 
@@ -41,14 +41,19 @@
         """Returns the ids of the watchers of all other zones."""
         table = self._membership.table
         zones: dict[str, list[control_pb2.Member]] = {}
-        for member in table.members():
-            if not table_lib.is_gone(member) and member.zone != table.own.zone:
+        for member in table.list_members():
+            if (
+                not table_lib.is_gone(member)
+                and member.zone != table.local_member.zone
+            ):
                 zones.setdefault(member.zone, []).append(member)
         return [
             name
             for zone, members in sorted(zones.items())
-            for name in choice_lib.choose_by_link(
-                choice_lib.name_zone("watch", zone), members, WATCHERS_PER_ZONE
+            for name in choice_lib.choose_by_link_speed(
+                choice_lib.build_zone_key("watch", zone),
+                members,
+                WATCHERS_PER_ZONE,
             )
         ]
 
@@ -57,7 +62,7 @@
         if not self.is_chosen():
             return None
         watchers = sorted([*self.get_watchers(), *self.list_other_watchers()])
-        own_id = self._membership.table.own_id
+        own_id = self._membership.table.local_id
         return watchers.index(own_id) if own_id in watchers else len(watchers)
 
     def is_chosen(self) -> bool:
@@ -67,10 +72,10 @@
         watcher of its zone. If that counted, all would read the store.
         """
         now = self._clock()
-        own_id = self._membership.table.own_id
+        own_id = self._membership.table.local_id
         if (
             own_id not in self.get_watchers()
-            and not self._membership.is_cut_off()
+            and not self._membership.is_isolated()
         ):
             self._chosen_at = None
             return False
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -79,14 +79,16 @@
 
     async def run(self) -> None:
         """Watches while chosen, for ever."""
-        backoff = timing_lib.Backoff(0.1, self._timing.watch_retry_max)
+        backoff = timing_lib.Backoff(0.1, self._timing.max_watch_retry_delay_s)
         if self._directly:
             await self._read_first()
-        await self._membership.wait_for_contact(self._timing.join)
+        await self._membership.wait_for_contact(self._timing.join_timeout_s)
         await self._meeting.meet_herd()
         while True:
             if not self.turns.is_chosen():
-                await asyncio.sleep(timing_lib.jitter(self._timing.settle))
+                await asyncio.sleep(
+                    timing_lib.jitter(self._timing.watcher_settling_time_s)
+                )
                 continue
             began = self._clock()
             try:
@@ -94,9 +96,9 @@
             except errors.MerlintrestleError as error:
                 self._note_store(False)
                 events.warn("store lost", error=str(error))
-                if self._clock() - began > self._timing.head_refresh:
+                if self._clock() - began > self._timing.head_refresh_interval_s:
                     backoff.reset()
-                await asyncio.sleep(backoff.get_wait())
+                await asyncio.sleep(backoff.get_next_delay())
 
     async def _read_first(self) -> None:
         """Reads the head until it is known, here or from a peer.
@@ -108,16 +110,17 @@
         most of its calls to the store in its first second.
         """
         backoff = timing_lib.Backoff(
-            self._timing.first_read, self._timing.watch_retry_max
+            self._timing.first_read_retry_delay_s,
+            self._timing.max_watch_retry_delay_s,
         )
         while not self._handled and not self._membership.links.get_links():
-            wait_s = timing_lib.jitter(self._timing.watch_retry_max)
+            wait_s = timing_lib.jitter(self._timing.max_watch_retry_delay_s)
             try:
                 if await self.refresh():
                     return
             except errors.MerlintrestleError as error:
                 events.warn("store silent", error=str(error))
-                wait_s = backoff.get_wait()
+                wait_s = backoff.get_next_delay()
             await asyncio.sleep(wait_s)
 
     def get_refresh_s(self) -> float:
@@ -127,12 +130,12 @@
         zones: with one a second each, three zones made 300 of the 640 calls of
         a calm minute. One that hears of no peer reads for itself alone.
         """
-        refresh_s = self._timing.head_refresh
-        if self._membership.is_cut_off():
+        refresh_s = self._timing.head_refresh_interval_s
+        if self._membership.is_isolated():
             return refresh_s
         zones = {
             member.zone
-            for member in self._membership.table.members()
+            for member in self._membership.table.list_members()
             if not table_lib.is_gone(member)
         }
         return refresh_s * max(
@@ -179,7 +182,7 @@
         if not self.turns.is_chosen():
             return
         try:
-            async with asyncio.timeout(self._timing.call / 2):
+            async with asyncio.timeout(self._timing.call_timeout_s / 2):
                 await self._read_since(uptime_ms / 1000)
         except (TimeoutError, errors.MerlintrestleError):
             return
@@ -201,7 +204,7 @@
         """Keeps reads on behalf of others apart by a flush interval."""
         if self._head_at is not None:
             age_s = self._clock() - self._head_at
-            await asyncio.sleep(max(0.0, self._timing.flush - age_s))
+            await asyncio.sleep(max(0.0, self._timing.flush_delay_s - age_s))
 
     async def _watch(self) -> None:
         """Watches until no longer chosen; the head is re-read meanwhile.
@@ -226,7 +229,9 @@
                 left_s = refresh_at - self._clock()
                 done, _ = await asyncio.wait(
                     (watching,),
-                    timeout=max(0.0, min(left_s, self._timing.heartbeat)),
+                    timeout=max(
+                        0.0, min(left_s, self._timing.heartbeat_interval_s)
+                    ),
                 )
                 if done:
                     return watching.result()
--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -88,7 +88,7 @@
     @property
     def control_address(self) -> str:
         """Its control port, "ip:port"."""
-        return self._table.own_id
+        return self._table.local_id
 
     @property
     def in_flight(self) -> int:
@@ -241,7 +241,9 @@
 @contextlib.asynccontextmanager
 async def run_fleet(count: int) -> AsyncIterator[Fleet]:
     """Runs daemons with short intervals on one accepted version."""
-    with mock.patch.object(timing, "Timing", lambda: member_builders.FAST):
+    with mock.patch.object(
+        timing, "Timing", lambda: member_builders.FAST_TIMING
+    ):
         async with (
             asyncio.timeout(GUARD_S),
             aiohttp.ClientSession() as client,
--- a/tests/members/builders.py
+++ b/tests/members/builders.py
@@ -15,29 +15,29 @@
     from collections.abc import Callable
 
 # Short enough for tests; proofs wait on events, never on these.
-FAST = timing.Timing(
-    heartbeat=0.1,
-    silence=0.5,
-    call=0.5,
-    fetch=2.0,
-    flush=0.01,
-    reconnect=0.02,
-    reconnect_max=0.1,
-    suspicion=0.4,
-    exchange=0.2,
-    pause=0.3,
-    start_jitter=0.3,
-    join=1.0,
-    store_retry_max=0.1,
-    retry_max=0.1,
-    watch_retry_max=0.1,
-    seeds_write=0.1,
-    seeds_check=3600.0,
-    head_refresh=0.2,
-    memory=0.2,
-    hedge=0.1,
-    patience=0.3,
-    settle=0.1,
+FAST_TIMING = timing.Timing(
+    heartbeat_interval_s=0.1,
+    silence_timeout_s=0.5,
+    call_timeout_s=0.5,
+    fetch_timeout_s=2.0,
+    flush_delay_s=0.01,
+    reconnect_delay_s=0.02,
+    max_reconnect_delay_s=0.1,
+    suspicion_timeout_s=0.4,
+    anti_entropy_interval_s=0.2,
+    pause_threshold_s=0.3,
+    start_jitter_s=0.3,
+    join_timeout_s=1.0,
+    max_store_retry_delay_s=0.1,
+    max_floor_retry_delay_s=0.1,
+    max_watch_retry_delay_s=0.1,
+    seeds_write_interval_s=0.1,
+    seeds_check_interval_s=3600.0,
+    head_refresh_interval_s=0.2,
+    min_witness_uptime_s=0.2,
+    hedge_delay_s=0.1,
+    store_fallback_delay_s=0.3,
+    watcher_settling_time_s=0.1,
 )
 
 
@@ -82,11 +82,11 @@
     return table_lib.MemberTable(build_member(number))
 
 
-class Network:
+class FakeNetwork:
     """Calls between daemons without sockets.
 
     Attributes:
-        answers: By id and method, what answers a request.
+        handlers: By id and method, what answers a request.
         silent: Ids that do not answer.
         refused: Ids whose host refuses the connection.
         cut: Pairs (from, to) between which nothing passes.
@@ -94,7 +94,7 @@
     """
 
     def __init__(self) -> None:
-        self.answers: dict[str, dict[str, Callable[[Any], Any]]] = {}
+        self.handlers: dict[str, dict[str, Callable[[Any], Any]]] = {}
         self.silent: set[str] = set()
         self.refused: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
@@ -104,16 +104,16 @@
         """Tells whether a call would be answered."""
         down = self.silent | self.refused
         return (
-            target in self.answers
+            target in self.handlers
             and target not in down
             and (source, target) not in self.cut
         )
 
 
-class FakePeers(peers.Peers):
+class FakePeerClient(peers.PeerClient):
     """The calls of one daemon over a `Network`."""
 
-    def __init__(self, network: Network, own_id: str):
+    def __init__(self, network: FakeNetwork, own_id: str):
         super().__init__()
         self._network = network
         self._own_id = own_id
@@ -125,7 +125,7 @@
         self._network.calls.append((self._own_id, address, method))
         if not self._network.is_reachable(self._own_id, address):
             raise peers.PeerError(f"{address}: {method}: unavailable")
-        reply = self._network.answers[address][method](request)
+        reply = self._network.handlers[address][method](request)
         if inspect.isawaitable(reply):
             reply = await reply
         self.heard_at = time.monotonic()
@@ -143,6 +143,6 @@
         note_part()
         return reply
 
-    async def is_refused(self, address: str, timeout_s: float) -> bool:
+    async def refuses_connection(self, address: str, timeout_s: float) -> bool:
         """Tells whether the target is in `Network.refused`."""
         return address in self._network.refused
--- a/tests/members/test_exchange.py
+++ b/tests/members/test_exchange.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 import unittest
 
-from merlintrestle.members import exchange
+from merlintrestle.members import anti_entropy
 from merlintrestle.members import table as table_lib
 from merlintrestle.schema import control_pb2
 from tests.members import builders
@@ -19,21 +19,26 @@
     """A table and its exchange, on a fake network."""
 
     def __init__(
-        self, network: builders.Network, number: int, seeds: Sequence[str] = ()
+        self,
+        network: builders.FakeNetwork,
+        number: int,
+        seeds: Sequence[str] = (),
     ):
         self.table = builders.build_table(number)
-        self.exchange = exchange.Exchange(
+        self.exchange = anti_entropy.AntiEntropy(
             self.table,
-            builders.FakePeers(network, self.table.own_id),
+            builders.FakePeerClient(network, self.table.local_id),
             None,
             seeds,
-            builders.FAST,
+            builders.FAST_TIMING,
         )
-        network.answers[self.table.own_id] = {"Members": self.exchange.answer}
+        network.handlers[self.table.local_id] = {
+            "Members": self.exchange.answer
+        }
 
     def list_ids(self) -> set[str]:
         """Returns the ids of members that are not gone."""
-        return set(self.table.usable_ids())
+        return set(self.table.list_usable_ids())
 
 
 def find_neighbour(member_id: str) -> control_pb2.Member:
@@ -50,14 +55,14 @@
     """Tables of several daemons become the same."""
 
     async def asyncSetUp(self) -> None:
-        self.network = builders.Network()
+        self.network = builders.FakeNetwork()
 
     async def test_differing_tables_become_the_same(self) -> None:
         one, other = Side(self.network, 1), Side(self.network, 2)
         for number in range(10, 40):
             side = one if number % 2 else other
             side.table.merge(builders.build_member(number))
-        await one.exchange.compare(other.table.own_id)
+        await one.exchange.compare(other.table.local_id)
         self.assertEqual(one.table.digest, other.table.digest)
         self.assertEqual(len(one.list_ids()), 32)
 
@@ -65,14 +70,14 @@
         seed = Side(self.network, 1)
         for number in range(10, 20):
             side = Side(self.network, number)
-            seed.table.merge(side.table.own)
-            side.table.merge(seed.table.own)
+            seed.table.merge(side.table.local_member)
+            side.table.merge(seed.table.local_member)
             for other in range(10, number):
                 side.table.merge(builders.build_member(other))
-        joiner = Side(self.network, 2, [seed.table.own_id])
+        joiner = Side(self.network, 2, [seed.table.local_id])
         await joiner.exchange.join()
         self.assertTrue(await joiner.exchange.wait_for_contact(0))
-        await joiner.exchange.compare(seed.table.own_id)
+        await joiner.exchange.compare(seed.table.local_id)
         self.assertEqual(joiner.list_ids(), seed.list_ids())
 
     async def test_cut_regions_heal(self) -> None:
@@ -84,8 +89,8 @@
         """
         one, other = Side(self.network, 1), Side(self.network, 2)
         for side, lost in ((one, other), (other, one)):
-            side.table.merge(lost.table.own)
-            side.table.set_state(lost.table.own_id, control_pb2.DEAD)
+            side.table.merge(lost.table.local_member)
+            side.table.set_state(lost.table.local_id, control_pb2.DEAD)
         for _ in range(100):
             await one.exchange.run_round()
         self.assertEqual(one.list_ids(), other.list_ids())
@@ -101,15 +106,15 @@
         dead = builders.build_member(9, 1, control_pb2.DEAD)
         one.table.merge(dead)
         one.table.merge(find_neighbour(dead.id))
-        await one.exchange.compare(other.table.own_id)
-        await other.exchange.compare(one.table.own_id)
+        await one.exchange.compare(other.table.local_id)
+        await other.exchange.compare(one.table.local_id)
         self.assertIsNone(other.table.get(dead.id))
 
     async def test_late_news_of_life_are_corrected(self) -> None:
         one, other = Side(self.network, 1), Side(self.network, 2)
         one.table.merge(builders.build_member(9, 1, control_pb2.DEAD))
         other.table.merge(builders.build_member(9))
-        await other.exchange.compare(one.table.own_id)
+        await other.exchange.compare(one.table.local_id)
         held = other.table.get(builders.build_member(9).id)
         assert held is not None
         self.assertTrue(table_lib.is_dead(held))
--- a/tests/members/test_links.py
+++ b/tests/members/test_links.py
@@ -40,7 +40,7 @@
     async def _beat(self) -> None:
         while True:
             self.received.put_nowait(control_pb2.LinkMessage())
-            await asyncio.sleep(builders.FAST.heartbeat)
+            await asyncio.sleep(builders.FAST_TIMING.heartbeat_interval_s)
 
     async def read(self) -> Any:
         """Returns what the peer sent next."""
@@ -69,7 +69,7 @@
 
     async def asyncSetUp(self) -> None:
         self.table = builders.build_table()
-        self.links = links_lib.Links(self.table, builders.FAST)
+        self.links = links_lib.Links(self.table, builders.FAST_TIMING)
         self.tasks: list[asyncio.Task[None]] = []
 
     async def asyncTearDown(self) -> None:
@@ -125,7 +125,7 @@
             )
         )
         link = self.links.get_links()[0]
-        self.assertEqual(len(link.box.take_message().members), 1)
+        self.assertEqual(len(link.outbox.take_message().members), 1)
 
     async def test_dropped_channel_ends_the_link_with_an_error(self) -> None:
         """A call on the same channel failed, and the channel was closed.
@@ -172,7 +172,7 @@
     async def test_heartbeats_keep_a_quiet_link(self) -> None:
         pipe = self.open("peer")
         await version_builders.wait_until(lambda: len(pipe.sent) >= 3)
-        self.assertEqual(pipe.sent[0].sender, self.table.own_id)
+        self.assertEqual(pipe.sent[0].sender, self.table.local_id)
         self.assertEqual(pipe.sent[1].sender, "")
 
     async def test_end_of_stream_ends_the_link(self) -> None:
@@ -217,7 +217,7 @@
         pipe = self.open("peer")
         pipe.peer_beats = True
         await version_builders.wait_until(lambda: len(pipe.sent) >= 2)
-        time.sleep(2 * builders.FAST.silence)  # noqa: ASYNC251
+        time.sleep(2 * builders.FAST_TIMING.silence_timeout_s)  # noqa: ASYNC251
         sent = len(pipe.sent)
         await version_builders.wait_until(lambda: len(pipe.sent) >= sent + 9)
         self.assertFalse(self.tasks[0].done())
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -22,7 +22,7 @@
         to a daemon that serves none.
         """
         table = tables.MemberTable(builders.build_member(1))
-        timing = builders.FAST._replace(flush=0)
+        timing = builders.FAST_TIMING._replace(flush_delay_s=0)
         membership = memberships.Membership(table, None, (), timing)
         await membership.start()
         await _let_others_run()
@@ -47,7 +47,9 @@
         await relay.start()
         self.addAsyncCleanup(relay.close)
         table = tables.MemberTable(builders.build_member(1))
-        membership = memberships.Membership(table, None, (), builders.FAST)
+        membership = memberships.Membership(
+            table, None, (), builders.FAST_TIMING
+        )
         opened = asyncio.Event()
         membership.links.on_open.append(lambda _: opened.set())
         await membership.start()
--- a/tests/members/test_peers.py
+++ b/tests/members/test_peers.py
@@ -69,7 +69,7 @@
     async def asyncSetUp(self) -> None:
         self.daemon = builders.Daemon(builders.FakeConfiguration())
         await self.daemon.server.start(self.daemon.servicer)
-        self.peers = peers_lib.Peers()
+        self.peers = peers_lib.PeerClient()
         self.request = control_pb2.ProbeRequest(member_id=self.daemon.id)
 
     async def asyncTearDown(self) -> None:
@@ -190,9 +190,13 @@
         self.assertTrue((await call).reached)
 
     async def test_refusal_is_told_from_an_answer(self) -> None:
-        self.assertFalse(await self.peers.is_refused(self.daemon.id, 5.0))
+        self.assertFalse(
+            await self.peers.refuses_connection(self.daemon.id, 5.0)
+        )
         await self.daemon.server.close(0)
-        self.assertTrue(await self.peers.is_refused(self.daemon.id, 5.0))
+        self.assertTrue(
+            await self.peers.refuses_connection(self.daemon.id, 5.0)
+        )
 
     async def test_late_daemon_takes_the_answer_that_has_come(self) -> None:
         """A daemon on a busy machine hears its peers though it is late.
--- a/tests/members/test_suspicion.py
+++ b/tests/members/test_suspicion.py
@@ -20,7 +20,7 @@
 
     async def asyncSetUp(self) -> None:
         self.now = 0.0
-        self.network = builders.Network()
+        self.network = builders.FakeNetwork()
         self.table = table_lib.MemberTable(
             builders.build_member(1), clock=lambda: self.now
         )
@@ -29,11 +29,11 @@
             self.table.merge(member)
             self.add_answer(member.id)
         self.suspect = self.others[0].id
-        self.links = links.Links(self.table, builders.FAST)
+        self.links = links.Links(self.table, builders.FAST_TIMING)
         self.links.heard_at = time.monotonic()
-        self.peers = builders.FakePeers(self.network, self.table.own_id)
+        self.peers = builders.FakePeerClient(self.network, self.table.local_id)
         self.judge = suspicion.Judge(
-            self.table, self.peers, self.links, builders.FAST
+            self.table, self.peers, self.links, builders.FAST_TIMING
         )
 
     def add_answer(self, own_id: str) -> None:
@@ -44,7 +44,7 @@
             )
             return control_pb2.ProbeReply(reached=reached)
 
-        self.network.answers[own_id] = {"Probe": probe}
+        self.network.handlers[own_id] = {"Probe": probe}
 
     async def check(self, member_id: str) -> control_pb2.MemberState:
         self.judge.check_soon(member_id)
@@ -58,7 +58,7 @@
         self.network.silent.add(self.suspect)
         self.assertEqual(await self.check(self.suspect), control_pb2.SUSPECT)
         self.assertEqual(await self.check(self.suspect), control_pb2.SUSPECT)
-        self.now += builders.FAST.suspicion + 0.1
+        self.now += builders.FAST_TIMING.suspicion_timeout_s + 0.1
         self.judge.tick(0.05, 0.05)
         self.assertEqual(await self.check(self.suspect), control_pb2.DEAD)
 
@@ -68,7 +68,7 @@
         The other runs well and everyone else reaches it. Without asking
         others, this daemon would have it declared dead in the whole fleet.
         """
-        self.network.cut.add((self.table.own_id, self.suspect))
+        self.network.cut.add((self.table.local_id, self.suspect))
         self.assertEqual(await self.check(self.suspect), control_pb2.ALIVE)
 
     async def test_paused_daemon_suspects_no_one(self) -> None:
@@ -154,16 +154,22 @@
         """Guards against a busy fleet probing itself busier still."""
         everyone = {member.id for member in self.others}
         limits = await self.list_limits(everyone, 5)
-        self.assertEqual(max(limits), 8 * 2 * builders.FAST.call)
+        self.assertEqual(
+            max(limits), 8 * 2 * builders.FAST_TIMING.call_timeout_s
+        )
         limits = await self.list_limits(set(), 10)
-        self.assertEqual(limits[-1], builders.FAST.call)
+        self.assertEqual(limits[-1], builders.FAST_TIMING.call_timeout_s)
 
     async def test_member_that_is_gone_lengthens_no_probe(self) -> None:
         """Guards against failed members found late after the first one."""
         self.network.silent.add(self.suspect)
         limits = await self.list_limits({self.suspect}, 6)
-        self.assertLessEqual(max(limits), 2 * 2 * builders.FAST.call)
-        self.assertEqual(limits[-suspicion.HELPERS - 1], builders.FAST.call)
+        self.assertLessEqual(
+            max(limits), 2 * 2 * builders.FAST_TIMING.call_timeout_s
+        )
+        self.assertEqual(
+            limits[-suspicion.HELPERS - 1], builders.FAST_TIMING.call_timeout_s
+        )
 
     async def test_leaving_member_needs_no_suspicion_time(self) -> None:
         member = builders.build_member(2, 2, control_pb2.LEAVING)
--- a/tests/members/test_table.py
+++ b/tests/members/test_table.py
@@ -9,8 +9,8 @@
 import hypothesis
 from hypothesis import strategies
 
-from merlintrestle.members import choice
 from merlintrestle.members import rendezvous
+from merlintrestle.members import selection
 from merlintrestle.members import table as table_lib
 from merlintrestle.schema import control_pb2
 from tests.members import builders
@@ -49,8 +49,8 @@
     """Returns the records of other members as bytes."""
     return {
         member.id: member.SerializeToString(deterministic=True)
-        for member in table.members()
-        if member.id != table.own_id
+        for member in table.list_members()
+        if member.id != table.local_id
     }
 
 
@@ -73,8 +73,8 @@
     ) -> None:
         both = merge_all(left + right)
         joined = merge_all(left)
-        for record in merge_all(right).members():
-            if record.id != joined.own_id:
+        for record in merge_all(right).list_members():
+            if record.id != joined.local_id:
                 joined.merge(record)
         self.assertEqual(describe(both), describe(joined))
 
@@ -97,8 +97,8 @@
         self, history: list[control_pb2.Member]
     ) -> None:
         table = merge_all(history)
-        fresh = table_lib.MemberTable(table.own)
-        for record in table.members():
+        fresh = table_lib.MemberTable(table.local_member)
+        for record in table.list_members():
             fresh.merge(record)
         self.assertEqual(table.bucket_digests, fresh.bucket_digests)
 
@@ -110,10 +110,10 @@
         """
         table = builders.build_table(1)
         table.merge(builders.build_member(1, 7, control_pb2.DEAD))
-        self.assertEqual(table.own.state, control_pb2.ALIVE)
+        self.assertEqual(table.local_member.state, control_pb2.ALIVE)
         other = merge_all([])
         other.merge(builders.build_member(2, 7, control_pb2.DEAD))
-        self.assertEqual(table.own.incarnation, 8)
+        self.assertEqual(table.local_member.incarnation, 8)
 
     def test_forgotten_only_after_the_memory(self) -> None:
         now = [0.0]
@@ -157,7 +157,7 @@
         table.set_backend(builders.build_backend("balie"))
         table.leave()
         self.assertEqual(table.get_upstreams("balie"), ())
-        self.assertEqual(table.own.backend.state, control_pb2.DRAINING)
+        self.assertEqual(table.local_member.backend.state, control_pb2.DRAINING)
 
 
 class ChoiceTest(unittest.TestCase):
@@ -168,13 +168,15 @@
         self, history: list[control_pb2.Member], with_dead: bool
     ) -> None:
         table = builders.build_table()
-        standing = choice.Choice(table, "key", 2, with_dead=with_dead)
+        standing = selection.MemberSelection(
+            table, "key", 2, with_dead=with_dead
+        )
         for record in history:
             table.merge(record)
             fitting = [
                 member.id
-                for member in table.members()
-                if member.id != table.own_id
+                for member in table.list_members()
+                if member.id != table.local_id
                 and (
                     not table_lib.is_gone(member)
                     or (with_dead and table_lib.is_dead(member))
@@ -186,17 +188,19 @@
     @hypothesis.given(histories)
     def test_follows_the_links(self, history: list[control_pb2.Member]) -> None:
         table = builders.build_table()
-        standing = choice.Choice(table, "key", 2, "zone-a", by_link=True)
+        standing = selection.MemberSelection(
+            table, "key", 2, "zone-a", by_link=True
+        )
         for record in history:
             table.merge(record)
             fitting = [
                 member
-                for member in table.members()
-                if member.id != table.own_id
+                for member in table.list_members()
+                if member.id != table.local_id
                 and member.zone == "zone-a"
                 and not table_lib.is_gone(member)
             ]
-            wanted = choice.choose_by_link("key", fitting, 2)
+            wanted = selection.choose_by_link_speed("key", fitting, 2)
             self.assertEqual(standing.get(), wanted)
 
     def test_wide_links_go_first_and_thin_ones_make_up_the_number(self) -> None:
@@ -209,14 +213,16 @@
         wide = [builders.build_member(n, link_mbps=50.0) for n in (20, 21)]
         for key in ("watch/a", "watch/b", "watch/c"):
             with self.subTest(key):
-                chosen = choice.choose_by_link(key, [*thin, *wide], 2)
+                chosen = selection.choose_by_link_speed(key, [*thin, *wide], 2)
                 self.assertEqual(set(chosen), {wide[0].id, wide[1].id})
                 # One of them fails, then both.
-                chosen = choice.choose_by_link(key, [*thin, wide[0]], 2)
+                chosen = selection.choose_by_link_speed(
+                    key, [*thin, wide[0]], 2
+                )
                 self.assertEqual(chosen[0], wide[0].id)
                 ids = [member.id for member in thin]
                 self.assertEqual(
-                    choice.choose_by_link(key, thin, 2),
+                    selection.choose_by_link_speed(key, thin, 2),
                     rendezvous.choose(key, ids, 2),
                 )
 
@@ -224,7 +230,7 @@
         members = [builders.build_member(number) for number in range(2, 20)]
         ids = [member.id for member in members]
         self.assertEqual(
-            choice.choose_by_link("key", members, 3),
+            selection.choose_by_link_speed("key", members, 3),
             rendezvous.choose("key", ids, 3),
         )
 
@@ -240,7 +246,7 @@
 
 def _own(table: table_lib.MemberTable) -> int:
     """Returns the digest of the own record, which holds the start time."""
-    alone = table_lib.MemberTable(table.own)
+    alone = table_lib.MemberTable(table.local_member)
     return alone.digest
 
 
--- a/tests/members/test_validity.py
+++ b/tests/members/test_validity.py
@@ -67,4 +67,4 @@
         table = builders.build_table()
         last = builders.build_member(1, 2**64 - 1, control_pb2.DEAD)
         self.assertFalse(table.merge(last))
-        self.assertEqual(table.own.state, control_pb2.ALIVE)
+        self.assertEqual(table.local_member.state, control_pb2.ALIVE)
--- a/tests/versions/builders.py
+++ b/tests/versions/builders.py
@@ -190,7 +190,7 @@
         zone: str = "zone-a",
         port: int = 0,
         spread: str = distribution_lib.FAST,
-        timing: timing_lib.Timing = member_builders.FAST,
+        timing: timing_lib.Timing = member_builders.FAST_TIMING,
         incarnation: int = 0,
     ):
         self.server = service_lib.ControlServer("127.0.0.1", port)
--- a/tests/versions/models.py
+++ b/tests/versions/models.py
@@ -21,7 +21,9 @@
 
     from merlintrestle.documents import snapshot as snapshot_lib
 
-TIMING = member_builders.FAST._replace(memory=60.0, settle=0.0, flush=0.0)
+TIMING = member_builders.FAST_TIMING._replace(
+    min_witness_uptime_s=60.0, watcher_settling_time_s=0.0, flush_delay_s=0.0
+)
 
 
 class Contact:
@@ -33,7 +35,9 @@
     """
 
     def __init__(
-        self, table: table_lib.MemberTable, peers: member_builders.FakePeers
+        self,
+        table: table_lib.MemberTable,
+        peers: member_builders.FakePeerClient,
     ):
         self.table = table
         self.peers = peers
@@ -48,11 +52,11 @@
     async def contact_unknown(self, addresses: Sequence[str]) -> None:
         """Knows everyone."""
 
-    async def find_others(self) -> None:
+    async def contact_stored_seeds(self) -> None:
         """Counts; there are no others."""
         self.searches += 1
 
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Hears the others."""
         return False
 
@@ -65,7 +69,7 @@
         self.id = own.id
         self.table = table_lib.MemberTable(own, fleet.get_time)
         contact: Any = Contact(
-            self.table, member_builders.FakePeers(fleet.network, own.id)
+            self.table, member_builders.FakePeerClient(fleet.network, own.id)
         )
         self.contact = contact
         self.archive = archive_lib.Archive()
@@ -78,7 +82,7 @@
         self.floor = floor_lib.Floor(
             contact, self.marker, self.watcher, fleet.get_time
         )
-        fleet.network.answers[own.id] = {
+        fleet.network.handlers[own.id] = {
             "Mark": self.witness.record,
             "Floor": self._answer_floor,
         }
@@ -128,7 +132,7 @@
     def __init__(self, size: int):
         self.now = 1000.0
         self.configuration = builders.FakeConfiguration()
-        self.network = member_builders.Network()
+        self.network = member_builders.FakeNetwork()
         self.models: dict[int, Model] = {}
         self.highest: dict[int, int] = {}
         self._incarnation = 0
@@ -153,12 +157,12 @@
         for one in self.models.values():
             for other in self.models.values():
                 if one is not other:
-                    one.table.merge(other.table.own)
+                    one.table.merge(other.table.local_member)
 
     def kill(self, number: int) -> None:
         """Ends a process; others find out that it is dead."""
         model = self.models.pop(number)
-        del self.network.answers[model.id]
+        del self.network.handlers[model.id]
         for other in self.models.values():
             other.table.set_state(model.id, control_pb2.DEAD)
 
@@ -186,7 +190,7 @@
                         other.hold(one.archive.newest)
             for number in self.models:
                 await self.step(number)
-        self.now += TIMING.memory + 1
+        self.now += TIMING.min_witness_uptime_s + 1
 
 
 async def read_store(model: Model) -> None:
--- a/tests/versions/sessions.py
+++ b/tests/versions/sessions.py
@@ -53,7 +53,7 @@
         """Waits until all know each other and hold links."""
         await builders.wait_until(
             lambda: all(
-                len(daemon.table.usable_ids()) == len(NAMES)
+                len(daemon.table.list_usable_ids()) == len(NAMES)
                 and len(daemon.membership.links.get_links()) >= len(NAMES) - 1
                 for daemon in self.daemons.values()
             )
--- a/tests/versions/test_fetcher.py
+++ b/tests/versions/test_fetcher.py
@@ -19,13 +19,13 @@
     """One daemon fetches; peers answer, fail or hang."""
 
     async def asyncSetUp(self) -> None:
-        self.network = member_builders.Network()
+        self.network = member_builders.FakeNetwork()
         self.archive = archive_lib.Archive()
         self.archive.add(builders.build_snapshot(1))
         self.fetcher = fetcher.Fetcher(
             self.archive,
-            member_builders.FakePeers(self.network, "own"),
-            member_builders.FAST._replace(fetch=3600.0),
+            member_builders.FakePeerClient(self.network, "own"),
+            member_builders.FAST_TIMING._replace(fetch_timeout_s=3600.0),
             self.archive.add,
         )
         task = asyncio.create_task(self.fetcher.run())
@@ -41,7 +41,7 @@
         held = archive_lib.Archive()
         for number in range(1, version + 1):
             held.add(builders.build_snapshot(number))
-        self.network.answers[name] = {"Fetch": answer or held.answer}
+        self.network.handlers[name] = {"Fetch": answer or held.answer}
         self.fetcher.note_offer(name, version)
 
     async def wait_for_version(self, version: int) -> None:
@@ -68,7 +68,7 @@
         from a second peer would double what the link has to carry, just where
         it is full.
         """
-        hedge_s = member_builders.FAST.hedge
+        hedge_s = member_builders.FAST_TIMING.hedge_delay_s
 
         async def bring_parts(request: control_pb2.FetchRequest) -> Any:
             for _ in range(8):
--- a/tests/versions/test_fleet.py
+++ b/tests/versions/test_fleet.py
@@ -87,7 +87,7 @@
         relay = relays.Relay(self.daemons[0].server.port)
         await relay.start()
         self.addAsyncCleanup(relay.close)
-        peers = peers_lib.Peers()
+        peers = peers_lib.PeerClient()
         self.addAsyncCleanup(peers.close)
         request = control_pb2.FetchRequest(whole=True)
         address = f"127.0.0.1:{relay.port}"
@@ -108,7 +108,7 @@
         await self.start_daemons(1)
         await self.configuration.accept(1, ["balie"])
         await self.wait_for_version(1)
-        peers = peers_lib.Peers()
+        peers = peers_lib.PeerClient()
         self.addAsyncCleanup(peers.close)
         address = self.daemons[0].id
         with mock.patch.object(
@@ -293,7 +293,7 @@
         await asyncio.gather(*(daemon.start() for daemon in self.daemons))
         await builders.wait_until(
             lambda: all(
-                len(one.table.usable_ids()) == 3 for one in self.daemons
+                len(one.table.list_usable_ids()) == 3 for one in self.daemons
             )
         )
 
@@ -343,7 +343,7 @@
         await self.wait_for_version(1)
         await self.configuration.fail()
         asked = control_pb2.FloorRequest(member_id=self.daemons[-1].id)
-        needed_ms = 2000 * member_builders.FAST.memory
+        needed_ms = 2000 * member_builders.FAST_TIMING.min_witness_uptime_s
         await builders.wait_until(
             lambda: all(
                 one.distribution.witness.answer(asked, 0).memory_ms > needed_ms
--- a/tests/versions/test_never_back.py
+++ b/tests/versions/test_never_back.py
@@ -141,7 +141,7 @@
         model = fleet.models[1]
         fleet.now += 1.0
         for number in (2, 3):
-            fleet.network.answers[fleet.models[number].id]["Floor"] = (
+            fleet.network.handlers[fleet.models[number].id]["Floor"] = (
                 lambda request: control_pb2.FloorReply(
                     head_read=True, head_version=3, head_age_ms=1500
                 )
@@ -165,7 +165,7 @@
             self.assertFalse(any(first))
             rounds = 4000
             reads = sum(model.floor._may_read(100) for _ in range(rounds))
-        expected = rounds * 0.1 * models.TIMING.retry_max / 2 / 3
+        expected = rounds * 0.1 * models.TIMING.max_floor_retry_delay_s / 2 / 3
         self.assertLess(reads, 3 * expected + 10)
 
     async def test_all_die_with_the_store_down(self) -> None:
@@ -186,7 +186,7 @@
         for _ in range(3):
             for number in fleet.models:
                 self.assertEqual(await fleet.step(number), 0)
-            fleet.now += models.TIMING.memory + 1
+            fleet.now += models.TIMING.min_witness_uptime_s + 1
         fleet.configuration.down = False
         await fleet.settle()
         for number in fleet.models:
@@ -211,7 +211,7 @@
             model = fleet.models[number]
             model.hold(snapshot)
             others = [m.id for m in fleet.models.values() if m is not model]
-            key = rendezvous.name_neighbours(model.id)
+            key = rendezvous.build_neighbours_key(model.id)
             witnesses = rendezvous.choose(key, others, marks.WITNESSES)
             vouched = len(survivors.intersection(witnesses)) >= marks.QUORUM
             expected[number] = 3 if vouched else 0
@@ -219,7 +219,7 @@
         for _ in range(3):
             for number, version in expected.items():
                 self.assertEqual(await fleet.step(number), version)
-            fleet.now += models.TIMING.memory + 1
+            fleet.now += models.TIMING.min_witness_uptime_s + 1
         fleet.configuration.down = False
         await fleet.settle()
         for number in restarted:
@@ -303,10 +303,10 @@
         for number in (2, 3, 4):
             late = fleet.models[number].table
             told = control_pb2.Member()
-            told.CopyFrom(late.own)
+            told.CopyFrom(late.local_member)
             told.state = control_pb2.DEAD
             late.merge(told)
-            self.assertTrue(model.table.merge(late.own))
+            self.assertTrue(model.table.merge(late.local_member))
         fleet.network.calls.clear()
         await fleet.step(1)
         self.assertEqual(fleet.network.calls, [])
--- a/tests/versions/test_watcher.py
+++ b/tests/versions/test_watcher.py
@@ -62,16 +62,16 @@
         """
         table = self.model.table
         contact = self.model.contact
-        contact.timing = member_builders.FAST
+        contact.timing = member_builders.FAST_TIMING
         watcher = watcher_lib.Watcher(
             contact,
             self.configuration,
             self.model.hold,
             self.fleet.get_time,
         )
-        self.assertIn(table.own_id, watcher.turns.get_watchers())
+        self.assertIn(table.local_id, watcher.turns.get_watchers())
         self.assertFalse(watcher.turns.is_chosen())
-        self.fleet.now += member_builders.FAST.settle
+        self.fleet.now += member_builders.FAST_TIMING.watcher_settling_time_s
         self.assertTrue(watcher.turns.is_chosen())
 
     async def test_herd_meets_before_it_watches(self) -> None:
@@ -178,7 +178,7 @@
             self.watcher.get_refresh_s() / base_s, zones * 2 / 3
         )
         with mock.patch.object(
-            self.watcher._membership, "is_cut_off", return_value=True
+            self.watcher._membership, "is_isolated", return_value=True
         ):
             self.assertEqual(self.watcher.get_refresh_s(), base_s)
 
@@ -213,7 +213,9 @@
         second over links that the first callers needed. The first version is
         still taken soon after it is there.
         """
-        await self.start_directly(first_read=3600.0, watch_retry_max=3600.0)
+        await self.start_directly(
+            first_read_retry_delay_s=3600.0, max_watch_retry_delay_s=3600.0
+        )
         await builders.wait_until(lambda: self.configuration.reads > 0)
         for _ in range(50):
             await asyncio.sleep(0)
@@ -226,7 +228,9 @@
         0.1 s, 0.2 s and so on until a peer was met, its absence cost each of
         them four calls of the store.
         """
-        await self.start_directly(first_read=0.0, watch_retry_max=3600.0)
+        await self.start_directly(
+            first_read_retry_delay_s=0.0, max_watch_retry_delay_s=3600.0
+        )
         await builders.wait_until(lambda: self.configuration.reads > 0)
         for _ in range(50):
             await asyncio.sleep(0)
@@ -260,7 +264,7 @@
         """
         contact = self.model.contact
         contact.timing = contact.timing._replace(
-            seeds_write=1.0, seeds_check=20.0
+            seeds_write_interval_s=1.0, seeds_check_interval_s=20.0
         )
         self.watcher = watcher_lib.Watcher(
             contact, self.configuration, self.model.hold, self.fleet.get_time
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -92,11 +92,11 @@
     table, memory_bytes = _trace_memory(lambda: _fill_table(records))
     news = [_raise_incarnation(record) for record in records[1:]]
     merge_s = _time_once(lambda: [table.merge(record) for record in news])
-    ids = table.usable_ids()
+    ids = table.list_usable_ids()
     choose_s = _time_best(
-        lambda: rendezvous.choose(table.own_id, ids, _NEIGHBOURS)
+        lambda: rendezvous.choose(table.local_id, ids, _NEIGHBOURS)
     )
-    reply = control_pb2.MembersReply(members=table.members())
+    reply = control_pb2.MembersReply(members=table.list_members())
     figures = MemberFigures(
         count,
         memory_bytes,
