--- a/merlintrestle/rollouts/__init__.py
+++ b/merlintrestle/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs: moving a service to another version of its software."""
+"""Roll-outs, which move a service to another version of its software."""
--- a/merlintrestle/rollouts/analysis.py
+++ b/merlintrestle/rollouts/analysis.py
@@ -1,4 +1,10 @@
-"""Canary analysis: the phase that the evidence on a new version allows."""
+"""Canary analysis of the new version of a service.
+
+Each backend server of the new version tests its own answers; it is suspect if
+this test has raised an alarm. Some backend servers are faulty irrespective of
+the version, so a rollback requires several suspects, or too many bad answers of
+the other backend servers together.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +17,39 @@
 
 # Fractions of a roll-out's time at which the trial phase and the shared phase
 # end, counted from the first call of the new version. Some versions fail only
-# after seconds, so the trial phase must last. The time after both phases is for
-# moving all calls, which has to wait for calls in flight.
-_TRIAL_FRACTION = 0.3
-_SHARED_FRACTION = 0.42
-# Calls that a version must have answered before it leaves the trial phase.
-_MIN_CALLS = 40
-# Calls after which a backend server counts as observed.
+# after several seconds, so the trial phase must not be too short. The remaining
+# time is needed to move all calls, since calls in flight must finish first.
+_TRIAL_END_FRACTION = 0.3
+_SHARED_END_FRACTION = 0.42
+# Minimum number of calls before a version leaves the trial phase.
+_MIN_VERSION_CALLS = 40
+# Minimum number of calls before a backend server that is not suspect counts as
+# sampled.
 _MIN_SERVER_CALLS = 8
-# Calls of a class of work from which on its bad answers may keep a version in
-# the trial phase, or roll it back.
-_MIN_DOUBT_CALLS = 10
-_MIN_PROOF_CALLS = 20
-# Standard deviations above the allowed bad answers that prove a version bad.
-_PROOF_DEVIATIONS = 3.0
-# Fraction of the observed backend servers of the new version, and their least
-# number, that must be suspect for the version to be rolled back. Some backend
-# servers are faulty irrespective of the version: if three of ten are, the first
-# two in the trial phase are both faulty in one of eleven roll-outs, the first
-# three in one of forty.
+# Minimum number of calls of one class of work before its bad answers can keep a
+# version in the trial phase.
+_MIN_CALLS_TO_HOLD = 10
+# Minimum number of calls of one class of work before its bad answers can roll a
+# version back.
+_MIN_CALLS_TO_ROLL_BACK = 20
+# Standard deviations by which the number of bad answers must exceed the allowed
+# number for a version to be rolled back.
+_ROLL_BACK_DEVIATIONS = 3.0
+# Fraction of the sampled backend servers of the new version that must be
+# suspect for the version to be rolled back.
 _SUSPECT_FRACTION = 0.5
+# Minimum number of suspects for a rollback in a large service. If three of ten
+# backend servers are faulty irrespective of the version, the first two in the
+# trial phase are both faulty in one of eleven roll-outs, which is too often to
+# roll back for two suspects; the first three are in one of forty.
 _MIN_SUSPECTS = 3
-# Backend servers of the new version from which on `_MIN_SUSPECTS` applies; with
-# fewer, one suspect less is enough.
-_MANY_SERVERS = 12
-# Ratio of answers of a healthy version that may be bad: at least the minimum,
-# and more if many answers of the old version fail. The factor and the slack
-# allow for disturbances, which raise the ratio above that of the old version.
+# Number of backend servers of the new version from which a service is large. In
+# a smaller service, `_MIN_SUSPECTS - 1` suspects are enough.
+_LARGE_SERVICE_SERVERS = 12
+# Bounds of the ratio of a healthy version's answers that may be bad. Between
+# them, the ratio depends on the failure ratio of the old version; the factor
+# and the slack allow for disturbances, which raise the ratio of the new version
+# above that of the old one.
 _MIN_ALLOWED_BAD_RATIO = 0.12
 _FAILURE_RATIO_FACTOR = 1.5
 _FAILURE_RATIO_SLACK = 0.05
@@ -45,24 +57,29 @@
 
 
 class Phase(enum.IntEnum):
-    """Which version of a service gets its calls."""
+    """Phase of a roll-out, in the order in which the phases may follow.
+
+    Attributes:
+        TRIAL: The new version gets a small share of the calls.
+        SHARED: The new version gets a larger share of the calls.
+        NEW: The new version gets all calls.
+        BACK: The service is rolled back: the old version gets all calls. The
+            phase is left only if another daemon has already written that the
+            roll-out is complete.
+    """
 
-    # The new version gets a small share.
     TRIAL = enum.auto()
-    # The new version gets a larger share.
     SHARED = enum.auto()
-    # The new version gets all calls.
     NEW = enum.auto()
-    # The old version gets all calls; this is final.
     BACK = enum.auto()
 
 
 class ClassEvidence(NamedTuple):
-    """Calls of one class of work at one backend server, or at several.
+    """Number of calls of one class of work, at one or several backend servers.
 
     Attributes:
-        name: The class.
-        calls: Number of calls that ended, with or without an answer.
+        name: Name of the class.
+        calls: Number of calls that finished, with or without an answer.
         bad: Number of these calls that failed or were slow.
     """
 
@@ -75,37 +92,37 @@
     """Evidence from one backend server of the new version.
 
     Attributes:
-        classes: The classes of work that it was given.
-        watched_s: Time since its first call, in seconds.
-        suspect: True if its answers were bad compared to the old version.
+        classes: Evidence by class of work.
+        observed_s: Time since its first call, in seconds.
+        suspect: True if its test has detected too many bad answers.
     """
 
     classes: tuple[ClassEvidence, ...]
-    watched_s: float
+    observed_s: float
     suspect: bool
 
     @property
     def calls(self) -> int:
-        """Calls of all classes."""
-        return sum(work.calls for work in self.classes)
+        """Number of calls of all classes."""
+        return sum(class_evidence.calls for class_evidence in self.classes)
 
     @property
     def bad(self) -> int:
-        """Bad calls of all classes."""
-        return sum(work.bad for work in self.classes)
+        """Number of bad calls of all classes."""
+        return sum(class_evidence.bad for class_evidence in self.classes)
 
 
 def get_allowed_bad_ratio(failure_ratio: float) -> float:
     """Returns the ratio of a healthy version's answers that may be bad.
 
     Args:
-        failure_ratio: Ratio of the old version's answers that fail.
+        failure_ratio: Ratio of the old version's calls that fail.
     """
-    allowed = max(
+    allowed_ratio = max(
         _MIN_ALLOWED_BAD_RATIO,
         _FAILURE_RATIO_FACTOR * failure_ratio + _FAILURE_RATIO_SLACK,
     )
-    return min(_MAX_ALLOWED_BAD_RATIO, allowed)
+    return min(_MAX_ALLOWED_BAD_RATIO, allowed_ratio)
 
 
 def choose_phase(
@@ -116,38 +133,44 @@
     """Returns the phase that the evidence allows.
 
     Args:
-        within_s: Time within which the roll-out has to end, in seconds.
-        failure_ratios: Ratio of the old version's answers that fail, by class
-            of work.
+        within_s: Time within which the roll-out must finish, in seconds.
+        failure_ratios: Ratio of the old version's calls that fail, by class of
+            work.
         evidence: Evidence from each backend server of the new version.
     """
     healthy = [server for server in evidence if not server.suspect]
-    classes = _sum_by_class(healthy)
-    allowed = {
-        work.name: get_allowed_bad_ratio(failure_ratios.get(work.name, 0.0))
-        for work in classes
+    sums = _sum_by_class(healthy)
+    allowed_ratios = {
+        class_sum.name: get_allowed_bad_ratio(
+            failure_ratios.get(class_sum.name, 0.0)
+        )
+        for class_sum in sums
     }
-    if _is_version_suspect(evidence) or any(
-        _is_proved_bad(work, allowed[work.name]) for work in classes
+    if _has_too_many_suspects(evidence) or any(
+        _exceeds_ratio_significantly(class_sum, allowed_ratios[class_sum.name])
+        for class_sum in sums
     ):
         return Phase.BACK
-    if sum(work.calls for work in classes) < _MIN_CALLS or any(
-        _is_doubtful(work, allowed[work.name]) for work in classes
+    if sum(class_sum.calls for class_sum in sums) < _MIN_VERSION_CALLS or any(
+        _exceeds_allowed_ratio(class_sum, allowed_ratios[class_sum.name])
+        for class_sum in sums
     ):
         return Phase.TRIAL
-    watched_s = max(server.watched_s for server in healthy)
-    if watched_s < _TRIAL_FRACTION * within_s:
+    observed_s = max(server.observed_s for server in healthy)
+    if observed_s < _TRIAL_END_FRACTION * within_s:
         return Phase.TRIAL
     return (
-        Phase.SHARED if watched_s < _SHARED_FRACTION * within_s else Phase.NEW
+        Phase.SHARED
+        if observed_s < _SHARED_END_FRACTION * within_s
+        else Phase.NEW
     )
 
 
 def _sum_by_class(evidence: Sequence[Evidence]) -> list[ClassEvidence]:
-    """Returns the sums over several backend servers, by class of work.
+    """Returns the sums over several backend servers, one for each class.
 
-    The classes are judged separately: a version may fail in one class only,
-    which the answers of the other classes would hide.
+    The classes are evaluated separately, since a version may fail in one class
+    only. In a total, the good answers of the other classes would hide this.
     """
     sums: dict[str, ClassEvidence] = {}
     for server in evidence:
@@ -157,35 +180,48 @@
     return list(sums.values())
 
 
-def _is_doubtful(work: ClassEvidence, allowed: float) -> bool:
+def _exceeds_allowed_ratio(
+    class_sum: ClassEvidence, allowed_ratio: float
+) -> bool:
     """Returns whether more answers are bad than allowed, perhaps by chance."""
-    return work.calls >= _MIN_DOUBT_CALLS and work.bad > work.calls * allowed
+    return (
+        class_sum.calls >= _MIN_CALLS_TO_HOLD
+        and class_sum.bad > class_sum.calls * allowed_ratio
+    )
 
 
-def _is_proved_bad(work: ClassEvidence, allowed: float) -> bool:
-    """Returns whether chance cannot explain the number of bad answers."""
-    if work.calls < _MIN_PROOF_CALLS:
+def _exceeds_ratio_significantly(
+    class_sum: ClassEvidence, allowed_ratio: float
+) -> bool:
+    """Returns whether so many answers are bad that it cannot be by chance."""
+    if class_sum.calls < _MIN_CALLS_TO_ROLL_BACK:
         return False
-    deviation = math.sqrt(work.calls * allowed * (1 - allowed))
-    return work.bad > work.calls * allowed + _PROOF_DEVIATIONS * deviation
+    deviation = math.sqrt(class_sum.calls * allowed_ratio * (1 - allowed_ratio))
+    return (
+        class_sum.bad
+        > class_sum.calls * allowed_ratio + _ROLL_BACK_DEVIATIONS * deviation
+    )
 
 
-def _is_version_suspect(evidence: Sequence[Evidence]) -> bool:
+def _has_too_many_suspects(evidence: Sequence[Evidence]) -> bool:
     """Returns whether enough backend servers are suspect to roll back.
 
-    The only backend server of a new version decides alone: continuing with a
-    version that fails harms callers, rolling back a healthy one costs time.
+    If the new version has only one backend server, one suspect is enough:
+    continuing with a version that fails harms callers, whereas rolling back a
+    healthy version only costs time.
     """
     suspects = sum(server.suspect for server in evidence)
     if not suspects:
         return False
-    observed = [
+    sampled = [
         server
         for server in evidence
         if server.suspect or server.calls >= _MIN_SERVER_CALLS
     ]
-    least = (
-        _MIN_SUSPECTS if len(evidence) >= _MANY_SERVERS else _MIN_SUSPECTS - 1
+    min_suspects = (
+        _MIN_SUSPECTS
+        if len(evidence) >= _LARGE_SERVICE_SERVERS
+        else _MIN_SUSPECTS - 1
     )
-    least = min(least, len(evidence))
-    return suspects >= max(least, _SUSPECT_FRACTION * len(observed))
+    min_suspects = min(min_suspects, len(evidence))
+    return suspects >= max(min_suspects, _SUSPECT_FRACTION * len(sampled))
--- a/merlintrestle/rollouts/controller.py
+++ b/merlintrestle/rollouts/controller.py
@@ -1,4 +1,4 @@
-"""Controller of roll-outs: accepts orders and writes their states."""
+"""Controller that accepts orders of roll-outs and writes their states."""
 
 from __future__ import annotations
 
@@ -24,20 +24,21 @@
 
 # Interval between two updates of the open roll-outs, in seconds.
 _UPDATE_INTERVAL_S = 0.25
-# Time that a daemon waits with a state for each daemon whose turn to write is
-# earlier, in seconds.
-_WRITE_TURN_S = 0.3
-# Longest wait for the old version to be drained, in seconds. Daemons that are
-# cut off from the others cannot report that they are drained.
+# Delay before a daemon writes a state, in seconds for each daemon of a lower
+# rank, so that usually only the first daemon writes.
+_WRITE_DELAY_PER_RANK_S = 0.3
+# Maximum time to wait until the old version is drained, in seconds. Daemons
+# that are cut off from the others cannot report a drained backend server.
 _DRAIN_TIMEOUT_S = 3.5
 
 
 class RolloutController(mode.Service):
-    """Advances the roll-outs at this daemon.
+    """Updates the open roll-outs regularly, and writes their states.
 
-    Every daemon evaluates what its observer has recorded. The daemons that read
-    the store for their availability zone also accept orders and write states.
-    They may write at once: the storage keeps the first end.
+    Every daemon updates the phase of each roll-out from the reports that it
+    knows. The daemons that read the store for their availability zone also
+    accept orders and write states. They may write concurrently, since the
+    storage keeps the first final state.
     """
 
     def __init__(
@@ -45,23 +46,23 @@
         tracker: trackers.RolloutTracker,
         observer: observers.Observer,
         storage: storages.RolloutStorage,
-        get_turn: Callable[[], int | None],
+        get_write_rank: Callable[[], int | None],
     ):
-        """Sets the roll-outs and their storage.
+        """Initializes the controller.
 
         Args:
-            tracker: The roll-outs.
-            observer: The observer of the local backend server.
-            storage: The records in the store.
-            get_turn: Returns how many daemons write before this one; None: this
-                one does not write.
+            tracker: Tracks the roll-outs of all services.
+            observer: Observes the local backend server.
+            storage: Reads and writes the records in the store.
+            get_write_rank: Returns the number of daemons that write states
+                before this one, or None if this daemon does not write.
         """
         super().__init__()
         self._tracker = tracker
         self._observer = observer
         self._storage = storage
-        self._get_turn = get_turn
-        self._handled: set[tuple[str, int]] = set()
+        self._get_write_rank = get_write_rank
+        self._handled_orders: set[tuple[str, int]] = set()
         self._write_at: dict[tuple[str, int, int], float] = {}
 
     async def handle_orders(
@@ -69,35 +70,40 @@
     ) -> None:
         """Merges orders from the store into the tracker.
 
-        The state of an order is read before the order is gossiped, so that one
-        that ended before a restart of the whole fleet does not start again.
+        The state of an order is read before the order is gossiped. Otherwise, a
+        roll-out that ended before a restart of all daemons would start again.
+
+        Args:
+            orders: The orders, including those merged before.
 
         Raises:
             errors.StoreError: The store did not answer.
         """
         for order in orders:
             key = (order.service, order.number)
-            if key in self._handled:
+            if key in self._handled_orders:
                 continue
             known = self._tracker.get(order.service)
             if known is None or known.rollout.number < order.number:
                 order.state = await self._storage.read_state(order)
                 self._tracker.merge_rollout(order)
-            self._handled.add(key)
+            self._handled_orders.add(key)
 
     async def write_state(self, progress: progresses.Progress) -> None:
-        """Writes the state of a roll-out if it is due and this daemon's turn.
+        """Writes the state of a roll-out if it has changed.
 
-        A failed write is logged; the next update tries again.
+        The daemon waits according to its rank before it writes. A failed write
+        is logged, and repeated on the next update.
         """
         state = self._choose_state(progress)
-        turn = self._get_turn()
-        if state is None or turn is None:
+        rank = self._get_write_rank()
+        if state is None or rank is None:
             return
         rollout = progress.rollout
         now = asyncio.get_running_loop().time()
         write_at = self._write_at.setdefault(
-            (rollout.service, rollout.number, state), now + turn * _WRITE_TURN_S
+            (rollout.service, rollout.number, state),
+            now + rank * _WRITE_DELAY_PER_RANK_S,
         )
         if now < write_at:
             return
@@ -129,25 +135,31 @@
     def _choose_state(
         self, progress: progresses.Progress
     ) -> control_pb2.RolloutState | None:
-        """Returns the state to write; None: the written one is current."""
+        """Returns the state to write, or None if the state does not change."""
         if progress.phase is analysis.Phase.BACK:
             return control_pb2.ROLLED_BACK
-        if progress.phase is analysis.Phase.NEW and self._is_drained(progress):
+        if progress.phase is analysis.Phase.NEW and self._may_complete(
+            progress
+        ):
             return control_pb2.COMPLETE
         if progress.rollout.state < control_pb2.RUNNING:
             return control_pb2.RUNNING
         return None
 
-    def _is_drained(self, progress: progresses.Progress) -> bool:
-        """Returns whether the old version's backend servers may be stopped.
+    def _may_complete(self, progress: progresses.Progress) -> bool:
+        """Returns whether a roll-out may be declared complete.
 
-        They are stopped as soon as the roll-out is complete; a call that is
-        still on its way to one of them is then lost.
+        This requires that all backend servers of the old version are drained,
+        or that the drain timeout has passed. They are stopped as soon as the
+        roll-out is complete, and calls that are still in flight to them are
+        then lost.
         """
-        not_drained = [
-            name for name in progress.old_ids if not progress.is_drained(name)
+        undrained_ids = [
+            member_id
+            for member_id in progress.old_ids
+            if not progress.is_drained(member_id)
         ]
         return (
-            not not_drained
+            not undrained_ids
             or self._tracker.get_phase_age(progress) >= _DRAIN_TIMEOUT_S
         )
--- a/merlintrestle/rollouts/gossip.py
+++ b/merlintrestle/rollouts/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of roll-outs over the links between daemons."""
+"""Gossip of orders and reports over the links between daemons."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class RolloutGossip:
-    """Forwards what is new to the tracker over the links of membership.
+    """Sends orders and reports that are new to the tracker to the neighbours.
 
-    Only new or changed records are forwarded, so that none circulates
-    endlessly. A neighbour gets all records when a link opens. A daemon that
-    requests the members gets them, too, so that a daemon that knows a service's
-    upstreams also knows which of them are in a roll-out.
+    Only new or changed records are sent, so that none circulates endlessly.
+    When a link opens, all records are sent over it. The reply to a request for
+    the members contains all records as well, so that a daemon that knows the
+    upstreams of a service also knows which of them are in a roll-out.
     """
 
     def __init__(
@@ -25,12 +25,18 @@
         tracker: trackers.RolloutTracker,
         membership: memberships.Membership,
     ):
-        """Connects the tracker with the links and the member exchange."""
+        """Registers the listeners of the tracker and of the membership.
+
+        Args:
+            tracker: Tracks the roll-outs of all services.
+            membership: Provides the links and the exchange of members.
+        """
         self._tracker = tracker
         self._links = membership.links
+        # Link whose message is being merged. Records are not sent back over it.
         self._source_link: links_lib.Link | None = None
         tracker.on_rollout.append(self._send_rollout)
-        tracker.on_trial.append(self._send_trial)
+        tracker.on_report.append(self._send_report)
         membership.links.on_message.append(self._receive)
         membership.links.on_open.append(self._send_all)
         membership.exchange.on_reply.append(self._extend_reply)
@@ -39,7 +45,7 @@
     def _receive(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
     ) -> None:
-        """Merges a message; what is new is not sent back over its link."""
+        """Merges the records of a message, and forwards those that are new."""
         if not message.rollouts and not message.trials:
             return
         self._source_link = link
@@ -51,12 +57,12 @@
     def _send_all(self, link: links_lib.Link) -> None:
         for rollout in self._tracker.list_rollouts():
             link.box.add_rollout(rollout)
-        for trial in self._tracker.list_trials():
-            link.box.add_trial(trial)
+        for report in self._tracker.list_reports():
+            link.box.add_trial(report)
 
     def _extend_reply(self, reply: control_pb2.MembersReply) -> None:
         reply.rollouts.extend(self._tracker.list_rollouts())
-        reply.trials.extend(self._tracker.list_trials())
+        reply.trials.extend(self._tracker.list_reports())
 
     def _merge_reply(self, reply: control_pb2.MembersReply) -> None:
         self._tracker.merge(reply.rollouts, reply.trials)
@@ -64,5 +70,5 @@
     def _send_rollout(self, rollout: control_pb2.Rollout) -> None:
         self._links.send_rollout(rollout, self._source_link)
 
-    def _send_trial(self, trial: control_pb2.Trial) -> None:
-        self._links.send_trial(trial, self._source_link)
+    def _send_report(self, report: control_pb2.Trial) -> None:
+        self._links.send_trial(report, self._source_link)
--- a/merlintrestle/rollouts/orders.py
+++ b/merlintrestle/rollouts/orders.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs that operators write, and the audit trail of these."""
+"""Orders of roll-outs by operators, and the audit trail of their attempts."""
 
 from __future__ import annotations
 
@@ -24,12 +24,14 @@
 class Attempt(NamedTuple):
     """An operator's attempt to start or abort a roll-out.
 
+    The names of the fields are those of the protobuf message.
+
     Attributes:
         action: `START` or `ABORT`.
         operator: Name of the operator.
         at_ms: Time of the attempt, in ms since 1970.
         service: Service of the roll-out.
-        version: Version that the roll-out moves the service to.
+        version: Version to which the roll-out moves the service.
     """
 
     action: str
@@ -42,13 +44,17 @@
 async def write_order(store: records.Store, order: control_pb2.Rollout) -> int:
     """Writes an order, replacing the previous one of its service.
 
+    The number of an order is the store revision of its entry. It is therefore
+    not part of the written value.
+
     Args:
         store: The store.
-        order: The order. If it has a number, it replaces only the order of that
-            number.
+        order: The order. If its number is not 0, it replaces only the order
+            with this number.
 
     Returns:
-        Its number; 0: another operator wrote first, and nothing was changed.
+        The number of the written order, or 0 if nothing was written because
+        another operator has written an order in the meantime.
 
     Raises:
         errors.StoreError: The store did not answer.
@@ -71,16 +77,18 @@
     attempt: Attempt,
     findings: Sequence[errors.Finding],
 ) -> None:
-    """Writes an operator's attempt to the audit trail before it is made.
+    """Records an attempt in the audit trail.
+
+    To be called before the order is written, and for refused attempts as well.
 
     Args:
         store: The store.
         attempt: The attempt.
-        findings: Why it is refused; empty: it is not.
+        findings: Reasons why the attempt is refused; empty if it is accepted.
 
     Raises:
-        errors.StoreError: The store did not answer; the attempt must then not
-            be made.
+        errors.StoreError: The store did not answer. The order must then not be
+            written.
     """
     record = control_pb2.RolloutAttempt(
         **attempt._asdict(), refusals=[str(finding) for finding in findings]
--- a/merlintrestle/rollouts/records.py
+++ b/merlintrestle/rollouts/records.py
@@ -1,17 +1,23 @@
-"""Merging of roll-out records, independent of their order and repetition."""
+"""Validation of orders, and merging of orders and reports.
+
+The result of a merge depends neither on the sequence in which the records are
+received nor on how often each is received.
+"""
 
 from __future__ import annotations
 
 from merlintrestle.schema import control_pb2
 
+# Final states of an order. The first one that is written to the store is never
+# changed.
 ENDED = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
-# Bounds for records that another writer of the store may have left.
+# Limits for records that another program may have written to the store.
 _MAX_NAME_LENGTH = 200
 _MAX_CLASSES = 100
 
 
 def find_fault(rollout: control_pb2.Rollout) -> str:
-    """Returns why an order cannot be carried out; empty: it can."""
+    """Returns an error message, or an empty string if the order is valid."""
     if not rollout.service or len(rollout.service) > _MAX_NAME_LENGTH:
         return f"service {rollout.service[:_MAX_NAME_LENGTH]!r} is not allowed."
     if fault := find_version_fault(rollout.version):
@@ -22,7 +28,7 @@
 
 
 def find_version_fault(version: str) -> str:
-    """Returns why a service cannot be moved to a version; empty: it can."""
+    """Returns an error message, or an empty string if the version is valid."""
     if not version or len(version) > _MAX_NAME_LENGTH:
         return f"version {version[:_MAX_NAME_LENGTH]!r} is not allowed."
     return ""
@@ -31,10 +37,14 @@
 def choose_rollout(
     current: control_pb2.Rollout | None, received: control_pb2.Rollout
 ) -> control_pb2.Rollout | None:
-    """Returns the record that replaces the current one; None: it stays.
+    """Chooses between two records of a service's orders.
+
+    A later order takes precedence. Of two records of the same order, the one
+    with the more advanced state does, but a final state is never changed.
 
-    A later order takes precedence. The end of an order is never changed: the
-    first end that was written to the store is the only one.
+    Returns:
+        The received record if it replaces the current one, or None if the
+        current one is kept.
     """
     if current is None or received.number > current.number:
         return received
@@ -43,16 +53,17 @@
     return received if received.state > current.state else None
 
 
-def merge_trial(
+def merge_report(
     current: control_pb2.Trial | None, received: control_pb2.Trial
 ) -> control_pb2.Trial | None:
-    """Merges two records of a backend server.
+    """Merges two reports of a backend server.
 
-    A daemon that restarts counts from zero, so the larger of two figures is
-    kept. Flags that were set once stay set.
+    A report on a later order replaces the current one. A daemon that restarts
+    counts from zero, so the larger of two counts is kept. Flags that have been
+    set remain set.
 
     Returns:
-        The merged record; None: the current one stays as it is.
+        The merged report, or None if the current one does not change.
     """
     if current is None or received.number > current.number:
         return _trim(received)
@@ -63,19 +74,21 @@
     merged.watched_ms = max(current.watched_ms, received.watched_ms)
     merged.suspect = current.suspect or received.suspect
     merged.drained = current.drained or received.drained
-    classes = {record.name: record for record in current.classes}
-    for record in received.classes:
-        previous = classes.get(record.name)
-        if previous is None or record.calls > previous.calls:
-            classes[record.name] = record
+    classes = {
+        class_record.name: class_record for class_record in current.classes
+    }
+    for class_record in received.classes:
+        previous = classes.get(class_record.name)
+        if previous is None or class_record.calls > previous.calls:
+            classes[class_record.name] = class_record
     del merged.classes[:]
     merged.classes.extend(classes[name] for name in sorted(classes))
     return None if merged == current else _trim(merged)
 
 
-def _trim(trial: control_pb2.Trial) -> control_pb2.Trial:
+def _trim(report: control_pb2.Trial) -> control_pb2.Trial:
     """Returns a copy with at most `_MAX_CLASSES` classes."""
     trimmed = control_pb2.Trial()
-    trimmed.CopyFrom(trial)
+    trimmed.CopyFrom(report)
     del trimmed.classes[_MAX_CLASSES:]
     return trimmed
--- a/merlintrestle/rollouts/storage.py
+++ b/merlintrestle/rollouts/storage.py
@@ -1,4 +1,4 @@
-"""Storage of roll-out orders and their states in the store."""
+"""Storage of the orders of roll-outs and of their states."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class RecordedState(NamedTuple):
-    """State of a service's last roll-out, as recorded in the store.
+    """Last state of a service's roll-outs that was written to the store.
 
     Attributes:
-        version: Version that the roll-out moves the service to.
+        version: Version to which the roll-out moves the service.
         state: State of the roll-out.
     """
 
@@ -37,7 +37,7 @@
 
 
 class RecordFormat(Protocol):
-    """Keys and encoding of the records of roll-outs.
+    """Keys and encoding of the orders and states in the store.
 
     Attributes:
         order_prefix: Prefix of the keys of all orders.
@@ -46,10 +46,10 @@
     order_prefix: str
 
     def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
-        """Returns the order of an entry.
+        """Returns the order in an entry of the store.
 
         Raises:
-            errors.CorruptRecordError: The entry is no order.
+            errors.CorruptRecordError: The entry is not a valid order.
         """
 
     def build_state_key(self, service: str) -> str:
@@ -64,20 +64,21 @@
         """Returns the state that a value encodes.
 
         Raises:
-            errors.CorruptRecordError: The value is no state.
+            errors.CorruptRecordError: The value is not a valid state.
         """
 
 
 class DefaultFormat:
-    """The default format: protobuf messages."""
+    """Default format: protobuf messages."""
 
     order_prefix = ORDER_PREFIX
 
     def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
-        """Returns an order; its number is the revision of its entry.
+        """Returns the order in an entry of the store.
 
-        To abort a roll-out, an operator writes its order again with the state
-        "rolled back". Any other state in an order is ignored.
+        Its number is the store revision of the entry. To abort a roll-out, an
+        operator writes its order again with the state "rolled back". Any other
+        state in an order is ignored.
         """
         order = _decode_rollout(entry.value)
         order.service = entry.key.removeprefix(ORDER_PREFIX)
@@ -93,7 +94,7 @@
     def encode_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> bytes:
-        """Returns the encoded order with its state."""
+        """Returns the encoded order, with the state as its state."""
         written = control_pb2.Rollout()
         written.CopyFrom(rollout)
         written.state = state
@@ -108,11 +109,16 @@
 class RolloutStorage:
     """Reads orders, and reads and writes their states.
 
-    The first end that is written for an order is kept.
+    The first final state that is written for an order is kept.
     """
 
     def __init__(self, store: store_records.Store, record_format: RecordFormat):
-        """Sets the store and the format of its records."""
+        """Initializes the storage.
+
+        Args:
+            store: The store.
+            record_format: Format of the orders and states in the store.
+        """
         self._store = store
         self._format = record_format
 
@@ -130,10 +136,10 @@
     def parse_orders(
         self, entries: Sequence[client.Entry]
     ) -> list[control_pb2.Rollout]:
-        """Returns the orders of entries, without those that are malformed.
+        """Returns the valid orders among entries of the store.
 
-        Other writers of the store may leave records that cannot be decoded.
-        These do not delay any other order.
+        Other programs that write to the store may leave malformed records.
+        These must not block valid orders, so they are logged and skipped.
         """
         orders = []
         for entry in entries:
@@ -151,7 +157,7 @@
     async def read_state(
         self, rollout: control_pb2.Rollout
     ) -> control_pb2.RolloutState:
-        """Returns the state of an order; unspecified: none is written yet.
+        """Returns the state of an order, or unspecified if none is written yet.
 
         Raises:
             errors.StoreUnavailableError: The store did not answer.
@@ -164,14 +170,19 @@
     async def write_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> control_pb2.RolloutState:
-        """Writes a state, unless the order has ended or reached that state.
+        """Writes a state, unless the order has already reached or passed it.
+
+        Several daemons may write concurrently, and a write whose reply was lost
+        may be applied late. Each write is therefore conditional on the entry
+        that was read just before, so that a final state is never replaced.
 
-        Several daemons may write at once, and a write whose reply was lost may
-        be applied late. Each write is therefore conditional on the record that
-        was read just before, so that the first end is the only one.
+        Args:
+            rollout: The order.
+            state: The state to write.
 
         Returns:
-            The state of the order after the write.
+            The state of the order after the write, which another daemon may
+            have written.
 
         Raises:
             errors.StoreUnavailableError: The store did not answer.
@@ -195,10 +206,15 @@
     ) -> control_pb2.RolloutState:
         """Returns the state of an order from the state entry of its service.
 
-        An entry that is older than the order belongs to an earlier order.
+        Args:
+            rollout: The order.
+            entry: Entry with the last written state of the service's
+                roll-outs, or None if the store has none.
         """
+        # The state of an order is final if an operator has aborted it.
         if rollout.state in records.ENDED:
             return rollout.state
+        # An entry that is older than the order belongs to an earlier order.
         if entry is None or entry.revision < rollout.number:
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
         try:
@@ -206,6 +222,7 @@
         except errors.CorruptRecordError as error:
             events.warn("state malformed", key=entry.key, error=str(error))
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
+        # The state of an earlier order may be written after a later order.
         if recorded.version != rollout.version:
             return control_pb2.ROLLOUT_STATE_UNSPECIFIED
         return recorded.state
--- a/merlintrestle/rollouts/subsets.py
+++ b/merlintrestle/rollouts/subsets.py
@@ -1,4 +1,4 @@
-"""Selection of the upstreams that a call may be sent to during a roll-out."""
+"""Selection of the upstreams to which a call may be sent during a roll-out."""
 
 from __future__ import annotations
 
@@ -13,20 +13,25 @@
 
 # Default share of a service's calls that a new version gets in the trial phase.
 TRIAL_SHARE = 0.05
-# Share that it gets in the shared phase. A fault that shows only now harms this
-# share of the calls for a second, instead of all calls.
-_SHARED_SHARE = 0.3
-# Calls to the new version that an idle daemon may accumulate. With more, the
-# accumulated calls of all daemons could reach the new version at once.
+# Share of a service's calls that a new version gets in the shared phase. Limits
+# the harm of a fault that appears only under more load: for the second or so
+# that the phase takes, this share of the calls is affected instead of all.
+_SHARED_PHASE_SHARE = 0.3
+# Maximum credit of a daemon for calls to the new version, in calls. With more,
+# daemons that were idle could all send their calls to the new version at the
+# same time.
 _MAX_CREDIT_CALLS = 1.0
 
 
 class Subset(NamedTuple):
-    """Upstreams that a call may be sent to.
+    """Upstreams to which a call may be sent.
 
     Attributes:
-        name: Distinguishes the subsets of a service.
-        upstreams: The upstreams; the same tuple until something changes.
+        name: Key of the subset, under which the picker keeps its own data. It
+            differs for each subset of a service; without a roll-out, it is the
+            name of the service.
+        upstreams: The upstreams. The tuple is the same object until the subset
+            changes.
     """
 
     name: str
@@ -36,19 +41,22 @@
 class _Partition(NamedTuple):
     """The upstreams of a service, grouped by their version.
 
+    It is recomputed when one of the first four attributes changes.
+
     Attributes:
-        progress: The roll-out for which they are grouped.
-        old_versions: The old versions that it knew.
+        progress: The roll-out.
+        old_versions: The old versions that the roll-out replaces.
         upstreams: All upstreams, as given by the member table.
-        suspects: Ids of the daemons of suspect backend servers.
-        old: Upstreams of an old version. An upstream whose version is not known
-            yet, because its daemon has just started, may be old or new.
-        unknown: Upstreams whose version is not known.
+        suspects: Member ids of the suspect backend servers.
+        old: Upstreams of an old version.
+        unknown: Upstreams whose version is not known yet, because their daemon
+            has just started. They may be of an old or the new version.
         new: Upstreams of the new version that are not suspect.
         trial: Upstreams of the new version that get calls in the trial phase.
         shared: Upstreams of the new version that get calls in the shared phase.
-        not_replaced: Upstreams of a version that does not end with the
-            roll-out.
+        remaining: Upstreams that remain after the roll-out: those whose version
+            is not one of `old_versions`, such as the new version, later
+            versions and unknown ones.
     """
 
     progress: progresses.Progress
@@ -60,23 +68,24 @@
     new: tuple[tables.Upstream, ...]
     trial: tuple[tables.Upstream, ...]
     shared: tuple[tables.Upstream, ...]
-    not_replaced: tuple[tables.Upstream, ...]
+    remaining: tuple[tables.Upstream, ...]
 
 
 class SubsetSelector:
-    """Selects the upstreams of each send by the phase of the roll-out.
+    """Selects the upstreams of each attempt by the phase of the roll-out.
 
-    Each daemon sends a share of its own calls to the new version. Together
-    these make up that share of all calls, without coordination between daemons.
+    Each daemon sends the same share of its calls to the new version. The new
+    version thus gets this share of all calls, without coordination between the
+    daemons.
     """
 
     def __init__(self, tracker: trackers.RolloutTracker, share: float = 0.0):
-        """Sets the roll-outs and the share of the trial phase.
+        """Initializes the selector.
 
         Args:
-            tracker: The roll-outs.
+            tracker: Tracks the roll-outs of all services.
             share: Share of a service's calls that a new version gets in the
-                trial phase; 0: the default.
+                trial phase, or 0 for the default.
         """
         self._tracker = tracker
         self._share = share or TRIAL_SHARE
@@ -86,11 +95,11 @@
     def choose(
         self, service: str, upstreams: tuple[tables.Upstream, ...]
     ) -> Subset:
-        """Returns the subset that the next send of a call may use.
+        """Returns the subset that the next attempt of a call may use.
 
         Args:
             service: Service of the call.
-            upstreams: All its upstreams.
+            upstreams: All upstreams of the service.
         """
         progress = self._tracker.get(service)
         if progress is None:
@@ -100,14 +109,14 @@
         if phase is analysis.Phase.NEW:
             return self._choose_in_new_phase(service, partition, progress)
         if phase is analysis.Phase.SHARED:
-            share, candidates = _SHARED_SHARE, partition.shared
+            share, candidates = _SHARED_PHASE_SHARE, partition.shared
         elif phase is analysis.Phase.TRIAL:
             share, candidates = self._share, partition.trial
         else:
             share, candidates = 0.0, ()
         if self._take_credit(service, share, candidates):
             return Subset(f"{service} {phase.name.lower()}", candidates)
-        if not partition.old and self._tracker.accepts_unknown_version(
+        if not partition.old and self._tracker.may_run_unknown_version(
             progress
         ):
             return Subset(f"{service} unknown", partition.unknown)
@@ -119,7 +128,7 @@
         if progress.ended:
             return Subset(
                 f"{service} after",
-                partition.not_replaced or partition.upstreams,
+                partition.remaining or partition.upstreams,
             )
         if partition.new:
             return Subset(f"{service} new", partition.new)
@@ -131,9 +140,15 @@
         share: float,
         candidates: tuple[tables.Upstream, ...],
     ) -> bool:
-        """Returns whether a send goes to one of the new version's candidates.
+        """Returns whether an attempt goes to the new version.
+
+        Each attempt adds `share` to the credit of the service, and each attempt
+        that goes to the new version takes 1 from it.
 
-        Each send earns `share` of a call to the new version.
+        Args:
+            service: Service of the call.
+            share: Share of the calls that the new version gets.
+            candidates: Upstreams of the new version that may get the call.
         """
         credit = self._credits.get(service, 0.0) + share
         if credit < 1.0 or not candidates:
@@ -148,9 +163,11 @@
         upstreams: tuple[tables.Upstream, ...],
         progress: progresses.Progress,
     ) -> _Partition:
-        """Returns the partition, computed again only after a change."""
+        """Returns the partition, which is recomputed only after a change."""
         suspects = frozenset(
-            name for name in progress.new_ids_seen if progress.is_suspect(name)
+            member_id
+            for member_id in progress.all_new_ids
+            if progress.is_suspect(member_id)
         )
         partition = self._partitions.get(service)
         if (
@@ -175,9 +192,10 @@
 ) -> _Partition:
     """Groups upstreams by version.
 
-    Only as many upstreams of the new version get calls as its share of the
-    calls keeps fully loaded. A version that fails under load thus fails before
-    it gets all calls.
+    In the trial and the shared phase, the number of upstreams of the new
+    version that get calls is proportional to the share of the new version, so
+    that each of them gets as much load as one of the old version. A version
+    that fails only under load thus fails before it gets all calls.
     """
     old_versions = progress.old_versions
     old = tuple(
@@ -191,7 +209,7 @@
         and upstream.member_id not in suspects
     )
     trial = new[: max(1, int(len(old) * share))]
-    shared = new[: max(1, int(len(old) * _SHARED_SHARE))]
+    shared = new[: max(1, int(len(old) * _SHARED_PHASE_SHARE))]
     not_replaced = tuple(
         upstream
         for upstream in upstreams
--- a/merlintrestle/rollouts/tracker.py
+++ b/merlintrestle/rollouts/tracker.py
@@ -1,4 +1,4 @@
-"""State of the roll-outs of all services, as known to this daemon."""
+"""Tracking of the roll-outs of all services, as known to this daemon."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 
 events = event_logs.EventLog("rollouts")
 
-# Fraction of its time after which an undecided roll-out is rolled back, so that
-# a version with too few calls to be judged is not kept indefinitely. The
-# remaining time is for writing the end, also if the store answers late.
+# Fraction of a roll-out's time after which it is rolled back if it is still in
+# the trial or the shared phase. Otherwise, a version that gets too few calls to
+# be evaluated would stay there indefinitely. The remaining time is needed to
+# write the final state, since the store may answer late.
 _DECISION_FRACTION = 0.8
-# Time after a rollback from which a backend server without a version may run
-# calls, as it is assumed never to announce one. Those that announce a version
-# do so a few seconds after the start of their daemon.
+# Time after a rollback until a backend server that has not announced its
+# version is assumed to have none, in seconds. Backend servers that announce a
+# version do so within a few seconds after the start of their daemon.
 _VERSION_TIMEOUT_S = 10.0
 _MS_PER_S = 1000
 
@@ -33,9 +34,9 @@
     """Tracks the roll-outs of all services.
 
     Attributes:
-        on_rollout: Called with each order that is new or has changed its state.
-        on_trial: Called with each merged record of a backend server that
-            differs from the one before.
+        on_rollout: Called with each order that is new or has a new state.
+        on_report: Called with each merged report of a backend server that
+            differs from its previous report.
     """
 
     def __init__(
@@ -43,14 +44,14 @@
         get_upstreams: Callable[[str], tuple[tables.Upstream, ...]],
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Starts without roll-outs.
+        """Initializes a tracker without roll-outs.
 
         Args:
             get_upstreams: Returns the upstreams of a service.
             get_time: Returns the monotonic time in seconds.
         """
         self.on_rollout: list[Callable[[control_pb2.Rollout], None]] = []
-        self.on_trial: list[Callable[[control_pb2.Trial], None]] = []
+        self.on_report: list[Callable[[control_pb2.Trial], None]] = []
         self._get_upstreams = get_upstreams
         self._get_time = get_time
         self._progress_by_service: dict[str, progress_lib.Progress] = {}
@@ -73,27 +74,30 @@
             progress.rollout for progress in self._progress_by_service.values()
         ]
 
-    def list_trials(self) -> list[control_pb2.Trial]:
-        """Returns the records of backend servers in open roll-outs."""
+    def list_reports(self) -> list[control_pb2.Trial]:
+        """Returns the reports of all backend servers in open roll-outs."""
         return [
-            trial
+            report
             for progress in self.list_open()
-            for trial in progress.trials.values()
+            for report in progress.reports.values()
         ]
 
     def merge(
         self,
         rollouts: Iterable[control_pb2.Rollout],
-        trials: Iterable[control_pb2.Trial],
+        reports: Iterable[control_pb2.Trial],
     ) -> None:
-        """Merges orders and records received from another daemon."""
+        """Merges orders and reports received from another daemon."""
         for rollout in rollouts:
             self.merge_rollout(rollout)
-        for trial in trials:
-            self.merge_trial(trial)
+        for report in reports:
+            self.merge_report(report)
 
     def merge_rollout(self, received: control_pb2.Rollout) -> None:
-        """Merges an order, and notifies listeners if it is new or changed."""
+        """Merges an order, and notifies the listeners if it is new or changed.
+
+        An invalid order is logged and ignored.
+        """
         if fault := records.find_fault(received):
             events.warn("order refused", service=received.service, error=fault)
             return
@@ -118,19 +122,22 @@
         for notify in self.on_rollout:
             notify(chosen)
 
-    def merge_trial(self, received: control_pb2.Trial) -> None:
-        """Merges a backend server's record, and notifies of a change."""
+    def merge_report(self, received: control_pb2.Trial) -> None:
+        """Merges a backend server's report, and notifies of a change.
+
+        A report that is not on the last order of the service is ignored.
+        """
         progress = self._progress_by_service.get(received.service)
         if progress is None or received.number != progress.rollout.number:
             return
-        merged = records.merge_trial(
-            progress.trials.get(received.member_id), received
+        merged = records.merge_report(
+            progress.reports.get(received.member_id), received
         )
         if merged is None:
             return
-        progress.trials[received.member_id] = merged
+        progress.reports[received.member_id] = merged
         self.update(received.service)
-        for notify in self.on_trial:
+        for notify in self.on_report:
             notify(merged)
 
     def update(self, service: str) -> None:
@@ -150,17 +157,18 @@
         return self._get_time() - progress.phase_started_at
 
     def is_decision_overdue(self, progress: progress_lib.Progress) -> bool:
-        """Returns whether the time to decide on a roll-out has passed."""
+        """Returns whether an undecided roll-out must be rolled back."""
         within_s = progress.rollout.within_ms / _MS_PER_S
         age_s = self._get_time() - progress.received_at
         return age_s >= _DECISION_FRACTION * within_s
 
-    def accepts_unknown_version(self, progress: progress_lib.Progress) -> bool:
-        """Returns whether a backend server without a version may run calls.
+    def may_run_unknown_version(self, progress: progress_lib.Progress) -> bool:
+        """Returns whether a backend server of unknown version may run calls.
 
-        It may be of the version that was rolled back, with a daemon that has
-        just started. A backend server that never announces its version is not
-        excluded permanently.
+        After a rollback, its daemon may have just started, and its version may
+        be the one that was rolled back. It may run calls only after some time,
+        so that a backend server that never announces a version is not excluded
+        permanently.
         """
         if not progress.ended:
             return False
@@ -169,21 +177,22 @@
         return self.get_phase_age(progress) >= _VERSION_TIMEOUT_S
 
     def _choose_phase(self, progress: progress_lib.Progress) -> analysis.Phase:
-        """Returns the phase by the written end, or else by the evidence.
+        """Returns the phase that the final state or the evidence requires.
 
-        While the roll-out is open, its phase never moves backwards.
+        A final state determines the phase. While the roll-out is open, the
+        evidence does, and the phase never returns to an earlier one.
         """
         state = progress.rollout.state
         if state == control_pb2.ROLLED_BACK:
             return analysis.Phase.BACK
         if state == control_pb2.COMPLETE:
             return analysis.Phase.NEW
-        allowed = analysis.choose_phase(
+        phase_by_evidence = analysis.choose_phase(
             progress.rollout.within_ms / _MS_PER_S,
             progress.get_failure_ratios(),
             progress.list_evidence(),
         )
-        phase = max(allowed, progress.phase)
+        phase = max(phase_by_evidence, progress.phase)
         if phase < analysis.Phase.NEW and self.is_decision_overdue(progress):
             return analysis.Phase.BACK
         return phase
@@ -203,8 +212,10 @@
             suspects=sum(server.suspect for server in evidence),
             backend_servers=len(evidence),
             failed_before={
-                name: round(ratio, 3)
-                for name, ratio in progress.get_failure_ratios().items()
+                class_name: round(failure_ratio, 3)
+                for class_name, failure_ratio in (
+                    progress.get_failure_ratios().items()
+                )
             },
             age_ms=round((self._get_time() - progress.received_at) * _MS_PER_S),
         )
--- a/tests/rollouts/builders.py
+++ b/tests/rollouts/builders.py
@@ -15,7 +15,7 @@
 
 
 def build_rollout(**changes: Any) -> control_pb2.Rollout:
-    """Builds an order to move balie from v1 to v2 within ten seconds.
+    """Builds an order to move `SERVICE` from v1 to v2 within ten seconds.
 
     Args:
         **changes: Fields that differ from this order.
@@ -29,13 +29,13 @@
     return control_pb2.Rollout(**(fields | changes))
 
 
-def build_trial(
+def build_report(
     member_id: str, calls: int = 0, bad: int = 0, **changes: Any
 ) -> control_pb2.Trial:
-    """Builds the record of a backend server in one class of work.
+    """Builds the report of a backend server, with one class of work.
 
     Args:
-        member_id: Id of its daemon.
+        member_id: Member id of its daemon.
         calls: Number of calls, each of 100 ms.
         bad: Number of bad calls.
         **changes: Other fields.
@@ -54,14 +54,19 @@
 
 
 def build_upstream(member_id: str, version: str = "v1") -> tables.Upstream:
-    """Builds an upstream."""
+    """Builds an upstream of a version; empty if the version is not known."""
     return tables.Upstream(
         member_id, "127.0.0.1", 8624, "noord", "west", 6, 0, False, version
     )
 
 
 def build_upstreams(old: int, new: int) -> tuple[tables.Upstream, ...]:
-    """Builds a number of upstreams of v1, and of v2."""
+    """Builds the upstreams of a service.
+
+    Args:
+        old: Number of upstreams of v1, with the member ids 10.0.0.x:7600.
+        new: Number of upstreams of v2, with the member ids 10.0.1.x:7600.
+    """
     return tuple(
         [build_upstream(f"10.0.0.{i}:7600") for i in range(1, old + 1)]
         + [build_upstream(f"10.0.1.{i}:7600", "v2") for i in range(1, new + 1)]
@@ -69,31 +74,41 @@
 
 
 def copy(rollout: control_pb2.Rollout) -> control_pb2.Rollout:
-    """Returns a copy of a roll-out, as a link transmits it."""
+    """Returns a copy of an order, as a link would transmit it."""
     return control_pb2.Rollout.FromString(rollout.SerializeToString())
 
 
 class Clock:
-    """A clock that the test sets, in seconds."""
+    """Clock that the test sets.
+
+    Attributes:
+        now: The time, in seconds.
+    """
 
     def __init__(self) -> None:
         self.now = 100.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the time, in seconds."""
         return self.now
 
 
 class ServiceFixture:
-    """A tracker with the upstreams of one service.
+    """Tracker with the upstreams of one service.
 
     Attributes:
-        upstreams: The upstreams of balie.
+        upstreams: The upstreams of `SERVICE`.
         clock: The clock of the tracker.
         tracker: The tracker.
     """
 
     def __init__(self, old: int = 3, new: int = 3):
+        """Initializes the tracker.
+
+        Args:
+            old: Number of upstreams of v1.
+            new: Number of upstreams of v2.
+        """
         self.upstreams = build_upstreams(old, new)
         self.clock = Clock()
         self.tracker = trackers.RolloutTracker(
@@ -102,19 +117,19 @@
 
     @property
     def progress(self) -> progresses.Progress:
-        """The roll-out of balie."""
+        """Progress of the roll-out of `SERVICE`."""
         progress = self.tracker.get(SERVICE)
         assert progress is not None
         return progress
 
 
 class FakeStore:
-    """A store in memory whose replies may be lost.
+    """In-memory store whose replies may be lost.
 
     Attributes:
         entries: The entries, by key.
-        lost_replies: Number of the next writes that are applied without a
-            reply.
+        lost_replies: Number of further writes that are applied but whose reply
+            is lost.
     """
 
     def __init__(self) -> None:
@@ -135,7 +150,7 @@
     async def list(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> list[client.Entry]:
-        """Returns the entries of a prefix, ordered by key."""
+        """Returns the entries whose keys have a prefix, ordered by key."""
         del after
         keys = sorted(key for key in self.entries if key.startswith(prefix))
         return [self.entries[key] for key in keys][:limit]
--- a/tests/rollouts/test_controller.py
+++ b/tests/rollouts/test_controller.py
@@ -1,4 +1,4 @@
-"""Tests of the time at which the end of a roll-out is written."""
+"""Tests of the time at which the final state of a roll-out is written."""
 
 from __future__ import annotations
 
@@ -33,32 +33,32 @@
             self.fixture.tracker, observer, storage, lambda: 0
         )
 
-    def order(self) -> None:
-        """Orders a roll-out whose new version proves healthy."""
+    def start_rollout(self) -> None:
+        """Starts a roll-out with a new version that is healthy."""
         self.fixture.tracker.merge_rollout(
             builders.build_rollout(state=control_pb2.RUNNING)
         )
-        good = builders.build_trial(_NEW, 500, 0, watched_ms=9_000)
-        self.fixture.tracker.merge_trial(good)
+        healthy = builders.build_report(_NEW, 500, 0, watched_ms=9_000)
+        self.fixture.tracker.merge_report(healthy)
 
-    async def test_end_waits_for_old_version_to_drain(self) -> None:
+    async def test_completion_waits_for_old_version_to_drain(self) -> None:
         """Guards against calls that are lost when their server is stopped."""
-        self.order()
+        self.start_rollout()
         await self.controller.write_state(self.fixture.progress)
         self.assertFalse(self.fixture.progress.ended)
-        self.fixture.tracker.merge_trial(
-            builders.build_trial(_OLD, drained=True)
+        self.fixture.tracker.merge_report(
+            builders.build_report(_OLD, drained=True)
         )
         await self.controller.write_state(self.fixture.progress)
         self.assertTrue(self.fixture.progress.ended)
 
-    async def test_end_does_not_wait_for_unknown_version(self) -> None:
-        """Guards against an end delayed by a server that never drains."""
+    async def test_completion_does_not_wait_for_unknown_version(self) -> None:
+        """Guards against waiting for a server that never reports drained."""
         unknown = builders.build_upstream(_UNKNOWN, "")
         self.fixture.upstreams = (*self.fixture.upstreams, unknown)
-        self.order()
-        self.fixture.tracker.merge_trial(
-            builders.build_trial(_OLD, drained=True)
+        self.start_rollout()
+        self.fixture.tracker.merge_report(
+            builders.build_report(_OLD, drained=True)
         )
         await self.controller.write_state(self.fixture.progress)
         self.assertTrue(self.fixture.progress.ended)
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -21,8 +21,8 @@
         self.backend.service = builders.SERVICE
         self.in_flight = 0
 
-    def observe(self, member_id: str, version: str) -> observers.Observer:
-        """Orders a roll-out, and builds the observer of a backend server."""
+    def start_rollout(self, member_id: str, version: str) -> observers.Observer:
+        """Starts a roll-out, and builds the observer of a backend server."""
         self.backend.version = version
         self.fixture.tracker.merge_rollout(builders.build_rollout())
         return observers.Observer(
@@ -38,59 +38,60 @@
         observer: observers.Observer,
         calls: int,
         failed: bool = False,
-        took_s: float = 0.1,
+        duration_s: float = 0.1,
     ) -> None:
         """Records calls at a rate of twenty per second."""
         for _ in range(calls):
             self.fixture.clock.now += 0.05
-            observer.record_answer("lookup", failed, took_s)
+            observer.record_answer("lookup", failed, duration_s)
 
     def set_baseline(self, calls: int = 100, bad: int = 0) -> None:
         """Sets the baseline, with a mean duration of 0.1 s."""
-        trial = builders.build_trial(_OLD, calls, bad)
-        self.fixture.tracker.merge_trial(trial)
+        report = builders.build_report(_OLD, calls, bad)
+        self.fixture.tracker.merge_report(report)
 
     def test_failing_version_is_suspect(self) -> None:
-        observer = self.observe(_NEW, "v2")
+        """Guards against a failing version that is never rolled back."""
+        observer = self.start_rollout(_NEW, "v2")
         self.record_calls(observer, 30, failed=True)
         self.assertTrue(self.fixture.progress.is_suspect(_NEW))
 
     def test_slow_version_is_suspect(self) -> None:
-        """Guards against a version that answers correctly but far too late."""
-        observer = self.observe(_NEW, "v2")
+        """Guards against accepting a version whose answers are far too slow."""
+        observer = self.start_rollout(_NEW, "v2")
         self.set_baseline()
-        self.record_calls(observer, 30, took_s=0.5)
+        self.record_calls(observer, 30, duration_s=0.5)
         self.assertTrue(self.fixture.progress.is_suspect(_NEW))
 
     def test_cold_start_is_not_slow(self) -> None:
-        """Guards against a rollback of a version that has just started."""
-        observer = self.observe(_NEW, "v2")
+        """Guards against a rollback because the version has just started."""
+        observer = self.start_rollout(_NEW, "v2")
         self.set_baseline()
         self.backend.warm_at = self.fixture.clock.now + 10.0
-        self.record_calls(observer, 30, took_s=0.5)
+        self.record_calls(observer, 30, duration_s=0.5)
         self.assertFalse(self.fixture.progress.is_suspect(_NEW))
 
     def test_nothing_is_slow_without_baseline(self) -> None:
-        """Guards against judging durations without a comparison."""
-        observer = self.observe(_NEW, "v2")
+        """Guards against a rollback for durations without a comparison."""
+        observer = self.start_rollout(_NEW, "v2")
         self.set_baseline(calls=3)
-        self.record_calls(observer, 30, took_s=0.5)
+        self.record_calls(observer, 30, duration_s=0.5)
         self.assertFalse(self.fixture.progress.is_suspect(_NEW))
 
     def test_failures_of_both_versions_are_not_suspect(self) -> None:
-        """Guards against a rollback for a disturbance of both versions."""
-        observer = self.observe(_NEW, "v2")
+        """Guards against a rollback for faults that affect both versions."""
+        observer = self.start_rollout(_NEW, "v2")
         self.set_baseline(bad=30)
         for _ in range(20):
             self.record_calls(observer, 1, failed=True)
             self.record_calls(observer, 2)
         self.assertFalse(self.fixture.progress.is_suspect(_NEW))
 
-    def test_old_version_is_closed_and_drained(self) -> None:
+    def test_old_version_refuses_calls_and_drains(self) -> None:
         """Guards against calls to servers that are about to be stopped."""
-        observer = self.observe(_OLD, "v1")
-        good = builders.build_trial(_NEW, 500, 0, watched_ms=9_000)
-        self.fixture.tracker.merge_trial(good)
+        observer = self.start_rollout(_OLD, "v1")
+        healthy = builders.build_report(_NEW, 500, 0, watched_ms=9_000)
+        self.fixture.tracker.merge_report(healthy)
         self.assertIs(self.fixture.progress.phase, analysis.Phase.NEW)
         self.assertTrue(observer.may_run())
         self.in_flight = 1
@@ -103,40 +104,43 @@
         self.assertTrue(self.fixture.progress.is_drained(_OLD))
 
     def test_rolled_back_version_runs_no_calls(self) -> None:
-        """Guards against senders that do not know of the end."""
-        observer = self.observe(_NEW, "v2")
+        """Guards against calls from daemons that have not learned of it yet."""
+        observer = self.start_rollout(_NEW, "v2")
         self.assertTrue(observer.may_run())
-        end = builders.build_rollout(state=control_pb2.ROLLED_BACK)
-        self.fixture.tracker.merge_rollout(end)
+        rolled_back = builders.build_rollout(state=control_pb2.ROLLED_BACK)
+        self.fixture.tracker.merge_rollout(rolled_back)
         self.assertFalse(observer.may_run())
 
-    def observe_unknown_version(self) -> observers.Observer:
-        """Orders a roll-out for a backend server without a known version."""
+    def start_with_unknown_version(self) -> observers.Observer:
+        """Starts a roll-out, with a local backend server of unknown version."""
         unknown = self.fixture.upstreams[0]._replace(version="")
         self.fixture.upstreams = (unknown, *self.fixture.upstreams[1:])
-        return self.observe(_OLD, "")
+        return self.start_rollout(_OLD, "")
 
     def end_rollout(self, state: control_pb2.RolloutState) -> None:
-        """Ends the roll-out."""
+        """Ends the roll-out with a final state."""
         self.fixture.tracker.merge_rollout(builders.build_rollout(state=state))
 
     def test_unknown_version_reports_nothing(self) -> None:
-        """Guards against answers of a new version in the baseline."""
-        observer = self.observe_unknown_version()
+        """Guards against calls of the new version in the baseline."""
+        observer = self.start_with_unknown_version()
         self.record_calls(observer, 30, failed=True)
         observer.update()
-        self.assertEqual(self.fixture.tracker.list_trials(), [])
+        self.assertEqual(self.fixture.tracker.list_reports(), [])
 
     def test_server_that_lost_its_version_reports_nothing(self) -> None:
-        """Guards against a restart that the member table shows later."""
-        observer = self.observe(_OLD, "v1")
+        """Guards against counting a restarted server as one of the old version.
+
+        The member table lists its former version for some time after a restart.
+        """
+        observer = self.start_rollout(_OLD, "v1")
         self.backend.version = ""
         self.record_calls(observer, 30, failed=True)
-        self.assertEqual(self.fixture.tracker.list_trials(), [])
+        self.assertEqual(self.fixture.tracker.list_reports(), [])
 
     def test_unknown_version_runs_no_calls_during_rollout(self) -> None:
-        """Guards against senders that do not know that a version is bad."""
-        observer = self.observe_unknown_version()
+        """Guards against calls to a server whose version may be a bad one."""
+        observer = self.start_with_unknown_version()
         self.assertFalse(observer.may_run())
         self.fixture.clock.now += 7.9
         self.assertFalse(observer.may_run())
@@ -150,10 +154,10 @@
         self.assertTrue(observer.may_run())
 
     def test_unknown_version_is_not_reported_drained(self) -> None:
-        """Guards against a new version that counts as a drained old one."""
-        observer = self.observe_unknown_version()
-        good = builders.build_trial(_NEW, 500, 0, watched_ms=9_000)
-        self.fixture.tracker.merge_trial(good)
+        """Guards against a server of the new version that reports drained."""
+        observer = self.start_with_unknown_version()
+        healthy = builders.build_report(_NEW, 500, 0, watched_ms=9_000)
+        self.fixture.tracker.merge_report(healthy)
         self.assertIs(self.fixture.progress.phase, analysis.Phase.NEW)
         self.fixture.clock.now += 1.0
         self.assertFalse(observer.may_run())
@@ -161,48 +165,56 @@
         self.assertFalse(self.fixture.progress.is_drained(_OLD))
 
     def test_unknown_version_runs_calls_after_completion(self) -> None:
-        """Guards against refused calls after each restart of a daemon."""
-        observer = self.observe_unknown_version()
+        """Guards against refused calls after every restart of a daemon."""
+        observer = self.start_with_unknown_version()
         self.end_rollout(control_pb2.COMPLETE)
         self.fixture.clock.now += 1.0
         self.assertTrue(observer.may_run())
 
-    def test_unknown_version_is_not_closed_permanently(self) -> None:
-        """Guards against closing servers that the roll-out does not concern."""
-        observer = self.observe_unknown_version()
+    def test_unknown_version_does_not_refuse_calls_permanently(self) -> None:
+        """Guards against excluding servers that never announce a version."""
+        observer = self.start_with_unknown_version()
         self.end_rollout(control_pb2.ROLLED_BACK)
         self.fixture.clock.now += 5.0
         self.assertFalse(observer.may_run())
         self.fixture.clock.now += 10.0
         self.assertTrue(observer.may_run())
 
-    def observe_completed(self, version: str) -> observers.Observer:
-        """Completes a roll-out, and returns the observer of a version."""
-        observer = self.observe("10.0.2.1:7600", version)
+    def complete_rollout(self, version: str) -> observers.Observer:
+        """Completes a roll-out, and builds the observer of a backend server.
+
+        Args:
+            version: Version of the backend server.
+        """
+        observer = self.start_rollout("10.0.2.1:7600", version)
         self.end_rollout(control_pb2.COMPLETE)
         self.fixture.clock.now += 1.0
         observer.update()
         return observer
 
-    def test_old_version_stays_closed_while_new_one_serves(self) -> None:
+    def test_old_version_refuses_calls_after_completion(self) -> None:
         """Guards against calls that are lost when their server is stopped."""
-        self.assertFalse(self.observe_completed("v1").may_run())
+        self.assertFalse(self.complete_rollout("v1").may_run())
 
-    def test_old_version_serves_again_without_the_new_one(self) -> None:
-        """Guards against refusing all calls after the new version left."""
-        observer = self.observe_completed("v1")
+    def test_old_version_runs_calls_after_the_new_one_left(self) -> None:
+        """Guards against refusing all calls once the new version has left."""
+        observer = self.complete_rollout("v1")
         self.fixture.upstreams = self.fixture.upstreams[:3]
         observer.update()
         self.assertTrue(observer.may_run())
 
-    def test_later_version_is_not_closed(self) -> None:
-        """Guards against confusing a later version with the old one."""
-        self.assertTrue(self.observe_completed("v3").may_run())
+    def test_later_version_does_not_refuse_calls(self) -> None:
+        """Guards against confusing a later version with the replaced one."""
+        self.assertTrue(self.complete_rollout("v3").may_run())
+
+    def test_later_version_runs_calls_after_the_new_one_left(self) -> None:
+        """Guards against refusing calls if the old version was never seen.
 
-    def test_later_version_serves_after_the_new_one_left(self) -> None:
-        """Guards against a daemon that has never seen the old version."""
+        The daemon considers every other version replaced, but only while the
+        new version has upstreams.
+        """
         self.fixture.upstreams = self.fixture.upstreams[3:]
-        observer = self.observe_completed("v3")
+        observer = self.complete_rollout("v3")
         self.assertFalse(observer.may_run())
         later = builders.build_upstream("10.0.2.1:7600", "v3")
         self.fixture.upstreams = (later,)
@@ -210,10 +222,11 @@
         self.assertTrue(observer.may_run())
 
     def test_service_without_rollout_is_not_observed(self) -> None:
+        """Guards against refused calls or reports without a roll-out."""
         observer = observers.Observer(
             self.fixture.tracker, self.backend, lambda: _OLD, lambda: 0
         )
         observer.record_answer("lookup", True, 1.0)
         observer.update()
         self.assertTrue(observer.may_run())
-        self.assertEqual(self.fixture.tracker.list_trials(), [])
+        self.assertEqual(self.fixture.tracker.list_reports(), [])
--- a/tests/rollouts/test_states.py
+++ b/tests/rollouts/test_states.py
@@ -1,4 +1,8 @@
-"""Property test: every roll-out has one end, whichever daemons race."""
+"""State-machine test of the final state of an order.
+
+Every order must have one final state, even if daemons write concurrently,
+restart, or receive reports in a different sequence.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 
 class _Daemon:
-    """A daemon that judges roll-outs and writes their states."""
+    """Daemon that tracks roll-outs and writes their states."""
 
     def __init__(self, store: builders.FakeStore, clock: builders.Clock):
         upstreams = builders.build_upstreams(2, 2)
@@ -39,8 +43,16 @@
         )
 
 
-class RolloutMachine(stateful.RuleBasedStateMachine):
-    """Daemons that receive evidence in any order, restart and race."""
+class RolloutStateMachine(stateful.RuleBasedStateMachine):
+    """Daemons with a common store, during the roll-outs of one service.
+
+    Attributes:
+        store: The store.
+        clock: The clock of all daemons.
+        daemons: The daemons.
+        final_states: The final states that were seen of each order, by its
+            number.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -49,12 +61,12 @@
         self.daemons = [
             _Daemon(self.store, self.clock) for _ in range(_DAEMONS)
         ]
-        self.ends: dict[int, set[int]] = {}
-        self.order()
+        self.final_states: dict[int, set[int]] = {}
+        self.write_order()
 
     @stateful.rule()
-    def order(self) -> None:
-        """The operator orders the roll-out, perhaps again."""
+    def write_order(self) -> None:
+        """The operator orders the roll-out, possibly again."""
         order = builders.build_rollout(number=0, within_ms=10_000)
         self.store.write(
             storages.ORDER_PREFIX + builders.SERVICE,
@@ -62,7 +74,7 @@
         )
 
     @stateful.rule(daemon=_daemons)
-    def read(self, daemon: int) -> None:
+    def read_orders(self, daemon: int) -> None:
         """A daemon reads the orders."""
 
         async def run() -> None:
@@ -79,7 +91,7 @@
         watched_ms=strategies.sampled_from([100, 3_500, 6_000]),
         suspect=strategies.booleans(),
     )
-    def receive_trial(
+    def receive_report(
         self,
         daemon: int,
         server: int,
@@ -87,28 +99,28 @@
         watched_ms: int,
         suspect: bool,
     ) -> None:
-        """A daemon receives the record of a backend server."""
+        """A daemon receives the report of a backend server."""
         progress = self.daemons[daemon].tracker.get(builders.SERVICE)
         if progress is not None:
-            trial = builders.build_trial(
+            report = builders.build_report(
                 f"10.0.1.{server}:7600",
                 calls,
                 number=progress.rollout.number,
                 watched_ms=watched_ms,
                 suspect=suspect,
             )
-            self.daemons[daemon].tracker.merge_trial(trial)
+            self.daemons[daemon].tracker.merge_report(report)
 
     @stateful.rule(daemon=_daemons, receiver=_daemons)
     def gossip(self, daemon: int, receiver: int) -> None:
-        """A daemon sends all its records to another."""
+        """A daemon sends all its orders and reports to another daemon."""
         tracker = self.daemons[daemon].tracker
-        sent = [builders.copy(rollout) for rollout in tracker.list_rollouts()]
-        self.daemons[receiver].tracker.merge(sent, tracker.list_trials())
+        orders = [builders.copy(rollout) for rollout in tracker.list_rollouts()]
+        self.daemons[receiver].tracker.merge(orders, tracker.list_reports())
 
     @stateful.rule(daemon=_daemons, lost=strategies.booleans())
-    def write(self, daemon: int, lost: bool) -> None:
-        """A daemon writes the states; the reply may be lost."""
+    def write_states(self, daemon: int, lost: bool) -> None:
+        """A daemon writes the states; the reply to the first may be lost."""
 
         async def run() -> None:
             writer = self.daemons[daemon]
@@ -119,10 +131,10 @@
         asyncio.run(run())
         self.store.lost_replies = 0
 
-    @stateful.rule(seconds=strategies.sampled_from([0.5, 4.0, 10.0]))
-    def wait(self, seconds: float) -> None:
-        """Time passes."""
-        self.clock.now += seconds
+    @stateful.rule(duration_s=strategies.sampled_from([0.5, 4.0, 10.0]))
+    def wait(self, duration_s: float) -> None:
+        """Time passes, and all daemons update the phase."""
+        self.clock.now += duration_s
         for daemon in self.daemons:
             daemon.tracker.update(builders.SERVICE)
 
@@ -132,19 +144,19 @@
         self.daemons[daemon] = _Daemon(self.store, self.clock)
 
     @stateful.invariant()
-    def every_order_has_one_end(self) -> None:
-        """The store and the daemons agree on one end of each order."""
+    def every_order_has_one_final_state(self) -> None:
+        """The store and the daemons agree on one final state of each order."""
         entry = self.store.entries.get(storages.STATE_PREFIX + builders.SERVICE)
         if entry is not None:
             written = control_pb2.Rollout.FromString(entry.value)
-            self.record_end(written)
+            self.record_final_state(written)
         for daemon in self.daemons:
             for rollout in daemon.tracker.list_rollouts():
-                self.record_end(rollout)
+                self.record_final_state(rollout)
 
     @stateful.invariant()
-    def phase_matches_the_end(self) -> None:
-        """The phase at each daemon agrees with the end that it knows."""
+    def phase_matches_final_state(self) -> None:
+        """The phase at each daemon matches the final state that it knows."""
         for daemon in self.daemons:
             progress = daemon.tracker.get(builders.SERVICE)
             if progress is None or not progress.ended:
@@ -153,19 +165,19 @@
             phase = analysis.Phase.NEW if complete else analysis.Phase.BACK
             assert progress.phase is phase
 
-    def record_end(self, rollout: control_pb2.Rollout) -> None:
-        """Records an end; an order must not have two."""
+    def record_final_state(self, rollout: control_pb2.Rollout) -> None:
+        """Records a final state; an order must not have two."""
         if rollout.state in records.ENDED:
-            ends = self.ends.setdefault(rollout.number, set())
-            ends.add(rollout.state)
-            assert len(ends) == 1, "two ends of one order"
+            final_states = self.final_states.setdefault(rollout.number, set())
+            final_states.add(rollout.state)
+            assert len(final_states) == 1, "two final states of one order"
 
 
 class RolloutStatesTest(unittest.TestCase):
-    def test_every_order_has_one_end(self):
+    def test_every_order_has_one_final_state(self):
         """Guards against a rollback after the old version was stopped."""
         stateful.run_state_machine_as_test(
-            RolloutMachine,
+            RolloutStateMachine,
             settings=hypothesis.settings(
                 max_examples=60, stateful_step_count=30, deadline=None
             ),
--- a/tests/rollouts/test_storage.py
+++ b/tests/rollouts/test_storage.py
@@ -17,42 +17,42 @@
     storages.DefaultFormat(),
     rollouts.OPERATORS_FORMAT,
 )
-_ENDS = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
+_FINAL_STATES = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
 
 
 class RolloutStorageTest(unittest.IsolatedAsyncioTestCase):
-    async def test_first_end_is_kept(self):
-        """Guards against a second end that replaces the first."""
-        for record_format, order in itertools.product(
-            _FORMATS, itertools.permutations(_ENDS)
+    async def test_first_final_state_is_kept(self):
+        """Guards against a second final state that replaces the first."""
+        for record_format, states in itertools.product(
+            _FORMATS, itertools.permutations(_FINAL_STATES)
         ):
-            with self.subTest(record_format=record_format, order=order):
+            with self.subTest(record_format=record_format, states=states):
                 storage = storages.RolloutStorage(
                     builders.FakeStore(), record_format
                 )
                 rollout = builders.build_rollout()
                 written = [
                     await storage.write_state(rollout, state)
-                    for state in (*order, control_pb2.RUNNING)
+                    for state in (*states, control_pb2.RUNNING)
                 ]
-                self.assertEqual(written, [order[0]] * 3)
+                self.assertEqual(written, [states[0]] * 3)
 
     async def test_concurrent_writers_agree(self):
-        """Guards against two daemons that write different ends concurrently."""
+        """Guards against two daemons that write different final states."""
         for record_format in _FORMATS:
             store = builders.FakeStore()
             first, second = (
                 storages.RolloutStorage(store, record_format) for _ in range(2)
             )
             rollout = builders.build_rollout()
-            ends = await asyncio.gather(
+            states = await asyncio.gather(
                 first.write_state(rollout, control_pb2.COMPLETE),
                 second.write_state(rollout, control_pb2.ROLLED_BACK),
             )
-            self.assertEqual(len(set(ends)), 1)
+            self.assertEqual(len(set(states)), 1)
 
     async def test_lost_reply_is_resolved_by_reading(self):
-        """Guards against overwriting an end whose write got no reply."""
+        """Guards against replacing a final state whose write got no reply."""
         for record_format in _FORMATS:
             store = builders.FakeStore()
             storage = storages.RolloutStorage(store, record_format)
@@ -64,7 +64,7 @@
             self.assertEqual(state, control_pb2.COMPLETE)
 
     async def test_repeated_order_starts_again(self):
-        """Guards against an order that gets the end of the previous one."""
+        """Guards against an order that gets the state of the previous one."""
         for record_format in _FORMATS:
             store = builders.FakeStore()
             storage = storages.RolloutStorage(store, record_format)
@@ -76,24 +76,24 @@
             await storage.write_state(repeated, control_pb2.RUNNING)
 
     async def test_malformed_orders_do_not_block_others(self):
-        """Guards against another writer's record that stops all roll-outs."""
+        """Guards against a malformed record that blocks all roll-outs."""
         record_format = rollouts.OPERATORS_FORMAT
         storage = storages.RolloutStorage(builders.FakeStore(), record_format)
-        good = b'{"service":"balie","targetVersion":"v2","durationS":12}'
+        valid = b'{"service":"balie","targetVersion":"v2","durationS":12}'
         values = (
             b"",
             b"[]",
             b"{}",
-            good.replace(b"12", b"true"),
-            good.replace(b"12", b"-1"),
-            good.replace(b"12", b"NaN"),
-            good.replace(b"balie", b"kassa"),
-            good.replace(b'"v2"', b"2"),
-            good,
+            valid.replace(b"12", b"true"),
+            valid.replace(b"12", b"-1"),
+            valid.replace(b"12", b"NaN"),
+            valid.replace(b"balie", b"kassa"),
+            valid.replace(b'"v2"', b"2"),
+            valid,
         )
         entries = [
-            client.Entry("op/rollout/balie", value, number + 1)
-            for number, value in enumerate(values)
+            client.Entry("op/rollout/balie", value, index + 1)
+            for index, value in enumerate(values)
         ]
         orders = storage.parse_orders(entries)
         self.assertEqual(
