--- a/tests/requests/relays.py
+++ b/tests/requests/relays.py
@@ -13,100 +13,109 @@
 
     import aiohttp
 
-# One way over a link that is full, in seconds: both ways take more than any
-# call of a second keeps for its way back.
+# One-way delay of a full link. The round trip exceeds the return trip that any
+# call with a deadline of one second reserves.
 _FULL_LINK_S = 0.15
 
 
 class Relay:
-    """Passes bytes on to a port, until it is told to lose track.
+    """Forwards bytes to a port, and drops them once silenced.
 
     Attributes:
-        port: Where it listens.
-        forwarded_bytes: Bytes that it passed on, both ways.
-        delay_s: How late it passes bytes on, in seconds.
+        port: Port on which it listens.
+        forwarded_bytes: Bytes forwarded in both directions.
+        delay_s: Delay before bytes are forwarded, in seconds.
     """
 
     def __init__(self, target_port: int):
-        """Sets the port that is relayed to."""
+        """Sets the port to forward to."""
         self.port = 0
         self.forwarded_bytes = 0
         self.delay_s = 0.0
         self._target_port = target_port
-        self._silent_from: asyncio.Event = asyncio.Event()
-        self._deaf = False
+        self._silenced: asyncio.Event = asyncio.Event()
+        self._ignores_new = False
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Ends all connections."""
+        """Stops listening and resets all connections."""
         self._server.close()
         for task in self._tasks:
             task.cancel()
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Resets the connections that are open."""
+        """Resets the open connections."""
         for writer in self._writers:
             writer.transport.abort()
 
-    def silence(self, new_ones_too: bool = False) -> None:
-        """Drops whatever comes on the connections that are open."""
-        self._silent_from.set()
-        self._silent_from = asyncio.Event()
-        self._deaf = new_ones_too
+    def silence(self, include_new: bool = False) -> None:
+        """Drops all bytes received on the open connections from now on.
+
+        Args:
+            include_new: Also never forward anything on new connections.
+        """
+        self._silenced.set()
+        self._silenced = asyncio.Event()
+        self._ignores_new = include_new
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.append(writer)
-        if self._deaf:
+        if self._ignores_new:
             return
-        silent = self._silent_from
-        far_reader, far_writer = await asyncio.open_connection(
+        silenced = self._silenced
+        target_reader, target_writer = await asyncio.open_connection(
             "127.0.0.1", self._target_port
         )
-        self._writers.append(far_writer)
-        for source, sink in ((reader, far_writer), (far_reader, writer)):
-            task = asyncio.create_task(self._pass_on(source, sink, silent))
+        self._writers.append(target_writer)
+        for source, sink in ((reader, target_writer), (target_reader, writer)):
+            task = asyncio.create_task(self._forward(source, sink, silenced))
             self._tasks.add(task)
 
-    async def _pass_on(
+    async def _forward(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
-        silent: asyncio.Event,
+        silenced: asyncio.Event,
     ) -> None:
         while True:
-            piece = await source.read(65536)
-            if silent.is_set():
-                if not piece:
+            data = await source.read(65536)
+            if silenced.is_set():
+                if not data:
                     return
                 continue
-            if not piece:
+            if not data:
                 sink.close()
                 return
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            self.forwarded_bytes += len(piece)
-            sink.write(piece)
+            self.forwarded_bytes += len(data)
+            sink.write(data)
 
 
 @contextlib.asynccontextmanager
 async def run_relayed_nodes(
     handler: Any, count: int = 2, **options: Any
 ) -> AsyncIterator[tuple[list[builders.Node], Relay, aiohttp.ClientSession]]:
-    """Runs daemons; the first sends all to the others, the second by a relay.
+    """Runs daemons; the first sends all calls to the others.
+
+    The first daemon reaches the second one through a relay.
 
     Args:
-        handler: Answers at every backend server.
-        count: How many daemons.
+        handler: Handler of every backend server.
+        count: Number of daemons.
         **options: Passed to each node.
+
+    Yields:
+        The nodes, the relay, and a client session.
     """
     async with (
         builders.run_nodes(count, handler=handler, **options) as nodes,
@@ -128,11 +137,14 @@
 async def run_nodes_after_full_link(
     handler: Any, **options: Any
 ) -> AsyncIterator[tuple[list[builders.Node], aiohttp.ClientSession]]:
-    """Runs two daemons; the link between them was full, and is free now.
+    """Runs two daemons; the link between them was full but is free now.
 
     Args:
-        handler: Answers at every backend server, "/quick" at once.
+        handler: Handler of every backend server; answers "/quick" at once.
         **options: Passed to each node.
+
+    Yields:
+        The nodes and a client session.
     """
     async with run_relayed_nodes(handler, **options) as (nodes, relay, client):
         relay.delay_s = _FULL_LINK_S
--- a/tests/requests/transport/test_answers.py
+++ b/tests/requests/transport/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that the daemon makes itself, as they go over a connection."""
+"""Tests of answers that the daemon generates itself."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 _TEXT = "no room für this\n"
 _DATE = re.compile(rb"Date: [^\r]*")
 _REQUESTS = {
-    "reads on": "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
-    "wants the head": "HEAD / HTTP/1.1\r\nHost: a\r\n\r\n",
-    "sends a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi",
-    "is old and reads on": (
+    "keep-alive": "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
+    "HEAD": "HEAD / HTTP/1.1\r\nHost: a\r\n\r\n",
+    "body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi",
+    "HTTP/1.0 keep-alive": (
         "GET / HTTP/1.0\r\nHost: a\r\nConnection: keep-alive\r\n\r\n"
     ),
 }
 _CLOSING = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 _LAST_REQUESTS = {
-    "closes": _CLOSING,
-    "is old": "GET / HTTP/1.0\r\nHost: a\r\n\r\n",
+    "close": _CLOSING,
+    "HTTP/1.0": "GET / HTTP/1.0\r\nHost: a\r\n\r\n",
 }
 
 
@@ -32,22 +32,21 @@
     return answers.ShortAnswer(status, "text/plain", _TEXT)
 
 
-def _build_usual(status: int) -> web.Response:
+def _build_standard(status: int) -> web.Response:
     return web.Response(status=status, text=_TEXT)
 
 
-class ShortTest(unittest.IsolatedAsyncioTestCase):
-    """A sender sees the bytes that the library's own answer would have.
+class ShortAnswerTest(unittest.IsolatedAsyncioTestCase):
+    """Answers have the same bytes as those of `web.Response`.
 
-    Refusals are written by a way of their own. What differs from the usual
-    way, such as a length or the end of a connection, would break the sender's
-    next request on it.
+    Refusals are written by separate code. A difference, such as a length or the
+    end of a connection, would break the sender's next request on it.
     """
 
     async def asyncSetUp(self) -> None:
-        self.build = _build_usual
+        self.build = _build_standard
         self.status = 503
-        self.leaving = False
+        self.draining = False
         self.server = server.Server(self._answer)
         await self.server.start("127.0.0.1", 0)
         self.addAsyncCleanup(self.server.close)
@@ -56,42 +55,42 @@
         await request.read()
         response = self.build(self.status)
         response.headers["Retry-After"] = "0.050"
-        if self.leaving:
+        if self.draining:
             response.force_close()
         return response
 
-    async def fetch(self, request: str) -> bytes:
-        """Sends what ends a connection; returns all that comes."""
+    async def fetch(self, requests: str) -> bytes:
+        """Sends requests, the last of which closes; returns all answers."""
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", self.server.port
         )
-        writer.write(request.encode())
+        writer.write(requests.encode())
         async with asyncio.timeout(10):
-            got = await reader.read()
+            received = await reader.read()
         writer.close()
-        return _DATE.sub(b"Date: -", got)
+        return _DATE.sub(b"Date: -", received)
 
     async def compare(self) -> None:
-        """Compares what comes of each kind of request."""
+        """Compares the answers to each kind of request."""
         requests = {
             name: request * 2 + _CLOSING for name, request in _REQUESTS.items()
         }
         for name, request in (requests | _LAST_REQUESTS).items():
             with self.subTest(name):
-                self.build = _build_usual
-                usual = await self.fetch(request)
+                self.build = _build_standard
+                expected = await self.fetch(request)
                 self.build = _build_short
-                self.assertEqual(await self.fetch(request), usual)
-                self.assertIn(b"Retry-After: 0.050", usual)
+                self.assertEqual(await self.fetch(request), expected)
+                self.assertIn(b"Retry-After: 0.050", expected)
 
-    async def test_refusals_are_the_same_in_bytes(self) -> None:
+    async def test_refusals(self) -> None:
         await self.compare()
 
-    async def test_refusals_of_a_daemon_that_leaves_are(self) -> None:
-        self.leaving = True
+    async def test_refusals_of_a_draining_daemon(self) -> None:
+        self.draining = True
         await self.compare()
 
-    async def test_answers_of_other_statuses_are(self) -> None:
+    async def test_answers_of_other_statuses(self) -> None:
         self.status = 404
         await self.compare()
 
--- a/tests/requests/transport/test_heartbeats.py
+++ b/tests/requests/transport/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""A backend server that sends heartbeats is not asked whether it lives."""
+"""Tests of calls to backend servers that send heartbeats."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 class SlowBackendTest(unittest.IsolatedAsyncioTestCase):
-    """One daemon and its backend server, which is slow."""
+    """A daemon with a slow backend server that sends heartbeats."""
 
     async def test_slow_call_runs_once(self) -> None:
-        """The caller gets the answer of the first run, and there is one only.
+        """The caller gets the answer of the first and only run.
 
-        A call on a kept connection takes longer than expected, as the backend
-        server is slow. Its heartbeats tell that it lives; taken for a silent
-        connection, the run was cut and the caller got a 504 in its place.
+        A call on a pooled connection takes longer than expected, as the backend
+        server is slow. Its heartbeats show that it is alive. If the connection
+        were considered silent, the run would be aborted and the caller would
+        get a 504.
         """
         with mock.patch.object(watchdogs, "FIRST_BYTE_TIMEOUT_S", 0.02):
             async with (
--- a/tests/requests/transport/test_protocols.py
+++ b/tests/requests/transport/test_protocols.py
@@ -1,4 +1,4 @@
-"""What connections are set to, at either end and on either event loop."""
+"""Tests of the socket options of connections."""
 
 from __future__ import annotations
 
@@ -21,45 +21,47 @@
     from collections.abc import Callable
 
 
-def _is_undelayed(transport: asyncio.BaseTransport | None) -> bool:
+def _has_nodelay(transport: asyncio.BaseTransport | None) -> bool:
     assert transport is not None
-    opened = transport.get_extra_info("socket")
-    return bool(opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+    sock = transport.get_extra_info("socket")
+    return bool(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
 
 async def _exchange() -> tuple[bool, bool]:
-    """Sends a request; returns whether its client and server are undelayed."""
-    served = []
+    """Sends a request; returns whether client and server have TCP_NODELAY."""
+    server_results = []
 
     async def answer(request: web.BaseRequest) -> web.StreamResponse:
-        served.append(_is_undelayed(request.transport))
+        server_results.append(_has_nodelay(request.transport))
         return web.Response()
 
-    own = server.Server(answer)
-    await own.start("127.0.0.1", 0)
+    http_server = server.Server(answer)
+    await http_server.start("127.0.0.1", 0)
     pool = pools.Pool(asyncio.get_running_loop())
-    connection = await pool.open(f"127.0.0.1:{own.port}")
-    sent: multidict.CIMultiDict[str] = multidict.CIMultiDict()
+    connection = await pool.open(f"127.0.0.1:{http_server.port}")
+    sent_headers: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     async with asyncio.timeout(10):
-        got = await connection.call("GET", "/", sent, bodies.Body(b"", 0))
-        await got.content.read()
-    asked = _is_undelayed(connection.transport)
+        received = await connection.call(
+            "GET", "/", sent_headers, bodies.Body(b"", 0)
+        )
+        await received.content.read()
+    client_result = _has_nodelay(connection.transport)
     connection.close()
-    await own.close()
-    return asked, served[0]
+    await http_server.close()
+    return client_result, server_results[0]
 
 
-class UndelayedTest(unittest.TestCase):
+class NoDelayTest(unittest.TestCase):
     """Small packets are sent at once.
 
-    The end of an answer would wait up to 40 ms for the other side to
-    acknowledge its beginning.
+    Otherwise the end of an answer could wait up to 40 ms until the receiver
+    acknowledges its start.
     """
 
-    # As the processes make their loops: a ring that uvloop opens otherwise
+    # The processes set this too: otherwise uvloop would open an io_uring, which
     # stays open when the loop is closed.
     @mock.patch.dict(os.environ, {"UV_USE_IO_URING": "0"})
-    def test_both_ends_are_on_either_event_loop(self) -> None:
+    def test_both_ends_on_each_event_loop(self) -> None:
         loops: tuple[Callable[[], asyncio.AbstractEventLoop], ...]
         loops = (asyncio.new_event_loop, uvloop.new_event_loop)
         for make_loop in loops:
--- a/tests/requests/transport/test_reuse.py
+++ b/tests/requests/transport/test_reuse.py
@@ -1,4 +1,4 @@
-"""Connections that are used for one call after the other."""
+"""Tests of reused connections and unsolicited answers."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class ReuseTest(unittest.IsolatedAsyncioTestCase):
-    """A backend server that says more than it was asked."""
+    """A backend server that sends an unsolicited answer."""
 
     def setUp(self) -> None:
-        self.unasked = asyncio.Event()
-        self.said = asyncio.Event()
+        self.may_send_unsolicited = asyncio.Event()
+        self.unsolicited_sent = asyncio.Event()
         self.connections = 0
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Answers with the path, and once with something nobody asked."""
+        """Answers with the path, and sends one unsolicited answer."""
         self.connections += 1
         first = self.connections == 1
         try:
@@ -30,38 +30,38 @@
                 path = head.split()[1]
                 writer.write(_ANSWER % (len(path), path))
                 if first:
-                    await self.unasked.wait()
+                    await self.may_send_unsolicited.wait()
                     writer.write(_TIMED_OUT)
                     await writer.drain()
-                    self.said.set()
+                    self.unsolicited_sent.set()
         except asyncio.IncompleteReadError:
             pass
         finally:
             writer.close()
 
-    async def test_answer_that_nobody_asked_for(self) -> None:
+    async def test_unsolicited_answer(self) -> None:
         """The second caller gets its own answer.
 
-        After the first answer, while its connection waits for the next call,
-        the backend server sends another: it gave up waiting, or answers twice.
-        Taken for the answer of the next call on that connection, it would go
-        to the wrong caller, and every later answer as well.
+        After the first answer, while its connection is idle, the backend server
+        sends another one: because of a timeout, or because it answers twice.
+        If it were read as the answer to the next call on that connection, it
+        and every later answer would go to the wrong caller.
         """
         async with (
             builders.run_nodes(1) as (node,),
             builders.open_client() as client,
         ):
-            plain = await asyncio.start_server(self.serve, "127.0.0.1", 0)
-            port = plain.sockets[0].getsockname()[1]
+            server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
+            port = server.sockets[0].getsockname()[1]
             node.proxy.backend.announce("kassa", f"127.0.0.1:{port}", 12)
             answer = await client.get(node.url + "/1")
             self.assertEqual(await answer.read(), b"/1")
-            self.unasked.set()
-            await self.said.wait()
+            self.may_send_unsolicited.set()
+            await self.unsolicited_sent.wait()
             for _ in range(10):
-                # The bytes are there; the daemon reads them.
+                # The bytes have arrived; the daemon reads them.
                 await asyncio.sleep(0)
             for path in ("/2", "/3"):
                 answer = await client.get(node.url + path)
                 self.assertEqual(await answer.text(), path)
-            plain.close()
+            server.close()
--- a/tests/requests/transport/test_silence.py
+++ b/tests/requests/transport/test_silence.py
@@ -1,4 +1,4 @@
-"""Connections between daemons that go silent for good."""
+"""Tests of connections that go silent for good."""
 
 from __future__ import annotations
 
@@ -24,47 +24,47 @@
     """A daemon reaches another one through a relay."""
 
     def setUp(self) -> None:
-        self.begun = asyncio.Event()
-        self.go_on = asyncio.Event()
-        self.asked = asyncio.Semaphore(0)
+        self.started = asyncio.Event()
+        self.may_answer = asyncio.Event()
+        self.probes_sent = asyncio.Semaphore(0)
         builders.hasten_doubt(
             self, "FIRST_BYTE_TIMEOUT_S", "TRANSFER_PROBE_INTERVAL_S"
         )
         ask = probes.ask
 
         async def count(*arguments: Any) -> probes.ProbeResult:
-            view = await ask(*arguments)
-            self.asked.release()
-            return view
+            result = await ask(*arguments)
+            self.probes_sent.release()
+            return result
 
         self.enterContext(mock.patch.object(probes, "ask", count))
 
     async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers when the test lets it."""
-        self.begun.set()
-        await self.go_on.wait()
+        """Answers once the test allows it."""
+        self.started.set()
+        await self.may_answer.wait()
         return web.Response(body=b"whole")
 
     async def send_archive(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
-        """Sends half an archive, and the rest when the test lets it."""
+        """Sends half an archive, and the rest once the test allows it."""
         answer = web.StreamResponse()
         answer.content_length = 2 * len(_HALF)
         await answer.prepare(request)
         await answer.write(_HALF)
-        self.begun.set()
-        await self.go_on.wait()
+        self.started.set()
+        await self.may_answer.wait()
         await answer.write(_HALF)
         return answer
 
     async def test_reused_connection_is_silent(self) -> None:
         """The caller gets its answer long before its deadline.
 
-        A connection of the pool has gone silent while it was idle. The call
-        sent over it would wait for its deadline; a new connection works.
+        A pooled connection has gone silent while it was idle. A call sent over
+        it would wait until its deadline; a new connection works.
         """
-        self.go_on.set()
+        self.may_answer.set()
         async with relays.run_relayed_nodes(self.wait) as (
             nodes,
             relay,
@@ -78,11 +78,11 @@
             self.assertEqual(len(nodes[1].served), 2)
 
     async def test_refusal_over_the_new_connection(self) -> None:
-        """The caller hears "unknown": its first sending has run.
+        """The outcome is "unknown", as the first attempt has run.
 
-        The call arrives and runs, but its connection is silent from then on
-        and the answer is lost. Sent again over a new connection it is refused
-        as not run, which is true of the second sending alone.
+        The call arrives and runs, but its connection goes silent and the answer
+        is lost. Its retry over a new connection is refused as not run, which is
+        true only for the second attempt.
         """
 
         async def run(request: web.BaseRequest) -> web.StreamResponse:
@@ -98,21 +98,21 @@
             self.assertEqual(len(nodes[1].served), 2)
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
 
-    async def test_all_idle_connections_of_that_age_are_dropped(self) -> None:
+    async def test_all_idle_connections_are_dropped(self) -> None:
         async with relays.run_relayed_nodes(self.wait) as (
             nodes,
             relay,
             client,
         ):
             url = nodes[0].url + "/x"
-            # Held for silent while it was merely slow, a connection would not
-            # be kept, and none would be there to go silent.
+            # A slow connection that is considered silent would not be pooled,
+            # and no pooled connection would be there to go silent.
             with mock.patch.object(
                 watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.GUARD_S
             ):
                 calls = [asyncio.create_task(client.get(url)) for _ in range(3)]
-                await self.begun.wait()
-                self.go_on.set()
+                await self.started.wait()
+                self.may_answer.set()
                 await asyncio.gather(*calls)
             relay.silence()
             with builders.watch_method(pools.Pool, "drop") as drop:
@@ -121,20 +121,20 @@
             self.assertEqual(drop.call_count, 1)
 
     async def test_slow_answer_is_waited_for(self) -> None:
-        """The caller gets its answer; the backend server sees one call.
+        """The caller gets its answer; the backend server receives one call.
 
-        Nothing comes for long as the backend server takes its time. On its
-        connection this looks like silence; the peer says that it is not.
+        No bytes arrive for a long time because the backend server is slow. The
+        connection looks silent, but the peer reports the call as in flight.
         """
         async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             for _ in range(3):
-                await self.asked.acquire()
-            self.go_on.set()
+                await self.probes_sent.acquire()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
             self.assertEqual(len(nodes[1].served), 1)
 
-    async def test_waiting_download_is_not_cut(self) -> None:
+    async def test_waiting_download_is_not_aborted(self) -> None:
         async with relays.run_relayed_nodes(self.send_archive) as (
             nodes,
             _,
@@ -142,15 +142,15 @@
         ):
             answer = await client.get(nodes[0].url + "/archive")
             for _ in range(3):
-                await self.asked.acquire()
-            self.go_on.set()
+                await self.probes_sent.acquire()
+            self.may_answer.set()
             self.assertEqual(await answer.read(), 2 * _HALF)
 
     async def test_download_over_a_silent_connection_is_reset(self) -> None:
-        """The caller sees a broken answer and can begin again.
+        """The caller's answer is truncated, and it can start again.
 
-        The rest of its download is lost between the daemons. Nobody would
-        ever tell it, and it would wait for good.
+        The rest of its download is lost between the daemons. Otherwise the
+        caller would wait forever.
         """
         async with relays.run_relayed_nodes(self.send_archive) as (
             nodes,
@@ -160,41 +160,41 @@
             call = asyncio.create_task(
                 builders.fetch(client, nodes[0].url + "/archive")
             )
-            await self.asked.acquire()
+            await self.probes_sent.acquire()
             relay.silence()
-            self.go_on.set()
+            self.may_answer.set()
             self.assertIsNone(await call)
 
     async def test_frozen_daemon(self) -> None:
         """The caller gets its answer from another upstream.
 
-        The daemon is frozen: its machine takes connections, and nothing ever
-        answers on them, new ones included.
+        The daemon is frozen: its host accepts connections, but nothing is ever
+        answered on them, not even on new ones.
         """
-        self.go_on.set()
+        self.may_answer.set()
         async with relays.run_relayed_nodes(self.wait, 3) as (
             nodes,
             relay,
             client,
         ):
-            relay.silence(new_ones_too=True)
+            relay.silence(include_new=True)
             for _ in range(4):
                 answer = await client.get(nodes[0].url + "/x")
                 self.assertEqual(await answer.read(), b"whole")
             self.assertEqual(len(nodes[2].served), 4)
 
     async def test_peer_that_answers_others_is_not_silent(self) -> None:
-        """The caller gets its answer, though a question about it goes astray.
+        """The caller gets its answer, though a probe is lost.
 
-        A link is full, so that the question whether the other daemon is alive
-        is not answered within its time. The same daemon answered another call
-        meanwhile: it is not silent, and the work that runs there is not lost.
+        A link is full, so that a probe of the other daemon times out. The same
+        daemon has answered another call meanwhile: it is not silent, and the
+        work that runs there is not lost.
         """
 
         async def ask(*arguments: Any) -> probes.ProbeResult:
             answer = await client.get(nodes[0].url + "/quick")
             self.assertEqual(answer.status, 200)
-            self.go_on.set()
+            self.may_answer.set()
             return probes.ProbeResult(False)
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
@@ -204,19 +204,19 @@
 
         async with relays.run_relayed_nodes(answer) as (nodes, _, client):
             with mock.patch.object(probes, "ask", ask):
-                found = await client.get(nodes[0].url + "/x")
-            self.assertEqual(await found.read(), b"whole")
+                response = await client.get(nodes[0].url + "/x")
+            self.assertEqual(await response.read(), b"whole")
 
     async def test_connection_to_the_backend_server_is_silent(self) -> None:
         """The caller gets its answer long before its deadline.
 
-        As between daemons, but the backend server cannot be asked.
+        As between daemons, but the backend server cannot be probed.
         """
         plan = builders.build_plan(deadline_s=6 * builders.GUARD_S)
-        patient = builders.build_snapshot({"/": plan})
-        self.go_on.set()
+        snapshot = builders.build_snapshot({"/": plan})
+        self.may_answer.set()
         async with (
-            builders.run_nodes(1, handler=self.wait, running=patient) as (
+            builders.run_nodes(1, handler=self.wait, running=snapshot) as (
                 node,
             ),
             builders.open_client() as client,
@@ -232,11 +232,11 @@
             await relay.close()
 
     async def test_slow_backend_server_answers_the_first_send(self) -> None:
-        """The caller gets the answer of the run that began first.
+        """The caller gets the answer of the first run.
 
-        A backend server takes its time over a kept connection and takes new
-        ones. The call is started anew, as the kept one may be silent; it is
-        not, and its answer comes. The second run ends, as nobody needs it.
+        A backend server is slow to answer on a pooled connection and accepts
+        new ones. The call is resent, as the pooled connection may be silent. It
+        isn't, and its answer arrives. The second run is cancelled.
         """
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
@@ -244,10 +244,10 @@
             if number == 1:
                 return web.Response()
             if number == 2:
-                self.begun.set()
-                await self.go_on.wait()
+                self.started.set()
+                await self.may_answer.wait()
                 return web.Response(body=b"first")
-            self.go_on.set()
+            self.may_answer.set()
             try:
                 await asyncio.Event().wait()
             finally:
@@ -261,64 +261,64 @@
         ):
             url = node.url + "/x"
             self.assertEqual((await client.get(url)).status, 200)
-            found = await client.get(url)
-            self.assertEqual(await found.read(), b"first")
+            response = await client.get(url)
+            self.assertEqual(await response.read(), b"first")
             await ended.wait()
         self.assertEqual(len(node.served), 3)
 
     async def test_late_acknowledgement_breaks_no_connection(self) -> None:
-        """A payout is not "unknown" only as a link between daemons is full.
+        """A full link between daemons alone does not make a payout "unknown".
 
-        What was sent is acknowledged late there. To the own backend server
-        there is no link, and a connection that takes nothing is dead.
+        Over a full link, data is acknowledged late. There is no link to the
+        local backend server, so a connection that accepts no data is dead.
         """
-        self.go_on.set()
+        self.may_answer.set()
         async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             await client.get(nodes[0].url + "/x")
-            limits = []
+            timeouts_ms = []
             for node in nodes:
                 idle = node.proxy._forwarder._pool._idle
                 ((connection,),) = idle.values()
                 assert connection.transport is not None
                 sock = connection.transport.get_extra_info("socket")
-                limits.append(
+                timeouts_ms.append(
                     sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
                 )
-        self.assertEqual(limits[0], 0)
-        self.assertGreater(limits[1], 0)
+        self.assertEqual(timeouts_ms[0], 0)
+        self.assertGreater(timeouts_ms[1], 0)
 
-    async def test_second_run_is_not_started_anew(self) -> None:
-        """The caller hears "unknown"; the call does not run a third time.
+    async def test_retry_is_not_resent(self) -> None:
+        """The outcome is "unknown"; the call does not run a third time.
 
-        The call is itself a retry, and the pooled connection to its backend
-        server gives no sign. Starting it anew would be a retry of a retry.
+        The call is itself a retry, and its backend server does not answer on
+        the pooled connection. A resend would be a retry of a retry.
         """
-        self.go_on.set()
+        self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.wait) as (node,),
             builders.open_client() as client,
         ):
             url = node.url + "/x"
             self.assertEqual((await client.get(url)).status, 200)
-            self.go_on.clear()
+            self.may_answer.clear()
             answer = await client.get(url, headers={headers.ATTEMPT: "1"})
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
         self.assertEqual(len(node.served), 2)
 
     async def test_call_over_two_daemons_runs_twice_at_most(self) -> None:
-        """The caller hears "unknown" after two runs, one on each upstream.
+        """The outcome is "unknown" after two runs, one on each upstream.
 
-        Neither backend server answers. Were each daemon beside one to start
-        the call anew by itself as well, it would run three times or more.
+        Neither backend server answers. If their local daemons resent the call
+        as well, it would run three times or more.
         """
-        self.go_on.set()
+        self.may_answer.set()
         async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
             url = nodes[0].url + "/x"
-            # Each daemon has an idle connection to its backend server.
+            # Gives each daemon an idle connection to its backend server.
             for node in nodes[1:]:
                 await client.get(node.url + "/x")
             before = sum(len(node.served) for node in nodes)
-            self.go_on.clear()
+            self.may_answer.clear()
             answer = await client.get(url, headers={headers.DEADLINE: "3000"})
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
             after = sum(len(node.served) for node in nodes)
@@ -327,19 +327,19 @@
     async def send_wave(
         self, client: Any, node: builders.Node, until: int
     ) -> None:
-        """Sends 30 calls and has them answered once so many were begun."""
-        self.go_on.clear()
+        """Sends 30 calls, answered once `until` calls have been served."""
+        self.may_answer.clear()
         wave = [
             asyncio.create_task(client.get(node.url + "/x")) for _ in range(30)
         ]
         while len(node.served) < until:
             await asyncio.sleep(0.01)
-        self.go_on.set()
+        self.may_answer.set()
         answers = await asyncio.gather(*wave)
-        self.assertEqual({one.status for one in answers}, {200})
+        self.assertEqual({answer.status for answer in answers}, {200})
 
     async def test_slow_backend_server_is_not_flooded(self) -> None:
-        """Calls to a server that takes its time are started anew but rarely."""
+        """Calls to a slow server are rarely resent."""
         async with (
             builders.run_nodes(1, handler=self.wait, slots=40) as (node,),
             builders.open_client() as client,
@@ -347,7 +347,7 @@
             with mock.patch.object(
                 watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.GUARD_S
             ):
-                # All run at once, so that as many connections are kept.
+                # All run at once, so that as many connections are pooled.
                 await self.send_wave(client, node, 30)
             await self.send_wave(client, node, 30 + 40)
         self.assertLessEqual(len(node.served), 60 + 10 + 3)
--- a/tests/requests/transport/test_streams.py
+++ b/tests/requests/transport/test_streams.py
@@ -1,4 +1,4 @@
-"""Bodies: held whole, or passed on in pieces."""
+"""Tests of request bodies, buffered or streamed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReadBodyTest(unittest.IsolatedAsyncioTestCase):
-    """What is known of a body before the request is passed on."""
+    """What is read of a body before the request is forwarded."""
 
     async def asyncSetUp(self) -> None:
         loop = asyncio.get_running_loop()
@@ -25,25 +25,27 @@
         protocol = base_protocol.BaseProtocol(loop)
         self.content = aiohttp.StreamReader(protocol, 2**20, loop=loop)
 
-    async def read(self, length: int | None, hold: bool) -> bodies.Body:
-        """Reads the body of a request that states a length, or none."""
+    async def read(
+        self, length: int | None, buffer_chunked: bool
+    ) -> bodies.Body:
+        """Reads the body of a request with or without a Content-Length."""
         request: Any = types.SimpleNamespace(
             can_read_body=True,
             content_length=length,
             content=self.content,
             headers={},
         )
-        return await bodies.read_body(request, self.deadline, hold)
+        return await bodies.read_body(request, self.deadline, buffer_chunked)
 
     async def collect(self, body: bodies.Body) -> bytes:
-        """Returns all that is passed on."""
+        """Returns all bytes that are forwarded."""
         payload = body.make_payload()
         assert payload is not None
         if isinstance(payload, bytes):
             return payload
-        return b"".join([piece async for piece in payload])
+        return b"".join([chunk async for chunk in payload])
 
-    async def test_small_body_is_held(self) -> None:
+    async def test_small_body_is_buffered(self) -> None:
         for length in (5, None):
             await self.asyncSetUp()
             self.content.feed_data(b"whole")
@@ -52,26 +54,30 @@
             self.assertEqual(body.buffered, b"whole")
             self.assertTrue(body.replayable)
 
-    async def test_payout_that_stops_half_way_does_not_begin(self) -> None:
-        """The caller is refused as not run, though it states no length.
+    async def test_payout_with_incomplete_body_is_not_started(self) -> None:
+        """The call is refused as not run, though it states no length.
 
-        Passed on in pieces, the payout would have begun when its body broke
-        off, and would be "unknown" for ever.
+        If its body were streamed, the payout would have started when the body
+        broke off, and its outcome would be "unknown" forever.
         """
         self.content.feed_data(b"half")
         self.content.set_exception(web.RequestPayloadError("broken"))
         with self.assertRaisesRegex(bodies.BodyError, "half-way"):
             await self.read(None, True)
 
-    async def test_large_body_is_passed_on_from_its_beginning(self) -> None:
-        for length, hold in ((len(_LARGE), True), (None, True), (None, False)):
+    async def test_large_body_is_streamed_from_its_start(self) -> None:
+        for length, buffer_chunked in (
+            (len(_LARGE), True),
+            (None, True),
+            (None, False),
+        ):
             await self.asyncSetUp()
             self.content.feed_data(_LARGE)
-            body = await self.read(length, hold)
+            body = await self.read(length, buffer_chunked)
             self.assertIsNone(body.buffered)
             self.content.feed_data(b"end")
             self.content.feed_eof()
             collected = await self.collect(body)
-            # Compared without a difference shown: it would fill the screen.
+            # assertEqual would print a huge difference.
             self.assertTrue(collected == _LARGE + b"end")
             self.assertFalse(body.replayable)
