--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -124,7 +124,7 @@
     deadline = arrived_at + timeout_s
     try:
         body = await bodies.read_body(
-            request, deadline, hold_chunks=not plan.repeatable
+            request, deadline, buffer_chunked=not plan.repeatable
         )
     except bodies.BodyError as error:
         return outcomes.NotRun(str(error), 400, None)
--- a/merlintrestle/requests/transport/__init__.py
+++ b/merlintrestle/requests/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections, bodies and answers: how calls travel."""
+"""HTTP connections, bodies and answers on the data path."""
--- a/merlintrestle/requests/transport/bodies.py
+++ b/merlintrestle/requests/transport/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests: held whole, or passed on in pieces."""
+"""Request bodies, buffered or streamed."""
 
 from __future__ import annotations
 
@@ -14,90 +14,99 @@
 
     import aiohttp
 
-# Bodies up to this size are held whole, so that they can be sent again.
+# Bodies up to this size are buffered, so that a retry can send them again.
 MAX_BUFFERED_BYTES = 64 * 1024
-# A sender or receiver that moves nothing for so long is given up.
+# A sender or receiver that makes no progress for this time is disconnected.
 STALL_TIMEOUT_S = 20.0
 
 
 class BodyError(errors.MerlintrestleError):
-    """The caller's body stopped half-way or came too slowly."""
+    """The caller's body is incomplete or arrived too slowly."""
 
 
 class Body:
     """The body of a caller's request.
 
     Attributes:
-        buffered: The whole body; None if it is passed on in pieces.
-        length: Its length in bytes; None: not known before it ends.
-        consumed: True once a piece of it was taken and it cannot be sent again.
-        error: Why it could not be read; None: nothing wrong.
+        buffered: The whole body; None if it is streamed.
+        length: Length in bytes; None: unknown until the body ends.
+        consumed: True once the stream was started; it cannot be sent again.
+        error: The error that ended the stream; None: no error.
     """
 
     def __init__(
         self,
-        held: bytes | None,
+        buffered: bytes | None,
         length: int | None,
         content: aiohttp.StreamReader | None = None,
-        begun: bytes = b"",
+        prefix: bytes = b"",
     ):
-        self.buffered = held
+        """Sets the body.
+
+        Args:
+            buffered: The whole body; None if it is streamed.
+            length: Length in bytes; None: unknown until the body ends.
+            content: Source of a streamed body.
+            prefix: Bytes already read from `content`.
+        """
+        self.buffered = buffered
         self.length = length
         self.consumed = False
         self.error: BodyError | None = None
         self._content = content
-        self._begun = begun
+        self._prefix = prefix
 
     @property
     def replayable(self) -> bool:
-        """True while the body can be sent from its beginning."""
+        """True while the body can be sent from its start."""
         return self.buffered is not None or not self.consumed
 
     def make_payload(self) -> bytes | AsyncIterator[bytes] | None:
-        """Returns what the HTTP client sends; None: no body."""
+        """Returns the payload for a connection; None: no body."""
         if self.buffered is not None:
             return self.buffered or None
-        return self._iterate()
+        return self._stream()
 
-    async def _iterate(self) -> AsyncIterator[bytes]:
+    async def _stream(self) -> AsyncIterator[bytes]:
         assert self._content is not None
         self.consumed = True
-        if self._begun:
-            yield self._begun
+        if self._prefix:
+            yield self._prefix
         while True:
             try:
-                piece = await asyncio.wait_for(
+                chunk = await asyncio.wait_for(
                     self._content.readany(), STALL_TIMEOUT_S
                 )
             except (web.RequestPayloadError, OSError, TimeoutError) as error:
                 self.error = BodyError("the request body stopped half-way")
                 raise self.error from error
-            if not piece:
+            if not chunk:
                 return
-            yield piece
+            yield chunk
 
 
 async def read_body(
-    request: web.BaseRequest, deadline: float, hold_chunks: bool
+    request: web.BaseRequest, deadline: float, buffer_chunked: bool
 ) -> Body:
-    """Reads a small body whole; leaves another to be passed on.
+    """Reads a small body into memory; any other body will be streamed.
 
     Args:
         request: The request.
-        deadline: Time of the event loop by which it must be read, in seconds.
-        hold_chunks: Also reads a body of unknown length as far as it may be
-            held, so that a payout that stops half-way has not begun to run.
+        deadline: Time by which the body must be read, in seconds of the event
+            loop's clock.
+        buffer_chunked: Also buffers a body of unknown length, up to the maximum
+            size, so that a payout whose body is cut short is never started.
 
     Raises:
-        BodyError: The body stopped half-way or did not come in time.
+        BodyError: The body is incomplete or did not arrive in time.
     """
     if not request.can_read_body:
         return Body(b"", 0)
     length = request.content_length
     content = request.content
     if "Expect" in request.headers and not content.is_eof():
-        _tell_to_continue(request)
-    if length is None and not hold_chunks:
+        _send_continue(request)
+    if length is None and not buffer_chunked:
         return Body(None, None, content)
     if length is not None and length > MAX_BUFFERED_BYTES:
         return Body(None, length, content)
@@ -108,38 +117,39 @@
             asyncio.timeout_at(deadline),
             asyncio.timeout(STALL_TIMEOUT_S),
         ):
-            held = await _read_at_most(content, MAX_BUFFERED_BYTES)
+            prefix = await _read_up_to(content, MAX_BUFFERED_BYTES)
     except (web.RequestPayloadError, OSError, TimeoutError) as error:
         raise BodyError("the request body stopped half-way") from error
-    return _build_body(held, content)
+    return _build_body(prefix, content)
 
 
-def _build_body(begun: bytes, content: aiohttp.StreamReader) -> Body:
-    """Returns the body that begins with what was read.
+def _build_body(prefix: bytes, content: aiohttp.StreamReader) -> Body:
+    """Builds a body from the bytes read so far and the rest of the stream.
 
-    More than may be held can arrive at once. Whether a body is held must not
-    depend on that, for what the request is taken to be depends on it: sent
-    again in pieces, the same payout would look like another.
+    More than the maximum buffer size can arrive at once. Whether a body is
+    buffered must not depend on that, because the identity of a request contains
+    the length alone of a streamed body: a payout would look like a different
+    one if its retry were streamed.
     """
-    if content.is_eof() and len(begun) <= MAX_BUFFERED_BYTES:
-        return Body(begun, len(begun))
-    return Body(None, None, content, begun)
+    if content.is_eof() and len(prefix) <= MAX_BUFFERED_BYTES:
+        return Body(prefix, len(prefix))
+    return Body(None, None, content, prefix)
 
 
-async def _read_at_most(content: aiohttp.StreamReader, limit: int) -> bytes:
-    pieces = []
-    left = limit
-    while left > 0:
-        piece = await content.readany()
-        if not piece:
+async def _read_up_to(content: aiohttp.StreamReader, limit: int) -> bytes:
+    chunks = []
+    remaining = limit
+    while remaining > 0:
+        chunk = await content.readany()
+        if not chunk:
             break
-        pieces.append(piece)
-        left -= len(piece)
-    return b"".join(pieces)
+        chunks.append(chunk)
+        remaining -= len(chunk)
+    return b"".join(chunks)
 
 
-def _tell_to_continue(request: web.BaseRequest) -> None:
-    """Has a caller send its body that waits to be told (RFC 9110, 10.1.1)."""
+def _send_continue(request: web.BaseRequest) -> None:
+    """Sends "100 Continue" if the caller expects it (RFC 9110, 10.1.1)."""
     expected = request.headers["Expect"].lower() == "100-continue"
     transport = request.transport
     if expected and transport is not None and request.version.minor >= 1:
--- a/merlintrestle/requests/transport/connections.py
+++ b/merlintrestle/requests/transport/connections.py
@@ -1,7 +1,7 @@
-"""Connections to other daemons and to the backend server, kept for reuse.
+"""Reusable HTTP connections to other daemons and to the backend server.
 
-They stand on the library's own client protocol, without its session: that one
-prepares cookies, redirects, proxies and URLs anew for every call.
+They are based on aiohttp's client protocol. Its client session isn't used: it
+prepares cookies, redirects, proxies and URLs again for every call.
 """
 
 from __future__ import annotations
@@ -26,67 +26,69 @@
 
     from merlintrestle.requests.transport import bodies
 
-_KEEP_ALIVE = re.compile(r"\btimeout\s*=\s*(\d{1,6})")
-_READ_BYTES = 64 * 1024
-# Of an answer of the own backend server, which is done with it sooner: a slot
-# that waits for a thin link would be one that other calls cannot have.
-AHEAD_BYTES = 512 * 1024
-_SWITCHING_PROTOCOLS = 101
-_LAST_INFORMATIONAL = 199
-# Methods that are sent without Content-Length if they have no body.
+_KEEP_ALIVE_TIMEOUT = re.compile(r"\btimeout\s*=\s*(\d{1,6})")
+_READ_BUFFER_BYTES = 64 * 1024
+# Read ahead of an answer of the local backend server, which can then finish
+# sooner: a slot that waits for a slow link isn't available to other calls.
+READ_AHEAD_BYTES = 512 * 1024
+_SWITCHING_PROTOCOLS_STATUS = 101
+_MAX_INFORMATIONAL_STATUS = 199
+# Requests with these methods have no Content-Length if they have no body.
 _BODILESS_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "TRACE"))
 
 
-class Connection(client_proto.ResponseHandler, protocols.Undelayed):
-    """One connection, which carries one call at a time.
+class Connection(client_proto.ResponseHandler, protocols.NoDelayProtocol):
+    """A connection, which carries one call at a time.
 
     Attributes:
-        address: Its other end, "ip:port".
-        idle_since: Time of the event loop at which its last call ended.
-        keep_alive_s: How long the other side said to keep it open while it is
-            idle, in seconds; None: it did not say.
+        address: Address of the server, "ip:port".
+        idle_since: Time at which the last call ended, in seconds of the event
+            loop's clock.
+        keep_alive_s: Idle timeout that the server announced in "Keep-Alive",
+            in seconds; None: none announced.
         get_time: Returns the time of the event loop, in seconds.
-        heard_at: When bytes came over it last; 0: none yet.
+        last_received_at: Time at which bytes were last received, in seconds of
+            the event loop's clock; 0: none yet.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: str,
-        heard: dict[str, float] | None = None,
+        last_received: dict[str, float] | None = None,
         traffic: traffics.Traffic | None = None,
     ):
-        """Sets its other end.
+        """Sets the address of the server.
 
         Args:
             loop: The event loop.
-            address: Its other end, "ip:port".
-            heard: Where it notes by address when bytes came last, in seconds
-                of the event loop.
-            traffic: Where its bytes are counted.
+            address: Address of the server, "ip:port".
+            last_received: Time at which bytes were last received, by address;
+                updated by the connection.
+            traffic: Counter of the bytes of the connection.
         """
         super().__init__(loop)
         self._traffic = traffic or traffics.Traffic()
         self.address = address
-        self._heard = {} if heard is None else heard
+        self._last_received = {} if last_received is None else last_received
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
         self.get_time = loop.time
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self._upload: asyncio.Task[None] | None = None
         self._alarm_timer: asyncio.TimerHandle | None = None
         self._alarm_timer_at = 0.0
         self._alarm: Callable[[], None] | None = None
         self._alarm_at = 0.0
-        # The body of the answer that is awaited, once its head has come.
+        # Body of the awaited answer, once its headers have arrived.
         self._answer: aiohttp.StreamReader | None = None
 
     @property
     def reusable(self) -> bool:
-        """True if nothing of an earlier call can be taken for the next one's.
+        """True if the next answer cannot be mixed up with an earlier call.
 
-        An answer that was not read to its end, a body that is still being
-        sent, or bytes that nobody asked for all rule it out.
+        False if an answer wasn't read to its end, if a body is still being
+        sent, or if unsolicited bytes were received.
         """
         uploading = self._upload is not None and not self._upload.done()
         return self.is_connected() and not self.should_close and not uploading
@@ -97,17 +99,17 @@
         target: str,
         headers: multidict.CIMultiDict[str],
         body: bodies.Body,
-        ahead: int = 0,
+        read_ahead_bytes: int = 0,
     ) -> answers.Answer:
         """Sends a request and waits for the headers of its answer.
 
         Args:
             method: HTTP method.
             target: Path and query.
-            headers: End-to-end headers; those of the connection are added.
-            body: Its body; a long one is sent while the answer is awaited.
-            ahead: Bytes of the answer that are read ahead of its use, or twice
-                as many; the usual number if that is more.
+            headers: End-to-end headers; hop-by-hop headers are added.
+            body: The body; a streamed one is sent while the answer is awaited.
+            read_ahead_bytes: Size of the read buffer; up to twice as much is
+                read ahead. The default size is used if it is larger.
 
         Raises:
             aiohttp.ClientError: The connection broke.
@@ -118,7 +120,7 @@
             skip_payload=method == "HEAD",
             read_until_eof=True,
             auto_decompress=False,
-            read_bufsize=max(ahead, _READ_BYTES),
+            read_bufsize=max(read_ahead_bytes, _READ_BUFFER_BYTES),
         )
         self._answer = None
         await self._send(method, target, headers, body)
@@ -140,27 +142,27 @@
         data: tuple[http.RawResponseMessage, aiohttp.StreamReader],
         size: int = 0,
     ) -> None:
-        """Takes the head of an answer; called by the library."""
+        """Receives the headers of an answer; called by aiohttp."""
         message, content = data
-        if message.code > _LAST_INFORMATIONAL:
+        if message.code > _MAX_INFORMATIONAL_STATUS:
             self._answer = content
         super().feed_data(data, size)
 
     async def _read_answer(self) -> answers.Answer:
         while True:
             message, content = await self.read()
-            if message.code > _LAST_INFORMATIONAL:
-                self.keep_alive_s = _read_keep_alive(message.headers)
+            if message.code > _MAX_INFORMATIONAL_STATUS:
+                self.keep_alive_s = _parse_keep_alive(message.headers)
                 return answers.Answer(
                     message, content, self.abort, self.is_paused
                 )
-            if message.code == _SWITCHING_PROTOCOLS:
-                raise aiohttp.ClientPayloadError("nobody asked to upgrade")
+            if message.code == _SWITCHING_PROTOCOLS_STATUS:
+                raise aiohttp.ClientPayloadError("unexpected status 101")
 
     def expire(self) -> None:
-        """Ends the wait for an answer, or for its body, as timed out.
+        """Makes the wait for an answer or its body raise TimeoutError.
 
-        An answer that has come whole is kept.
+        Has no effect if the whole answer has arrived.
         """
         if self._answer is not None and self._answer.is_eof():
             return
@@ -171,11 +173,11 @@
             content.set_exception(error)
 
     def set_alarm(self, when: float, alarm: Callable[[], None]) -> None:
-        """Has `alarm` called at a time, unless it is cleared; keeps only one.
+        """Schedules `alarm` at a time, in place of an earlier alarm.
 
-        The timer of an earlier call that rings before goes on and is set
-        again when it has rung. A timer made and cancelled for every call
-        would cost more than all else that a watch does.
+        If the timer of an earlier call expires sooner, it is kept and is
+        restarted when it expires. Creating and cancelling a timer for every
+        call would cost more than all the rest of a watchdog.
         """
         self._alarm = alarm
         self._alarm_at = when
@@ -183,51 +185,57 @@
             self._set_timer(when)
 
     def clear_alarm(self) -> None:
-        """Forgets the alarm."""
+        """Cancels the alarm."""
         self._alarm = None
 
-    def rest(self, now: float) -> None:
-        """Prepares for the wait for the next call."""
+    def mark_idle(self, now: float) -> None:
+        """Prepares for being idle until the next call."""
         self.idle_since = now
-        # Bytes that come while no call is under way would be parsed as the
-        # next one's answer, and its caller would get another's. Without a
-        # parser they are kept unparsed, which makes `should_close` true.
+        # Bytes received between calls would be parsed as the answer to the next
+        # call, whose caller would get the wrong answer. Without a parser they
+        # stay unparsed, which makes `should_close` true.
         self._parser = None
 
     def abort(self) -> None:
-        """Closes it at once; a body that is being read ends with an error."""
+        """Closes the connection at once; reading its body raises an error."""
         content = self._payload
         if content is not None and not content.is_eof():
-            # The library forgets the body here and would let its reader wait.
-            content.set_exception(aiohttp.ClientConnectionError("it was cut"))
+            # aiohttp drops the body here; its reader would wait forever.
+            content.set_exception(
+                aiohttp.ClientConnectionError("connection aborted")
+            )
         super().abort()
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes that came; called by the event loop."""
-        self.heard_at = self._heard[self.address] = self._loop.time()
+        """Receives bytes; called by the event loop."""
+        self.last_received_at = self._last_received[self.address] = (
+            self._loop.time()
+        )
         self._traffic.received += len(data)
         super().data_received(data)
 
     def is_paused(self) -> bool:
-        """Returns whether no more is read, as what was read is not taken."""
+        """Returns whether reading is paused because the buffer is full."""
         return self._reading_paused or self._buffer_paused
 
     def resume_reading(self, resume_parser: bool = True) -> None:
-        """Reads on; called by a body as it is read and as it ends.
+        """Resumes reading; called while a body is read and when it ends.
 
-        The library reads on also where nothing was paused, and has its parser
-        look through no bytes at all for every body.
+        aiohttp does this also if reading isn't paused, and then runs its parser
+        over zero bytes for every body.
         """
         if self.is_paused():
             super().resume_reading(resume_parser)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fails what is under way; called by the event loop."""
+        """Fails the call in flight; called by the event loop."""
         content = self._payload
         if exc is not None and content is not None and not content.is_eof():
-            # The library ends a body without a length here. After a reset, a
-            # part of it would look whole.
-            content.set_exception(aiohttp.ClientConnectionError("it was cut"))
+            # aiohttp marks a body without a length as complete here. After a
+            # reset, a truncated body would look complete.
+            content.set_exception(
+                aiohttp.ClientConnectionError("connection lost")
+            )
         if self._upload is not None:
             self._upload.cancel()
         if self._alarm_timer is not None:
@@ -237,10 +245,10 @@
     def _set_timer(self, when: float) -> None:
         if self._alarm_timer is not None:
             self._alarm_timer.cancel()
-        self._alarm_timer = self._loop.call_at(when, self._ring)
+        self._alarm_timer = self._loop.call_at(when, self._run_alarm_timer)
         self._alarm_timer_at = when
 
-    def _ring(self) -> None:
+    def _run_alarm_timer(self) -> None:
         self._alarm_timer = None
         alarm = self._alarm
         if alarm is None:
@@ -248,11 +256,11 @@
         if self._loop.time() < self._alarm_at:
             self._set_timer(self._alarm_at)
             return
-        # Where the loop stood still, timers ring before what has come meanwhile
-        # is read. It is read before the second of these calls.
-        self._loop.call_soon(self._loop.call_soon, self._ring_now, alarm)
+        # After the event loop was blocked, timers run before the bytes that
+        # arrived meanwhile are read. They are read before the second call_soon.
+        self._loop.call_soon(self._loop.call_soon, self._trigger_alarm, alarm)
 
-    def _ring_now(self, alarm: Callable[[], None]) -> None:
+    def _trigger_alarm(self, alarm: Callable[[], None]) -> None:
         if self._alarm is not alarm:
             return
         self._alarm = None
@@ -267,56 +275,57 @@
     ) -> None:
         writer = http.StreamWriter(self, self._loop)
         payload = body.make_payload()
-        pieces = None if isinstance(payload, (bytes, type(None))) else payload
+        stream = None if isinstance(payload, (bytes, type(None))) else payload
         headers.setdefault(hdrs.HOST, self.address)
         length = len(payload) if isinstance(payload, bytes) else body.length
-        _frame(headers, method, length)
-        if pieces is not None:
+        _set_framing_headers(headers, method, length)
+        if stream is not None:
             writer.length = length
             if length is None:
                 writer.enable_chunking()
         await writer.write_headers(f"{method} {target} HTTP/1.1", headers)
-        if pieces is not None:
-            upload = self._send_pieces(writer, pieces)
+        if stream is not None:
+            upload = self._send_stream(writer, stream)
             self._upload = self._loop.create_task(upload)
             return
         if isinstance(payload, bytes):
-            # Not drained: a server that answers without reading the body
-            # would otherwise hold back its own answer.
+            # Not drained: a server that answers without reading the body would
+            # otherwise block the wait for its own answer.
             await writer.write(payload, drain=False)
         writer.set_eof()
         self._traffic.sent += writer.output_size
 
-    async def _send_pieces(
-        self, writer: http.StreamWriter, pieces: AsyncIterator[bytes]
+    async def _send_stream(
+        self, writer: http.StreamWriter, stream: AsyncIterator[bytes]
     ) -> None:
         try:
-            async for piece in pieces:
-                await writer.write(piece)
+            async for chunk in stream:
+                await writer.write(chunk)
             await writer.write_eof()
         except Exception:
-            # The body stopped half-way. Cut off, it cannot look whole to the
-            # server, and the wait for the answer ends.
+            # The body is incomplete. Aborting keeps it from looking complete to
+            # the server, and ends the wait for the answer.
             self.abort()
         finally:
             self._traffic.sent += writer.output_size
 
 
-def _read_keep_alive(headers: Mapping[str, str]) -> float | None:
-    """Returns the seconds that a "Keep-Alive" header states."""
-    stated = headers.get(hdrs.KEEP_ALIVE)
-    found = _KEEP_ALIVE.search(stated) if stated else None
-    return float(found[1]) if found else None
+def _parse_keep_alive(headers: Mapping[str, str]) -> float | None:
+    """Returns the timeout of a "Keep-Alive" header in seconds."""
+    value = headers.get(hdrs.KEEP_ALIVE)
+    match = _KEEP_ALIVE_TIMEOUT.search(value) if value else None
+    return float(match[1]) if match else None
 
 
-def _frame(
+def _set_framing_headers(
     headers: multidict.CIMultiDict[str], method: str, length: int | None
 ) -> None:
-    """Sets the headers that tell where a body ends.
+    """Sets the headers that mark the end of a body.
 
-    Those of the caller are not enough: it may have sent in chunks what is
-    held here, or have its length removed by its "Connection". A body without
-    them would be taken for the next request on the connection.
+    The caller's headers aren't enough: it may have sent in chunks a body that
+    is buffered here, or may have named Content-Length in "Connection", which
+    removes it. An unframed body would be read as the next request on the
+    connection.
     """
     headers.popall(hdrs.CONTENT_LENGTH, None)
     if length is None:
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges: one call sent once over one connection, and what came of it."""
+"""HTTP exchanges, each one request and its answer over one connection."""
 
 from __future__ import annotations
 
@@ -28,37 +28,37 @@
 
 events = event_logs.EventLog("requests")
 
-# Longest wait for a connection, in seconds: regions are some 35 ms apart, and
-# one lost packet is sent again only after a second; another upstream is there
-# before that. Much shorter, calls to a backend server on a busy host that takes
-# them would be given up.
-_CONNECT_S = 0.5
+# Regions are about 35 ms apart. A lost packet is retransmitted only after one
+# second; trying another upstream is faster than that. A much shorter timeout
+# would abandon calls to a backend server on a busy host that does accept them.
+_CONNECT_TIMEOUT_S = 0.5
 _UNREACHABLE = outcomes.NotRun(
     "could not connect", elsewhere=True, unreachable=True
 )
 
 
-class Side(NamedTuple):
-    """What holds for the connections to one kind of server.
+class ConnectionOptions(NamedTuple):
+    """Options of the connections to one kind of server.
 
     Attributes:
-        dialect: How it speaks.
-        unacknowledged_ms: Longest time for which what was sent may stay
-            unacknowledged; 0: none.
+        dialect: Dialect of the server.
+        unacknowledged_timeout_ms: Time for which sent data may stay
+            unacknowledged before the connection is broken, in milliseconds; 0:
+            the default of the operating system.
     """
 
     dialect: object
-    unacknowledged_ms: int
+    unacknowledged_timeout_ms: int
 
 
-# Daemons pass on whole answers only, and each for its own call. Over a full
-# link what was sent is acknowledged late; a connection broken for that looks
-# like a crash, and its call is lost while the backend server runs it. That the
-# peer is silent shows when it is asked about the call.
-PEER = Side(dialects.NativeDialect(), 0)
+# Over a full link, data is acknowledged late. A connection that is broken for
+# that looks like a crash, and its call is lost while the backend server runs
+# it. A silent peer is detected by probes instead. Daemons forward whole answers
+# only, and each to its own call.
+PEER = ConnectionOptions(dialects.NativeDialect(), 0)
 
 
-class Exchanges:
+class ExchangeRunner:
     """Opens connections and sends calls over them."""
 
     def __init__(
@@ -67,27 +67,37 @@
         traffics: traffics_.Traffics,
         accepts_unframed: bool,
     ):
-        """Sets the parts; for the last one see `forwarding.Forwarder`."""
+        """Sets the dependencies.
+
+        Args:
+            pool: Pool of connections.
+            traffics: Counters of the bytes of connections.
+            accepts_unframed: See `forwarding.Forwarder`.
+        """
         self._pool = pool
         self._traffics = traffics
         self._accepts_unframed = accepts_unframed
         self._loop = asyncio.get_running_loop()
 
     async def open(
-        self, address: str, deadline: float, side: Side
+        self, address: str, deadline: float, options: ConnectionOptions
     ) -> connections.Connection | outcomes.NotRun:
-        """Opens a connection, or tells why there is none: nothing was sent."""
-        left_s = deadline - self._loop.time()
+        """Opens a connection, or returns an outcome if that fails."""
+        remaining_s = deadline - self._loop.time()
         try:
-            async with timeouts.bound(min(_CONNECT_S, left_s)):
+            async with timeouts.timeout(min(_CONNECT_TIMEOUT_S, remaining_s)):
                 traffics = self._traffics
                 connection = await self._pool.open(
                     address,
-                    side.unacknowledged_ms,
-                    traffics.peers if side is PEER else traffics.backend,
+                    options.unacknowledged_timeout_ms,
+                    traffics.peers if options is PEER else traffics.backend,
                 )
         except TimeoutError:
-            return _UNREACHABLE if left_s > _CONNECT_S else outcomes.TOO_LATE
+            return (
+                _UNREACHABLE
+                if remaining_s > _CONNECT_TIMEOUT_S
+                else outcomes.TOO_LATE
+            )
         except OSError:
             return _UNREACHABLE
         if self._loop.time() >= deadline:
@@ -98,21 +108,29 @@
     async def run(
         self,
         connection: connections.Connection,
-        watch: watchdogs.Watchdog,
+        watchdog: watchdogs.Watchdog,
         target: str,
         call: calls.Call,
         sent_headers: multidict.CIMultiDict[str],
-        side: Side = PEER,
+        options: ConnectionOptions = PEER,
     ) -> outcomes.Outcome:
-        """Sends a call once, whatever its method: retries are decided above."""
+        """Sends a call once; retries are up to the caller of this method.
+
+        Raises:
+            bodies.BodyError: The caller's body could not be read.
+        """
         answer = None
-        ahead = 0 if side is PEER else connections.AHEAD_BYTES
+        read_ahead_bytes = (
+            0 if options is PEER else connections.READ_AHEAD_BYTES
+        )
         try:
             answer = await connection.call(
-                call.method, target, sent_headers, call.body, ahead
+                call.method, target, sent_headers, call.body, read_ahead_bytes
             )
-            while not results.belongs(answer, call, sent_headers, side.dialect):
-                # A late answer to an earlier call of this connection.
+            while not results.matches_call(
+                answer, call, sent_headers, options.dialect
+            ):
+                # A late answer to an earlier call on this connection.
                 events.warn(
                     "foreign answer",
                     request=call.request_id,
@@ -122,7 +140,9 @@
                 await answer.content.read()
                 answer = None
                 answer = await connection.read_answer()
-            failure = self._judge(connection, answer, call, side.dialect)
+            failure = self._check_answer(
+                connection, answer, call, options.dialect
+            )
             if failure is not None:
                 return failure
             body = await streams.read_answer(answer, call.method)
@@ -137,33 +157,36 @@
             connection.abort()
             if call.body.error is not None:
                 raise call.body.error from error
-            return results.fail(
+            return results.build_failure(
                 answer, "the connection broke", 502, broken=True
             )
         except BaseException:
             connection.abort()
             raise
         finally:
-            watch.close()
-        release = functools.partial(self._pool.give_back, connection)
+            watchdog.close()
+        release = functools.partial(self._pool.release, connection)
         return outcomes.Answered(answer, body, [release])
 
-    def _judge(
+    def _check_answer(
         self,
         connection: connections.Connection,
         answer: answers.Answer,
         call: calls.Call,
         dialect: object,
     ) -> outcomes.Failure | None:
-        """Returns why an answer is not passed on; None: it is."""
+        """Returns why an answer must not be forwarded; None: it may be.
+
+        If it must not, the connection is released or aborted.
+        """
         failure = dialects.check_answer(dialect, answer)
         if failure is None:
-            clear = streams.has_clear_end(answer, call.method)
-            if clear or self._accepts_unframed:
+            framed = streams.is_framed(answer, call.method)
+            if framed or self._accepts_unframed:
                 return None
             failure = outcomes.Ran("the answer does not say where it ends")
         if answer.content.is_eof():
-            self._pool.give_back(connection)
+            self._pool.release(connection)
         else:
             connection.abort()
         return failure
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: one attempt to send a call to one address."""
+"""Forwarding of calls to the local backend server and to other daemons."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
     import multidict
 
-    from merlintrestle.requests import backend
+    from merlintrestle.requests import backend as backends
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.calls import doubts
     from merlintrestle.requests.load import budgets as budgets_
 
 events = event_logs.EventLog("requests")
 
-# Three times the least time after which a lost packet is sent again (200 ms).
-# A call over a connection that has gone silent would wait for its deadline. A
-# server that is merely slow acknowledges what its buffers have room for, and
-# there is no link between, as both ends are on one instance. What they have no
-# room for stays unacknowledged for as long as it does not read, so the limit is
-# for calls alone whose body is held, which buffers have room for.
-_UNACKNOWLEDGED_MS = 600
+# Three times the minimum retransmission timeout of TCP (200 ms). Without it, a
+# call over a connection that has gone silent would wait for its deadline. A
+# server that is merely slow still acknowledges what fits into its buffers; both
+# ends are on the same instance, so there is no link in between. Data that does
+# not fit stays unacknowledged until the server reads, so the timeout is set
+# only for calls whose body is buffered, which always fits.
+_UNACKNOWLEDGED_TIMEOUT_MS = 600
 
 
 class Forwarder:
-    """Sends calls over pooled connections, or each over one of its own."""
+    """Sends calls over pooled or new connections."""
 
     def __init__(
         self,
@@ -50,12 +50,13 @@
         accepts_unframed: bool = False,
         traffics: traffics_.Traffics | None = None,
     ) -> None:
-        """Sets the parts.
+        """Sets the dependencies.
 
         Args:
-            budgets: What bounds calls that are sent anew to one upstream.
-            accepts_unframed: An answer may end with its connection alone.
-            traffics: Where the bytes of its connections are counted.
+            budgets: Retry budgets for calls sent again to the same upstream.
+            accepts_unframed: Accept answers whose end is marked only by the
+                close of the connection.
+            traffics: Counters of the bytes of connections.
         """
         self._traffics = traffics or traffics_.build_traffics()
         self._budgets = budgets
@@ -66,12 +67,12 @@
         """Opens the pool."""
         self._loop = asyncio.get_running_loop()
         self._pool = pools.Pool(self._loop)
-        self._exchanges = exchanges.Exchanges(
+        self._runner = exchanges.ExchangeRunner(
             self._pool, self._traffics, self._accepts_unframed
         )
 
     async def close(self) -> None:
-        """Closes the connections that are idle."""
+        """Closes the idle connections."""
         self._pool.close()
 
     def drop_idle(self, address: str) -> None:
@@ -80,138 +81,147 @@
 
     async def send_to_backend(
         self,
-        own: backend.LocalBackend,
+        backend: backends.LocalBackend,
         call: calls.Call,
         dialect: object,
     ) -> outcomes.Outcome:
-        """Sends a call to the own backend server and waits for its answer.
+        """Sends a call to the local backend server and waits for its answer.
 
-        A small answer is waited for whole. Work that may not be repeated gets
-        a new connection: a pooled one that the other side is closing, or that
-        has gone silent, would leave it unknown whether the work ran. So does a
-        body passed on in pieces, for which no limit shows such silence.
+        Waits for the whole of a small answer. A call that is not repeatable
+        gets a new connection: if a pooled one is being closed by the server or
+        has gone silent, it would be unknown whether the call ran. A streamed
+        body gets a new connection too, as no timeout detects that silence.
 
         Raises:
-            bodies.BodyError: The caller's body stopped half-way.
+            bodies.BodyError: The caller's body could not be read.
         """
-        address = own.address
-        sent_headers = dialects.build_backend_headers(dialect, call, own)
-        held = call.body.buffered is not None
-        side = exchanges.Side(dialect, _UNACKNOWLEDGED_MS if held else 0)
+        address = backend.address
+        sent_headers = dialects.build_backend_headers(dialect, call, backend)
+        buffered = call.body.buffered is not None
+        options = exchanges.ConnectionOptions(
+            dialect, _UNACKNOWLEDGED_TIMEOUT_MS if buffered else 0
+        )
         pooled = None
-        if call.plan.repeatable and held:
-            pooled = self._pool.take(address)
+        if call.plan.repeatable and buffered:
+            pooled = self._pool.acquire(address)
         call.story.add(
             "sent to the backend server",
-            instance=own.instance_id,
+            instance=backend.instance_id,
             address=address,
             connection="new" if pooled is None else "kept",
         )
         if pooled is None:
-            # A new connection is not silent: the server itself is slow.
-            return await self._send_anew(
+            # A new connection cannot be silent: only the server can be slow.
+            return await self._send_over_new(
                 address,
                 call.target,
                 call,
                 sent_headers,
                 call.plan.repeatable,
-                side,
+                options,
             )
-        return await self._send_kept(own, pooled, call, sent_headers, side)
+        return await self._send_over_pooled(
+            backend, pooled, call, sent_headers, options
+        )
 
-    async def _send_kept(
+    async def _send_over_pooled(
         self,
-        own: backend.LocalBackend,
+        backend: backends.LocalBackend,
         pooled: connections.Connection,
         call: calls.Call,
         sent_headers: multidict.CIMultiDict[str],
-        side: exchanges.Side,
+        options: exchanges.ConnectionOptions,
     ) -> outcomes.Outcome:
-        """Sends a call over a kept connection, and anew if that is doubtful."""
+        """Sends a call over a pooled connection; resends it if in doubt."""
         budget = self._budgets.get(call.service)
         budget.record_call()
-        second = resends.Second(
-            pooled, lambda: self._send_second(own, call, side)
+        resend = resends.Resend(
+            pooled, lambda: self._resend(backend, call, options)
         )
-        watch = watchdogs.Watchdog(
+        watchdog = watchdogs.Watchdog(
             pooled,
             call.plan.work_s,
             call.deadline,
-            self._choose_look(own, call, budget, second),
+            self._choose_check(backend, call, budget, resend),
         )
-        began = self._loop.time()
-        idle_s = began - pooled.idle_since
+        started_at = self._loop.time()
+        idle_s = started_at - pooled.idle_since
         try:
-            outcome = await self._exchanges.run(
-                pooled, watch, call.target, call, sent_headers, side
+            outcome = await self._runner.run(
+                pooled, watchdog, call.target, call, sent_headers, options
             )
             broke = results.broke_while_idle(
-                outcome, idle_s, self._loop.time() - began
+                outcome, idle_s, self._loop.time() - started_at
             )
             if broke and call.body.replayable and budget.try_spend():
                 call.story.add(
                     "connection was gone", idle_ms=round(idle_s * 1000)
                 )
-                self._pool.drop(own.address)
-                second.start()
-            return await second.settle(outcome)
+                self._pool.drop(backend.address)
+                resend.start()
+            return await resend.resolve(outcome)
         finally:
-            second.close()
+            resend.close()
 
-    async def _send_second(
-        self, own: backend.LocalBackend, call: calls.Call, side: exchanges.Side
+    async def _resend(
+        self,
+        backend: backends.LocalBackend,
+        call: calls.Call,
+        options: exchanges.ConnectionOptions,
     ) -> outcomes.Outcome:
-        return await self._send_anew(
-            own.address,
+        return await self._send_over_new(
+            backend.address,
             call.target,
             call,
-            dialects.build_backend_headers(side.dialect, call, own),
-            side=side,
+            dialects.build_backend_headers(options.dialect, call, backend),
+            options=options,
         )
 
-    def _choose_look(
+    def _choose_check(
         self,
-        own: backend.LocalBackend,
+        backend: backends.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
-        second: resends.Second,
+        resend: resends.Resend,
     ) -> Callable[[], Coroutine[Any, Any, None]] | None:
-        """Returns what looks into a backend server that gives no sign.
+        """Returns the check for a backend server that does not answer.
 
-        One that sends heartbeats lives and is slow. Taken for silent, it would
-        run the call a second time just when it can least bear it; that the
-        connection itself is dead shows the operating system.
+        A backend server that sends heartbeats is alive and slow. Treated as
+        silent, it would run the call twice just when it is most loaded. A dead
+        connection to it is detected by the operating system.
         """
-        if own.instance_id:
+        if backend.instance_id:
             return None
-        return functools.partial(self._check_backend, own, call, budget, second)
+        return functools.partial(
+            self._check_backend, backend, call, budget, resend
+        )
 
     async def _check_backend(
         self,
-        own: backend.LocalBackend,
+        backend: backends.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
-        second: resends.Second,
+        resend: resends.Resend,
     ) -> None:
-        """Sends a call anew if the connection alone seems to be silent.
+        """Resends a call if only its connection seems to be silent.
 
-        A backend server cannot be asked about a call. That it takes new
-        connections does not prove that the kept one is silent: it may be slow.
-        So the first send goes on, and the second one is paid from a budget:
-        otherwise it would only add to the load. A second run already is not
-        followed by a third.
+        A backend server cannot be probed about a call. If it accepts new
+        connections, the pooled one may be silent or the server may be slow. So
+        the first send continues, and a retry budget limits resends, which would
+        otherwise add to the load of a slow server. A call that is already a
+        retry is not resent.
         """
         if (
-            await own.check()
+            await backend.check()
             and not call.attempt
             and call.body.buffered is not None
             and budget.try_spend()
         ):
             call.attempt += 1
             call.repeat = True
-            events.note("connection silent", address=own.address)
-            self._pool.drop(own.address)
-            second.start()
+            events.note("connection silent", address=backend.address)
+            self._pool.drop(backend.address)
+            resend.start()
 
     async def send_to_peer(
         self,
@@ -220,25 +230,27 @@
         call: calls.Call,
         sent_headers: multidict.CIMultiDict[str],
         report: Callable[[doubts.Doubt], None],
-        anew: bool = False,
+        new_connection: bool = False,
     ) -> outcomes.Outcome:
         """Sends a call to another daemon and waits for its answer.
 
         Args:
-            address: Where the daemon takes calls.
+            address: Address of the daemon's peer port, "ip:port".
             target: Path and query.
             call: The call.
-            sent_headers: Its headers.
-            report: Hears what makes it doubtful that an answer will come.
-            anew: Not over a connection that was used before.
+            sent_headers: Headers to send.
+            report: Called with each reason to doubt that an answer will come.
+            new_connection: Do not use a pooled connection.
 
         Raises:
-            bodies.BodyError: The caller's body stopped half-way.
+            bodies.BodyError: The caller's body could not be read.
         """
-        call_id = self._call_ids.take()
+        call_id = self._call_ids.create()
         sent_headers[headers.CALL_ID] = call_id
-        if anew or not call.plan.repeatable:
-            outcome = await self._send_anew(address, target, call, sent_headers)
+        if new_connection or not call.plan.repeatable:
+            outcome = await self._send_over_new(
+                address, target, call, sent_headers
+            )
         else:
             outcome = await self._send_watched(
                 address, target, call, sent_headers, report
@@ -259,29 +271,29 @@
         sent_headers: multidict.CIMultiDict[str],
         report: Callable[[doubts.Doubt], None],
     ) -> outcomes.Outcome:
-        """Sends a call over a kept connection and asks the daemon about it."""
+        """Sends a call over a pooled connection and probes the daemon."""
         connection: connections.Connection | outcomes.NotRun | None
-        connection = self._pool.take(address)
+        connection = self._pool.acquire(address)
         if connection is None:
-            connection = await self._exchanges.open(
+            connection = await self._runner.open(
                 address, call.refuse_by, exchanges.PEER
             )
             if isinstance(connection, outcomes.NotRun):
                 return connection
-        look = functools.partial(
-            watchdogs.ask_peer,
+        check = functools.partial(
+            watchdogs.probe_peer,
             self._pool,
             connection,
             sent_headers[headers.CALL_ID],
             call.plan.work_s,
-            self._pool.has_heard,
+            self._pool.has_received_since,
             functools.partial(self._report, address, report),
         )
-        watch = watchdogs.Watchdog(
-            connection, call.plan.work_s, call.deadline, look
+        watchdog = watchdogs.Watchdog(
+            connection, call.plan.work_s, call.deadline, check
         )
-        return await self._exchanges.run(
-            connection, watch, target, call, sent_headers
+        return await self._runner.run(
+            connection, watchdog, target, call, sent_headers
         )
 
     def _report(
@@ -290,36 +302,46 @@
         report: Callable[[doubts.Doubt], None],
         doubt: doubts.Doubt,
     ) -> None:
-        """Passes on a doubt; idle connections as old may be silent as well."""
+        """Reports a doubt; closes idle connections, which may be silent too."""
         if doubt.concerns_connection_only:
             events.note("connection silent", address=address)
             self._pool.drop(address)
         report(doubt)
 
-    async def _send_anew(
+    async def _send_over_new(
         self,
         address: str,
         target: str,
         call: calls.Call,
         sent_headers: multidict.CIMultiDict[str],
         keep: bool = False,
-        side: exchanges.Side = exchanges.PEER,
+        options: exchanges.ConnectionOptions = exchanges.PEER,
     ) -> outcomes.Outcome:
-        """Sends a call over a new connection; `keep` it for other calls."""
-        connection = await self._exchanges.open(address, call.refuse_by, side)
+        """Sends a call over a new connection.
+
+        Args:
+            address: Address of the server, "ip:port".
+            target: Path and query.
+            call: The call.
+            sent_headers: Headers to send.
+            keep: Keep the connection for other calls.
+            options: Options of the connection.
+        """
+        connection = await self._runner.open(address, call.refuse_by, options)
         if isinstance(connection, outcomes.NotRun):
             return connection
         if not keep:
             sent_headers[hdrs.CONNECTION] = "close"
             connection.force_close()
         elif call.body.buffered is None:
-            # The server may answer before it has read the body: what is sent
-            # next would wait behind that. It is not told so: one that closes
-            # with a part of a body unread may have its answer lost.
+            # The server may answer before it has read the body, and the next
+            # call would wait behind the rest of it. The server isn't asked to
+            # close: if it closes before it has read the whole body, its answer
+            # may be lost.
             connection.force_close()
-        watch = watchdogs.Watchdog(connection, 0.0, call.deadline, None)
-        return await self._exchanges.run(
-            connection, watch, target, call, sent_headers, side
+        watchdog = watchdogs.Watchdog(connection, 0.0, call.deadline, None)
+        return await self._runner.run(
+            connection, watchdog, target, call, sent_headers, options
         )
 
     def _watch_transfer(
--- a/merlintrestle/requests/transport/headers.py
+++ b/merlintrestle/requests/transport/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the data path: which are read, passed on and removed."""
+"""Names of the data path's headers, and removal of hop-by-hop headers."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Of a type that is compared without regard to case; a plain text would be
-# put into lower case at each look-up.
+# `istr` compares case-insensitively; a plain `str` would be lower-cased at each
+# lookup.
 ORGANISATION = multidict.istr("Merlintrestle-Organisation")
 OUTCOME = multidict.istr("Merlintrestle-Outcome")
-# Milliseconds that are left to the caller's deadline.
+# Time remaining until the caller's deadline, in milliseconds.
 DEADLINE = multidict.istr("Merlintrestle-Deadline-Ms")
-# Calls above this one: 0 for a call that comes from outside the mesh.
+# Number of calls above this one: 0 for a call from outside the mesh.
 DEPTH = multidict.istr("Merlintrestle-Depth")
-# 0 where nobody above this call runs it again; else it is not tried again.
+# 0 if neither this call nor a call above it is a retry; otherwise the call is
+# not retried.
 ATTEMPT = multidict.istr("Merlintrestle-Attempt")
-# Class of work with its targets; believed on the peer port only.
+# Class of the call with its targets; trusted on the peer port only.
 PLAN = multidict.istr("Merlintrestle-Plan")
-# Load of the backend server beside the daemon that answers, see `loads`.
+# Load of the answering daemon's local backend server, see `loads`.
 LOAD = multidict.istr("Merlintrestle-Load")
-# What else a daemon tells of a call, see `passing`; believed likewise.
+# Further metadata of a call, see `metadata`; trusted on the peer port only.
 METADATA = multidict.istr("Merlintrestle-Passed")
-# Names one attempt at a call between two daemons.
+# Identifies one attempt of a call between two daemons.
 CALL_ID = multidict.istr("Merlintrestle-Call")
 IDEMPOTENCY_KEY = multidict.istr("Idempotency-Key")
 
 _PREFIX = "merlintrestle-"
-# Which headers are not passed on, for the names of requests and answers seen so
-# far; the same sender mostly sends the same names in the same order.
-_known: dict[tuple[str, ...], tuple[str, ...]] = {}
-# Callers make up names; what is remembered of them must stay bounded: some
-# 4 MB with these figures.
-_MAX_KNOWN = 1000
+# Headers to exclude, by the header names of requests and answers seen so far. A
+# sender mostly sends the same names in the same order.
+_excluded_by_names: dict[tuple[str, ...], tuple[str, ...]] = {}
+# Callers may send arbitrary names, so the size of the cache is limited: about
+# 4 MB with these values.
+_MAX_CACHED = 1000
 _MAX_NAMES = 32
 _MAX_NAME_CHARACTERS = 64
 # Headers that describe one connection (RFC 9110, section 7.6.1).
@@ -55,45 +56,45 @@
     )
 )
 
-_KEPT = frozenset((IDEMPOTENCY_KEY.lower(),))
+_ALWAYS_KEPT = frozenset((IDEMPOTENCY_KEY.lower(),))
 
 
 def copy_end_to_end(
     headers: Mapping[str, str],
 ) -> multidict.CIMultiDict[str]:
-    """Copies headers without hop-by-hop ones and without this system's own.
+    """Copies headers except hop-by-hop ones and those of this system.
 
-    A caller's own `Merlintrestle-` headers end here: passed on, they would let
-    it choose a class of work or an outcome that is not true.
+    `Merlintrestle-` headers of a caller are removed: if they were forwarded,
+    the caller could choose its class or forge an outcome.
 
-    A key stays whatever the caller's "Connection" names: without it the next
+    "Connection" cannot remove an idempotency key: without the key the next
     daemon would run the call without a claim, and again at each retry.
     """
     names = tuple(headers)
-    left_out = _known.get(names)
-    if left_out is None:
-        left_out = _choose_left_out(names)
+    excluded = _excluded_by_names.get(names)
+    if excluded is None:
+        excluded = _find_excluded(names)
     result: multidict.CIMultiDict[str] = multidict.CIMultiDict(headers)
-    for name in left_out:
+    for name in excluded:
         result.popall(name, None)
     connection = headers.get(hdrs.CONNECTION)
     if connection is not None:
         for name in connection.lower().split(","):
-            if name.strip() not in _KEPT:
+            if name.strip() not in _ALWAYS_KEPT:
                 result.popall(name.strip(), None)
     return result
 
 
-def _choose_left_out(names: tuple[str, ...]) -> tuple[str, ...]:
-    """Returns the headers that are not passed on, and remembers them."""
-    left_out = tuple(name for name in names if not _is_end_to_end(name))
+def _find_excluded(names: tuple[str, ...]) -> tuple[str, ...]:
+    """Returns the headers to exclude, and caches them."""
+    excluded = tuple(name for name in names if not _is_end_to_end(name))
     if (
-        len(_known) < _MAX_KNOWN
+        len(_excluded_by_names) < _MAX_CACHED
         and len(names) <= _MAX_NAMES
         and max(map(len, names), default=0) <= _MAX_NAME_CHARACTERS
     ):
-        _known[names] = left_out
-    return left_out
+        _excluded_by_names[names] = excluded
+    return excluded
 
 
 def _is_end_to_end(name: str) -> bool:
@@ -102,7 +103,7 @@
 
 
 def read_number(headers: Mapping[str, str], name: str) -> int | None:
-    """Returns a header's whole number; None where it is absent or not one."""
+    """Returns the non-negative integer in a header; None if there is none."""
     text = headers.get(name)
     if text is None:
         return None
--- a/merlintrestle/requests/transport/pool.py
+++ b/merlintrestle/requests/transport/pool.py
@@ -1,4 +1,4 @@
-"""The pool: idle connections to other daemons and to the backend server."""
+"""Pool of idle connections to other daemons and to the backend server."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
     from merlintrestle.requests.reports import traffic as traffics
 
-# Shorter than servers keep idle connections: one closed by the other side just
-# as a call is written to it would leave that call with an unknown outcome.
-KEEPALIVE_S = 15.0
-# How long before the other side closes an idle connection it is no longer used,
-# in seconds: its clock started when it wrote its answer, and it states whole
-# seconds only.
-_MARGIN_S = 1.0
+# Shorter than the idle timeout of servers: if a server closed a connection just
+# as a call is sent over it, the outcome of the call would be unknown.
+MAX_IDLE_S = 15.0
+# A connection is no longer used this long before its server closes it. The
+# idle time of the server starts when it writes its answer, and it announces
+# whole seconds only.
+_CLOSE_MARGIN_S = 1.0
 
 
 class Pool:
-    """Idle connections by address; the one used last is used first."""
+    """Idle connections by address, reused last in, first out."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
-        """Starts without connections."""
+        """Creates an empty pool."""
         self._loop = loop
         self._idle: dict[str, list[connections.Connection]] = {}
-        self._heard: dict[str, float] = {}
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._last_received: dict[str, float] = {}
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
-    def take(self, address: str) -> connections.Connection | None:
-        """Returns an idle connection; None: there is none."""
+    def acquire(self, address: str) -> connections.Connection | None:
+        """Removes and returns an idle connection; None: there is none."""
         idle = self._idle.get(address)
         if not idle:
             return None
@@ -47,82 +47,88 @@
     async def open(
         self,
         address: str,
-        unacknowledged_ms: int = 0,
+        unacknowledged_timeout_ms: int = 0,
         traffic: traffics.Traffic | None = None,
     ) -> connections.Connection:
         """Opens a connection.
 
         Args:
-            address: Its other end.
-            unacknowledged_ms: Longest time for which what was sent may stay
-                unacknowledged; 0: none.
-            traffic: Where its bytes are counted.
+            address: Address of the server, "ip:port".
+            unacknowledged_timeout_ms: Time for which sent data may stay
+                unacknowledged before the connection is broken, in milliseconds;
+                0: the default of the operating system.
+            traffic: Counter of the bytes of the connection.
 
         Raises:
-            OSError: It could not be opened; nothing was sent.
+            OSError: The connection failed; nothing was sent.
         """
         host, _, port = address.rpartition(":")
         transport, connection = await self._loop.create_connection(
             lambda: connections.Connection(
-                self._loop, address, self._heard, traffic
+                self._loop, address, self._last_received, traffic
             ),
             host,
             int(port),
         )
-        if unacknowledged_ms:
-            connectors.limit_unacknowledged(transport, unacknowledged_ms)
+        if unacknowledged_timeout_ms:
+            connectors.limit_unacknowledged(
+                transport, unacknowledged_timeout_ms
+            )
         return connection
 
-    def has_heard(self, address: str, since: float) -> bool:
-        """Returns whether bytes came from an address since a time."""
-        return self._heard.get(address, 0.0) > since
+    def has_received_since(self, address: str, since: float) -> bool:
+        """Returns whether bytes were received from an address since a time."""
+        return self._last_received.get(address, 0.0) > since
 
-    def give_back(self, connection: connections.Connection) -> None:
-        """Keeps a connection whose call has ended, or closes it."""
+    def release(self, connection: connections.Connection) -> None:
+        """Returns a connection to the pool, or closes it if not reusable."""
         if not connection.reusable:
             connection.abort()
             return
-        connection.rest(self._loop.time())
+        connection.mark_idle(self._loop.time())
         self._idle.setdefault(connection.address, []).append(connection)
-        if self._sweeping is None:
-            self._sweeping = self._loop.call_later(KEEPALIVE_S, self._sweep)
+        if self._sweep_timer is None:
+            self._sweep_timer = self._loop.call_later(MAX_IDLE_S, self._sweep)
 
     def drop(self, address: str) -> None:
         """Closes the idle connections to an address.
 
-        What made one connection silent was there for all of the same age.
-        Those in use are left: the watches over their calls find out.
+        Whatever made one connection silent affects all connections of the same
+        age. Connections in use stay open; the watchdogs of their calls check
+        them.
         """
         for connection in self._idle.pop(address, ()):
             connection.close()
 
     def close(self) -> None:
         """Closes the idle connections."""
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         for address in list(self._idle):
             self.drop(address)
 
     def _sweep(self) -> None:
-        """Closes connections that were idle for too long."""
-        self._sweeping = None
+        """Closes connections that have been idle for too long."""
+        self._sweep_timer = None
         now = self._loop.time()
         for address, idle in list(self._idle.items()):
-            kept = [one for one in idle if _is_fresh(one, now)]
+            kept = [
+                connection for connection in idle if _is_fresh(connection, now)
+            ]
             for connection in idle:
                 if not _is_fresh(connection, now):
                     connection.close()
             self._idle[address] = kept
             if not kept:
                 del self._idle[address]
-                self._heard.pop(address, None)
+                self._last_received.pop(address, None)
         if self._idle:
-            self._sweeping = self._loop.call_later(KEEPALIVE_S, self._sweep)
+            self._sweep_timer = self._loop.call_later(MAX_IDLE_S, self._sweep)
 
 
 def _is_fresh(connection: connections.Connection, now: float) -> bool:
-    """Returns whether the other side surely keeps an idle connection open."""
-    limit_s = KEEPALIVE_S
+    """Returns whether the server still keeps an idle connection open."""
+    max_idle_s = MAX_IDLE_S
     if connection.keep_alive_s is not None:
-        limit_s = min(limit_s, connection.keep_alive_s - _MARGIN_S)
-    return now - connection.idle_since <= limit_s
+        max_idle_s = min(max_idle_s, connection.keep_alive_s - _CLOSE_MARGIN_S)
+    return now - connection.idle_since <= max_idle_s
--- a/merlintrestle/requests/transport/probes.py
+++ b/merlintrestle/requests/transport/probes.py
@@ -1,9 +1,9 @@
-"""Probes: whether a call that gives no sign is alive at its peer.
+"""Probes of calls in flight at another daemon.
 
-A connection can go silent for good: something between the two ends has lost
-track of it and drops what either sends. Neither end gets an error. A call that
-merely waits for a slow backend server looks just the same on its connection,
-so the daemon asks the peer about the call over a new one.
+A connection can go silent for good, without an error at either end, if
+something between them has lost its state and drops all packets. A call that
+merely waits for a slow backend server looks the same on its connection. So the
+daemon asks its peer about the call over a new connection.
 """
 
 from __future__ import annotations
@@ -26,23 +26,22 @@
     from merlintrestle.requests.transport import pool as pools
 
 PATH = "/-/calls/"
-# A daemon that lives answers in milliseconds; a busy one in some tens of them.
+# A daemon answers within milliseconds, a busy one within tens of milliseconds.
 _TIMEOUT_S = 0.3
-_IN_FLIGHT = 200
-_NOT_KNOWN = 404
-_ENDED = 410
-# Ended calls that are remembered, some 200 KB. At 50 calls a second, the share
-# of one of 6,300 daemons in 320,000, these are those of 20 s; a call is asked
-# about after a quarter of a second.
+_IN_FLIGHT_STATUS = 200
+_UNKNOWN_STATUS = 404
+_ENDED_STATUS = 410
+# Takes about 200 KB and covers 20 s at 50 calls per second, the share of one of
+# 6,300 daemons in 320,000 calls per second. A first probe is sent after 0.25 s.
 _MAX_ENDED = 1024
 
 
 @dataclasses.dataclass(slots=True)
 class AnswerProgress:
-    """How far the answer of a call has come at the daemon that sends it.
+    """Progress of an answer at the daemon that sends it.
 
     Attributes:
-        written: Bytes of its body that were handed to the connection.
+        written: Bytes of the body written to the connection.
     """
 
     written: int = 0
@@ -50,13 +49,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """What a peer says about a call.
+    """Result of probing a peer about a call.
 
     Attributes:
         answered: False if the peer did not answer over a new connection.
-        in_flight: True if the call is in flight there.
-        ended: True if it was in flight there and its answer is sent off.
-        written: Bytes of its answer's body that the peer has sent off.
+        in_flight: True if the call is in flight at the peer.
+        written: Bytes of the answer's body that the peer has written.
+        ended: True if the call has ended at the peer and its answer is written.
     """
 
     answered: bool
@@ -66,7 +65,7 @@
 
 
 class CallRegistry:
-    """The calls of peers that are in flight here, or were just now."""
+    """Calls of peers that are in flight here or have recently ended."""
 
     def __init__(self) -> None:
         self._calls: dict[str, AnswerProgress] = {}
@@ -81,7 +80,7 @@
         return progress
 
     def mark_ended(self, call_id: str) -> None:
-        """Takes a call for ended."""
+        """Marks a call as ended."""
         progress = self._calls.pop(call_id, None)
         if progress is None:
             return
@@ -90,25 +89,25 @@
             self._ended.popitem(last=False)
 
     def answer_probe(self, path: str) -> tuple[int, str]:
-        """Returns status and text that answer a probe."""
+        """Returns status and text of the answer to a probe."""
         call_id = path.removeprefix(PATH)
         progress = self._calls.get(call_id)
         if progress is not None:
-            return _IN_FLIGHT, str(progress.written)
+            return _IN_FLIGHT_STATUS, str(progress.written)
         progress = self._ended.get(call_id)
         if progress is not None:
-            return _ENDED, str(progress.written)
-        return _NOT_KNOWN, ""
+            return _ENDED_STATUS, str(progress.written)
+        return _UNKNOWN_STATUS, ""
 
 
 async def ask(pool: pools.Pool, address: str, call_id: str) -> ProbeResult:
-    """Asks a peer about a call over a new connection."""
+    """Probes a peer about a call over a new connection."""
     try:
         async with asyncio.timeout(_TIMEOUT_S):
             status, text = await _fetch(pool, address, f"{PATH}{call_id}")
-        if status == _IN_FLIGHT:
+        if status == _IN_FLIGHT_STATUS:
             return ProbeResult(True, True, int(text))
-        if status == _ENDED:
+        if status == _ENDED_STATUS:
             return ProbeResult(True, False, int(text), True)
         return ProbeResult(True)
     except (
@@ -126,19 +125,19 @@
 ) -> tuple[int, bytes]:
     """Returns status and body of an answer.
 
-    Without the library's session, which costs more than a whole call. With
-    slow backend servers every call is asked about several times.
+    Doesn't use aiohttp's client session, which costs more than a whole call:
+    with slow backend servers, every call is probed several times.
     """
     connection = await pool.open(address)
     try:
-        sent = multidict.CIMultiDict({hdrs.CONNECTION: "close"})
-        nothing = bodies.Body(b"", 0)
-        answer = await connection.call("GET", path, sent, nothing)
+        sent_headers = multidict.CIMultiDict({hdrs.CONNECTION: "close"})
+        no_body = bodies.Body(b"", 0)
+        answer = await connection.call("GET", path, sent_headers, no_body)
         return answer.status, await answer.content.read()
     finally:
         connection.close()
 
 
 def is_probe(request: web.BaseRequest) -> bool:
-    """Returns whether a peer asks about a call."""
+    """Returns whether a request is a probe."""
     return request.raw_path.startswith(PATH)
--- a/merlintrestle/requests/transport/protocols.py
+++ b/merlintrestle/requests/transport/protocols.py
@@ -1,4 +1,4 @@
-"""Protocols: what holds for both ends of a connection between daemons."""
+"""asyncio protocol base class for connections."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     import asyncio
 
 
-class Undelayed(base_protocol.BaseProtocol):
-    """Leaves it to the event loop to have small packets sent at once.
+class NoDelayProtocol(base_protocol.BaseProtocol):
+    """Leaves setting TCP_NODELAY to the event loop.
 
-    Event loops do that for each connection they open or accept. The library
-    does it once more, by a socket object of its own: three system calls for
-    each end, which shows where connections serve one call.
+    Event loops set it for each connection that they open or accept. aiohttp
+    sets it again, through a socket object of its own. That takes three system
+    calls at each end, a noticeable cost for connections that serve one call.
 
-    It stands behind the library's class in the bases of a protocol.
+    Must follow aiohttp's class in the bases of a protocol.
     """
 
     __slots__ = ()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the transport; called by the event loop."""
+        """Sets the transport; called by the event loop."""
         self.transport = cast("asyncio.Transport", transport)
--- a/merlintrestle/requests/transport/results.py
+++ b/merlintrestle/requests/transport/results.py
@@ -1,4 +1,4 @@
-"""Results: what one send over a connection says about its call."""
+"""Outcome of a call, derived from one exchange over a connection."""
 
 from __future__ import annotations
 
@@ -14,28 +14,27 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.transport import answers
 
-# A connection that was used so recently has not been forgotten, in seconds: no
-# server closes connections sooner.
-_IDLE_S = 0.5
-# A reset of a connection that is gone comes within this time, in seconds: both
-# ends are on one instance.
-_GONE_S = 0.05
+# No server closes a connection that has been idle for less than this.
+_MIN_IDLE_S = 0.5
+# The reset of a connection that no longer exists arrives within this time, as
+# both ends are on the same instance.
+_MAX_RESET_S = 0.05
 DEADLINE_EXCEEDED = outcomes.Unknown(
     "no answer before the deadline", outcomes.TIMEOUT_STATUS
 )
 
 
-def belongs(
+def matches_call(
     answer: answers.Answer,
     call: calls.Call,
     sent_headers: multidict.CIMultiDict[str],
     dialect: object,
 ) -> bool:
-    """Returns whether an answer is to what was sent, and not to another call.
+    """Returns whether an answer belongs to a call.
 
-    Daemons name the call in each answer. Taken for this call's, another one's
-    answer would go to the wrong caller, and so would all that follow it on
-    the connection.
+    Daemons state the id of the call in each answer. Without this check, the
+    answer to another call, and every later answer on the connection, would go
+    to the wrong caller.
     """
     call_id = sent_headers.get(headers.CALL_ID)
     if call_id is not None:
@@ -44,25 +43,25 @@
 
 
 def broke_while_idle(
-    outcome: outcomes.Outcome, idle_s: float, took_s: float
+    outcome: outcomes.Outcome, idle_s: float, duration_s: float
 ) -> bool:
-    """Returns whether a connection was gone before a call was sent over it.
+    """Returns whether a connection was lost before a call was sent over it.
 
-    The other side may forget a connection that is idle, sooner than it said
-    and without a word; what is sent next is answered by a reset, at once.
-    Passed up, that would look like a crash of the backend server.
+    The server may drop an idle connection without notice, sooner than it has
+    announced, and answer the next call with an immediate reset. Reported as an
+    outcome, that would look like a crash of the backend server.
     """
     broke = isinstance(outcome, outcomes.Unknown) and outcome.broken
-    return broke and idle_s >= _IDLE_S and took_s <= _GONE_S
+    return broke and idle_s >= _MIN_IDLE_S and duration_s <= _MAX_RESET_S
 
 
-def fail(
+def build_failure(
     answer: answers.Answer | None,
     reason: str,
     status: int,
     broken: bool,
 ) -> outcomes.Failure:
-    """Returns the failure of a call whose answer did not come whole."""
+    """Builds the failure of a call whose answer is incomplete."""
     if answer is None:
         return outcomes.Unknown(reason, status, broken=broken)
     return outcomes.Ran(f"{reason} in the answer", status, broken=broken)
--- a/merlintrestle/requests/transport/streams.py
+++ b/merlintrestle/requests/transport/streams.py
@@ -1,4 +1,4 @@
-"""Answers: read, passed on in pieces, and cut without looking complete."""
+"""Reading and forwarding of answers, so that truncated ones are detected."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 if TYPE_CHECKING:
     from merlintrestle.requests.calls import outcomes
 
-# l_onoff and l_linger: close at once with a reset.
-_RESET = struct.pack("ii", 1, 0)
-_NO_RESET = struct.pack("ii", 0, 0)
-# Time between two looks at what is held back of an answer to an old caller.
-_FLUSH_S = 0.02
-_BODILESS = frozenset((204, 304))
+# Values of l_onoff and l_linger; the first makes a close send a reset.
+_LINGER_RESET = struct.pack("ii", 1, 0)
+_LINGER_DEFAULT = struct.pack("ii", 0, 0)
+# Interval at which the write buffer is checked after an answer to an HTTP/1.0
+# caller or without a framed end.
+_FLUSH_POLL_S = 0.02
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
 class BodySender(Protocol):
-    """Sends the body of an answer whose head is sent."""
+    """Sends the body of an answer whose headers have been sent."""
 
     async def __call__(
         self,
@@ -38,21 +39,28 @@
         answered: outcomes.Answered,
         progress: probes.AnswerProgress,
     ) -> None:
-        """Sends the whole body, and counts it."""
+        """Sends the whole body and counts its bytes in `progress`."""
 
 
 async def read_answer(response: answers.Answer, method: str) -> bytes | None:
-    """Reads a small answer whole; leaves another to be passed on.
+    """Reads a small answer into memory; any other answer will be streamed.
 
-    A small answer that is cut can then still be tried again or be refused with
-    an honest outcome: the caller has seen nothing of it yet. One without a
-    clear end is never held: nobody knows whether it is whole.
+    If a small answer is truncated, the call can still be retried or answered
+    with its true outcome, as nothing has been sent to the caller yet. An
+    unframed answer is never buffered: whether it is complete is unknown.
+
+    Args:
+        response: The answer, whose headers have been read.
+        method: HTTP method of the request.
+
+    Returns:
+        The whole body; None if it will be streamed.
 
     Raises:
-        aiohttp.ClientError: It was cut.
+        aiohttp.ClientError: The answer was truncated.
     """
     content = response.content
-    if not has_clear_end(response, method):
+    if not is_framed(response, method):
         return None
     if content.is_eof():
         return content.read_nowait()
@@ -62,13 +70,14 @@
     return None
 
 
-def has_clear_end(response: answers.Answer, method: str) -> bool:
-    """Returns whether the end of an answer differs from a cut.
+def is_framed(response: answers.Answer, method: str) -> bool:
+    """Returns whether the end of an answer can be told from a truncation.
 
-    An answer whose end is marked by the close of its connection alone looks
-    whole wherever it is cut. Of the transfer encodings only chunks mark one.
+    An answer that ends only with the close of its connection looks complete
+    wherever it is truncated. "chunked" is the only transfer coding that marks
+    the end.
     """
-    if method == "HEAD" or response.status in _BODILESS:
+    if method == "HEAD" or response.status in _BODILESS_STATUSES:
         return True
     codings = response.headers.get(hdrs.TRANSFER_ENCODING)
     if codings is not None:
@@ -83,104 +92,109 @@
     added: tuple[tuple[str, str], ...] = (),
     send: BodySender | None = None,
 ) -> web.StreamResponse:
-    """Passes an answer on, and cuts the caller off if it is cut.
+    """Forwards an answer; resets the caller's connection if it is truncated.
 
-    A body that ends early must not look whole: the caller would file half a
-    document. The connection is reset instead of closed, which shows with every
-    HTTP version, also where only the close marks the end.
+    A truncated body must not look complete: the caller would store half a
+    document. The connection is reset instead of closed, which can be detected
+    with every HTTP version, also if only the close marks the end.
 
     Args:
-        request: What is answered.
+        request: The caller's request.
         answered: The answer.
-        progress: Counts what is passed on of a long answer.
+        progress: Counts the forwarded bytes of a long answer.
         added: Headers to add.
-        send: Sends the body of a long answer; None: as its pieces come.
+        send: Sends the body of a long answer; None: each chunk is sent as it
+            arrives.
+
+    Returns:
+        The response; the server writes it unless it has been sent.
     """
     response = answered.response
     copied = headers.copy_end_to_end(response.headers)
     copied.extend(added)
-    bodiless = request.method == "HEAD" or response.status in _BODILESS
-    held = answered.body
+    bodiless = request.method == "HEAD" or response.status in _BODILESS_STATUSES
+    buffered = answered.body
     if (
-        held is not None
+        buffered is not None
         and not bodiless
-        and (send is None or len(held) <= reservations.CHUNK_BYTES)
+        and (send is None or len(buffered) <= reservations.CHUNK_BYTES)
     ):
-        return answers.build_held(request, response, copied, held)
-    framed = has_clear_end(response, request.method)
-    answer = (web.StreamResponse if framed else _Unframed)(
+        return answers.build_buffered(request, response, copied, buffered)
+    framed = is_framed(response, request.method)
+    answer = (web.StreamResponse if framed else _UnframedAnswer)(
         status=response.status, reason=response.reason, headers=copied
     )
     if not framed:
         answer.force_close()
     progress = progress or probes.AnswerProgress()
-    watch = _ReceiverWatch(request, progress)
-    # The close of the connection is all that marks the end of such an answer.
-    unmarked = not framed or (
+    watchdog = _ReceiverWatchdog(request, progress)
+    # Whether only the close of the connection marks the end of the answer.
+    ends_by_close = not framed or (
         request.version < http.HttpVersion11
         and not bodiless
         and "Content-Length" not in copied
     )
     try:
-        if unmarked:
-            _set_linger(request, _RESET)
+        if ends_by_close:
+            _set_linger(request, _LINGER_RESET)
         await answer.prepare(request)
         if not bodiless:
             await (send or _send)(request, answer, answered, progress)
         await answer.write_eof()
-        if unmarked:
-            await _end_unmarked(request)
+        if ends_by_close:
+            await _flush_unframed(request)
     except BaseException:
         reset_connection(request)
         raise
     finally:
-        watch.close()
+        watchdog.close()
     return answer
 
 
-class _Unframed(web.StreamResponse):
-    """An answer whose end only the close of its connection marks.
+class _UnframedAnswer(web.StreamResponse):
+    """An answer whose end is marked only by the close of its connection.
 
-    It stays so on its way: given a length or chunks here, an answer that its
-    backend server broke off would look whole to the caller.
+    It is forwarded unframed: with a length or chunks, an answer that the
+    backend server has truncated would look complete to the caller.
     """
 
     _length_check = False
 
 
-class _ReceiverWatch:
-    """Cuts off a receiver that takes nothing of what waits to be sent.
+class _ReceiverWatchdog:
+    """Resets the connection of a receiver that has stopped reading.
 
-    Its host may be gone without a word. The call would hold its slot for good,
-    and a few such receivers would stop a backend server. A receiver that is
-    slow moves something, and for one that waits nothing is held back.
+    The host of the receiver may have gone without closing the connection. The
+    call would occupy its slot forever, and a few such receivers would block a
+    backend server. With a slow receiver some bytes move, and for a receiver
+    that waits for the answer the write buffer is empty.
     """
 
     def __init__(
         self, request: web.BaseRequest, progress: probes.AnswerProgress
     ):
-        """Starts the watch."""
+        """Starts the watchdog."""
         self._request = request
         self._progress = progress
-        self._seen = (0, 0)
+        self._last_progress = (0, 0)
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(bodies.STALL_TIMEOUT_S, self._look)
+        self._timer = self._loop.call_later(bodies.STALL_TIMEOUT_S, self._check)
 
     def close(self) -> None:
-        """Ends the watch."""
+        """Stops the watchdog."""
         self._timer.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         transport = self._request.transport
         if transport is None:
             return
         held_back = transport.get_write_buffer_size()
-        seen = (self._progress.written, held_back)
-        if held_back and seen == self._seen:
+        current = (self._progress.written, held_back)
+        if held_back and current == self._last_progress:
             reset_connection(self._request)
             return
-        self._seen = seen
-        self._timer = self._loop.call_later(bodies.STALL_TIMEOUT_S, self._look)
+        self._last_progress = current
+        self._timer = self._loop.call_later(bodies.STALL_TIMEOUT_S, self._check)
 
 
 async def _send(
@@ -189,33 +203,33 @@
     answered: outcomes.Answered,
     progress: probes.AnswerProgress,
 ) -> None:
-    """Sends a body in pieces, as it comes."""
+    """Sends each chunk of a body as it arrives."""
     del request
     content = answered.response.content
-    while piece := await content.readany():
-        progress.written += len(piece)
-        await answer.write(piece)
+    while chunk := await content.readany():
+        progress.written += len(chunk)
+        await answer.write(chunk)
 
 
 def reset_connection(request: web.BaseRequest) -> None:
-    """Resets the caller's connection, so that its answer shows as broken."""
+    """Resets the caller's connection, which marks its answer as truncated."""
     transport = request.transport
     if transport is None:
         return
-    _set_linger(request, _RESET)
+    _set_linger(request, _LINGER_RESET)
     transport.abort()
 
 
-async def _end_unmarked(request: web.BaseRequest) -> None:
-    """Has the connection end as usual, once nothing more is held back.
+async def _flush_unframed(request: web.BaseRequest) -> None:
+    """Lets the connection close normally once its write buffer is empty.
 
-    Until then it is to be reset whoever closes it: if the daemon is killed,
-    the operating system does, and half an answer would look whole.
+    Until then any close must reset it: if the daemon is killed, the operating
+    system closes the connection, and a truncated answer would look complete.
     """
     transport = request.transport
     while transport is not None and transport.get_write_buffer_size():
-        await asyncio.sleep(_FLUSH_S)
-    _set_linger(request, _NO_RESET)
+        await asyncio.sleep(_FLUSH_POLL_S)
+    _set_linger(request, _LINGER_DEFAULT)
 
 
 def _set_linger(request: web.BaseRequest, linger: bytes) -> None:
--- a/merlintrestle/requests/transport/timeouts.py
+++ b/merlintrestle/requests/transport/timeouts.py
@@ -1,4 +1,4 @@
-"""Limits on time that an event loop which stood still does not cut short."""
+"""Timeouts that are not shortened by a blocked event loop."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-# Turns of the event loop in which a connection that has come about is made.
-_TURNS = 10
+# Iterations in which the event loop completes an established connection.
+_LOOP_ITERATIONS = 10
 
 
 @contextlib.asynccontextmanager
-async def bound(limit_s: float) -> AsyncIterator[None]:
-    """Ends a block after a time, once what has come until then was read.
+async def timeout(timeout_s: float) -> AsyncIterator[None]:
+    """Cancels a block after a time, once pending I/O has been processed.
 
-    Where the loop stood still, timers ring before sockets are looked at. By
-    the clock alone, whatever was awaited meanwhile would be given up as if it
-    had not come.
+    After the event loop was blocked, timers run before sockets are polled. A
+    plain timeout would expire although the awaited event has occurred.
+
+    Args:
+        timeout_s: Time after which the block is cancelled, in seconds.
 
     Raises:
         TimeoutError: The time is over.
@@ -28,15 +30,15 @@
     running = True
     async with asyncio.timeout(None) as scope:
 
-        def end(turns: int) -> None:
+        def expire(iterations: int) -> None:
             if not running:
                 return
-            if turns:
-                loop.call_soon(end, turns - 1)
+            if iterations:
+                loop.call_soon(expire, iterations - 1)
             else:
                 scope.reschedule(loop.time())
 
-        timer = loop.call_later(max(0.0, limit_s), end, _TURNS)
+        timer = loop.call_later(max(0.0, timeout_s), expire, _LOOP_ITERATIONS)
         try:
             yield
         finally:
--- a/merlintrestle/requests/transport/transfers.py
+++ b/merlintrestle/requests/transport/transfers.py
@@ -1,4 +1,4 @@
-"""Transfers: long answers to other daemons, sent as the link takes them."""
+"""Transfers of long answers to other daemons, paced by the outgoing link."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
     from merlintrestle.requests.calls import outcomes
     from merlintrestle.requests.transport import probes
 
-# Time between two looks at what has left, in seconds: a fifth of what may be
-# on its way, so that the link is not idle in between.
-_LOOK_S = 0.012
+# A fifth of the time that unsent data may take, so that the link doesn't become
+# idle between two checks.
+_CHECK_INTERVAL_S = 0.012
 
 
 class TransferSender:
-    """The long answers of a daemon that are on their way.
+    """Sends long answers and tracks how much of them is unsent.
 
-    What an operating system has taken has not left: it takes a hundred
-    kilobytes and more of each connection at once. So it is asked, at intervals
-    and only while something is on its way.
+    Data accepted by the operating system has not been sent yet: its buffer
+    holds a hundred kilobytes and more for each connection. So the unsent bytes
+    are queried, at intervals and only while a transfer is active.
     """
 
     def __init__(self, link: links.OutgoingLink):
-        """Sets what decides when something is sent."""
+        """Sets the link, which decides when a chunk is sent."""
         self._link = link
         self._loop = asyncio.get_running_loop()
-        self._sending: list[_Sending] = []
+        self._active: list[_ActiveTransfer] = []
         self._timer: asyncio.TimerHandle | None = None
 
     def close(self) -> None:
-        """Ends the looks."""
+        """Stops the checks."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -52,112 +52,115 @@
         progress: probes.AnswerProgress,
         transfer: reservations.Transfer,
     ) -> None:
-        """Sends a body in pieces, each as soon as the link has room for it.
+        """Sends a body in chunks, each as soon as the link has capacity for it.
 
         Args:
-            request: What is answered.
-            answer: Its answer, the head of which is sent.
-            answered: What it has the body of.
-            progress: Counts what is handed over.
-            transfer: What the link has promised; ended once all has left.
+            request: The request of the other daemon.
+            answer: The response, whose headers have been sent.
+            answered: The answer whose body is sent.
+            progress: Counts the written bytes.
+            transfer: The transfer on the link; ended once all bytes are sent.
 
         Raises:
             OSError: The connection broke.
-            aiohttp.ClientError: The backend server broke off.
+            aiohttp.ClientError: The backend server's answer was truncated.
         """
         transport = request.transport
         if transport is None:
-            raise ConnectionResetError("the other daemon has left")
-        self._end_earlier(transport)
-        sending = _Sending(transport, transfer)
-        self._sending.append(sending)
-        began_at = progress.written
+            raise ConnectionResetError("the other daemon has disconnected")
+        self._end_previous(transport)
+        active = _ActiveTransfer(transport, transfer)
+        self._active.append(active)
+        written_before = progress.written
         try:
-            while piece := await _read(answered):
-                for start in range(0, len(piece), reservations.CHUNK_BYTES):
-                    part = piece[start : start + reservations.CHUNK_BYTES]
+            while data := await _read(answered):
+                for start in range(0, len(data), reservations.CHUNK_BYTES):
+                    chunk = data[start : start + reservations.CHUNK_BYTES]
                     await transfer.wait_for_turn()
-                    progress.written += len(part)
-                    transfer.record_written(len(part))
-                    self._look_later()
-                    await answer.write(part)
+                    progress.written += len(chunk)
+                    transfer.record_written(len(chunk))
+                    self._schedule_check()
+                    await answer.write(chunk)
                 if answered.body is not None:
                     return
-            transfer.record_size(progress.written - began_at)
+            transfer.record_size(progress.written - written_before)
         finally:
-            sending.written = True
+            active.written = True
 
-    def _end_earlier(self, transport: asyncio.Transport) -> None:
-        """Ends the last transfer of a connection.
+    def _end_previous(self, transport: asyncio.Transport) -> None:
+        """Ends the previous transfer on a connection.
 
-        The other daemon asks anew once it has read the last answer. Looked at
-        later, what is sent from now on would count for both.
+        The other daemon sends its next request once it has read the previous
+        answer. If the previous transfer were not ended, the unsent bytes of the
+        connection would count for both.
         """
-        for sending in self._sending:
-            if sending.transport is transport:
-                sending.transfer.update_unsent(0)
-                sending.transfer.end()
-                sending.written = True
+        for active in self._active:
+            if active.transport is transport:
+                active.transfer.update_unsent(0)
+                active.transfer.end()
+                active.written = True
 
-    def _look_later(self) -> None:
+    def _schedule_check(self) -> None:
         if self._timer is None:
-            self._timer = self._loop.call_later(_LOOK_S, self._look)
+            self._timer = self._loop.call_later(_CHECK_INTERVAL_S, self._check)
 
-    def _look(self) -> None:
-        """Notes what has left, and forgets what has left whole."""
+    def _check(self) -> None:
+        """Updates the unsent bytes of transfers and ends completed ones."""
         self._timer = None
-        still = []
-        for sending in self._sending:
-            sending.look()
-            if sending.written and not sending.transfer.unsent:
-                sending.transfer.end()
+        remaining = []
+        for active in self._active:
+            active.update()
+            if active.written and not active.transfer.unsent:
+                active.transfer.end()
             else:
-                still.append(sending)
-        self._sending = still
+                remaining.append(active)
+        self._active = remaining
         self._link.update_rate()
-        if any(sending.transfer.unsent for sending in still):
-            self._look_later()
+        if any(active.transfer.unsent for active in remaining):
+            self._schedule_check()
 
 
 @dataclasses.dataclass(slots=True)
-class _Sending:
-    """One transfer and its connection.
+class _ActiveTransfer:
+    """A transfer and its connection.
 
     Attributes:
-        transport: The connection.
+        transport: Transport of the connection.
         transfer: The transfer.
-        written: True once nothing more is handed over.
+        written: True once the last chunk has been written.
     """
 
     transport: asyncio.Transport
     transfer: reservations.Transfer
     written: bool = False
 
-    def look(self) -> None:
-        """Tells the transfer what has not left yet.
+    def update(self) -> None:
+        """Updates the unsent bytes of the transfer.
 
-        Of a connection that closes nobody tells how much has left. Counted as
-        carried, megabytes of a receiver that went away would show the link
-        to be many times as quick as it is.
+        For a closing connection it is unknown how much has been sent. If its
+        megabytes were counted as sent, the measured rate of the link would be
+        many times too high.
         """
         if self.transport.is_closing():
             self.transfer.end()
             return
         held_back = self.transport.get_write_buffer_size()
-        self.transfer.update_unsent(held_back + _get_queued(self.transport))
+        self.transfer.update_unsent(
+            held_back + _get_kernel_queue_bytes(self.transport)
+        )
 
 
 async def _read(answered: outcomes.Answered) -> bytes:
-    """Returns what there is of a body; nothing at its end."""
+    """Returns the available bytes of a body; none at its end."""
     if answered.body is not None:
         return answered.body
     return await answered.response.content.readany()
 
 
-def _get_queued(transport: asyncio.Transport) -> int:
-    """Returns the bytes that the operating system has not got through yet.
+def _get_kernel_queue_bytes(transport: asyncio.Transport) -> int:
+    """Returns the number of bytes queued in the operating system.
 
-    Where it does not tell, what it has taken counts as gone.
+    If this cannot be determined, all bytes it has accepted count as sent.
     """
     sock = transport.get_extra_info("socket")
     queued = array.array("i", [0])
--- a/merlintrestle/requests/transport/watchdogs.py
+++ b/merlintrestle/requests/transport/watchdogs.py
@@ -1,4 +1,4 @@
-"""Watches over calls to peers that give no sign."""
+"""Watchdogs for calls that are not answered."""
 
 from __future__ import annotations
 
@@ -17,127 +17,128 @@
     from merlintrestle.requests.transport import connections
     from merlintrestle.requests.transport import pool as pools
 
-# A call without a first byte for so long, or for a multiple of its expected
-# work time, is asked about.
+# A call whose answer has not started after this time, or after a multiple of
+# its expected work time if that is longer, is probed.
 FIRST_BYTE_TIMEOUT_S = 0.25
-_WORK_FACTOR = 4.0
-# What is on its way when the peer says that a call has ended or has not come
-# arrives by then where links are free. On a full one it takes its time just as
-# the question and its answer did, which is waited for if it is longer.
+_WORK_TIME_FACTOR = 4.0
+# Data in transit when the peer reports that a call has ended or has not arrived
+# comes within this time if links are free. On a full link it takes about as
+# long as the probe did; the duration of the probe is used if it is longer.
 _GRACE_S = 0.05
-# Time between two looks at a transfer.
+# Interval at which the transfer of a streamed answer is checked.
 TRANSFER_PROBE_INTERVAL_S = 5.0
 
 
-def get_patience(work_s: float) -> float:
-    """Returns how long a call waits before it is asked about, in seconds."""
-    return max(FIRST_BYTE_TIMEOUT_S, _WORK_FACTOR * work_s)
+def get_probe_delay(work_s: float) -> float:
+    """Returns how long a call waits before it is probed, in seconds."""
+    return max(FIRST_BYTE_TIMEOUT_S, _WORK_TIME_FACTOR * work_s)
 
 
 class CallIds:
-    """Names for calls, unique in the fleet."""
+    """Generator of call ids that are unique in the fleet."""
 
     def __init__(self) -> None:
         self._prefix = secrets.token_hex(8)
         self._numbers = itertools.count()
 
-    def take(self) -> str:
-        """Returns a new name."""
+    def create(self) -> str:
+        """Returns a new id."""
         return f"{self._prefix}-{next(self._numbers)}"
 
 
 class Watchdog:
-    """Ends the wait for an answer at its deadline; has it looked into before.
+    """Ends the wait for an answer at the deadline, and checks the call earlier.
 
-    It costs a call that is answered soon no timer and no task of its own.
+    A call that is answered quickly needs neither a timer nor a task of its own.
     """
 
-    __slots__ = ("_connection", "_deadline", "_look", "_task")
+    __slots__ = ("_connection", "_deadline", "_check", "_task")
 
     def __init__(
         self,
         connection: connections.Connection,
         work_s: float,
         deadline: float,
-        look: Callable[[], Coroutine[Any, Any, None]] | None,
+        check: Callable[[], Coroutine[Any, Any, None]] | None,
     ):
-        """Starts the watch.
+        """Starts the watchdog.
 
         Args:
-            connection: Where the answer is awaited.
+            connection: Connection on which the answer is awaited.
             work_s: Expected work time, in seconds.
-            deadline: Time of the event loop at which the wait ends anyway.
-            look: Finds out what is wrong with a call that gives no sign;
-                None: nobody asks before the deadline.
+            deadline: Time at which the wait ends, in seconds of the event
+                loop's clock.
+            check: Checks a call that is not answered; None: no check.
         """
         self._connection = connection
         self._deadline = deadline
-        self._look = look
+        self._check = check
         self._task: asyncio.Task[None] | None = None
-        if look is None:
+        if check is None:
             connection.set_alarm(deadline, connection.expire)
             return
-        asks_at = connection.get_time() + get_patience(work_s)
-        connection.set_alarm(min(asks_at, deadline), self._begin)
+        check_at = connection.get_time() + get_probe_delay(work_s)
+        connection.set_alarm(min(check_at, deadline), self._start_check)
 
     def close(self) -> None:
-        """Ends the watch."""
+        """Stops the watchdog."""
         self._connection.clear_alarm()
         if self._task is not None:
             self._task.cancel()
 
-    def _begin(self) -> None:
+    def _start_check(self) -> None:
         connection = self._connection
         if connection.get_time() >= self._deadline:
             connection.expire()
             return
         connection.set_alarm(self._deadline, connection.expire)
-        assert self._look is not None
-        self._task = asyncio.create_task(self._look())
+        assert self._check is not None
+        self._task = asyncio.create_task(self._check())
 
 
-async def ask_peer(
+async def probe_peer(
     pool: pools.Pool,
     connection: connections.Connection,
     call_id: str,
     work_s: float,
-    has_heard: Callable[[str, float], bool],
+    has_received_since: Callable[[str, float], bool],
     report: Callable[[doubts.Doubt], None],
 ) -> None:
-    """Asks a peer about a call until it knows nothing of it any more.
+    """Probes a peer about a call until the call is no longer in flight there.
 
-    No answer to a question, and none of the answers that it gives, proves that
-    nobody is at work on the call: on a full link the question is not answered
-    in time, and the call or its answer is still on its way. What is found is
-    reported as a doubt, and the wait goes on. A peer of which bytes came since
-    the question, on whatever connection, is not silent.
+    Neither a missing nor any received result of a probe proves that the call
+    isn't running: on a full link a probe isn't answered in time, and the call
+    or its answer may still be in transit. So findings are reported as doubts
+    and the wait goes on. A peer is not silent if any connection has received
+    bytes from it since the probe was sent.
 
     Args:
-        pool: Opens the connections of questions.
-        connection: Where the answer is awaited.
-        call_id: Name of the call.
+        pool: Opens the connections of probes.
+        connection: Connection on which the answer is awaited.
+        call_id: Id of the call.
         work_s: Expected work time, in seconds.
-        has_heard: Returns whether bytes came from an address since a time.
-        report: Hears each doubt.
+        has_received_since: Returns whether bytes were received from an address
+            since a time.
+        report: Called with each doubt.
     """
     loop = asyncio.get_running_loop()
     address = connection.address
     while True:
-        began = loop.time()
-        view = await probes.ask(pool, address, call_id)
-        if not view.answered:
-            if not has_heard(address, began):
+        probed_at = loop.time()
+        result = await probes.ask(pool, address, call_id)
+        if not result.answered:
+            if not has_received_since(address, probed_at):
                 report(doubts.Doubt.PEER_SILENT)
-        elif not view.in_flight:
-            await asyncio.sleep(max(_GRACE_S, loop.time() - began))
-            if connection.heard_at < began:
+        elif not result.in_flight:
+            await asyncio.sleep(max(_GRACE_S, loop.time() - probed_at))
+            if connection.last_received_at < probed_at:
                 report(
                     doubts.Doubt.ANSWER_MISSING
-                    if view.ended
+                    if result.ended
                     else doubts.Doubt.NOT_ARRIVED
                 )
                 return
-        await asyncio.sleep(get_patience(work_s))
+        await asyncio.sleep(get_probe_delay(work_s))
 
 
 async def watch_transfer(
@@ -146,28 +147,34 @@
     call_id: str,
     response: answers.Answer,
 ) -> None:
-    """Closes an answer whose connection has gone silent in its body.
+    """Aborts an answer whose connection goes silent during its body.
 
-    The signal is that the peer has sent off more than has come, or all there
-    was, and that nothing came between two looks. A transfer that waits for its
-    backend server has all that the peer sent, and is left alone however long
-    it takes. So is one whose caller takes nothing, for which this daemon stops
-    reading.
+    An answer is aborted if the peer has written more than was received, or has
+    ended the call, and nothing is received until the next check. A transfer
+    that waits for its backend server has received all that the peer wrote; it
+    may take any time. So may a transfer that this daemon has paused because its
+    caller does not read.
+
+    Args:
+        pool: Opens the connections of probes.
+        address: Address of the peer, "ip:port".
+        call_id: Id of the call.
+        response: The answer, whose headers have been read.
     """
     content = response.content
-    missing = False
+    was_stalled = False
     while True:
         received = content.total_bytes
         await asyncio.sleep(TRANSFER_PROBE_INTERVAL_S)
         if content.total_bytes != received:
-            missing = False
+            was_stalled = False
             continue
-        view = await probes.ask(pool, address, call_id)
-        sent_more = view.written > content.total_bytes
-        late = view.answered and (sent_more or not view.in_flight)
+        result = await probes.ask(pool, address, call_id)
+        sent_more = result.written > content.total_bytes
+        stalled = result.answered and (sent_more or not result.in_flight)
         if response.is_paused():
-            late = False
-        if missing and late and content.total_bytes == received:
-            response.close()
+            stalled = False
+        if was_stalled and stalled and content.total_bytes == received:
+            response.abort()
             return
-        missing = late
+        was_stalled = stalled
--- a/tests/requests/transport/test_connections.py
+++ b/tests/requests/transport/test_connections.py
@@ -1,4 +1,4 @@
-"""Pooled connections: what is reused, and what must never be."""
+"""Tests of pooled connections: reuse, failures, alarms and uploads."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
     ],
     **fields: Any,
 ) -> AsyncIterator[builders.Node]:
-    """Runs a daemon beside a backend server that writes its own bytes."""
+    """Runs a daemon whose local backend server writes raw bytes."""
     plan = builders.build_plan(**fields)
     running = builders.build_snapshot({"/": plan})
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        # The daemon also opens connections to see whether it is alive.
+        # The daemon also opens connections for health checks.
         with contextlib.suppress(asyncio.IncompleteReadError):
             await handler(reader, writer)
         writer.close()
@@ -51,33 +51,33 @@
 
 
 class ReuseTest(unittest.IsolatedAsyncioTestCase):
-    """A connection serves one call after another, each with its own answer."""
+    """Each call on a reused connection gets its own answer."""
 
     async def test_repeatable_calls_share_a_connection(self) -> None:
-        seen = []
+        transports = []
 
-        async def note(request: web.BaseRequest) -> web.StreamResponse:
-            seen.append(request.transport)
+        async def record(request: web.BaseRequest) -> web.StreamResponse:
+            transports.append(request.transport)
             return web.Response(body=b"x")
 
         async with (
-            builders.run_nodes(1, handler=note) as (node,),
+            builders.run_nodes(1, handler=record) as (node,),
             builders.open_client() as client,
         ):
             for _ in range(3):
                 await builders.fetch(client, node.url + "/x")
                 await builders.fetch(client, node.url + "/x", "POST", data=b"a")
-        self.assertEqual(len(set(seen)), 1)
+        self.assertEqual(len(set(transports)), 1)
 
-    async def test_work_that_runs_once_gets_its_own(self) -> None:
-        seen = []
+    async def test_unrepeatable_calls_get_new_connections(self) -> None:
+        transports = []
 
-        async def note(request: web.BaseRequest) -> web.StreamResponse:
-            seen.append(request.transport)
+        async def record(request: web.BaseRequest) -> web.StreamResponse:
+            transports.append(request.transport)
             return web.Response(body=b"x")
 
         async with (
-            builders.run_nodes(1, handler=note) as (node,),
+            builders.run_nodes(1, handler=record) as (node,),
             builders.open_client() as client,
         ):
             await builders.fetch(client, node.url + "/x")
@@ -86,14 +86,14 @@
                     node.url + "/payouts/1",
                     headers={headers.IDEMPOTENCY_KEY: key},
                 )
-        self.assertEqual(len(set(seen)), 3)
+        self.assertEqual(len(set(transports)), 3)
 
-    async def test_bytes_between_calls_are_no_answer(self) -> None:
-        """The next caller gets its own answer, not one nobody asked for.
+    async def test_unsolicited_bytes_between_calls(self) -> None:
+        """The next caller gets its own answer, not an unsolicited one.
 
-        A server sends the beginning of a second answer while the connection
-        is idle. Kept by a parser, or thrown away by it, those bytes would put
-        the next call's answer out of step.
+        A server sends the start of a second answer while the connection is
+        idle. If a parser kept or discarded those bytes, the next call would get
+        a wrong answer.
         """
         loop = asyncio.get_running_loop()
         stop = asyncio.Event()
@@ -113,9 +113,9 @@
             connection = await pool.open(f"127.0.0.1:{port}")
             call = builders.build_call(body=b"")
             await connection.call("GET", "/", call.headers, call.body)
-            pool.give_back(connection)
+            pool.release(connection)
             connection.data_received(b"HTT")
-            self.assertIsNone(pool.take(connection.address))
+            self.assertIsNone(pool.acquire(connection.address))
             stop.set()
             pool.close()
 
@@ -128,17 +128,17 @@
             call = builders.build_call(body=b"")
             answer = await connection.call("GET", "/", call.headers, call.body)
             await answer.content.read()
-            pool.give_back(connection)
-            connection.idle_since -= pools.KEEPALIVE_S + 1
-            self.assertIsNone(pool.take(address))
+            pool.release(connection)
+            connection.idle_since -= pools.MAX_IDLE_S + 1
+            self.assertIsNone(pool.acquire(address))
             self.assertFalse(connection.is_connected())
 
-    async def test_what_the_other_side_says_of_idle_connections(self) -> None:
+    async def test_announced_keep_alive_timeout(self) -> None:
         """A connection is not used when its server is about to close it.
 
-        The server said that it keeps the connection for 5 s, and 4.5 s have
-        gone by. A call sent now would cross the close, and nobody could tell
-        whether it ran.
+        The server has announced an idle timeout of 5 s, and 4.5 s have passed.
+        A call sent now could cross the close, and it would be unknown whether
+        it ran.
         """
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
@@ -148,27 +148,27 @@
         async with builders.Node(handler=answer) as node:
             await node.start()
             address = f"127.0.0.1:{node.backend.port}"
-            for idle_s, kept in ((3.5, True), (4.5, False)):
+            for idle_s, reused in ((3.5, True), (4.5, False)):
                 connection = await pool.open(address)
                 call = builders.build_call(body=b"")
                 await connection.call("GET", "/", call.headers, call.body)
-                pool.give_back(connection)
+                pool.release(connection)
                 connection.idle_since -= idle_s
-                taken = pool.take(address)
-                self.assertEqual(taken is connection, kept)
-                if taken is not None:
-                    taken.close()
+                acquired = pool.acquire(address)
+                self.assertEqual(acquired is connection, reused)
+                if acquired is not None:
+                    acquired.close()
 
-    async def test_connection_that_was_forgotten_while_idle(self) -> None:
-        """The caller gets its answer; nothing is held for crashed.
+    async def test_connection_dropped_while_idle(self) -> None:
+        """The caller gets its answer; the call does not count as a crash.
 
-        Something between daemon and backend server has forgotten an idle
-        connection without a word. What is sent over it next is answered by a
-        reset; the backend server has not seen it and takes it over a new one.
+        Something between daemon and backend server has dropped an idle
+        connection without notice. The next call over it is answered by a reset;
+        the backend server has not seen it and accepts it over a new connection.
         """
         served = 0
 
-        async def forget(
+        async def reset(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             nonlocal served
@@ -179,11 +179,11 @@
             writer.transport.abort()
 
         async with (
-            _run_raw_backend(forget) as node,
+            _run_raw_backend(reset) as node,
             builders.open_client() as client,
         ):
             retry = {headers.ATTEMPT: "1"}
-            with mock.patch.object(results, "_IDLE_S", 0.0):
+            with mock.patch.object(results, "_MIN_IDLE_S", 0.0):
                 for _ in range(2):
                     answer = await client.get(node.url + "/x", headers=retry)
                     self.assertEqual(answer.status, 200)
@@ -192,13 +192,14 @@
 
 
 class BreakTest(unittest.IsolatedAsyncioTestCase):
-    """Connections that break or wait in the midst of a call."""
+    """Calls that end at their deadline or with their caller."""
 
     async def test_deadline_closes_the_connection(self) -> None:
-        """The caller has its answer at the deadline, and the work is cancelled.
+        """The caller is answered at the deadline, and the work is cancelled.
 
-        The backend server does not answer. Without the close it would go on
-        working for nobody, and its late answer would wait in the pool.
+        The backend server does not answer. If the connection stayed open, the
+        backend server would continue useless work, and its late answer would
+        arrive on a pooled connection.
         """
         cancelled = asyncio.Event()
 
@@ -220,11 +221,11 @@
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
             await cancelled.wait()
 
-    async def test_deadline_on_a_connection_in_use_again(self) -> None:
-        """The second call on a connection has its answer at its own deadline.
+    async def test_deadline_on_a_reused_connection(self) -> None:
+        """The second call on a connection is answered at its own deadline.
 
-        The timer of the first call is not cancelled when that is answered. It
-        rings too early for the second one and has to be set again.
+        The timer of the first call is not cancelled when that call is answered.
+        It expires too early for the second call and has to be restarted.
         """
 
         async def answer_first(
@@ -246,12 +247,12 @@
             second = await client.get(node.url + "/second")
             self.assertEqual((first.status, second.status), (200, 504))
 
-    async def test_caller_that_leaves_cancels_the_call(self) -> None:
-        begun = asyncio.Event()
+    async def test_disconnecting_caller_cancels_the_call(self) -> None:
+        started = asyncio.Event()
         cancelled = asyncio.Event()
 
         async def hang(request: web.BaseRequest) -> web.StreamResponse:
-            begun.set()
+            started.set()
             try:
                 await asyncio.Event().wait()
             finally:
@@ -263,52 +264,54 @@
             builders.open_client() as client,
         ):
             call = asyncio.ensure_future(client.get(node.url + "/x"))
-            await begun.wait()
+            await started.wait()
             call.cancel()
             await cancelled.wait()
 
 
 class AlarmTest(unittest.IsolatedAsyncioTestCase):
-    """The one timer of a connection, which outlives its calls."""
+    """A connection has one timer, which is kept from call to call."""
 
     def setUp(self) -> None:
         builders.hasten_doubt(self, wait_s=0.01)
 
-    async def test_cleared_alarm_stays_silent(self) -> None:
-        """A download is not cut at the deadline that its headers have kept."""
+    async def test_cleared_alarm_is_not_triggered(self) -> None:
+        """A download may continue after the deadline of its headers."""
         loop = asyncio.get_running_loop()
         connection = connections.Connection(loop, "127.0.0.1:1")
-        rung = asyncio.Event()
+        triggered = asyncio.Event()
         later = asyncio.Event()
-        connection.set_alarm(loop.time() + 0.01, rung.set)
+        connection.set_alarm(loop.time() + 0.01, triggered.set)
         connection.clear_alarm()
         loop.call_later(0.05, later.set)
         await later.wait()
-        self.assertFalse(rung.is_set())
+        self.assertFalse(triggered.is_set())
 
-    async def test_deadline_while_a_peer_is_asked(self) -> None:
-        """The caller has its answer at the deadline, also if nobody knows."""
+    async def test_deadline_during_a_check(self) -> None:
+        """The caller is answered at the deadline even if a check never ends."""
         loop = asyncio.get_running_loop()
         connection = connections.Connection(loop, "127.0.0.1:1")
 
-        async def look() -> None:
+        async def check() -> None:
             await asyncio.Event().wait()
 
-        watch = watchdogs.Watchdog(connection, 0.0, loop.time() + 0.05, look)
+        watchdog = watchdogs.Watchdog(
+            connection, 0.0, loop.time() + 0.05, check
+        )
         async with asyncio.timeout(builders.GUARD_S):
             with self.assertRaisesRegex(TimeoutError, "before the deadline"):
                 await connection.read()
-        watch.close()
+        watchdog.close()
 
 
 class UploadTest(unittest.IsolatedAsyncioTestCase):
-    """Long bodies are sent while the answer is awaited."""
+    """Streamed bodies are sent while the answer is awaited."""
 
     async def test_answer_before_the_end_of_the_body(self) -> None:
         """The caller gets the refusal of a backend server that reads no body.
 
-        Were the body sent before the answer is awaited, both sides would wait
-        for each other until the deadline.
+        If the whole body had to be sent before the answer is awaited, both
+        sides would wait for each other until the deadline.
         """
         stop = asyncio.Event()
 
@@ -332,24 +335,24 @@
                 self.assertEqual(await answer.read(), b"big")
             stop.set()
 
-    async def test_length_named_as_a_header_of_the_connection(self) -> None:
-        """The backend server sees one request with its whole body.
+    async def test_content_length_named_in_connection(self) -> None:
+        """The backend server receives one request with its whole body.
 
-        The caller names Content-Length in "Connection", so that it is removed
-        on the way. Sent on without a length, the body would pass for the next
-        request on a connection that other callers use.
+        The caller names Content-Length in "Connection", so the daemon removes
+        it. Forwarded without a length, the body would be read as the next
+        request on a connection shared with other callers.
         """
-        bodies = []
+        received = []
 
-        async def note(request: web.BaseRequest) -> web.StreamResponse:
-            bodies.append(await request.read())
+        async def record(request: web.BaseRequest) -> web.StreamResponse:
+            received.append(await request.read())
             return web.Response()
 
         hidden = b"GET /kassa/y HTTP/1.1\r\nHost: x\r\n\r\n"
         for body in (hidden, hidden + bytes(100_000)):
             async with (
                 asyncio.timeout(builders.GUARD_S),
-                builders.run_nodes(1, handler=note) as (node,),
+                builders.run_nodes(1, handler=record) as (node,),
             ):
                 reader, writer = await asyncio.open_connection(
                     "127.0.0.1", node.proxy.caller_port
@@ -363,27 +366,27 @@
                 self.assertIn(b" 200 ", await reader.readline())
                 writer.close()
                 self.assertEqual(node.served, [("POST", "/x")])
-                self.assertEqual(bodies.pop(), body)
+                self.assertEqual(received.pop(), body)
 
     @mock.patch.object(bodies, "STALL_TIMEOUT_S", 0.05)
-    async def test_body_that_stops_is_cut_off(self) -> None:
-        """The caller is told so, and no server takes the half for whole.
+    async def test_incomplete_body_is_aborted(self) -> None:
+        """The caller gets an error, and the server sees an incomplete body.
 
-        A caller sends a part of a chunked body and nothing more. The backend
-        server, which has that part, must see its connection broken.
+        A caller sends a part of a chunked body and nothing more. The connection
+        to the backend server, which has received that part, must be closed.
         """
-        cut = asyncio.Event()
+        closed = asyncio.Event()
 
-        async def take(
+        async def receive(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await reader.readuntil(b"half\r\n")
             self.assertEqual(await reader.read(), b"")
-            cut.set()
+            closed.set()
 
         async with (
             asyncio.timeout(builders.GUARD_S),
-            _run_raw_backend(take, deadline_s=60.0) as node,
+            _run_raw_backend(receive, deadline_s=60.0) as node,
         ):
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", node.proxy.caller_port
@@ -394,5 +397,5 @@
             )
             line = await reader.readline()
             self.assertIn(b" 400 ", line)
-            await cut.wait()
+            await closed.wait()
             writer.close()
--- a/tests/requests/transport/test_resends.py
+++ b/tests/requests/transport/test_resends.py
@@ -1,4 +1,4 @@
-"""Second sends that end in the same turn of the loop as the first."""
+"""Tests of resends that end in the same loop iteration as the first send."""
 
 from __future__ import annotations
 
@@ -12,100 +12,100 @@
 _BROKE = outcomes.Unknown("the connection broke", broken=True)
 
 
-class SecondTest(unittest.IsolatedAsyncioTestCase):
-    """A call is sent, and anew while its first send goes on."""
+class ResendTest(unittest.IsolatedAsyncioTestCase):
+    """A call is sent, and resent while the first send is in flight."""
 
     async def asyncSetUp(self) -> None:
         self.first: asyncio.Future[outcomes.Outcome] = asyncio.Future()
-        self.latest: asyncio.Future[outcomes.Outcome] = asyncio.Future()
+        self.second: asyncio.Future[outcomes.Outcome] = asyncio.Future()
         self.connection = mock.Mock()
-        self.second = resends.Second(self.connection, self.send_anew)
-        self.freed = mock.Mock()
+        self.resend = resends.Resend(self.connection, self.send_again)
+        self.released = mock.Mock()
 
     def build_answer(self) -> outcomes.Answered:
-        """Builds an answer that notes when it is freed."""
-        return outcomes.Answered(mock.Mock(), None, [self.freed])
+        """Builds an answer that records its release."""
+        return outcomes.Answered(mock.Mock(), None, [self.released])
 
-    async def send_anew(self) -> outcomes.Outcome:
-        """Awaits the answer to the second send."""
-        return await self.latest
+    async def send_again(self) -> outcomes.Outcome:
+        """Awaits the outcome of the resend."""
+        return await self.second
 
     async def run_call(self) -> outcomes.Outcome:
-        """Sends the call twice and settles which send counts."""
-        self.second.start()
+        """Sends the call twice and returns its outcome."""
+        self.resend.start()
         try:
-            return await self.second.settle(await self.first)
+            return await self.resend.resolve(await self.first)
         finally:
-            self.second.close()
+            self.resend.close()
 
     async def start_call(self) -> asyncio.Task[outcomes.Outcome]:
-        """Returns a call both of whose sends are under way."""
+        """Returns a call with both sends in flight."""
         call = asyncio.create_task(self.run_call())
-        await self.turn()
+        await self.run_pending()
         return call
 
-    async def turn(self) -> None:
-        """Lets whatever is ready run."""
+    async def run_pending(self) -> None:
+        """Runs all pending callbacks of the event loop."""
         for _ in range(5):
             await asyncio.sleep(0)
 
-    async def test_winner_is_not_cut_by_an_answer_of_the_same_turn(
+    async def test_first_answer_is_not_aborted_in_the_same_iteration(
         self,
     ) -> None:
         """The caller gets the whole body of the first send's answer.
 
-        A backend server pauses and then answers both sends at once. The second
-        answer is told of when the first one has won; taken for news, it ended
-        the body that the caller was reading.
+        A backend server pauses and then answers both sends at once. The
+        callback for the second answer runs after the first one has been chosen,
+        and must not end the body that the caller is reading.
         """
         call = await self.start_call()
         answer = self.build_answer()
-        self.latest.set_result(outcomes.Answered(mock.Mock(), b"2nd", []))
+        self.second.set_result(outcomes.Answered(mock.Mock(), b"2nd", []))
         self.first.set_result(answer)
         self.assertIs(await call, answer)
-        await self.turn()
+        await self.run_pending()
         self.connection.expire.assert_not_called()
-        self.freed.assert_not_called()
+        self.released.assert_not_called()
 
-    async def test_second_answer_is_freed_where_the_first_wins(self) -> None:
+    async def test_second_answer_is_released_if_the_first_is_used(self) -> None:
         call = await self.start_call()
-        self.latest.set_result(self.build_answer())
+        self.second.set_result(self.build_answer())
         self.first.set_result(outcomes.Answered(mock.Mock(), b"1st", []))
         await call
-        await self.turn()
-        self.freed.assert_called_once_with()
+        await self.run_pending()
+        self.released.assert_called_once_with()
 
-    async def test_first_answer_that_was_cut_does_not_count(self) -> None:
-        """The caller gets the second send's answer, which is whole.
+    async def test_aborted_first_answer_is_not_used(self) -> None:
+        """The caller gets the second send's answer, which is complete.
 
-        The first answer comes in the turn in which its wait is ended. Its
-        headers are there and its body is cut.
+        The first answer arrives in the loop iteration in which its wait is
+        ended: its headers have been read and its body is aborted.
         """
         call = await self.start_call()
         answer = outcomes.Answered(mock.Mock(), b"2nd", [])
         self.connection.expire.side_effect = lambda: self.first.set_result(
             self.build_answer()
         )
-        self.latest.set_result(answer)
+        self.second.set_result(answer)
         self.assertIs(await call, answer)
-        self.freed.assert_called_once_with()
+        self.released.assert_called_once_with()
 
-    async def test_caller_that_leaves_in_that_turn_frees_the_answer(
+    async def test_disconnecting_caller_releases_the_second_answer(
         self,
     ) -> None:
-        """Nothing stays held: the slot and the connection are free again.
+        """The slot and the connection are released.
 
-        The first send broke, and the caller leaves in just the turn in which
-        the second one is answered.
+        The connection of the first send broke, and the caller disconnects in
+        the loop iteration in which the resend is answered.
         """
         call = await self.start_call()
         self.first.set_result(_BROKE)
-        await self.turn()
-        self.latest.set_result(self.build_answer())
-        # The second send ends, and the call has not yet gone on.
+        await self.run_pending()
+        self.second.set_result(self.build_answer())
+        # The resend has ended, and the call has not been resumed yet.
         await asyncio.sleep(0)
         call.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await call
-        await self.turn()
-        self.freed.assert_called_once_with()
+        await self.run_pending()
+        self.released.assert_called_once_with()
--- a/tests/requests/transport/test_timeouts.py
+++ b/tests/requests/transport/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Limits on time while the event loop stands still."""
+"""Tests of timeouts while the event loop is blocked."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 async def _call_over_stalled_connects() -> tuple[int, bytes]:
-    """Returns the answer to a call; the loop stands still in each connect."""
+    """Returns the answer to a call; each connect blocks the event loop."""
     open_ = pools.Pool.open
 
-    async def hold_up(self: pools.Pool, *arguments: Any) -> Any:
-        stall_s = 1.2 * exchanges._CONNECT_S
+    async def open_stalled(self: pools.Pool, *arguments: Any) -> Any:
+        stall_s = 1.2 * exchanges._CONNECT_TIMEOUT_S
         asyncio.get_running_loop().call_soon(time.sleep, stall_s)
         return await open_(self, *arguments)
 
@@ -38,16 +38,16 @@
         builders.run_nodes(1, handler=_answer) as (node,),
         builders.open_client() as client,
     ):
-        with mock.patch.object(pools.Pool, "open", hold_up):
+        with mock.patch.object(pools.Pool, "open", open_stalled):
             answer = await client.get(node.url + "/x")
             return answer.status, await answer.read()
 
 
 class StallTest(unittest.TestCase):
-    # As the processes make their loops: uvloop would open a ring otherwise.
+    # The processes set this too: otherwise uvloop would open an io_uring.
     @mock.patch.dict(os.environ, {"UV_USE_IO_URING": "0"})
-    def test_connection_made_while_the_event_loop_stood_still(self) -> None:
-        """Guards against upstreams held for unreachable by the own pause."""
+    def test_connection_made_while_the_event_loop_is_blocked(self) -> None:
+        """A blocked event loop does not make upstreams appear unreachable."""
         for loop_factory in _LOOPS:
             with (
                 self.subTest(loop=loop_factory.__module__),
@@ -57,21 +57,23 @@
                 self.assertEqual(answer, (200, b"whole"))
 
 
-class BoundTest(unittest.IsolatedAsyncioTestCase):
-    async def test_wait_for_what_never_comes_ends(self) -> None:
+class TimeoutTest(unittest.IsolatedAsyncioTestCase):
+    """A block with a timeout."""
+
+    async def test_endless_wait_is_ended(self) -> None:
         with self.assertRaises(TimeoutError):
-            async with timeouts.bound(0.01):
+            async with timeouts.timeout(0.01):
                 await asyncio.Event().wait()
 
-    async def test_block_that_ended_is_not_ended_again(self) -> None:
-        async with timeouts.bound(0.01):
+    async def test_completed_block_is_not_cancelled(self) -> None:
+        async with timeouts.timeout(0.01):
             pass
-        async with timeouts.bound(0.01):
+        async with timeouts.timeout(0.01):
             time.sleep(0.02)  # noqa: ASYNC251
             await asyncio.sleep(0)
         await asyncio.sleep(0.05)
 
     async def test_error_of_the_block_is_raised(self) -> None:
         with self.assertRaises(OSError):
-            async with timeouts.bound(1.0):
+            async with timeouts.timeout(1.0):
                 raise OSError
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -1,4 +1,4 @@
-"""Long answers on their way, over real connections."""
+"""Tests of transfers of long answers."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 _DOWNLOADS = 4
 _BODY = bytes(range(256)) * 1024
-# A link so thin that nothing more is handed over while a test lasts.
-_RATE = 1000
+# So slow that no further chunk is sent while a test runs.
+_RATE_BYTES_PER_S = 1000
 _CHECK = builders.build_plan("check", latency_s=0.3)
 _DOWNLOAD = builders.build_plan("download", latency_s=5.0, deadline_s=60.0)
 
@@ -38,12 +38,12 @@
     return answer
 
 
-class TransfersTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon beside its backend server, and another that asks it."""
+class TransferSenderTest(unittest.IsolatedAsyncioTestCase):
+    """A daemon, its backend server, and other daemons that send requests."""
 
     async def asyncSetUp(self) -> None:
-        self.all_came = asyncio.Event()
-        self.wanted = _DOWNLOADS
+        self.all_arrived = asyncio.Event()
+        self.expected_calls = _DOWNLOADS
         self.chunked = False
         self.status = 200
         self.node = await builders.Node(self.answer).start()
@@ -52,12 +52,12 @@
         self.addCleanup(self.close_socks)
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers a check at once, downloads once all have come."""
+        """Answers a check at once, and downloads once all have arrived."""
         if request.path == "/check":
             return web.Response(body=b"well")
-        if len(self.node.served) == self.wanted:
-            self.all_came.set()
-        await self.all_came.wait()
+        if len(self.node.served) == self.expected_calls:
+            self.all_arrived.set()
+        await self.all_arrived.wait()
         if self.chunked:
             return await _answer_in_chunks(request)
         return web.Response(body=_BODY, status=self.status)
@@ -67,15 +67,15 @@
         for sock in self.socks:
             sock.close()
 
-    async def ask(
+    async def request(
         self, path: str, keep: bool = False, method: str = "GET"
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Asks the daemon as another daemon does; reads little ahead.
+        """Sends a request as another daemon does; the read buffer is small.
 
         Args:
-            path: What it asks for.
-            keep: The connection stays open after the answer.
-            method: How it asks.
+            path: Path of the request.
+            keep: Keep the connection open after the answer.
+            method: HTTP method.
         """
         sock = socket.socket()
         self.socks.append(sock)
@@ -95,7 +95,7 @@
         return reader, writer
 
     def count_unsent(self) -> int:
-        """Returns what the daemon and its operating system have to send."""
+        """Returns the bytes that the daemon and its kernel have not sent."""
         count = 0
         for connection in self.node.proxy._peer_server.connections:
             transport = connection.transport
@@ -106,52 +106,56 @@
             count += transport.get_write_buffer_size() + queued[0]
         return count
 
-    def learn_rate(self) -> None:
-        """Has the daemon know what its link carries."""
+    def set_slow_link(self) -> None:
+        """Sets a low rate of the daemon's link, as if measured."""
         link = self.node.proxy._link
-        link._measured_rate.record(link.get_time(), 1.0, _RATE)
+        link._measured_rate.record(link.get_time(), 1.0, _RATE_BYTES_PER_S)
         link.update_rate()
-        link.rate = _RATE
+        link.rate = _RATE_BYTES_PER_S
 
-    async def test_check_is_not_behind_downloads(self) -> None:
-        """Its answer comes though downloads wait, and finds little before it.
+    async def test_check_does_not_queue_behind_downloads(self) -> None:
+        """A check is answered while downloads wait, with little queued ahead.
 
-        Four downloads are asked for by daemons that take nothing of them for
-        now. Handed over whole, a megabyte waits in the buffers of the
-        operating system, and on a thin link a check that is answered then
-        comes seconds later.
+        Four daemons request downloads and do not read the answers for now. If
+        the answers were written whole, a megabyte would wait in the buffers of
+        the operating system, and on a slow link the answer to a check would
+        arrive seconds later.
         """
-        self.learn_rate()
+        self.set_slow_link()
         async with asyncio.timeout(builders.GUARD_S):
-            asked = [
-                await self.ask("/download", True) for _ in range(_DOWNLOADS)
+            connections = [
+                await self.request("/download", True) for _ in range(_DOWNLOADS)
             ]
-            heads = [await reader.readline() for reader, _ in asked]
-            self.assertEqual(heads, [b"HTTP/1.1 200 OK\r\n"] * _DOWNLOADS)
+            status_lines = [
+                await reader.readline() for reader, _ in connections
+            ]
+            self.assertEqual(
+                status_lines, [b"HTTP/1.1 200 OK\r\n"] * _DOWNLOADS
+            )
             while len(self.node.proxy._link._waiting) < _DOWNLOADS:
                 await asyncio.sleep(0)
-            reader, writer = await self.ask("/check")
+            reader, writer = await self.request("/check")
             self.assertTrue((await reader.read()).endswith(b"well"))
             writer.close()
             self.assertLess(self.count_unsent(), 4 * reservations.CHUNK_BYTES)
-        for _, writer in asked:
+        for _, writer in connections:
             writer.close()
 
     async def test_slot_is_free_while_an_answer_waits(self) -> None:
-        """A check gets the only slot though a download is far from sent.
+        """A check gets the only slot while a download is being sent.
 
-        The backend server has long been done with the download, and takes the
-        check over the same connection. Were the slot held until the link has
-        carried the answer, checks would be refused beside an idle server.
+        The backend server has completed the download and accepts the check over
+        the same connection. If the slot were occupied until the answer has been
+        sent, checks would be refused although the server is idle.
         """
-        self.learn_rate()
-        self.wanted = 1
+        self.set_slow_link()
+        self.expected_calls = 1
         self.node.proxy.backend.slots = 1
         async with asyncio.timeout(builders.GUARD_S):
-            reader, writer = await self.ask("/download", True)
+            reader, writer = await self.request("/download", True)
             while not self.node.proxy._link._waiting:
                 await asyncio.sleep(0)
-            check_reader, check_writer = await self.ask("/check")
+            check_reader, check_writer = await self.request("/check")
             self.assertTrue((await check_reader.read()).endswith(b"well"))
             self.node.proxy._link.rate = 1e9
             await reader.readuntil(b"\r\n\r\n")
@@ -159,72 +163,79 @@
         check_writer.close()
         writer.close()
 
-    async def test_downloads_come_whole(self) -> None:
-        """In turn, and the link has nothing promised to anybody after that."""
+    async def test_downloads_are_complete(self) -> None:
+        """All downloads are complete, and no reservation remains."""
         async with asyncio.timeout(builders.GUARD_S):
-            asked = [await self.ask("/download") for _ in range(_DOWNLOADS)]
-            read = [reader.read() for reader, _ in asked]
-            answers = await asyncio.gather(*read)
+            connections = [
+                await self.request("/download") for _ in range(_DOWNLOADS)
+            ]
+            reads = [reader.read() for reader, _ in connections]
+            answers = await asyncio.gather(*reads)
             for answer in answers:
                 self.assertEqual(answer.partition(b"\r\n\r\n")[2], _BODY)
             link = self.node.proxy._link
             while link.reserved_bytes or link.unsent:
                 await asyncio.sleep(0)
-        for _, writer in asked:
+        for _, writer in connections:
             writer.close()
 
-    async def test_receivers_that_leave_give_back_their_part(self) -> None:
-        """What was promised to them is free, though it never left."""
-        self.learn_rate()
+    async def test_disconnecting_receivers_release_reservations(self) -> None:
+        """Reserved bytes are released though they were never sent."""
+        self.set_slow_link()
         async with asyncio.timeout(builders.GUARD_S):
-            asked = [await self.ask("/download") for _ in range(_DOWNLOADS)]
-            for reader, _ in asked:
+            connections = [
+                await self.request("/download") for _ in range(_DOWNLOADS)
+            ]
+            for reader, _ in connections:
                 await reader.readline()
-            for _, writer in asked:
+            for _, writer in connections:
                 writer.transport.abort()
             link = self.node.proxy._link
             while link.reserved_bytes or link.unsent:
                 await asyncio.sleep(0)
 
-    async def test_answers_without_a_stated_length_wait_too(self) -> None:
-        """Their pieces are handed over as the link takes them.
+    async def test_answers_without_content_length_wait_too(self) -> None:
+        """Chunks of an answer of unknown length are sent as the link allows.
 
-        Nothing was promised to the first ones of a class. With no promise to
-        wait for, all of them went into the buffers at once.
+        The first answers of a class have no reservation. If an answer without a
+        reservation did not wait, all of it would be written to the buffers at
+        once.
         """
-        self.learn_rate()
+        self.set_slow_link()
         self.chunked = True
         async with asyncio.timeout(builders.GUARD_S):
-            asked = [
-                await self.ask("/download", True) for _ in range(_DOWNLOADS)
+            connections = [
+                await self.request("/download", True) for _ in range(_DOWNLOADS)
             ]
             link = self.node.proxy._link
             while len(link._waiting) < _DOWNLOADS:
                 await asyncio.sleep(0)
             self.assertLess(self.count_unsent(), 4 * reservations.CHUNK_BYTES)
             self.assertGreaterEqual(link.reserved_bytes, link.unsent)
-        for _, writer in asked:
+        for _, writer in connections:
             writer.close()
 
-    async def test_answers_that_do_not_tell_what_a_class_is_like(self) -> None:
-        """An error, and one that states the size of a body it doesn't have."""
-        self.wanted = 1
+    async def test_answers_that_do_not_count_for_the_mean_size(self) -> None:
+        """An error, and an answer to HEAD, which has a length but no body."""
+        self.expected_calls = 1
         for method, status in (("HEAD", 200), ("GET", 404)):
             with self.subTest(method=method, status=status):
                 self.status = status
                 async with asyncio.timeout(builders.GUARD_S):
-                    reader, writer = await self.ask("/download", method=method)
+                    reader, writer = await self.request(
+                        "/download", method=method
+                    )
                     await reader.read()
                 link = self.node.proxy._link
                 (means,) = link._means.values()
                 self.assertEqual(means.size, 0)
                 writer.close()
 
-    async def test_size_of_answers_without_a_stated_length(self) -> None:
+    async def test_mean_size_of_answers_without_content_length(self) -> None:
         self.chunked = True
-        self.wanted = 1
+        self.expected_calls = 1
         async with asyncio.timeout(builders.GUARD_S):
-            reader, writer = await self.ask("/download")
+            reader, writer = await self.request("/download")
             await reader.read()
             link = self.node.proxy._link
             (means,) = link._means.values()
@@ -232,8 +243,8 @@
         writer.close()
 
 
-class SendingTest(unittest.IsolatedAsyncioTestCase):
-    """What is told of one connection; its transport is a stand-in."""
+class ConnectionStateTest(unittest.IsolatedAsyncioTestCase):
+    """Transfers over a connection with a mock transport."""
 
     async def asyncSetUp(self) -> None:
         self.clock = fakes.Clock()
@@ -247,7 +258,7 @@
         self.answer: Any = mock.Mock(write=mock.AsyncMock())
 
     async def send(self, size: int) -> reservations.Transfer:
-        """Sends an answer of that size, which stays in the write buffer."""
+        """Sends an answer, which stays in the write buffer."""
         now = self.clock.now
         call = builders.build_call(
             plan=_DOWNLOAD, due=now + 5.0, deadline=now + 60.0
@@ -256,8 +267,8 @@
         assert isinstance(transfer, reservations.Transfer)
         transfer.set_size(size)
         self.transport.get_write_buffer_size.return_value = size
-        nobody: Any = None
-        answered = outcomes.Answered(nobody, bytes(size), [])
+        no_response: Any = None
+        answered = outcomes.Answered(no_response, bytes(size), [])
         await self.transfers.send(
             self.request,
             self.answer,
@@ -268,18 +279,18 @@
         return transfer
 
     async def test_next_answer_on_a_connection(self) -> None:
-        """It begins before the look at the last one, which has left whole."""
+        """It starts before the check of the previous one, which is all sent."""
         await self.send(20_000)
         await self.send(32_000)
-        self.transfers._look()
+        self.transfers._check()
         self.assertEqual(self.link.unsent, 32_000)
         self.assertEqual(self.link.reserved_bytes, 32_000)
 
-    async def test_connection_that_was_aborted(self) -> None:
-        """What it had taken is given back, but did not leave."""
+    async def test_aborted_connection(self) -> None:
+        """Its reservation is released, but its bytes do not count as sent."""
         with mock.patch.object(self.link, "note_sent") as note_sent:
             await self.send(200_000)
             self.transport.is_closing.return_value = True
-            self.transfers._look()
+            self.transfers._check()
         note_sent.assert_not_called()
         self.assertEqual((self.link.reserved_bytes, self.link.unsent), (0, 0))
--- a/tests/requests/transport/test_watchdogs.py
+++ b/tests/requests/transport/test_watchdogs.py
@@ -1,4 +1,4 @@
-"""Questions to a peer about a call that gives no sign."""
+"""Tests of probes of a peer about a call that is not answered."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 _ADDRESS = "127.0.0.1:1"
 
 
-class AskPeerTest(unittest.IsolatedAsyncioTestCase):
-    """A peer answers questions as the test says."""
+class ProbePeerTest(unittest.IsolatedAsyncioTestCase):
+    """A call whose probes have the results that the test gives."""
 
     def setUp(self) -> None:
         builders.hasten_doubt(self, wait_s=0.01)
         self.reported: asyncio.Queue[doubts.Doubt] = asyncio.Queue()
 
-    async def ask(self, *views: probes.ProbeResult, hears: int = 0) -> bool:
-        """Asks until all views are given; returns whether more is asked.
+    async def probe(
+        self, *results: probes.ProbeResult, receiving: int = 0
+    ) -> bool:
+        """Probes until all results are used; returns whether probing goes on.
 
         Args:
-            *views: What the peer says to the questions.
-            hears: Count of questions during which bytes of the answer come.
+            *results: Results of the probes.
+            receiving: Number of probes during which bytes of the answer arrive.
         """
         connection = connections.Connection(
             asyncio.get_running_loop(), _ADDRESS
         )
-        left = list(views)
-        asked = 0
-        more = asyncio.Event()
+        remaining = list(results)
+        probed = 0
+        goes_on = asyncio.Event()
 
         async def answer(*arguments: Any) -> probes.ProbeResult:
-            nonlocal asked
-            if not left:
-                more.set()
+            nonlocal probed
+            if not remaining:
+                goes_on.set()
                 await asyncio.Event().wait()
-            asked += 1
-            # Time passes, so that later bytes show as later.
+            probed += 1
+            # Time passes, so that bytes are received after the probe was sent.
             await asyncio.sleep(0.002)
-            if asked <= hears:
-                connection.heard_at = connection.get_time()
-            return left.pop(0)
+            if probed <= receiving:
+                connection.last_received_at = connection.get_time()
+            return remaining.pop(0)
 
         with mock.patch.object(probes, "ask", answer):
-            asking = asyncio.create_task(
-                watchdogs.ask_peer(
+            probing = asyncio.create_task(
+                watchdogs.probe_peer(
                     mock.Mock(),
                     connection,
                     "call",
@@ -60,14 +62,14 @@
                     self.reported.put_nowait,
                 )
             )
-            waiting = asyncio.create_task(more.wait())
+            waiting = asyncio.create_task(goes_on.wait())
             async with asyncio.timeout(builders.GUARD_S):
                 await asyncio.wait(
-                    (asking, waiting), return_when=asyncio.FIRST_COMPLETED
+                    (probing, waiting), return_when=asyncio.FIRST_COMPLETED
                 )
-            asking.cancel()
+            probing.cancel()
             waiting.cancel()
-        return more.is_set()
+        return goes_on.is_set()
 
     def list_reported(self) -> list[doubts.Doubt]:
         """Returns the doubts that were reported."""
@@ -75,39 +77,39 @@
             self.reported.get_nowait() for _ in range(self.reported.qsize())
         ]
 
-    async def test_silent_peer_is_asked_again(self) -> None:
-        """One lost question ends nothing, and the next one may be answered."""
+    async def test_silent_peer_is_probed_again(self) -> None:
+        """One lost probe ends nothing; the next one may be answered."""
         silent = probes.ProbeResult(False)
         self.assertTrue(
-            await self.ask(silent, silent, probes.ProbeResult(True, True))
+            await self.probe(silent, silent, probes.ProbeResult(True, True))
         )
         self.assertEqual(self.list_reported(), [doubts.Doubt.PEER_SILENT] * 2)
 
     async def test_call_that_did_not_arrive(self) -> None:
-        self.assertFalse(await self.ask(probes.ProbeResult(True)))
+        self.assertFalse(await self.probe(probes.ProbeResult(True)))
         self.assertEqual(self.list_reported(), [doubts.Doubt.NOT_ARRIVED])
 
-    async def test_answer_that_went_astray(self) -> None:
+    async def test_lost_answer(self) -> None:
         ended = probes.ProbeResult(True, ended=True)
-        self.assertFalse(await self.ask(ended))
+        self.assertFalse(await self.probe(ended))
         self.assertEqual(self.list_reported(), [doubts.Doubt.ANSWER_MISSING])
 
-    async def test_answer_that_is_on_its_way(self) -> None:
-        """The caller gets the answer that comes; the call runs once.
+    async def test_answer_in_transit(self) -> None:
+        """An answer that is still arriving is not reported as missing.
 
-        The peer has ended the call and its answer comes piece by piece over a
-        full link. Taken for lost, it would be thrown away and the call run
-        again, which would fill the link still more.
+        The peer has ended the call, and its answer arrives slowly over a full
+        link. If it were considered lost, it would be discarded and the call
+        would run again, which would load the link even more.
         """
         ended = probes.ProbeResult(True, ended=True)
-        self.assertTrue(await self.ask(ended, ended, ended, hears=3))
+        self.assertTrue(await self.probe(ended, ended, ended, receiving=3))
         self.assertEqual(self.list_reported(), [])
 
 
-class RegistryTest(unittest.TestCase):
-    """What a daemon says of the calls that it had."""
+class CallRegistryTest(unittest.TestCase):
+    """Answers to probes about calls of a daemon."""
 
-    def test_ended_call_is_remembered(self) -> None:
+    def test_ended_call_is_known(self) -> None:
         registry = probes.CallRegistry()
         registry.add("one").written = 7
         path = probes.PATH + "one"
@@ -116,14 +118,14 @@
         self.assertEqual(registry.answer_probe(path), (410, "7"))
         self.assertEqual(registry.answer_probe(probes.PATH + "two"), (404, ""))
 
-    def test_memory_is_bounded(self) -> None:
+    def test_number_of_ended_calls_is_limited(self) -> None:
         registry = probes.CallRegistry()
         with mock.patch.object(probes, "_MAX_ENDED", 2):
-            for name in ("one", "two", "three"):
-                registry.add(name)
-                registry.mark_ended(name)
-        known = [
-            registry.answer_probe(probes.PATH + name)[0]
-            for name in ("one", "two")
+            for call_id in ("one", "two", "three"):
+                registry.add(call_id)
+                registry.mark_ended(call_id)
+        statuses = [
+            registry.answer_probe(probes.PATH + call_id)[0]
+            for call_id in ("one", "two")
         ]
-        self.assertEqual(known, [404, 410])
+        self.assertEqual(statuses, [404, 410])
