--- a/merlintrestle/requests/load/budgets.py
+++ b/merlintrestle/requests/load/budgets.py
@@ -9,25 +9,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Default retries for each call.
+# Default number of retries for each call.
 _DEFAULT_RATIO = 0.1
-# Default additional retries of each daemon in one window.
-_DEFAULT_SLACK = 10.0
+# Default number of additional retries of each daemon in one window.
+_DEFAULT_DAEMON_SLACK = 10.0
 _DEFAULT_WINDOW_S = 10.0
-# Fraction of the bounds of the fleet that is used. The rest covers daemons that
-# join and leave, as each daemon divides the slack by the number of daemons that
-# it knows.
-_USED_FRACTION = 0.75
-# Buckets into which a sliding window is divided.
-_BUCKETS = 20
+# Fraction of the bounds of the fleet that the daemons use. Each daemon divides
+# the slack by the number of daemons that it knows. While daemons join and
+# leave, this number may be a quarter too small without exceeding the bounds.
+_SAFETY_FACTOR = 0.75
+# Number of buckets into which a sliding window is divided.
+_BUCKET_COUNT = 20
 
 
 class Bounds(NamedTuple):
-    """Limits of the retries of a service in any window.
+    """Bounds of the retries that one daemon makes to a service in any window.
 
     Attributes:
-        ratio: Retries for each call.
-        slack: Additional retries.
+        ratio: Number of retries for each call.
+        slack: Number of additional retries.
         window_s: Length of the window, in seconds.
     """
 
@@ -39,9 +39,10 @@
 class Budgets:
     """The retry budgets of all services at this daemon.
 
-    A daemon only knows its own retries. It may use an equal share of the slack
-    of the fleet, and retries in proportion to its own calls, so that the sum
-    over all daemons is within the bounds however the calls are distributed.
+    A daemon only knows its own calls and retries. It may make retries in
+    proportion to its own calls and, in addition, an equal fraction of the
+    slack of the fleet. The sum over all daemons is thus within the bounds,
+    however the calls are distributed.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         count_daemons: Callable[[], int],
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Begins with the default bounds.
+        """Initialises the budgets with the default bounds.
 
         Args:
             count_daemons: Returns the number of daemons.
@@ -60,22 +61,25 @@
         self._budgets: dict[str, Budget] = {}
         self.set_bounds(0.0, 0.0, 0.0)
 
-    def set_bounds(self, ratio: float, slack: float, window_s: float) -> None:
+    def set_bounds(
+        self, ratio: float, fleet_slack: float, window_s: float
+    ) -> None:
         """Sets the bounds of the fleet, and resets all budgets.
 
         Args:
             ratio: Retries that the fleet may make for each call of a service;
                 0: the default.
-            slack: Additional retries of the fleet in one window; 0: the default
-                for each daemon.
+            fleet_slack: Additional retries that the fleet may make in one
+                window, divided among its daemons; 0: each daemon uses the
+                default.
             window_s: Length of the window, in seconds; 0: the default.
         """
         self._bounds = Bounds(
-            ratio * _USED_FRACTION or _DEFAULT_RATIO,
-            _DEFAULT_SLACK,
+            ratio * _SAFETY_FACTOR or _DEFAULT_RATIO,
+            _DEFAULT_DAEMON_SLACK,
             window_s or _DEFAULT_WINDOW_S,
         )
-        self._fleet_slack = slack * _USED_FRACTION
+        self._fleet_slack = fleet_slack * _SAFETY_FACTOR
         self._budgets.clear()
 
     def get(self, service: str) -> Budget:
@@ -97,13 +101,14 @@
     Without a budget, an overloaded service that answers slowly would receive
     each call several times, and the retries would keep it overloaded.
 
-    Retries that were allowed by the calls of the window and not used are
-    available when some backend servers fail for a few seconds. A token bucket
-    of a few tokens, refilled by each call, left most failures of such seconds
-    to the callers.
+    Unused retries stay available until the end of the window, so a burst of
+    failures can be retried when some backend servers fail for a few seconds. A
+    token bucket with a capacity of a few tokens, refilled by each call, would
+    not allow that: most of these failures would reach the callers.
 
     Attributes:
-        slack: Retries in one window in addition to those for its calls.
+        slack: Number of retries of this daemon in one window, in addition to
+            those for its calls.
     """
 
     __slots__ = (
@@ -121,29 +126,29 @@
         bounds: Bounds,
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Begins without calls.
+        """Initialises a budget without calls.
 
         Args:
-            bounds: Limits of the retries.
+            bounds: Bounds of the retries.
             get_time: Returns the time in seconds.
         """
         self.slack = bounds.slack
         self._bounds = bounds
         self._get_time = get_time
         self._bucket_number = 0
-        # Calls and retries of each bucket of the window, the newest last.
+        # Numbers of calls and retries in each bucket, the newest bucket last.
         self._buckets: collections.deque[list[float]] = collections.deque(
-            [[0, 0]], maxlen=_BUCKETS + 1
+            [[0, 0]], maxlen=_BUCKET_COUNT + 1
         )
         self._calls = 0.0
         self._retries = 0.0
 
     @property
     def balance(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries that may be made now."""
         self._advance()
-        # The oldest bucket is partly outside of the window, so its retries are
-        # counted and its calls are not.
+        # The oldest bucket is partly outside of the window. Its retries are
+        # counted and its calls are not, so that no window exceeds the bounds.
         return self._bounds.ratio * self._calls + self.slack - self._retries
 
     def record_call(self) -> None:
@@ -153,7 +158,11 @@
         self._calls += 1
 
     def try_spend(self) -> bool:
-        """Counts a retry; returns False if the budget is used up."""
+        """Counts a retry unless the budget is used up.
+
+        Returns:
+            Whether the retry may be made.
+        """
         if self.balance < 1:
             return False
         self._buckets[-1][1] += 1
@@ -161,11 +170,16 @@
         return True
 
     def charge(self, fraction: float) -> None:
-        """Counts a fraction of a call as a retry.
+        """Counts a call as a retry with the probability that it is a repeat.
 
-        The call may be made on behalf of a repeat, which makes it a repeat as
-        well. If such calls were not counted, half of the bound would have to be
-        reserved for them although they are rare.
+        A call that the backend server makes while it runs a repeat is a repeat
+        as well: it may have been made before, and the called service receives
+        it like a retry. If such calls were not counted, half of the retries
+        that the bounds allow would have to be reserved for them, although they
+        are rare.
+
+        The method follows `record_call` for the same call, which begins a new
+        bucket if necessary.
 
         Args:
             fraction: Probability that the call is a repeat, from 0 to 1.
@@ -175,14 +189,18 @@
             self._retries += fraction
 
     def _advance(self) -> None:
-        """Begins a new bucket when the time of the last one is over."""
-        bucket_number = int(self._get_time() * _BUCKETS / self._bounds.window_s)
+        """Begins a new bucket if the time of the current one is over."""
+        bucket_number = int(
+            self._get_time() * _BUCKET_COUNT / self._bounds.window_s
+        )
         if bucket_number == self._bucket_number:
             return
-        for _ in range(min(bucket_number - self._bucket_number, _BUCKETS + 1)):
+        for _ in range(
+            min(bucket_number - self._bucket_number, _BUCKET_COUNT + 1)
+        ):
             self._buckets.append([0, 0])
         self._bucket_number = bucket_number
-        full = len(self._buckets) > _BUCKETS
+        full = len(self._buckets) > _BUCKET_COUNT
         counted = list(self._buckets)[1 if full else 0 :]
         self._calls = sum(calls for calls, _ in counted)
         self._retries = sum(retries for _, retries in self._buckets)
--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -1,7 +1,13 @@
-"""Admission and scheduling of long answers on the outgoing network link.
+"""Admission and scheduling of large answers on the outgoing network link.
+
+An answer is large if it has more than `reservations.CHUNK_BYTES`. A full link
+carries no more bytes when more transfers start: transfers that start together
+share it and all end late, and small answers wait behind them.
+
+Answers that can still meet their latency targets are sent first. The others are
+sent with best effort, in the capacity that remains: answers without a latency
+target, and late ones, which would miss it even on an idle link.
 
-A full link carries no more bytes when more transfers start: transfers that
-start together share it and all end late, and short answers wait behind them.
 The rate of the link is measured, not configured: the limit of a virtual link is
 seldom known where the daemon runs.
 """
@@ -24,13 +30,14 @@
 
     from merlintrestle.requests.calls import call as calls
 
-# Maximum wait of a late call for the link, as a fraction of the latency target:
-# it only gets capacity that calls in time leave unused.
+# Maximum wait of a late call for the link, as a fraction of the latency target.
+# A late call only gets capacity that calls in time leave unused.
 _MAX_LATE_WAIT_FRACTION = 0.5
-# A receiver is slow if bytes in transit to it take more than this multiple of
-# the time in which the link carries a full send window.
+# A receiver is slow if bytes are in transit to it for more than this multiple
+# of the time in which the link carries a full send window.
 _SLOW_RATIO = 5
-# Shortest retry delay stated to a caller, in seconds.
+# Shortest retry delay stated to a caller, in seconds; the same as
+# `refusals.MIN_RETRY_AFTER_S`.
 _MIN_RETRY_AFTER_S = 0.05
 
 
@@ -38,14 +45,15 @@
     """The outgoing network link to other daemons.
 
     Attributes:
-        reserved_bytes: Bytes of long answers that have not been sent yet.
-        unsent: Those of the reserved bytes that were written to a connection.
+        reserved_bytes: Bytes of large answers that have not been sent yet.
+        unsent: Bytes in transit: those of the reserved bytes that were written
+            to a connection and have not left the host.
         rate: Rate of the link in bytes per second; 0 if it was never full.
         get_time: Returns the time in seconds, on the clock of deadlines.
     """
 
     def __init__(self, get_time: Callable[[], float] = time.monotonic):
-        """Initialises an idle link.
+        """Initialises the link without transfers.
 
         Args:
             get_time: Returns the time in seconds, on the clock of deadlines.
@@ -57,7 +65,7 @@
         self._measured_rate = rates.MeasuredRate()
         self._transfers: set[reservations.Transfer] = set()
         self._sent_bytes = 0
-        self._busy_since: float | None = None
+        self._interval_began_at: float | None = None
         self._means: dict[tuple[str, str], reservations.AnswerStats] = {}
         self._refuse_late_until = 0.0
         self._waiting: list[
@@ -66,6 +74,7 @@
 
     def get_backlog_s(self) -> float:
         """Returns how long answers in time occupy the link, in seconds."""
+        # This order is after all answers in time and before all others.
         return self.get_transfer_s(self._count_bytes_ahead((False, math.inf)))
 
     def get_transfer_s(self, size: float) -> float:
@@ -73,7 +82,11 @@
         return size / self.rate if self.rate else 0.0
 
     def get_slow_threshold_s(self) -> float:
-        """Returns the shortest transit time of a slow receiver, in seconds."""
+        """Returns the maximum transit time of a receiver that is not slow.
+
+        Returns:
+            The time in seconds.
+        """
         min_rate = self._measured_rate.get_lower_bound()
         window_s = (
             self._get_send_window() / min_rate
@@ -87,10 +100,10 @@
     ) -> reservations.Transfer | outcomes.NotRun:
         """Reserves link capacity for the answer of a call or refuses the call.
 
-        An answer that would not be sent in time only makes others late. A link
-        with at most one long answer in progress, not counting those to slow
-        receivers, accepts any call: if slow receivers made the link seem slow,
-        the next answer shows its true rate.
+        An answer that would not be sent in time only makes others late. Any
+        call is admitted while at most one large answer is in progress, not
+        counting those to slow receivers. If slow receivers have made the
+        measured rate too low, this answer gives a new measurement.
 
         Args:
             call: The call, which is not running yet.
@@ -98,27 +111,32 @@
         Returns:
             The transfer that holds the reservation, or the refusal.
         """
-        key = (call.organisation, call.plan.name)
-        stats = self._means.setdefault(key, reservations.AnswerStats())
+        class_key = (call.organisation, call.plan.name)
+        stats = self._means.setdefault(class_key, reservations.AnswerStats())
         transfer_s = self.get_transfer_s(stats.size + stats.deviation)
-        min_s = stats.head_s + transfer_s
-        # Long transfers are monitored by progress and have no latency target.
-        late = (
-            call.plan.large or self.get_time() + min_s > call.latency_deadline
+        min_answer_s = stats.head_s + transfer_s
+        # Large transfers are monitored by their progress and have no latency
+        # target.
+        best_effort = (
+            call.plan.large
+            or self.get_time() + min_answer_s > call.latency_deadline
         )
         bytes_ahead = self._count_bytes_ahead(
-            reservations.get_order(call, late)
+            reservations.get_order(call, best_effort)
         )
         wait_s = self.get_transfer_s(bytes_ahead)
-        # Only the claim of a call with a key tells whether the call has run
-        # before, so the link must not report it as "not run".
+        # Only the claim of a call with an idempotency key shows whether the
+        # call has run before, so the link must not report it as "not run".
         needs_claim = bool(call.key) and not call.plan.repeatable
         if (
             stats.size > reservations.CHUNK_BYTES
             and sum(not transfer.slow for transfer in self._transfers) > 1
             and not needs_claim
-            and not self._has_capacity(
-                call, wait_s, max(min_s, wait_s + transfer_s), late
+            and not self._check_capacity(
+                call,
+                wait_s,
+                max(min_answer_s, wait_s + transfer_s),
+                best_effort,
             )
         ):
             return outcomes.NotRun(
@@ -127,7 +145,7 @@
                 elsewhere=True,
                 overloaded=True,
             )
-        return reservations.Transfer(self, stats, call, late)
+        return reservations.Transfer(self, stats, call, best_effort)
 
     def change_reservation(
         self, transfer: reservations.Transfer, before: int, after: int
@@ -140,25 +158,26 @@
             self._transfers.discard(transfer)
 
     def note_sent(self, count: int) -> None:
-        """Records that bytes have left the host."""
+        """Records that `count` bytes have left the host."""
         self._sent_bytes += count
 
     def update_rate(self) -> None:
         """Updates the measured rate and wakes waiting transfers.
 
-        Called after all transfers have reported what has been sent. An interval
-        at whose end no bytes wait says nothing about the rate: the link was
-        idle for some of it. The same holds if the event loop was blocked and
-        the interval is so long that all bytes in transit may have left well
-        before its end. If all bytes have left and transfers wait for their
-        turn, the link is faster than was measured.
+        Called after all transfers have reported what has been sent, which ends
+        an interval of the measurement. The rate cannot be measured in an
+        interval at whose end no bytes wait, as the link was idle for a fraction
+        of it. The same holds for an interval that is longer than the send
+        window, because the event loop was blocked: all bytes in transit may
+        have left well before its end. If all bytes have left while transfers
+        wait for their turn, the link is faster than was measured.
         """
         now = self.get_time()
         busy = bool(self.unsent or self._waiting)
-        if busy and self._busy_since is not None:
-            self._record_sample(now, now - self._busy_since)
+        if busy and self._interval_began_at is not None:
+            self._record_sample(now, now - self._interval_began_at)
         self._sent_bytes = 0
-        self._busy_since = now if busy else None
+        self._interval_began_at = now if busy else None
         self._wake_waiting()
 
     def _record_sample(self, now: float, interval_s: float) -> None:
@@ -172,9 +191,9 @@
         """Waits until a transfer may write its next chunk.
 
         The wait is limited to the time in which the link carries all reserved
-        bytes, including those of late answers. Otherwise receivers slower than
-        the link could occupy the send window, and nothing would be sent to the
-        others.
+        bytes, including those of best-effort answers. Without the limit,
+        receivers slower than the link could occupy the send window, and nothing
+        would be sent to the others.
 
         Args:
             transfer: The transfer that has a chunk to write.
@@ -203,7 +222,7 @@
         )
 
     def _wake_waiting(self) -> None:
-        """Wakes waiting transfers as far as the send window has space."""
+        """Wakes as many waiting transfers as the send window has space for."""
         space = self._get_window_space()
         for waiting in list(self._waiting):
             transfer, turn = waiting
@@ -234,11 +253,11 @@
         return len(active) > 1
 
     def _count_bytes_ahead(self, order: tuple[bool, float]) -> int:
-        """Returns the bytes that are sent before an answer.
+        """Returns the number of bytes that are sent before an answer.
 
-        For transfers that are scheduled after it these are only the bytes in
-        transit, and for slow receivers only the part of them that occupies the
-        link.
+        Of transfers that are scheduled after it, only the bytes in transit are
+        counted. Of transfers to slow receivers, only those bytes in transit are
+        counted that other transfers wait for.
 
         Args:
             order: The scheduling order of the answer, as `Transfer.order`.
@@ -250,27 +269,33 @@
             for transfer in self._transfers
         )
 
-    def _has_capacity(
-        self, call: calls.Call, wait_s: float, needed_s: float, late: bool
+    def _check_capacity(
+        self,
+        call: calls.Call,
+        wait_s: float,
+        completion_s: float,
+        best_effort: bool,
     ) -> bool:
         """Returns whether an answer would be sent in time.
 
+        If an answer would miss its latency target, late calls are refused for
+        the time of that target.
+
         Args:
             call: The call that is answered.
             wait_s: Time in which the link sends the bytes ahead of the answer,
                 in seconds.
-            needed_s: Time until the answer would be sent, in seconds.
-            late: Whether the call has no latency target or misses it in any
-                case.
+            completion_s: Time until the answer would be sent, in seconds.
+            best_effort: Whether the call has no latency target or is late.
         """
         now = self.get_time()
         plan = call.plan
-        if not late:
-            if now + needed_s <= call.latency_deadline:
+        if not best_effort:
+            if now + completion_s <= call.latency_deadline:
                 return True
             self._refuse_late_until = now + plan.latency_s
             return False
-        if now + needed_s > call.refuse_by:
+        if now + completion_s > call.refuse_by:
             return False
         if plan.large:
             return True
@@ -280,17 +305,17 @@
         )
 
     def _get_window_space(self) -> float:
-        """Returns the bytes that may be written now."""
+        """Returns the number of bytes that may be written now."""
         return self._get_send_window() - sum(
             transfer.count_blocking_bytes() for transfer in self._transfers
         )
 
     def _get_send_window(self) -> float:
-        """Returns the bytes that may be in transit at once.
+        """Returns the number of bytes that may be in transit at once.
 
-        If only a single receiver has been measured, the window follows the rate
-        of that receiver: it loses nothing by this, and other receivers get
-        their bytes in addition.
+        If only a single receiver has been measured, the window is derived from
+        the rate of that receiver. This does not slow down the transfer to it,
+        and bytes that are sent to other receivers add to the measured rate.
         """
         min_rate = self._measured_rate.get_lower_bound()
         if not min_rate:
--- a/merlintrestle/requests/load/refused_callers.py
+++ b/merlintrestle/requests/load/refused_callers.py
@@ -1,8 +1,7 @@
 """Recognition of callers that retry after a refusal.
 
-A caller retries with a new request. The retry is recognised by what it asks for
-together with the end of the caller's wait, which are both those of the first
-request.
+A caller retries with a new request, which has the same route, path, query and
+deadline as the first one. The retry is recognised by these.
 """
 
 from __future__ import annotations
@@ -13,12 +12,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Greatest difference between the deadlines of two requests of one caller. The
-# stated timeout is rounded to milliseconds, and the request takes time to
-# arrive.
+# Greatest difference between the deadlines of two requests of one caller, in
+# seconds. The stated timeout is rounded to milliseconds, and requests take time
+# to arrive.
 _DEADLINE_TOLERANCE_S = 0.02
-# A daemon that receives 300 calls a second and refuses every second one has
-# about 300 refused callers that still wait.
+# Maximum number of refused callers that are stored. A daemon that receives 300
+# calls per second and refuses every second one has about 300 of them.
 _MAX_CALLERS = 4096
 
 
@@ -26,8 +25,8 @@
     """A caller that was refused.
 
     Attributes:
-        request_key: Route of its request, and the path and query.
-        deadline: When its wait ends, in seconds.
+        request_key: Route of its request, and the path with the query.
+        deadline: Deadline of its request, in seconds.
         first_request_at: When its first request arrived, in seconds.
     """
 
@@ -41,12 +40,16 @@
 
     Timeouts of callers of one route may differ. If the time since the first
     request were derived from the remaining time, a caller with a short timeout
-    would be taken for one that has been waiting, and be refused as late by a
-    daemon that has capacity for it.
+    would seem to have waited already. Its call would be late, and be refused
+    even if there is capacity for it.
     """
 
     def __init__(self, get_time: Callable[[], float]):
-        """Begins without callers; `get_time` returns the time in seconds."""
+        """Initialises an empty collection.
+
+        Args:
+            get_time: Returns the time in seconds.
+        """
         self._get_time = get_time
         self._callers: dict[tuple[str, str], list[_RefusedCaller]] = {}
         self._order: collections.deque[_RefusedCaller] = collections.deque()
@@ -60,8 +63,8 @@
         """Adds a caller that was refused.
 
         Args:
-            request_key: Route of its request, and the path and query.
-            deadline: When its wait ends, in seconds.
+            request_key: Route of its request, and the path with the query.
+            deadline: Deadline of its request, in seconds.
             first_request_at: When its first request arrived, in seconds.
         """
         self._remove_oldest()
@@ -72,16 +75,16 @@
     def pop(
         self, request_key: tuple[str, str], deadline: float
     ) -> float | None:
-        """Returns when the first request of a caller arrived.
+        """Removes a caller and returns when its first request arrived.
 
-        The caller is removed, as each refusal accounts for one retry.
+        The caller is removed because each refusal accounts for one retry.
 
         Args:
-            request_key: Route of its request, and the path and query.
-            deadline: When its wait ends, in seconds.
+            request_key: Route of its request, and the path with the query.
+            deadline: Deadline of its request, in seconds.
 
         Returns:
-            The time in seconds; None: this is its first request.
+            The time in seconds; None if the request is not a retry.
         """
         for caller in self._callers.get(request_key, ()):
             if abs(caller.deadline - deadline) <= _DEADLINE_TOLERANCE_S:
@@ -90,7 +93,7 @@
         return None
 
     def _remove_oldest(self) -> None:
-        """Removes the oldest callers if they timed out or are too many."""
+        """Removes the oldest callers that have timed out or are too many."""
         now = self._get_time()
         order = self._order
         while order and (order[0].deadline < now or len(order) >= _MAX_CALLERS):
--- a/merlintrestle/requests/load/repeats.py
+++ b/merlintrestle/requests/load/repeats.py
@@ -1,10 +1,10 @@
 """Tracking of the repeats that run at the local backend server.
 
 A repeat is a run of a call that may have run before. A call that the backend
-server makes while it runs a repeat is a repeat as well, as it may also have
-been made before. Nothing in such a call identifies the call on whose behalf it
-is made, so it counts as a repeat with the fraction of the running calls that
-are repeats.
+server makes while it runs a repeat is a repeat as well, because it may also
+have been made before. Such a nested call does not identify its parent call. The
+probability that it is a repeat is therefore estimated as the fraction of the
+running calls that are repeats.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class Repeats:
-    """Counts the calls that run at the local backend server."""
+    """Numbers of running calls and repeats at the local backend server."""
 
     def __init__(self) -> None:
         self._running = 0
         self._repeats = 0
 
     def begin(self, call: calls.Call) -> bool:
-        """Counts a call that is sent to the backend server.
+        """Counts a call that begins to run at the backend server.
 
         Returns:
             Whether this run is a repeat, to be passed to `end`. While it runs,
@@ -35,7 +35,11 @@
         return call.repeat
 
     def end(self, repeat: bool) -> None:
-        """Counts a call that has ended."""
+        """Counts a call that has ended.
+
+        Args:
+            repeat: Whether the run was a repeat, as returned by `begin`.
+        """
         self._running -= 1
         self._repeats -= repeat
 
--- a/merlintrestle/requests/load/reservations.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations of outgoing link capacity for long answers."""
+"""Reservations of outgoing link capacity for large answers."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
     from merlintrestle.requests.calls import call as calls
 
 # Size of the chunks in which transfers are sent: a dozen packets. Answers up to
-# this size are small and wait for no transfer.
+# this size are small: they are sent without a reservation and do not wait for
+# their turn.
 CHUNK_BYTES = 16 * 1024
 # Weight of the latest answer in the moving averages of its class.
 _EWMA_WEIGHT = 0.1
-# Bytes that may be in transit at once, as the time in seconds in which the link
-# carries them. A short answer waits behind them, and they keep the link busy
-# between two polls of the connections.
+# Size of the send window, which are the bytes that may be in transit at once,
+# as the time in seconds in which the link carries them. A small answer waits
+# behind them. They keep the link busy between two checks of the connections.
 SEND_WINDOW_S = 0.06
-# A transfer of which no byte is sent for this time has a stalled receiver:
-# several times the send window, which may be ahead of it.
+# If no byte of a transfer is sent for this time, in seconds, its receiver is
+# stalled. It is several send windows, as up to one send window of other bytes
+# may be sent before those of the transfer.
 STALL_TIMEOUT_S = 5 * SEND_WINDOW_S
 
 
@@ -27,7 +29,8 @@
     """The link that carries the answers; see `links.OutgoingLink`.
 
     Attributes:
-        unsent: Bytes that were written to a connection and not sent yet.
+        unsent: Bytes in transit, in all transfers: they were written to a
+            connection and have not left the host.
         get_time: Returns the time in seconds, on the clock of deadlines.
     """
 
@@ -38,7 +41,11 @@
         """Returns how long the link takes to carry some bytes, in seconds."""
 
     def get_slow_threshold_s(self) -> float:
-        """Returns the shortest transit time of a slow receiver, in seconds."""
+        """Returns the maximum transit time of a receiver that is not slow.
+
+        Returns:
+            The time in seconds.
+        """
 
     def change_reservation(
         self, transfer: Transfer, before: int, after: int
@@ -46,7 +53,7 @@
         """Changes the bytes that are reserved for a transfer."""
 
     def note_sent(self, count: int) -> None:
-        """Records that bytes have left the host."""
+        """Records that `count` bytes have left the host."""
 
     async def wait_for_turn(self, transfer: Transfer) -> None:
         """Waits until a transfer may write its next chunk."""
@@ -89,17 +96,20 @@
 class Transfer:
     """The transfer of one answer over the link.
 
-    Bytes count as `remaining` from their reservation until they are sent, and
-    as `unsent` as well from when they are written to the connection, so that
-    `remaining` is never less than `unsent`. `OutgoingLink.reserved_bytes` is
-    the sum of `remaining` and `OutgoingLink.unsent` that of `unsent`, except
-    for stalled receivers.
+    Bytes count in `remaining` from their reservation until they leave the host.
+    While they are in transit, which begins when they are written to the
+    connection, they also count in `unsent`. Thus `remaining` is never less than
+    `unsent`. `OutgoingLink.reserved_bytes` is the sum of `remaining` and
+    `OutgoingLink.unsent` the sum of `unsent` of all transfers, except for those
+    with stalled receivers.
 
     Attributes:
         remaining: Bytes that are reserved for the answer and not sent yet.
-        unsent: Those of the remaining bytes that were written.
+        unsent: Bytes in transit: those of the remaining bytes that were written
+            to the connection.
         order: Scheduling order, the smallest first: calls in time by their
-            latency deadlines, then late ones by their deadlines, in seconds.
+            latency deadlines, then best-effort ones by their deadlines, in
+            seconds.
         slow: Whether the receiver is slower than the link.
     """
 
@@ -116,8 +126,8 @@
         "order",
         "slow",
         "unsent",
-        "_window_bytes",
-        "_window_at",
+        "_sample_bytes",
+        "_sample_began_at",
     )
 
     def __init__(
@@ -125,7 +135,7 @@
         link: TransferLink,
         stats: AnswerStats,
         call: calls.Call,
-        late: bool,
+        best_effort: bool,
     ):
         """Reserves the mean size of the class for an answer.
 
@@ -133,13 +143,12 @@
             link: The link that carries the answer.
             stats: Statistics of the answers of the call's class.
             call: The call that is answered.
-            late: Whether the call has no latency target or misses it in any
-                case.
+            best_effort: Whether the call has no latency target or is late.
         """
         self.remaining = 0
         self.unsent = 0
         self.slow = False
-        self.order = get_order(call, late)
+        self.order = get_order(call, best_effort)
         self._link = link
         self._call = call
         self._stats = stats
@@ -148,9 +157,10 @@
         self._head_s = 0.0
         self._size_pending = False
         self._stalled = False
-        # Unsent bytes of the window that is measured, and its start.
-        self._window_bytes = 0
-        self._window_at = self._began_at
+        # The transit time is measured for one batch of bytes after the other.
+        # These are its bytes that are still in transit, and its start.
+        self._sample_bytes = 0
+        self._sample_began_at = self._began_at
         if stats.size > CHUNK_BYTES:
             self._set_remaining(round(stats.size))
 
@@ -162,14 +172,17 @@
         """Records the head of an answer, whose size is not known yet.
 
         Args:
-            typical: Whether the answer counts in the statistics of its class;
-                False for errors.
+            typical: Whether the answer is recorded in the statistics of its
+                class; False for errors.
         """
         self._head_s = self._link.get_time() - self._began_at
         self._size_pending = typical
 
     def record_size(self, size: int) -> None:
-        """Records the size of an answer unless it was recorded before."""
+        """Records the size of the answer in the statistics of its class.
+
+        It is recorded once, and only after the head of a typical answer.
+        """
         if self._size_pending:
             self._size_pending = False
             self._stats.record(size, self._head_s)
@@ -188,8 +201,8 @@
             > self._call.latency_deadline
         ):
             # The answer is larger than others of its class and misses its
-            # target in any case; sent first, it would make all others miss
-            # theirs.
+            # latency target even on an idle link. If it were sent first, all
+            # others would miss theirs.
             self.order = get_order(self._call, True)
         self._set_remaining(size if size > CHUNK_BYTES else 0)
 
@@ -198,24 +211,26 @@
         await self._link.wait_for_turn(self)
 
     def record_written(self, count: int) -> None:
-        """Records that bytes were written to the connection."""
+        """Records that `count` bytes were written to the connection."""
         if not self.unsent:
-            self._progress_at = self._window_at = self._link.get_time()
-            self._window_bytes = count
+            self._progress_at = self._sample_began_at = self._link.get_time()
+            self._sample_bytes = count
         self._set_unsent(self.unsent + count)
         if self.remaining < self.unsent:
-            # An answer without a stated size is longer than the mean.
+            # An answer without a stated size has more bytes than the mean of
+            # its class, which was reserved.
             self._set_remaining(self.unsent)
 
     def update_unsent(self, unsent: int) -> None:
-        """Updates the number of written bytes that have not been sent yet.
+        """Updates the number of bytes in transit.
 
-        The bytes of a stalled receiver are no work for the link. If they
-        counted as such, they would block all other transfers until the
-        connection to that receiver is closed.
+        The link does not carry the bytes of a stalled receiver, so they are
+        excluded. If they were counted, they would block all other transfers
+        until the connection to that receiver is closed.
 
         Args:
-            unsent: Bytes that were written and not sent yet.
+            unsent: Bytes that were written to the connection and have not left
+                the host.
         """
         now = self._link.get_time()
         sent = self.unsent - unsent
@@ -227,31 +242,31 @@
             self._set_remaining(max(unsent, self.remaining - sent))
             self._update_slow(now, sent)
         elif self.unsent and now - self._progress_at > STALL_TIMEOUT_S:
-            # A stalled transfer writes no more chunks either, though its bytes
-            # leave the whole send window to others.
+            # The transfer is also marked as slow, so that it writes no more
+            # chunks. Its bytes no longer occupy the send window.
             self.slow = True
             self._set_stalled(True)
 
     def count_blocking_bytes(self) -> int:
-        """Returns the bytes in transit that other transfers wait for.
+        """Returns the number of bytes in transit that other transfers wait for.
 
-        Of a slow receiver this is one chunk at most: further bytes wait for the
-        receiver instead of the link and delay no others.
+        For a slow receiver it is one chunk at most: further bytes wait for the
+        receiver instead of the link and do not delay other transfers.
         """
         return min(self.unsent, CHUNK_BYTES) if self.slow else self.unsent
 
     def _update_slow(self, now: float, sent: int) -> None:
-        """Updates `slow` by the transit time of the bytes in the window."""
-        transit_s = now - self._window_at
-        self._window_bytes -= sent
+        """Updates `slow` by the transit time of the measured batch of bytes."""
+        transit_s = now - self._sample_began_at
+        self._sample_bytes -= sent
         if (
-            self._window_bytes <= 0
+            self._sample_bytes <= 0
             or transit_s > self._link.get_slow_threshold_s()
         ):
             self.slow = transit_s > self._link.get_slow_threshold_s()
-        if self._window_bytes <= 0:
-            self._window_bytes = self.unsent
-            self._window_at = now
+        if self._sample_bytes <= 0:
+            self._sample_bytes = self.unsent
+            self._sample_began_at = now
 
     def end(self) -> None:
         """Releases the remaining reservation."""
@@ -259,7 +274,7 @@
         self._set_remaining(0)
 
     def _set_stalled(self, stalled: bool) -> None:
-        """Excludes the bytes of a stalled receiver from those of the link."""
+        """Excludes the bytes from those of the link while `stalled`."""
         if stalled == self._stalled:
             return
         self._stalled = stalled
@@ -281,6 +296,6 @@
         self.remaining = remaining
 
 
-def get_order(call: calls.Call, late: bool) -> tuple[bool, float]:
+def get_order(call: calls.Call, best_effort: bool) -> tuple[bool, float]:
     """Returns the scheduling order of an answer, as `Transfer.order`."""
-    return late, call.deadline if late else call.latency_deadline
+    return best_effort, call.deadline if best_effort else call.latency_deadline
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -9,22 +9,22 @@
 from merlintrestle.requests.calls import call as calls
 from merlintrestle.requests.calls import outcomes
 
-# A call may be hedged after the greatest of this time, a multiple of its
-# latency target and a multiple of its expected work time, if as much time
-# remains for the hedge.
+# A call may be hedged after the greatest of this time in seconds, this multiple
+# of its latency target and this multiple of its expected work time, if as much
+# time remains for the hedge.
 _MIN_HEDGE_DELAY_S = 0.25
-_LATENCY_TARGET_FACTOR = 3.0
-_WORK_FACTOR = 10.0
+_HEDGE_LATENCY_TARGET_FACTOR = 3.0
+_HEDGE_WORK_FACTOR = 10.0
 
 
 class Retry(enum.Enum):
     """Whether a failed call may be retried at another upstream."""
 
     NO = enum.auto()
-    # No backend server received it, so a retry does not amplify the load.
+    # No backend server received the call, so a retry does not amplify the load.
     FREE = enum.auto()
-    # It may have run, or was refused by an overloaded backend server, so the
-    # retry is charged to the budget.
+    # The call may have run, or was refused by an overloaded backend server, so
+    # the retry is charged to the budget.
     BUDGETED = enum.auto()
 
 
@@ -41,23 +41,24 @@
         return Retry.NO
     if not outcome.reached:
         return Retry.FREE
-    # A repeat that only this daemon sent, and that was refused each time, has
-    # not run anywhere.
-    return Retry.BUDGETED if call.repeat else _forbid_nested(call)
+    # If all attempts of this daemon were refused, the call has not run
+    # anywhere, and may be retried again. `RetryState.spend` rejects other
+    # repeats.
+    return Retry.BUDGETED if call.repeat else _allow_unless_nested(call)
 
 
 @classify.register
 def _classify_ran(outcome: outcomes.Ran, call: calls.Call) -> Retry:
-    return _forbid_nested(call) if call.plan.repeatable else Retry.NO
+    return _allow_unless_nested(call) if call.plan.repeatable else Retry.NO
 
 
 @classify.register
 def _classify_unknown(outcome: outcomes.Unknown, call: calls.Call) -> Retry:
     # A call with an idempotency key is safe to retry: the daemon that receives
-    # it finds the claim of the first attempt, and asks the holder for the
-    # answer instead of running the call.
+    # the retry finds the claim of the first attempt and, instead of running the
+    # call, requests the answer from the holder of the claim.
     if call.plan.repeatable or call.key:
-        return _forbid_nested(call)
+        return _allow_unless_nested(call)
     return Retry.NO
 
 
@@ -67,7 +68,7 @@
         outcome.response.status == outcomes.SHEDDING_STATUS
         and call.plan.repeatable
     ):
-        return _forbid_nested(call)
+        return _allow_unless_nested(call)
     return Retry.NO
 
 
@@ -76,27 +77,29 @@
     return Retry.NO
 
 
-def _forbid_nested(call: calls.Call) -> Retry:
-    """Forbids retries of retries, and retries below a call that has its own.
+def _allow_unless_nested(call: calls.Call) -> Retry:
+    """Allows a budgeted retry unless the call is a retry or nested in one.
 
     With calls nested N levels deep and two attempts at each level, the lowest
     service would receive 2**N calls for each call of a caller. With this rule
-    it receives at most two.
+    it receives at most two, as `Call.attempt` is also set for calls nested in a
+    call that may be retried.
     """
     return Retry.NO if call.attempt else Retry.BUDGETED
 
 
 def compute_hedge_time(call: calls.Call, now: float) -> float:
-    """Returns when a call may be hedged, as its first attempt takes too long.
+    """Returns when a call may be hedged because its first attempt is overdue.
 
-    Without hedges a frozen upstream would use up the whole time of each call
-    that is sent to it before it is known to be frozen. The delay is far longer
-    than the targets expect a call to take. If no time or no further attempt
-    would remain, the deadline is returned, so that there is no hedge.
+    Without hedges, calls that are sent to an unresponsive upstream before it is
+    detected would wait there until their deadlines. The delay is far longer
+    than a call takes according to the targets. The deadline is returned, so
+    that there is no hedge, if too little time would remain for it or the call
+    may not be retried.
 
     Args:
         call: The call.
-        now: Time of its first attempt, in seconds.
+        now: When its first attempt is sent, in seconds.
 
     Returns:
         Time of the event loop, in seconds.
@@ -106,8 +109,8 @@
         return call.deadline
     delay_s = max(
         _MIN_HEDGE_DELAY_S,
-        _LATENCY_TARGET_FACTOR * plan.latency_s,
-        _WORK_FACTOR * plan.work_s,
+        _HEDGE_LATENCY_TARGET_FACTOR * plan.latency_s,
+        _HEDGE_WORK_FACTOR * plan.work_s,
     )
     if now + 2 * delay_s > call.deadline or not call.body.repeatable:
         return call.deadline
@@ -119,11 +122,12 @@
 ) -> outcomes.Outcome:
     """Returns the outcome of a call after several attempts.
 
-    If the last attempt was refused, an earlier one may still have run, so the
-    call must not be reported as "not run".
+    If the last attempt was refused, an earlier attempt may still have run, so
+    the call must not be reported as "not run".
 
     Args:
-        earlier: Outcome of the attempts before; None: there were none.
+        earlier: Combined outcome of the earlier attempts; None if there were
+            none.
         latest: Outcome of the last attempt.
     """
     if isinstance(latest, outcomes.NotRun) and isinstance(
--- a/merlintrestle/requests/load/round_trips.py
+++ b/merlintrestle/requests/load/round_trips.py
@@ -2,8 +2,7 @@
 
 Within an availability zone a round trip takes a fraction of a millisecond, over
 a saturated link some tenths of a second. If it were not considered, a refusal
-could still be on its return trip when the call times out at its caller's
-daemon.
+could arrive at the caller's daemon after the call has timed out there.
 """
 
 from __future__ import annotations
@@ -14,9 +13,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+# Weight of the latest round trip in the mean.
 _EWMA_WEIGHT = 0.2
-# Time constant of the exponential decay of the mean: links become saturated and
-# free again within about this time.
+# Time constant of the exponential decay of the mean, in seconds. Links become
+# saturated and free again within about this time.
 _DECAY_S = 1.0
 # Greatest fraction of the remaining time of a call that is reserved for the
 # return trip, so that samples of other calls cannot use up all of the time of a
@@ -28,7 +28,11 @@
     """Decaying EWMA of the round-trip time to other daemons."""
 
     def __init__(self, get_time: Callable[[], float]):
-        """Begins without samples; `get_time` returns the time in seconds."""
+        """Initialises the mean without samples.
+
+        Args:
+            get_time: Returns the time in seconds.
+        """
         self._get_time = get_time
         self._mean_s = 0.0
         self._updated_at = 0.0
@@ -49,11 +53,15 @@
     def reserve(self, remaining_s: float) -> float:
         """Returns the time to reserve for the return trip of a refusal.
 
+        It is the time of a whole round trip: the upstream counts the timeout of
+        the call from its arrival, so its deadline is later than that of the
+        caller's daemon by the trip to the upstream.
+
         Args:
             remaining_s: Remaining time of the call, in seconds.
 
         Returns:
-            The time in seconds.
+            The time in seconds. Nothing is recorded.
         """
         return min(self.get(), _MAX_RESERVED_FRACTION * max(0.0, remaining_s))
 
--- a/merlintrestle/requests/load/startup.py
+++ b/merlintrestle/requests/load/startup.py
@@ -11,14 +11,15 @@
     from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
 
-# How long after its start a daemon may still be discovering upstreams that were
-# ready before.
+# Time after its start in which a daemon may not have discovered all ready
+# upstreams yet, in seconds.
 STARTUP_S = 2.0
-# Fraction of the latency target for which a call may wait. The rest is enough
-# for a call that takes no longer than usual.
+# Maximum wait of a call, as a fraction of the latency target. The rest suffices
+# for a call with a usual work time.
 _MAX_WAIT_FRACTION = 0.5
 _POLL_INTERVAL_S = 0.02
-# When callers may retry, during the startup of the daemon and later.
+# Retry delays stated to callers during the startup period and after it, in
+# seconds.
 _STARTUP_RETRY_AFTER_S = 0.2
 _RETRY_AFTER_S = 1.0
 
@@ -26,19 +27,19 @@
 class StartupWait:
     """Makes calls wait for the first upstream of their service after a start.
 
-    A daemon opens its port as soon as it has a version. Without the wait it
+    A daemon opens its port as soon as it has a version. Without the wait, it
     would refuse all calls until it has discovered their upstreams, although
-    these are ready: when a whole fleet is restarted, that would double the time
-    in which calls are refused.
+    these are ready. This would double the time in which calls are refused
+    during a restart of a whole fleet.
     """
 
     def __init__(
         self, table: interfaces.MemberTable, get_time: Callable[[], float]
     ):
-        """Initializes the wait; `begin` starts the startup period.
+        """Initialises the wait; `begin` starts the startup period.
 
         Args:
-            table: The member table, which lists the known upstreams.
+            table: Lists the known upstreams of each service.
             get_time: Returns the time in seconds.
         """
         self._table = table
@@ -46,16 +47,20 @@
         self._startup_ends_at = 0.0
 
     def begin(self) -> None:
-        """Begins the startup period, as the daemon opens its port."""
+        """Begins the startup period when the daemon opens its port."""
         self._startup_ends_at = self._get_time() + STARTUP_S
 
     @property
     def retry_after_s(self) -> float:
-        """When a caller may retry a call without an upstream, in seconds."""
+        """Retry delay for a call without an upstream, in seconds."""
         return _STARTUP_RETRY_AFTER_S if self._is_starting() else _RETRY_AFTER_S
 
     async def wait(self, call: calls.Call) -> bool:
-        """Waits for an upstream; returns whether there is one."""
+        """Waits for an upstream of a call.
+
+        Returns:
+            Whether there is an upstream.
+        """
         if self._table.get_upstreams(call.service):
             return True
         wait_until = self._get_time() + call.plan.latency_s * _MAX_WAIT_FRACTION
