--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -9,9 +9,9 @@
 from merlintrestle.requests.calls import call as calls
 from merlintrestle.requests.load import acceptance
 from merlintrestle.requests.load import loads
+from merlintrestle.requests.load import queue_admission
 from merlintrestle.requests.load import refusals
 from merlintrestle.requests.load import slots as slots_lib
-from merlintrestle.requests.load import waits
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
@@ -24,8 +24,9 @@
 
 # Weight of the latest call in the moving average of slot hold times.
 _HOLD_EWMA_WEIGHT = 0.1
-# Fraction of the mean hold time that must remain before a call's deadline. Work
-# times are skewed: at most a third of the calls end within half of the mean.
+# Fraction of the mean hold time that must remain until a call must start or be
+# refused. Work times are skewed: at most a third of the calls end within half
+# of the mean.
 _MIN_HOLD_FRACTION = 0.5
 
 
@@ -39,7 +40,7 @@
         table: interfaces.MemberTable,
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Initialises the admission control.
+        """Initialises admission control.
 
         Args:
             backend: The local backend server, with its number of slots.
@@ -51,7 +52,7 @@
         self._backend = backend
         self._acceptance = acceptance.AcceptanceRate(get_time)
         self._slots = slots_lib.Slots(backend, holder, table)
-        self._queue_admission = waits.QueueAdmission(
+        self._queue_admission = queue_admission.QueueAdmission(
             self._slots, self._acceptance
         )
 
@@ -65,7 +66,7 @@
         return self._slots.in_flight > 0
 
     def has_capacity(self) -> bool:
-        """Returns whether the local backend server has capacity for a call."""
+        """Returns whether the local backend server can run another call now."""
         backend = self._backend
         return (
             self._slots.in_flight < backend.slots
@@ -79,7 +80,7 @@
             self._slots.in_flight + self._slots.waiting,
             self._backend.slots,
             self._slots.get_mean_hold(),
-            accepted=self._acceptance.get(),
+            acceptance_rate=self._acceptance.get(),
         )
 
     async def acquire(self, call: calls.Call) -> outcomes.NotRun | None:
@@ -96,11 +97,13 @@
         self._slots.update_shares()
         if self._is_too_late(queue, call):
             return refusals.refuse_too_late()
-        # Other classes may have waiting calls: those for which there was a
-        # slot have been granted one already.
+        # Only the queue of this class is checked: a waiting call of another
+        # class that may use a free slot was granted it when it became free.
         has_free_slot = not queue.waiting and self._slots.has_free_slot(queue)
         if call.wait is not calls.Wait.NORMAL:
-            refusal = self._queue_admission.check(queue, call, has_free_slot)
+            refusal = self._queue_admission.check_wait(
+                queue, call, has_free_slot
+            )
             if refusal is not None:
                 return refusal
         if has_free_slot:
@@ -121,17 +124,18 @@
         """Records whether the backend server accepted an admitted call.
 
         Args:
-            taken: False if the backend server rejected the call.
+            taken: Whether it accepted the call; False if it rejected it.
         """
         self._acceptance.record(taken)
 
     def estimate_retry_delay(self, call: calls.Call) -> float:
         """Returns the retry delay after the backend server rejects a call.
 
-        The delay, in seconds, is the mean hold time of a slot: other calls end
-        on the backend server within it. With a fixed delay of one second,
-        callers retried too late to meet their targets; a backend server that
-        rejects every second call is as likely to accept an early retry.
+        The delay, in seconds, is the mean hold time of a slot, within which
+        other calls on the backend server end. With a longer delay, such as one
+        second, callers would retry too late to meet their latency targets. A
+        backend server that rejects every second call is as likely to accept an
+        early retry as a late one.
         """
         return max(
             refusals.MIN_RETRY_AFTER_S, self._slots.get_queue(call).hold_s
@@ -146,9 +150,9 @@
         return None
 
     def _is_too_late(self, queue: queues.ClassQueue, call: calls.Call) -> bool:
-        """Returns whether a call has no chance to end before its deadline.
+        """Returns whether a call would probably not end before its deadline.
 
-        It would hold a slot until its deadline, and the caller could not tell
+        It would hold a slot until its deadline, and its caller would not know
         whether it ran.
         """
         remaining_s = call.refuse_by - asyncio.get_running_loop().time()
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -1,7 +1,7 @@
-"""Observations of upstreams, made by this daemon itself.
+"""Observations of upstreams by this daemon.
 
-They take precedence over what upstreams report of themselves, because reports
-are delayed and can be wrong.
+They take precedence over what the upstreams report, because reports are delayed
+and can be wrong.
 """
 
 from __future__ import annotations
@@ -19,24 +19,25 @@
 _MAX_FAILURES = 3
 _FIRST_EJECTION_S = 1.0
 _MAX_EJECTION_S = 30.0
-# How long an upstream that refused a call is picked only if all others are
+# Time after a refusal in which the upstream is picked only if all others are
 # unavailable.
 _BACKOFF_S = 0.5
-# An upstream is stalled if short calls have waited this long for their first
-# byte and it sent nothing else either. Long calls may take that long.
-STALL_S = 0.5
-# Greatest expected work time of a short call.
-_MAX_SHORT_WORK_S = 0.05
+# An upstream is unresponsive if it has answered nothing for longer than this
+# time, in seconds, while quick calls were waiting for their first byte. Slow
+# calls may take that long.
+MAX_SILENCE_S = 0.5
+# Greatest expected work time of a quick call, in seconds.
+_MAX_QUICK_WORK_S = 0.05
 _LATENCY_EWMA_WEIGHT = 0.2
 _MIN_WORK_S = 0.001
-# About ten calls are enough to tell an upstream that fails every third call
-# from the others.
+# Weight of the latest call in the success rate. About ten calls suffice to
+# distinguish an upstream that fails every third call from the others.
 _SUCCESS_EWMA_WEIGHT = 0.1
-# An upstream that fails every call is ejected anyway. The minimum keeps its
-# utilization finite when it is used again.
+# Lower limit of the success rate. An upstream that fails every call is ejected
+# anyway; the limit keeps its utilization finite when it is used again.
 _MIN_SUCCESS_RATE = 0.1
-# Calls take some tenths of a second, so most of the calls that an older load
-# report counted have ended.
+# Maximum age of a load report that is used, in seconds. Calls take some tenths
+# of a second, so most of the calls that an older report counted have ended.
 MAX_LOAD_AGE_S = 1.0
 
 
@@ -46,26 +47,26 @@
     All times are those of the event loop, in seconds.
 
     Attributes:
-        in_flight: Calls sent to it whose answers have not ended.
-        awaiting_first_byte: Short calls in flight that have not received the
-            first byte of their answer.
-        consecutive_failures: Failures since its last answer.
+        in_flight: Number of calls sent to it whose answers have not ended.
+        awaiting_first_byte: Number of quick calls in flight that have not
+            received the first byte of their answer.
+        consecutive_failures: Number of failures since its last answer.
         ejected_until: End of its ejection; 0: it is not ejected. It stays set
             until an answer shows that the upstream is healthy again.
-        ejections: Ejections since its last answer.
+        ejections: Number of ejections since its last answer, at most 10.
         probing: True while a call probes whether it is healthy again.
-        backoff_until: Until when other upstreams are preferred, as it refused a
-            call.
+        backoff_until: End of its backoff, which begins when it refuses a call.
+            Until then other upstreams are preferred.
         latency_ratio: EWMA of the latency divided by the expected work time; 0:
             not known.
         success_rate: EWMA of the calls that it ran and answered successfully,
             from 0 to 1.
-        last_answer_at: When it last answered; 0: never.
-        silent_since: Since when it has sent nothing although a short call was
-            awaiting its first byte.
+        last_answer_at: When it last answered or refused a call; 0: never.
+        silent_since: Since when it has answered nothing although a quick call
+            was waiting for its first byte.
         load: The last load report of its daemon; None: there is none.
         load_received_at: When the load report was received.
-        in_flight_at_load: Calls in flight from this daemon at that time.
+        in_flight_at_load: `in_flight` at that time.
     """
 
     __slots__ = (
@@ -118,20 +119,21 @@
         self.in_flight_at_load = self.in_flight
 
     def has_recent_load(self, now: float) -> bool:
-        """Returns whether its last load report is recent."""
+        """Returns whether there is a load report recent enough to be used."""
         return (
             self.load is not None
             and now - self.load_received_at <= MAX_LOAD_AGE_S
         )
 
     def estimate_calls(self, now: float) -> int:
-        """Returns the calls that it has, including those of other daemons."""
+        """Returns the number of its calls, including those of other daemons."""
         return self.estimate(now)[0]
 
     def estimate_success_rate(self, now: float) -> float:
         """Returns the fraction of its recent calls that succeeded.
 
-        The load report of its daemon includes the calls of other daemons.
+        If it is smaller, the acceptance rate that its daemon reports is
+        returned, which includes the calls of other daemons.
         """
         return self.estimate(now)[1]
 
@@ -144,12 +146,12 @@
         if load.calls > self.in_flight_at_load:
             calls += load.calls - self.in_flight_at_load
         success_rate = self.success_rate
-        if load.accepted < success_rate:
-            success_rate = max(_MIN_SUCCESS_RATE, load.accepted)
+        if load.acceptance_rate < success_rate:
+            success_rate = max(_MIN_SUCCESS_RATE, load.acceptance_rate)
         return calls, success_rate
 
     def estimate_backlog_s(self, now: float) -> float:
-        """Returns how long its link is busy with long answers, in seconds.
+        """Returns how long its link is busy with large answers, in seconds.
 
         The reported time decreases by the age of the report.
         """
@@ -160,9 +162,14 @@
         )
 
     def begin(self, now: float, work_s: float) -> None:
-        """Counts a call that is sent, with an expected work time in seconds."""
+        """Counts a call that is sent.
+
+        Args:
+            now: When it is sent, in seconds.
+            work_s: Expected work time of the call, in seconds.
+        """
         self.in_flight += 1
-        if work_s <= _MAX_SHORT_WORK_S:
+        if work_s <= _MAX_QUICK_WORK_S:
             if not self.awaiting_first_byte:
                 self.silent_since = now
             self.awaiting_first_byte += 1
@@ -172,7 +179,16 @@
     def record_answer(
         self, now: float, latency_s: float, work_s: float
     ) -> None:
-        """Records an answer, which shows that the upstream is healthy."""
+        """Records an answer, which shows that the upstream is responsive.
+
+        An ejection ends. Whether the answer is an error is recorded by
+        `record_result`.
+
+        Args:
+            now: When the answer arrived, in seconds.
+            latency_s: Time since the call was sent, in seconds.
+            work_s: Expected work time of the call, in seconds.
+        """
         self._record_first_byte(now, work_s)
         self.consecutive_failures = 0
         self.ejected_until = 0.0
@@ -186,7 +202,7 @@
             self.latency_ratio = latency_ratio
 
     def record_refusal(self, now: float, work_s: float) -> None:
-        """Records that it refused a call: it is alive but overloaded."""
+        """Records a refusal: the upstream is responsive but overloaded."""
         self._record_first_byte(now, work_s)
         self.backoff_until = now + _BACKOFF_S
 
@@ -198,16 +214,17 @@
         Args:
             now: Time of the failure, in seconds.
             work_s: Expected work time of the call, in seconds.
-            failures: Number of failures that it counts as.
+            failures: Number of failures that the call counts as.
         """
         self.record_cancellation(work_s)
         self._count_failures(now, failures)
 
     def record_doubt(self, now: float) -> None:
-        """Records that a call was not answered in the expected time.
+        """Records that a call is overdue: not answered in the expected time.
 
-        The call continues. If only its end were recorded, calls would be sent
-        to a frozen upstream until the deadline of the first call.
+        The overdue call counts as a failure but continues. If only its end were
+        recorded, calls would be sent to an unresponsive upstream until the
+        deadline of the first one.
         """
         self.probing = False
         self._count_failures(now, 1)
@@ -218,19 +235,26 @@
             return
         ejection_s = _FIRST_EJECTION_S * 2**self.ejections
         self.ejected_until = now + min(ejection_s, _MAX_EJECTION_S)
+        # The limit keeps the power above small. Five ejections reach
+        # `_MAX_EJECTION_S`.
         self.ejections = min(self.ejections + 1, 10)
 
     def record_cancellation(self, work_s: float) -> None:
-        """Records that a call was cancelled before it was answered.
+        """Records that a call no longer waits for its first byte.
 
-        This shows nothing about the health of the upstream.
+        It was cancelled, which shows nothing about the health of the upstream,
+        or its answer or failure is recorded in addition.
         """
         self.probing = False
-        if work_s <= _MAX_SHORT_WORK_S:
+        if work_s <= _MAX_QUICK_WORK_S:
             self.awaiting_first_byte -= 1
 
     def record_result(self, succeeded: bool) -> None:
-        """Records whether a call that reached it was run and succeeded."""
+        """Updates the success rate by a call that reached it.
+
+        Args:
+            succeeded: Whether it ran the call without an error.
+        """
         self.success_rate += _SUCCESS_EWMA_WEIGHT * (
             succeeded - self.success_rate
         )
@@ -240,28 +264,30 @@
         """Counts a call whose answer has ended."""
         self.in_flight -= 1
 
-    def is_stalled(self, now: float) -> bool:
-        """Returns whether short calls wait and the upstream sends nothing.
+    def is_unresponsive(self, now: float) -> bool:
+        """Returns whether quick calls wait and the upstream answers nothing.
 
-        Otherwise each call to a frozen upstream would wait until its deadline
-        before it counted as failed.
+        Without this check, an upstream that accepts calls and never answers
+        would be detected only at the deadlines of these calls.
         """
         return (
-            self.awaiting_first_byte > 0 and now - self.silent_since > STALL_S
+            self.awaiting_first_byte > 0
+            and now - self.silent_since > MAX_SILENCE_S
         )
 
     def is_available(self, now: float) -> bool:
-        """Returns whether it may be picked like any other upstream."""
+        """Returns whether it is not ejected, in backoff or unresponsive."""
         if self.ejected_until or now < self.backoff_until:
             return False
-        return not (self.awaiting_first_byte and self.is_stalled(now))
+        return not (self.awaiting_first_byte and self.is_unresponsive(now))
 
     def may_probe(self, now: float) -> bool:
-        """Returns whether a call may probe it, as its ejection has expired."""
+        """Returns whether a call may probe it because its ejection is over."""
         expired = 0.0 < self.ejected_until <= now
         return expired and not self.probing
 
     def _record_first_byte(self, now: float, work_s: float) -> None:
+        """Records the first byte of an answer or a refusal."""
         self.record_cancellation(work_s)
         self.last_answer_at = now
         self.silent_since = now
@@ -314,6 +340,8 @@
     work_s: float,
 ) -> None:
     observation.record_refusal(now, work_s)
+    # A stored answer shows that the upstream is responsive. It is not a
+    # refusal, so there is no backoff, and it says nothing about the latency.
     observation.backoff_until = 0.0
 
 
@@ -332,7 +360,8 @@
         observation.record_result(False)
     observation.record_refusal(now, work_s)
     if not outcome.elsewhere:
-        # The call is at fault, not the upstream, so there is no backoff.
+        # The refusal is caused by the call instead of the upstream, so there
+        # is no backoff.
         observation.backoff_until = 0.0
 
 
--- a/merlintrestle/requests/load/picking.py
+++ b/merlintrestle/requests/load/picking.py
@@ -13,13 +13,15 @@
     from merlintrestle.members import table as tables
     from merlintrestle.requests.load import observations
 
-# While the local backend server has at least this success rate it is preferred:
-# a hop to another daemon costs a millisecond or two, a failure costs the call.
+# Minimum success rate with which the local backend server is preferred. A hop
+# to another daemon only takes a millisecond or two, but a failure loses the
+# call.
 _MIN_LOCAL_SUCCESS_RATE = 0.8
-# After this many upstreams were tried, the local availability zone is no longer
-# preferred: one zone may have a far higher load than the others.
+# Number of attempts for which the local availability zone is preferred. Later
+# attempts use all zones, as one zone may have a far higher load than the
+# others.
 _MAX_LOCAL_ZONE_ATTEMPTS = 3
-# Random pairs that are compared before all upstreams are searched.
+# Number of random pairs that are compared before all upstreams are searched.
 _MAX_PAIR_DRAWS = 3
 
 
@@ -27,9 +29,9 @@
     """The upstreams of a service, prepared once for each set of upstreams.
 
     Attributes:
-        upstreams: The set, as the member table returned it.
+        upstreams: All upstreams, as the member table returned them.
         local_zone: The upstreams in the local availability zone.
-        local: The local backend server; None: it belongs to another service.
+        local: The local backend server; None if it belongs to another service.
     """
 
     __slots__ = ("local", "local_zone", "upstreams")
@@ -48,10 +50,10 @@
 
 
 class Picker:
-    """Picks upstreams by what this daemon observed of them.
+    """Picks upstreams by the observations of this daemon.
 
-    The local backend server is preferred while it has a free slot, which saves
-    a hop. Otherwise the power of two choices is used: first among the upstreams
+    The local backend server is preferred while it has a free slot, to save a
+    hop. Otherwise the power of two choices is used: first among the upstreams
     in the local availability zone, then among all upstreams.
     """
 
@@ -63,7 +65,7 @@
         get_time: Callable[[], float],
         rng: random.Random | None = None,
     ):
-        """Initializes a picker without observations.
+        """Initialises a picker without observations.
 
         Args:
             zone: The local availability zone.
@@ -71,19 +73,19 @@
             has_local_capacity: Returns whether the local backend server has a
                 free slot.
             get_time: Returns the time in seconds.
-            rng: Random number generator; None: a new one.
+            rng: Random number generator; None: a new generator.
         """
         self._zone = zone
         self._get_local_id = get_local_id
         self._has_local_capacity = has_local_capacity
         self._get_time = get_time
         self._rng = rng or random.Random()
-        self._ranking = ranking.Ranking()
+        self._observations = ranking.UpstreamObservations()
         self._pools: dict[str, Pool] = {}
 
     def get_observation(self, member_id: str) -> observations.Observation:
-        """Returns what was observed of an upstream."""
-        return self._ranking.get_observation(member_id)
+        """Returns the observation of an upstream."""
+        return self._observations.get_observation(member_id)
 
     def get_details(
         self, upstream: tables.Upstream, count: int
@@ -92,12 +94,12 @@
 
         Args:
             upstream: The upstream that was picked.
-            count: Number of upstreams.
+            count: Number of upstreams that it was picked from.
         """
-        return self._ranking.get_details(upstream, count, self._get_time())
+        return self._observations.get_details(upstream, count, self._get_time())
 
     def is_zone_peer(self, upstream: tables.Upstream) -> bool:
-        """Returns whether it is a remote upstream in the local zone."""
+        """Returns whether an upstream is remote and in the local zone."""
         return (
             upstream.zone == self._zone
             and upstream.member_id != self._get_local_id()
@@ -110,14 +112,17 @@
         tried: Collection[str],
         probe: bool,
     ) -> tables.Upstream | None:
-        """Returns an upstream that was not tried yet; None: there is none.
+        """Picks an upstream that was not tried yet.
 
         Args:
             service: Service of the call.
             upstreams: Upstreams of the service.
             tried: Member ids of the upstreams that the call was already sent
                 to.
-            probe: True if the call may probe an ejected upstream.
+            probe: Whether the call may probe an ejected upstream.
+
+        Returns:
+            The upstream; None: all upstreams were tried, or there are none.
         """
         pool = self._pools.get(service)
         if pool is None or pool.upstreams is not upstreams:
@@ -128,8 +133,8 @@
             local is not None
             and local.member_id not in tried
             and self._has_local_capacity()
-            and self._ranking.is_available(local, now)
-            and self._ranking.get_observation(local.member_id).success_rate
+            and self._observations.is_available(local, now)
+            and self._observations.get_observation(local.member_id).success_rate
             >= _MIN_LOCAL_SUCCESS_RATE
         ):
             return local
@@ -140,7 +145,7 @@
         local_zone = (
             pool.local_zone if len(tried) < _MAX_LOCAL_ZONE_ATTEMPTS else ()
         )
-        # Upstreams found unavailable are not checked again for this call.
+        # Unavailable upstreams are added, so that they are checked only once.
         excluded = set(tried)
         for candidates in (local_zone, pool.upstreams):
             picked = self._draw(candidates, excluded, now)
@@ -157,7 +162,7 @@
         self._pools[service] = pool
         now = self._get_time()
         for upstream in upstreams:
-            self._ranking.add(upstream, now)
+            self._observations.add(upstream, now)
         if previous is not None:
             ready_since_ms = {
                 upstream.member_id: upstream.ready_since_ms
@@ -165,19 +170,20 @@
             }
             for known in previous.upstreams:
                 if known.member_id not in ready_since_ms:
-                    self._ranking.remove(known.member_id)
+                    self._observations.remove(known.member_id)
                 elif known.ready_since_ms != ready_since_ms[known.member_id]:
-                    self._ranking.reset(known.member_id, now)
+                    self._observations.reset(known.member_id, now)
         return pool
 
     def _find_probe(
         self, pool: Pool, tried: Collection[str], now: float
     ) -> tables.Upstream | None:
-        """Returns a random upstream if it is due for a probe."""
+        """Draws a random upstream and returns it if it may be probed."""
         index = int(self._rng.random() * len(pool.upstreams))
+        # The slice is empty if there are no upstreams.
         for upstream in pool.upstreams[index : index + 1]:
             if (
-                self._ranking.may_probe(upstream, now)
+                self._observations.may_probe(upstream, now)
                 and upstream.member_id not in tried
             ):
                 return upstream
@@ -189,29 +195,32 @@
         excluded: set[str],
         now: float,
     ) -> tables.Upstream | None:
-        """Returns the better of two random upstreams with a free slot.
+        """Returns the better of two random upstreams unless it is full.
 
-        Unavailable upstreams are added to `excluded`.
+        Unavailable upstreams are added to `excluded`. If both of a pair are
+        excluded, another pair is drawn.
         """
         count = len(candidates)
         if not count:
             return None
-        upstream_ranking = self._ranking
+        upstream_observations = self._observations
         best: tables.Upstream | None = None
         for _ in range(_MAX_PAIR_DRAWS):
             for index in self._draw_pair(count):
                 upstream = candidates[index]
                 if upstream.member_id in excluded or upstream is best:
                     continue
-                if not upstream_ranking.is_available(upstream, now):
+                if not upstream_observations.is_available(upstream, now):
                     excluded.add(upstream.member_id)
                     continue
-                if best is None or upstream_ranking.is_better(
+                if best is None or upstream_observations.is_better(
                     upstream, best, now
                 ):
                     best = upstream
             if best is not None:
-                return None if upstream_ranking.is_full(best, now) else best
+                return (
+                    None if upstream_observations.is_full(best, now) else best
+                )
         return None
 
     def _draw_pair(self, count: int) -> tuple[int, int]:
@@ -232,22 +241,24 @@
     ) -> tables.Upstream | None:
         """Returns the best of all upstreams, including unavailable ones.
 
-        If all upstreams look unhealthy, the observations of this daemon may be
-        at fault, so calls are spread over all upstreams instead of refused.
+        If all upstreams seem unhealthy, the observations of this daemon may be
+        wrong, so calls are spread over all upstreams instead of refused.
         """
         best: tables.Upstream | None = None
         best_rank = (False, False, 0.0)
         for upstream in upstreams:
             if upstream.member_id in tried:
                 continue
-            observation = self._ranking.get_observation(upstream.member_id)
+            observation = self._observations.get_observation(upstream.member_id)
             available = (
                 upstream.member_id not in excluded
-                and self._ranking.is_available(upstream, now)
+                and self._observations.is_available(upstream, now)
             )
-            utilization = self._ranking.compute_utilization(
+            utilization = self._observations.compute_utilization(
                 upstream, observation, now
             )
+            # The random factor spreads calls over upstreams with nearly the
+            # same utilization.
             rank = (
                 available,
                 not observation.ejected_until,
--- a/merlintrestle/requests/load/waits.py
+++ b/merlintrestle/requests/load/queue_admission.py
@@ -1,4 +1,4 @@
-"""Waiting of calls for a slot of the local backend server."""
+"""Admission of calls to the queues for a slot of the backend server."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
     from merlintrestle.requests.load import acceptance as acceptances
     from merlintrestle.requests.load import slots as slots_lib
 
-# Longest short wait, as a fraction of the normal one. The estimate of the wait
-# is rough, as more important calls may arrive meanwhile, and a longer wait
-# would often end without a slot.
+# Maximum expected wait with `calls.Wait.SHORT`, as a fraction of the maximum
+# with `calls.Wait.NORMAL`. The estimate is rough, as more important calls may
+# arrive later, and a longer wait would often end without a slot.
 _SHORT_WAIT_FRACTION = 0.125
 
 
 class QueueAdmission:
-    """Lets calls wait for a slot that is free in time and refuses others."""
+    """Admits calls to a queue if a slot becomes free in time.
+
+    Other calls are refused.
+    """
 
     def __init__(
         self,
@@ -32,26 +35,26 @@
 
         Args:
             slots: The slots of the local backend server.
-            acceptance: The fraction of calls that the backend server accepts.
+            acceptance: The acceptance rate of the backend server.
         """
         self._slots = slots
         self._acceptance = acceptance
-        # Until then late calls are refused at once: calls in time were refused
-        # recently, so a late one has no chance of a slot.
+        # Until this time late calls are refused at once, because a call in time
+        # was refused recently: a late one would get no slot.
         self._refuse_late_until = 0.0
 
-    def check(
+    def check_wait(
         self, queue: queues.ClassQueue, call: calls.Call, has_free_slot: bool
     ) -> outcomes.NotRun | None:
         """Refuses a call that has other upstreams if it would wait too long.
 
-        The refusal states the expected wait. If the backend server rejects
-        calls, these are retried on it or on another upstream, which adds a mean
-        hold time to the wait for each further attempt to be expected.
+        The refusal states the expected wait. If the backend server rejects some
+        calls, these are retried on it or on another upstream. The expected wait
+        then grows by one mean hold time for each expected further attempt.
 
         Args:
             queue: The queue of the call's class.
-            call: The call, whose wait is limited.
+            call: The call, whose `wait` is not NORMAL.
             has_free_slot: Whether the call would get a slot at once.
 
         Returns:
@@ -72,7 +75,7 @@
         if healthy and short and call.wait is calls.Wait.SHORT:
             return None
         expected_s += queue.hold_s * (1 / self._acceptance.get() - 1)
-        return refusals.refuse_unqueued(expected_s)
+        return refusals.refuse_without_waiting(expected_s)
 
     async def wait(
         self, queue: queues.ClassQueue, call: calls.Call
@@ -99,7 +102,11 @@
     async def _wait_in_queue(
         self, queue: queues.ClassQueue, waiter: queues.Waiter, max_wait_s: float
     ) -> bool:
-        """Waits in the queue; returns whether the call was granted a slot."""
+        """Waits in the queue.
+
+        Returns:
+            Whether the call was granted a slot.
+        """
         self._slots.add(queue, waiter)
         loop = asyncio.get_running_loop()
         timer = loop.call_later(max_wait_s, waiter.stop_waiting)
@@ -122,14 +129,12 @@
         now: float,
     ) -> float:
         """Returns how long a call may wait for a slot, in seconds."""
-        remaining_s = call.refuse_by - now - queue.hold_s
+        spare_s = call.refuse_by - now - queue.hold_s
         if not late:
-            return min(
-                queue.get_max_wait(call.latency_deadline - now), remaining_s
-            )
+            return min(queue.get_max_wait(call.latency_deadline - now), spare_s)
         if now < self._refuse_late_until:
             return 0.0
-        return min(queue.get_max_late_wait(), remaining_s / 2)
+        return min(queue.get_max_late_wait(), spare_s / 2)
 
     def _refuse(
         self,
@@ -138,17 +143,22 @@
         expected_s: float,
         now: float,
     ) -> outcomes.NotRun:
-        """Refuses a call for which no slot is free in time.
+        """Refuses a call for which no slot becomes free in time.
+
+        The caller may retry when a slot is expected to become free if its call
+        is then likely in time. Otherwise it may retry when the calls that wait
+        now have been served or refused: an earlier retry would find the same
+        queue and be refused again, until the caller has used up its retries.
 
-        A caller that can still be answered within its target may retry as soon
-        as a slot is expected to be free. Any other may retry once the calls
-        that wait now have been served or refused: with an earlier retry it
-        would find the same queue, be refused again and use up its retries.
+        After the refusal of a call in time, late calls are refused for the time
+        of its latency target.
         """
         if not waiter.late:
             self._refuse_late_until = now + queue.plan.latency_s
         retry_after_s = max(refusals.MIN_RETRY_AFTER_S, expected_s)
-        if not queue.is_in_time(waiter.latency_deadline - now - retry_after_s):
+        if not queue.is_likely_in_time(
+            waiter.latency_deadline - now - retry_after_s
+        ):
             retry_after_s = max(retry_after_s, queue.plan.latency_s)
         return refusals.refuse_full(retry_after_s)
 
--- a/merlintrestle/requests/load/queues.py
+++ b/merlintrestle/requests/load/queues.py
@@ -1,4 +1,8 @@
-"""Queues of calls to the local backend server, one for each class of work."""
+"""Queues of calls to the local backend server, one for each class of work.
+
+A call is late if it misses its latency target even without a wait, and in time
+otherwise. Calls of large transfers have no latency target and are never late.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +17,19 @@
 
     from merlintrestle.documents import snapshot
 
-# Assumed hold time of a slot, as a fraction of the latency target, until calls
-# of the class have been measured. Applies if the targets state no work time.
+# Initial hold time of a slot, as a fraction of the latency target, if the
+# targets state no work time. The measured hold times replace it.
 _DEFAULT_HOLD_FRACTION = 0.25
 # Most calls end within this multiple of the mean hold time.
 _TYPICAL_HOLD_RATIO = 1.5
 # A wait that people do not perceive, in seconds: the usual limit for an answer
-# that seems immediate. Calls with a shorter hold time may wait this long even
-# if it is most of their latency target: a refusal makes their parent call fail.
+# that seems immediate. Calls with a shorter hold time may wait this long,
+# however short their latency target is, as a refusal would make their parent
+# call fail.
 _IMPERCEPTIBLE_WAIT_S = 0.1
 # Maximum wait of a late call, as a fraction of the latency target. A late call
-# only gets capacity that calls in time leave unused, and whether there is any
-# shows within this time.
+# only gets capacity that calls in time leave unused. This time suffices to find
+# out whether there is any.
 _MAX_LATE_WAIT_FRACTION = 0.5
 
 
@@ -33,8 +38,7 @@
     """A call that waits for a slot; sorted in the order of service.
 
     Attributes:
-        late: True if the call can no longer be answered within its latency
-            target.
+        late: Whether the call misses its latency target even without a wait.
         latency_deadline: Time of the event loop by which the latency target is
             met, in seconds.
         granted: Resolves to True if the call gets a slot, False if it stops
@@ -60,10 +64,10 @@
 class ClassQueue:
     """Calls of one class of work to the local backend server.
 
-    Calls in time are served before late ones, and those with the earliest
-    latency deadline first: they are retries after a refusal elsewhere. A late
-    answer is worth less to its caller than one in time, and serving it first
-    would make the next call late too.
+    Calls in time are served before late ones. Within each group, the call with
+    the earliest latency deadline is served first, which is a retry after a
+    refusal elsewhere. An answer is worth less to its caller if it is late, and
+    serving a late call first would make the next call late as well.
 
     Attributes:
         plan: The class of work.
@@ -71,7 +75,7 @@
         in_flight: Number of its calls that hold a slot.
         hold_s: Moving average of the time that a call holds a slot, in
             seconds.
-        waiting: Its calls that wait for a slot, the next one first.
+        waiting: Its calls that wait for a slot, in the order of service.
     """
 
     __slots__ = ("hold_s", "in_flight", "plan", "share", "waiting")
@@ -92,35 +96,41 @@
         """Inserts a waiting call in the order of service."""
         bisect.insort(self.waiting, waiter)
 
-    def is_late(self, remaining_s: float) -> bool:
+    def is_late(self, latency_budget_s: float) -> bool:
         """Returns whether a call misses its target even without a wait.
 
         Args:
-            remaining_s: Time until its latency deadline, in seconds.
+            latency_budget_s: Time until its latency deadline, in seconds.
         """
-        return not self.share.large and remaining_s < self.hold_s
+        return not self.share.large and latency_budget_s < self.hold_s
+
+    def is_likely_in_time(self, latency_budget_s: float) -> bool:
+        """Returns whether a call that is served now is likely in time.
 
-    def is_in_time(self, remaining_s: float) -> bool:
-        """Returns whether most calls would be answered within their target.
+        Most calls end within the remaining time. A call with less time is not
+        necessarily late.
 
         Args:
-            remaining_s: Time until the latency deadline, in seconds.
+            latency_budget_s: Time until its latency deadline, in seconds.
         """
-        return remaining_s >= _TYPICAL_HOLD_RATIO * self.hold_s
+        return latency_budget_s >= _TYPICAL_HOLD_RATIO * self.hold_s
 
-    def get_max_wait(self, remaining_s: float) -> float:
+    def get_max_wait(self, latency_budget_s: float) -> float:
         """Returns how long a call in time may wait for a slot, in seconds.
 
         If the targets state no work time, the time within which most recent
-        calls ended is kept free before the latency deadline. On a full backend
-        server, a longer queue serves no more calls and makes those in it late.
+        calls ended is kept free before the latency deadline. With a longer
+        queue a full backend server would not serve more calls, and the calls in
+        it would be late.
 
         Args:
-            remaining_s: Time until the latency deadline, in seconds.
+            latency_budget_s: Time until its latency deadline, in seconds.
         """
         if self.plan.work_s:
-            return min(self.share.max_wait_s, remaining_s - self.plan.work_s)
-        spare_s = max(0.0, remaining_s - _TYPICAL_HOLD_RATIO * self.hold_s)
+            return min(
+                self.share.max_wait_s, latency_budget_s - self.plan.work_s
+            )
+        spare_s = max(0.0, latency_budget_s - _TYPICAL_HOLD_RATIO * self.hold_s)
         if self.hold_s > _IMPERCEPTIBLE_WAIT_S:
             return spare_s
         return max(_IMPERCEPTIBLE_WAIT_S, spare_s)
@@ -140,11 +150,12 @@
         """Returns the priority of waiting calls; the greatest is served first.
 
         Of two equally important classes without guaranteed slots, the one with
-        the shorter calls is served first: these are mostly made on behalf of
-        calls that hold a slot on another backend server and fail with them.
+        the shorter hold time is served first. Its calls are mostly nested:
+        their parent calls hold slots of other backend servers, and fail if the
+        nested calls fail.
 
         Args:
-            in_time: Whether the calls can be answered within their target.
+            in_time: Whether the calls are in time.
         """
         used_ratio = self.in_flight / max(1.0, self.share.guaranteed_slots)
         hold_s = 0.0 if self.share.guaranteed_slots else self.hold_s
--- a/merlintrestle/requests/load/ranking.py
+++ b/merlintrestle/requests/load/ranking.py
@@ -12,8 +12,10 @@
 if TYPE_CHECKING:
     from merlintrestle.members import table as tables
 
-# Share of its slots that an upstream that just became ready is given at least.
-_MIN_COLD_SHARE = 0.1
+# An upstream that became ready recently is in slow start: only a fraction of
+# its slots counts as capacity. The fraction rises with its age, from this
+# minimum.
+_MIN_SLOW_START_FRACTION = 0.1
 
 
 class PickDetails(NamedTuple):
@@ -21,14 +23,15 @@
 
     Attributes:
         upstream: The upstream that was picked.
-        upstream_count: Number of upstreams it was picked from.
-        in_flight: Calls that this daemon sent to it and whose answers have not
-            ended.
-        consecutive_failures: Failures since its last answer.
+        upstream_count: Number of upstreams that it was picked from.
+        in_flight: Number of calls that this daemon sent to it and whose
+            answers have not ended.
+        consecutive_failures: Number of failures since its last answer.
         success_rate: Fraction of the recent calls that succeeded.
         load: The last load report of its daemon; None: there is none.
         load_received_at: When the load report was received, in seconds.
-        last_answer_at: When it last answered, in seconds; 0: never.
+        last_answer_at: When it last answered or refused a call, in seconds; 0:
+            never.
         picked_at: When it was picked, in seconds.
     """
 
@@ -67,20 +70,20 @@
         }
 
 
-class Ranking:
-    """Observations of upstreams, and which upstream suits a call better.
+class UpstreamObservations:
+    """Observations of all upstreams, and comparisons of upstreams by them.
 
     All times are in seconds.
     """
 
     def __init__(self) -> None:
-        """Initializes a ranking without observations."""
+        """Initialises an empty collection."""
         self._observations: dict[str, observations.Observation] = {}
-        # When this daemon first knew each upstream as ready, in seconds.
-        self._ready_at: dict[str, float] = {}
+        # Since when this daemon has known each upstream as ready, in seconds.
+        self._known_since: dict[str, float] = {}
 
     def get_observation(self, member_id: str) -> observations.Observation:
-        """Returns what was observed of an upstream."""
+        """Returns the observation of an upstream."""
         observation = self._observations.get(member_id)
         if observation is None:
             observation = observations.Observation()
@@ -88,21 +91,21 @@
         return observation
 
     def add(self, upstream: tables.Upstream, now: float) -> None:
-        """Records when an upstream became known, unless it is known already."""
-        self._ready_at.setdefault(upstream.member_id, now)
+        """Records that an upstream is known from now on, if it is new."""
+        self._known_since.setdefault(upstream.member_id, now)
 
     def reset(self, member_id: str, now: float) -> None:
-        """Records that a backend server was restarted."""
+        """Resets the observation after a restart of the backend server."""
         self.get_observation(member_id).reset()
-        self._ready_at[member_id] = now
+        self._known_since[member_id] = now
 
     def remove(self, member_id: str) -> None:
         """Removes an upstream that left.
 
         Its observation is kept while calls to it are in flight, as their
-        outcomes are still to be recorded.
+        outcomes have not been recorded yet.
         """
-        self._ready_at.pop(member_id, None)
+        self._known_since.pop(member_id, None)
         observation = self._observations.get(member_id)
         if observation is None or observation.in_flight:
             return
@@ -132,15 +135,16 @@
         )
 
     def is_available(self, upstream: tables.Upstream, now: float) -> bool:
-        """Returns whether an upstream looks healthy enough for new calls."""
+        """Returns whether an upstream may be picked for new calls."""
         observation = self._observations.get(upstream.member_id)
         if observation is None:
             return not upstream.suspect
         if not observation.is_available(now):
             return False
-        # A recent answer overrides a suspicion that other daemons report.
+        # A recent answer overrides a suspicion that other daemons report. It is
+        # recent as long as the upstream cannot count as unresponsive.
         answered_recently = (
-            now - observation.last_answer_at < observations.STALL_S
+            now - observation.last_answer_at < observations.MAX_SILENCE_S
         )
         return answered_recently or not upstream.suspect
 
@@ -150,9 +154,9 @@
         return observation is not None and observation.may_probe(now)
 
     def is_full(self, upstream: tables.Upstream, now: float) -> bool:
-        """Returns whether it is known to have at least as many calls as slots.
+        """Returns whether an upstream has at least as many calls as slots.
 
-        Calls of other daemons are only known from its load reports.
+        Calls of other daemons are known only from its load reports.
         """
         calls = self.get_observation(upstream.member_id).estimate_calls(now)
         return calls >= upstream.slots
@@ -160,28 +164,30 @@
     def is_better(
         self, candidate: tables.Upstream, best: tables.Upstream, now: float
     ) -> bool:
-        """Returns whether a call is better sent to `candidate` than to `best`.
+        """Returns whether to prefer `candidate` to `best` for a call.
 
-        Where both have reported their load, the expected waiting times are
-        compared; otherwise their utilization, multiplied by the latency ratio
-        where both are known.
+        If both have reported their load, their expected waiting times are
+        compared. Otherwise their utilizations are compared, multiplied by their
+        latency ratios if both are known.
         """
-        candidate_seen = self.get_observation(candidate.member_id)
-        best_seen = self.get_observation(best.member_id)
+        candidate_observation = self.get_observation(candidate.member_id)
+        best_observation = self.get_observation(best.member_id)
         candidate_cost = self.compute_utilization(
-            candidate, candidate_seen, now
+            candidate, candidate_observation, now
         )
-        best_cost = self.compute_utilization(best, best_seen, now)
-        if candidate_seen.load and best_seen.load:
-            # Seconds until the call has a slot, plus seconds until its answer
-            # can use the link.
-            candidate_cost *= candidate_seen.load.hold_s
-            candidate_cost += candidate_seen.estimate_backlog_s(now)
-            best_cost *= best_seen.load.hold_s
-            best_cost += best_seen.estimate_backlog_s(now)
-        elif candidate_seen.latency_ratio and best_seen.latency_ratio:
-            candidate_cost *= candidate_seen.latency_ratio
-            best_cost *= best_seen.latency_ratio
+        best_cost = self.compute_utilization(best, best_observation, now)
+        if candidate_observation.load and best_observation.load:
+            # Expected wait for a slot plus the backlog of the link, in seconds.
+            candidate_cost *= candidate_observation.load.hold_s
+            candidate_cost += candidate_observation.estimate_backlog_s(now)
+            best_cost *= best_observation.load.hold_s
+            best_cost += best_observation.estimate_backlog_s(now)
+        elif (
+            candidate_observation.latency_ratio
+            and best_observation.latency_ratio
+        ):
+            candidate_cost *= candidate_observation.latency_ratio
+            best_cost *= best_observation.latency_ratio
         return candidate_cost < best_cost
 
     def compute_utilization(
@@ -190,32 +196,35 @@
         observation: observations.Observation,
         now: float,
     ) -> float:
-        """Returns the utilization that an upstream has with one more call.
+        """Returns the utilization of an upstream with one more call.
 
-        The capacity is scaled by the success rate, as an upstream that fails
-        some of its calls may report that it is healthy, and looks idle because
-        failures are quick. The rate is squared so that an upstream that fails
+        The capacity is multiplied by the square of the success rate. An
+        upstream that fails some of its calls may report that it is healthy, and
+        seems idle because failures are quick. With the square, one that fails
         every third call is picked only if its load is less than half of the
         load of the others.
         """
         calls, success_rate = observation.estimate(now)
         capacity = (
             upstream.slots
-            * self._get_cold_share(upstream, now)
+            * self._get_slow_start_fraction(upstream, now)
             * success_rate**2
         )
         return (calls + 1) / capacity
 
-    def _get_cold_share(self, upstream: tables.Upstream, now: float) -> float:
-        """Returns the share of its slots that an upstream is given for its age.
+    def _get_slow_start_fraction(
+        self, upstream: tables.Upstream, now: float
+    ) -> float:
+        """Returns the fraction of its slots that counts as capacity.
 
-        The age is the time since it became ready by the clock of its daemon. If
-        that clock is ahead, the age is the time since it became known here: a
-        negative age would leave it nearly no calls until the clocks agree.
+        It rises with the age of the upstream, which is the time since it became
+        ready by the clock of its daemon. If that clock is ahead, the age is the
+        time since this daemon has known the upstream: with a negative age it
+        would get hardly any calls until the clocks agree.
         """
         age_s = time.time() - upstream.ready_since_ms / 1000
         if age_s < 0:
-            age_s = now - self._ready_at.get(upstream.member_id, now)
+            age_s = now - self._known_since.get(upstream.member_id, now)
         if age_s >= backend.COLD_S:
             return 1.0
-        return max(_MIN_COLD_SHARE, age_s / backend.COLD_S)
+        return max(_MIN_SLOW_START_FRACTION, age_s / backend.COLD_S)
--- a/merlintrestle/requests/load/refusals.py
+++ b/merlintrestle/requests/load/refusals.py
@@ -1,17 +1,17 @@
-"""Refusals of calls that get no slot, with the time to retry after."""
+"""Refusals of calls that get no slot, with retry delays."""
 
 from __future__ import annotations
 
 from merlintrestle.requests.calls import outcomes
 
-# A backend server with a dozen slots has one free every few hundredths of a
-# second. Callers that retry this soon may still be answered within the latency
-# target.
+# Shortest retry delay, in seconds. On a backend server with a dozen slots, one
+# becomes free every few hundredths of a second. Callers that retry this soon
+# may still be answered within their latency target.
 MIN_RETRY_AFTER_S = 0.05
 
 
 def refuse_wrong_service() -> outcomes.NotRun:
-    """Refuses a call to a service that is not the local one."""
+    """Refuses a call to a service other than that of the backend server."""
     return outcomes.NotRun(
         "this instance does not serve the service", elsewhere=True
     )
@@ -25,7 +25,7 @@
 
 
 def refuse_too_late() -> outcomes.NotRun:
-    """Refuses a call with too little time; a retry may allow more."""
+    """Refuses a call that cannot end in time; its retry may have more time."""
     return outcomes.NotRun(
         "too little time is left for an answer", retry_after_s=MIN_RETRY_AFTER_S
     )
@@ -37,12 +37,17 @@
 
 
 def refuse_full(retry_after_s: float) -> outcomes.NotRun:
-    """Refuses a call for which no slot is free in time."""
+    """Refuses a call for which no slot becomes free in time."""
     return _refuse("no free slot in time", retry_after_s)
 
 
-def refuse_unqueued(retry_after_s: float) -> outcomes.NotRun:
-    """Refuses a call that has other upstreams before it waits here."""
+def refuse_without_waiting(retry_after_s: float) -> outcomes.NotRun:
+    """Refuses a call that should try other upstreams instead of waiting here.
+
+    Args:
+        retry_after_s: How long the call would wait here, in seconds. The
+            calling daemon compares it with the waits at other upstreams.
+    """
     return _refuse("no free slot just now", retry_after_s, unqueued=True)
 
 
--- a/merlintrestle/requests/load/shares.py
+++ b/merlintrestle/requests/load/shares.py
@@ -10,27 +10,28 @@
 
     from merlintrestle.documents import snapshot
 
-# Headroom above the mean demand in slots, for calls that arrive unevenly: a
-# ratio, and a number of slots on top.
+# Headroom for calls that arrive unevenly: the mean demand in slots is
+# multiplied by the ratio, and the number of slots is added.
 _HEADROOM_RATIO = 1.5
-_BURST_SLOTS = 1.0
+_HEADROOM_SLOTS = 1.0
 
 
 class Share(NamedTuple):
     """The slots that one class of work may use, derived from the targets.
 
     Attributes:
-        guaranteed_slots: Slots that the class gets whenever it needs them.
-        reserved_slots: Slots that must stay free for more important classes
-            when the class borrows slots.
+        guaranteed_slots: Number of slots that the class gets whenever it needs
+            them.
+        kept_free_slots: Number of slots that the class must keep free for more
+            important classes when it borrows slots.
         max_wait_s: Longest wait for a slot, in seconds.
-        large: True for long transfers, which hold a borrowed slot too long for
-            others to get it back in time.
-        importance: 1 (shed first) to 5 (shed last).
+        large: Whether the class is for large transfers, which hold a borrowed
+            slot too long for other classes to get it back in time.
+        importance: Order of shedding, from 1 (first) to 5 (last).
     """
 
     guaranteed_slots: float
-    reserved_slots: int
+    kept_free_slots: int
     max_wait_s: float
     large: bool
     importance: int
@@ -44,7 +45,8 @@
 
     Attributes:
         classes: Shares by organisation and name of the class.
-        large_slots: Slots that all long transfers together may hold at once.
+        large_slots: Number of slots that all large transfers together may
+            hold.
     """
 
     classes: dict[tuple[str, str], Share]
@@ -57,11 +59,11 @@
     """Computes the shares of a backend server's slots from the targets.
 
     A class is guaranteed slots in proportion to its demand, but no more than it
-    needs at its declared rate with some headroom. Long transfers may borrow the
-    remaining slots.
+    needs at its declared rate with some headroom. Large transfers may only
+    borrow the slots that are not guaranteed to other classes.
 
     Args:
-        classes: All classes of work of the service.
+        classes: The known classes of work of the service.
         slots: Number of slots of this backend server.
         service_slots: Number of slots of all backend servers of the service.
 
@@ -75,20 +77,20 @@
     for plan in plans:
         class_demand = plan.rate * plan.work_s
         max_needed = (
-            class_demand * slots_fraction * _HEADROOM_RATIO + _BURST_SLOTS
+            class_demand * slots_fraction * _HEADROOM_RATIO + _HEADROOM_SLOTS
         )
-        # No slot is reserved for a more important class that declares no rate:
-        # its calls are served first from the queue, and of a dozen slots one
-        # becomes free within hundredths of a second. A slot reserved for calls
-        # that may never arrive would be a twelfth of the capacity, and calls
-        # would be refused for lack of it under load.
-        reserves_slot = any(
+        # No slot is kept free for a more important class that declares no rate.
+        # Its calls are served first from the queue, and with a dozen slots one
+        # becomes free within hundredths of a second. A slot that is kept free
+        # for calls that may never arrive would be a twelfth of the capacity,
+        # and under load other calls would be refused for lack of it.
+        keeps_slot_free = any(
             other_plan.importance > plan.importance and other_plan.rate
             for other_plan in plans
         )
         shares[plan.organisation, plan.name] = Share(
             guaranteed_slots=min(slots * class_demand / demand, max_needed),
-            reserved_slots=1 if reserves_slot and slots > 2 else 0,
+            kept_free_slots=1 if keeps_slot_free and slots > 2 else 0,
             max_wait_s=max(0.0, plan.latency_s - plan.work_s),
             large=plan.large,
             importance=plan.importance,
--- a/merlintrestle/requests/load/slots.py
+++ b/merlintrestle/requests/load/slots.py
@@ -15,7 +15,9 @@
     from merlintrestle.requests import interfaces
     from merlintrestle.requests.calls import call as calls
 
-# Maximum number of waiting calls of all classes together, for each slot.
+# Maximum number of waiting calls for each slot, of all classes together. With
+# longer queues a full backend server would not serve more calls, and the calls
+# in them would be late.
 MAX_WAITING_PER_SLOT = 4
 
 
@@ -24,8 +26,9 @@
 
     A class of work gets its guaranteed slots whenever it needs them and borrows
     slots that other classes leave unused. A borrowed slot is not revoked: it
-    becomes free when the call ends. This is soon enough for all but long
-    transfers, which therefore borrow only slots that no class is guaranteed.
+    becomes free when the call ends. This is soon enough except for large
+    transfers, which therefore only borrow slots that are not guaranteed to any
+    class.
 
     Attributes:
         count: Number of slots.
@@ -55,7 +58,8 @@
         self._queues: dict[tuple[str, str], queues.ClassQueue] = {}
         self._large_in_flight = 0
         self._max_large_in_flight = 1
-        self._plan: snapshot.ServicePlan | None = None
+        # The service plan of the current shares; None: they must be recomputed.
+        self._service_plan: snapshot.ServicePlan | None = None
         self._upstreams: tuple[tables.Upstream, ...] = ()
 
     def get_queue(self, call: calls.Call) -> queues.ClassQueue:
@@ -64,7 +68,8 @@
         queue = self._queues.get(key)
         if queue is None:
             queue = self._queues[key] = queues.ClassQueue(call.plan)
-            self._plan = None
+            # The shares must be recomputed.
+            self._service_plan = None
         return queue
 
     def update_shares(self) -> None:
@@ -75,27 +80,27 @@
         upstreams = self._table.get_upstreams(service)
         count = self._backend.slots
         if (
-            self._plan is not None
-            and plan is self._plan
+            self._service_plan is not None
+            and plan is self._service_plan
             and upstreams is self._upstreams
             and count == self.count
         ):
             return
-        self._plan = plan
+        self._service_plan = plan
         self._upstreams = upstreams
         self.count = count
         self._add_queues(plan)
         self._compute_shares()
 
     def has_free_slot(self, queue: queues.ClassQueue) -> bool:
-        """Returns whether a class may use another slot now."""
+        """Returns whether there is a free slot that a class may use."""
         share = queue.share
         free = self.count - self.in_flight
         if free <= 0:
             return False
         if share.large and self._large_in_flight >= self._max_large_in_flight:
             return False
-        return queue.below_guarantee or free > share.reserved_slots
+        return queue.below_guarantee or free > share.kept_free_slots
 
     def acquire(self, queue: queues.ClassQueue) -> None:
         """Acquires a slot for a call of a class."""
@@ -105,7 +110,7 @@
             self._large_in_flight += 1
 
     def release(self, queue: queues.ClassQueue) -> None:
-        """Releases the slot of a call and grants it to a waiting one."""
+        """Releases the slot of a call and grants it to a waiting call."""
         queue.in_flight -= 1
         self.in_flight -= 1
         if queue.share.large:
@@ -137,17 +142,19 @@
         self.waiting += 1
 
     def remove(self, queue: queues.ClassQueue, waiter: queues.Waiter) -> None:
-        """Removes a call from its queue if it still waits there."""
+        """Removes a call from its queue unless it was removed before."""
         if waiter in queue.waiting:
             queue.waiting.remove(waiter)
             self.waiting -= 1
 
     def ensure_queue_space(self, queue: queues.ClassQueue) -> bool:
-        """Returns whether another call may wait, shedding one if needed.
+        """Sheds a waiting call if the queues are full and a new call may wait.
 
-        If the queues are full, the last waiting call of the least important
-        class is shed, provided that this class is less important than the one
-        of `queue`.
+        The last call of the least important class with waiting calls is shed,
+        provided that this class is less important than the class of `queue`.
+
+        Returns:
+            Whether the new call may wait.
         """
         if self.waiting < self.count * MAX_WAITING_PER_SLOT:
             return True
@@ -171,9 +178,10 @@
     ) -> float:
         """Returns the expected wait of a new call for a slot, in seconds.
 
-        It is the shorter of two estimates: the wait for the slots that the
-        class can use (guaranteed, or left unused by other classes), and the
-        wait for its turn as slots become free one after the other.
+        It is the shorter of two estimates: the wait for one of the slots that
+        the class can use (guaranteed, or left unused by other classes), and the
+        wait until the call is the next in the order of all classes, as slots
+        become free one after the other.
         """
         position = bisect.bisect_right(queue.waiting, waiter) + 1
         class_wait_s = position * queue.hold_s / self._count_usable_slots(queue)
@@ -192,7 +200,7 @@
         return held_s / self.in_flight
 
     def _count_usable_slots(self, queue: queues.ClassQueue) -> float:
-        """Returns the slots that a class can use, guaranteed or unused."""
+        """Returns how many slots a class can use, guaranteed or unused."""
         available = self.count - (self.in_flight - queue.in_flight)
         if queue.share.large:
             available = min(available, self._max_large_in_flight)
@@ -210,14 +218,15 @@
         )
 
     def _add_queues(self, plan: snapshot.ServicePlan | None) -> None:
+        """Adds a queue for each new class of the service plan."""
         for class_plan in plan.classes if plan else ():
             key = (class_plan.organisation, class_plan.name)
             if key not in self._queues:
                 self._queues[key] = queues.ClassQueue(class_plan)
 
     def _compute_shares(self) -> None:
-        # Classes of routes by host are in no plan: they are known only from
-        # their calls.
+        # Classes of routes by host are not in the service plan. They become
+        # known with their first call, which adds their queue.
         classes = [queue.plan for queue in self._queues.values()]
         service_count = sum(upstream.slots for upstream in self._upstreams)
         computed = shares.compute_shares(classes, self.count, service_count)
