--- a/merlintrestle/requests/load/startup.py
+++ b/merlintrestle/requests/load/startup.py
@@ -17,7 +17,7 @@
 # Maximum wait of a call, as a fraction of the latency target. The rest suffices
 # for a call with a usual work time.
 _MAX_WAIT_FRACTION = 0.5
-_POLL_INTERVAL_S = 0.02
+_LOOKUP_INTERVAL_S = 0.02
 # Retry delays stated to callers during the startup period and after it, in
 # seconds.
 _STARTUP_RETRY_AFTER_S = 0.2
@@ -68,7 +68,7 @@
         while not self._table.get_upstreams(call.service):
             if self._get_time() >= wait_until:
                 return False
-            await asyncio.sleep(_POLL_INTERVAL_S)
+            await asyncio.sleep(_LOOKUP_INTERVAL_S)
         return True
 
     def _is_starting(self) -> bool:
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -1,8 +1,8 @@
-"""Simulations of the picking, retries and slots of a fleet.
+"""Simulations of a fleet with load balancing, retries and admission control.
 
-The daemons are the real `dispatch.Dispatcher` with its components, and the real
-admission of each backend server. Time is simulated, and the connections between
-them take no time unless a round-trip time is given.
+The daemons that callers call are real `dispatch.Dispatcher` objects, and those
+of the upstreams use the real `admission.Admission`. Time is simulated. Messages
+between daemons take no time unless a round-trip time is given.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
 
     Attributes:
         work_s: Mean time that it needs for a call, in seconds.
-        broken_fraction: Fraction of its calls after which it breaks the
-            connection.
+        broken_fraction: Fraction of its calls that it ends by closing the
+            connection without an answer.
     """
 
     work_s: float
@@ -53,7 +53,13 @@
 
 
 class _UpstreamDaemon:
-    """The daemon of an upstream, as other daemons see it."""
+    """The daemon of an upstream, with a simulated backend server.
+
+    Attributes:
+        calls: Number of calls that the backend server ran.
+        offered: Ids of the requests that it ran.
+        admission: Admission control of the backend server.
+    """
 
     def __init__(
         self, server: Server, slots: int, table: fakes.Table, rng: Any
@@ -80,6 +86,8 @@
             return refusal
         self.calls += 1
         self.offered.add(call.request_id)
+        # A mean of 1, and the same standard deviation of the logarithm as in
+        # `simulations`.
         factor = self._rng.lognormvariate(-0.125, 0.5)
         try:
             await asyncio.sleep(self._server.work_s * factor)
@@ -119,7 +127,7 @@
         sent: multidict.CIMultiDict[str],
         *args: Any,
     ) -> outcomes.Outcome:
-        """Sends a call to a daemon, and returns its outcome."""
+        """Sends a call to a daemon and returns its outcome."""
         del target, args
         received = dataclasses.replace(call)
         call_metadata = metadata.decode_metadata(sent[headers.PASSED])
@@ -163,8 +171,9 @@
     """Daemons without a local backend server, and their upstreams.
 
     Attributes:
-        counts: Calls by result: "in time", "late", "refused", "failed", or "in
-            doubt" if they failed although no backend server received them.
+        counts: Number of calls by result: "in time", "late", "refused",
+            "failed", or "not offered" if they failed although no backend server
+            received them.
     """
 
     def __init__(
@@ -194,16 +203,18 @@
         self._daemons = [self._build_daemon(table) for _ in range(daemons)]
 
     def get_ratio(self, result: str) -> float:
-        """Returns the fraction of the calls with a result."""
+        """Returns the fraction of all calls that had a result."""
         return self.counts[result] / self.counts.total()
 
     def count_calls_per_server(self) -> list[int]:
         """Returns how many calls each backend server ran."""
         return [daemon.calls for daemon in self._upstream_daemons.values()]
 
-    async def run(self, callers: simulations.Callers, length_s: float) -> None:
-        """Simulates callers for `length_s` seconds."""
-        end = self._loop.time() + length_s
+    async def run(
+        self, callers: simulations.Callers, duration_s: float
+    ) -> None:
+        """Simulates callers for `duration_s` seconds."""
+        end = self._loop.time() + duration_s
         async with asyncio.TaskGroup() as group:
             while self._loop.time() < end:
                 await asyncio.sleep(self._rng.expovariate(callers.rate))
@@ -212,6 +223,7 @@
     def _build_daemon(self, table: fakes.Table) -> dispatch.Dispatcher:
         network: Any = _Network(self._upstream_daemons, self._round_trip_s)
         runner: Any = _NoLocalRunner()
+        # Budgets of a fleet of 11 daemons, also if another number is simulated.
         retry_budgets = budgets.Budgets(lambda: 11, self._loop.time)
         retry_budgets.set_bounds(0.2, 58.0, 10.0)
         return dispatch.Dispatcher(
@@ -257,6 +269,7 @@
         return call
 
     def _was_offered(self, call: calls.Call) -> bool:
+        """Returns whether any backend server received a call."""
         return any(
             call.request_id in daemon.offered
             for daemon in self._upstream_daemons.values()
@@ -272,7 +285,7 @@
         if isinstance(outcome, outcomes.NotRun):
             return "refused"
         if not isinstance(outcome, outcomes.Answered):
-            return "failed" if self._was_offered(call) else "in doubt"
+            return "failed" if self._was_offered(call) else "not offered"
         outcome.release()
         latency_s = self._loop.time() - began_at
         return "in time" if latency_s <= callers.plan.latency_s else "late"
@@ -281,7 +294,7 @@
 def simulate(
     servers: list[Server],
     callers: simulations.Callers,
-    length_s: float,
+    duration_s: float,
     daemons: int = 11,
     slots: int = 12,
     round_trip_s: float = 0.0,
@@ -291,16 +304,16 @@
     Args:
         servers: The backend servers.
         callers: The callers.
-        length_s: How long callers begin new calls, in seconds.
+        duration_s: How long callers begin new calls, in seconds.
         daemons: Number of daemons that callers call. Each daemon only knows its
             own calls.
-        slots: Slots of each backend server.
+        slots: Number of slots of each backend server.
         round_trip_s: Round-trip time between two daemons, in seconds.
     """
 
     async def run() -> FleetSimulation:
         simulation = FleetSimulation(servers, daemons, slots, round_trip_s)
-        await simulation.run(callers, length_s)
+        await simulation.run(callers, duration_s)
         return simulation
 
     with asyncio.Runner(loop_factory=model.SimulatedLoop) as runner:
--- a/tests/requests/load/simulations.py
+++ b/tests/requests/load/simulations.py
@@ -24,20 +24,20 @@
 # takes more than twice the mean.
 _WORK_TIME_SIGMA = 0.5
 
-# How long the callers of single calls wait.
-_TIMEOUT_S = 2.5
+# Timeout of the calls that are not made by `Callers`, in seconds.
+_CALL_TIMEOUT_S = 2.5
 
 
 class Callers(NamedTuple):
     """Callers of one class of work.
 
     Attributes:
-        plan: The class.
-        rate: Calls per second of all callers.
+        plan: The class of work.
+        rate: Calls per second, of all callers together.
         work_s: Mean time that the backend server needs for a call, in seconds.
         patience_s: How long a caller waits from its first attempt on, in
             seconds.
-        retries: How often a caller retries after a refusal.
+        retries: Maximum number of retries of a caller after refusals.
     """
 
     plan: snapshot.ClassPlan
@@ -51,7 +51,8 @@
     """One backend server and its callers.
 
     Attributes:
-        counts: Calls by class and result: "in time", "late" or "refused".
+        counts: Number of calls by class and result: "in time", "late" or
+            "refused".
     """
 
     def __init__(self, slots: int, seed: int = 1):
@@ -69,16 +70,16 @@
             self._loop.time,
         )
 
-    async def run(self, length_s: float, *callers: Callers) -> None:
-        """Simulates callers for `length_s` seconds."""
+    async def run(self, duration_s: float, *callers: Callers) -> None:
+        """Simulates callers for `duration_s` seconds."""
         async with asyncio.TaskGroup() as group:
             for class_callers in callers:
                 group.create_task(
-                    self._make_calls(class_callers, length_s, group)
+                    self._make_calls(class_callers, duration_s, group)
                 )
 
     def get_ratio(self, name: str, result: str) -> float:
-        """Returns the fraction of the calls of a class with a result."""
+        """Returns the fraction of the calls of a class that had a result."""
         all_calls = sum(
             count for key, count in self.counts.items() if key[0] == name
         )
@@ -107,7 +108,7 @@
             latency_budget_s: Seconds until the latency deadline of the call.
 
         Returns:
-            The refusal; None: the call has a slot.
+            The refusal; None if the call got a slot.
         """
         return await self._admission.acquire(
             self._build_call(plan, latency_budget_s)
@@ -125,7 +126,7 @@
             plan: Class of the call.
             latency_budget_s: Seconds until the latency deadline of the call.
             granted: List to which `latency_budget_s` is appended when the call
-                has its slot.
+                gets its slot.
         """
         call = await self.occupy(plan, latency_budget_s)
         granted.append(latency_budget_s)
@@ -140,13 +141,15 @@
     ) -> calls.Call:
         now = self._loop.time()
         return builders.build_call(
-            plan=plan, deadline=now + _TIMEOUT_S, due=now + latency_budget_s
+            plan=plan,
+            deadline=now + _CALL_TIMEOUT_S,
+            due=now + latency_budget_s,
         )
 
     async def _make_calls(
-        self, callers: Callers, length_s: float, group: asyncio.TaskGroup
+        self, callers: Callers, duration_s: float, group: asyncio.TaskGroup
     ) -> None:
-        end = self._loop.time() + length_s
+        end = self._loop.time() + duration_s
         while self._loop.time() < end:
             await asyncio.sleep(self._rng.expovariate(callers.rate))
             group.create_task(self._make_call(callers))
@@ -169,7 +172,7 @@
         """Makes one attempt.
 
         Returns:
-            After how many seconds to retry; None: it was answered.
+            Retry delay in seconds; None if the call was answered.
         """
         call = builders.build_call(
             plan=callers.plan,
@@ -188,13 +191,13 @@
 
 
 def simulate(
-    slots: int, length_s: float, *callers: Callers, seed: int = 1
+    slots: int, duration_s: float, *callers: Callers, seed: int = 1
 ) -> Simulation:
-    """Simulates callers of one backend server for `length_s` seconds."""
+    """Simulates callers of one backend server for `duration_s` seconds."""
 
     async def run() -> Simulation:
         simulation = Simulation(slots, seed)
-        await simulation.run(length_s, *callers)
+        await simulation.run(duration_s, *callers)
         return simulation
 
     with asyncio.Runner(loop_factory=model.SimulatedLoop) as runner:
--- a/tests/requests/load/slowlinks.py
+++ b/tests/requests/load/slowlinks.py
@@ -1,8 +1,8 @@
-"""Simulation of a slow link that downloads and checks share.
+"""Simulation of a slow link that is shared by downloads and checks.
 
 The link sends bytes in the order in which they were written. The operating
-system buffers some bytes of each connection at once, whether or not the link
-can send them.
+system accepts and buffers some bytes of each connection at once, even if the
+link is full.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
 if TYPE_CHECKING:
     from merlintrestle.requests.calls import call as calls
 
-# Bytes of one connection that the operating system buffers.
+# Maximum number of bytes that the operating system buffers for one connection.
 _BUFFER_BYTES = 128 * 1024
-# Spread of the sizes of downloads, as the standard deviation of the logarithm:
-# one in six downloads is twice the median.
-_SPREAD = 0.6
+# Standard deviation of the logarithm of the sizes of downloads. One in six
+# downloads is larger than 1.8 times the median.
+_SIZE_SIGMA = 0.6
 _CHECK_BYTES = 1000
+# Timeout of all calls, in seconds.
 _TIMEOUT_S = 3.2
 DOWNLOAD = builders.build_plan(
     "download", rate=0.0, work_s=0.0, latency_s=1.35, importance=3
@@ -39,7 +40,7 @@
 
 
 class SlowLink:
-    """A link with a fixed rate in bytes per second that sends in FIFO order."""
+    """A link that sends at a fixed rate, in bytes per second, in FIFO order."""
 
     def __init__(self, rate: float):
         self._rate = rate
@@ -55,7 +56,10 @@
 
 
 class Connection:
-    """A connection over the link, also its own transport, request and answer.
+    """Fake of a connection, which also stands in for other objects.
+
+    These are the transport of the connection, the request that arrived over it
+    and the response to this request.
 
     Attributes:
         unsent: Bytes that were written and not sent over the link yet.
@@ -68,11 +72,11 @@
 
     @property
     def transport(self) -> Connection:
-        """Returns the transport, which reports the size of the buffers."""
+        """The transport, which reports the number of buffered bytes."""
         return self
 
     def get_write_buffer_size(self) -> int:
-        """Returns the bytes that have not been sent."""
+        """Returns the number of bytes that have not been sent."""
         return self.unsent
 
     def is_closing(self) -> bool:
@@ -94,14 +98,14 @@
         self._link.send(self, len(data))
 
     async def wait_for(self, unsent: int) -> None:
-        """Waits until at most `unsent` bytes have not been sent."""
+        """Waits until at most `unsent` bytes are in transit."""
         while self.unsent > unsent:
             self._progress.clear()
             await self._progress.wait()
 
 
-class Simulation:
-    """A local daemon, its outgoing link and its callers.
+class LinkSimulation:
+    """A daemon, its outgoing link and the calls that it answers.
 
     Attributes:
         counts: Number of calls by class and result: "in time", "late", "failed"
@@ -109,7 +113,7 @@
         max_check_s: The longest time that a check took, in seconds.
     """
 
-    def __init__(self, rate: float, seed: int, controlled: bool):
+    def __init__(self, rate: float, seed: int, admission_control: bool):
         self.counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
@@ -117,35 +121,35 @@
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random(seed)
         self._slow_link = SlowLink(rate)
-        self._controlled = controlled
+        self._admission_control = admission_control
         self._link = links.OutgoingLink(self._loop.time)
         self._transfers = transfers.Transfers(self._link)
 
     def get_ratio(self, name: str, result: str) -> float:
-        """Returns the fraction of the calls of a class with one result."""
+        """Returns the fraction of the calls of a class that had a result."""
         all_calls = sum(
             count for key, count in self.counts.items() if key[0] == name
         )
         return self.counts[name, result] / all_calls
 
     async def run(
-        self, length_s: float, downloads: float, size: float, checks: float
+        self, duration_s: float, downloads: float, size: float, checks: float
     ) -> None:
         """Runs the simulation.
 
         Args:
-            length_s: Time in which calls arrive, in seconds.
-            downloads: Downloads per second.
+            duration_s: Time in which calls arrive, in seconds.
+            downloads: Rate of downloads, per second.
             size: Mean size of the downloads, in bytes.
-            checks: Checks per second.
+            checks: Rate of checks, per second.
         """
-        until = self._loop.time() + length_s
+        end = self._loop.time() + duration_s
         async with asyncio.TaskGroup() as group:
 
             async def generate_calls(
                 rate: float, plan: Any, size: float
             ) -> None:
-                while self._loop.time() < until:
+                while self._loop.time() < end:
                     await asyncio.sleep(self._rng.expovariate(rate))
                     group.create_task(self._serve(plan, size))
 
@@ -165,8 +169,10 @@
             return
         size = round(mean_size)
         if plan is DOWNLOAD:
-            spread = self._rng.lognormvariate(-(_SPREAD**2) / 2, _SPREAD)
-            size = round(mean_size * spread)
+            size_factor = self._rng.lognormvariate(
+                -(_SIZE_SIGMA**2) / 2, _SIZE_SIGMA
+            )
+            size = round(mean_size * size_factor)
         await asyncio.sleep(self._rng.uniform(0.5, 1.5) * 0.15)
         connection = Connection(self._slow_link)
         await self._send(connection, size, transfer)
@@ -176,7 +182,7 @@
     async def _send(
         self, connection: Connection, size: int, transfer: reservations.Transfer
     ) -> None:
-        if not self._controlled:
+        if not self._admission_control:
             chunk_bytes = reservations.CHUNK_BYTES
             for start in range(0, size, chunk_bytes):
                 await connection.write(bytes(min(size - start, chunk_bytes)))
@@ -193,32 +199,34 @@
             request, request, answered, probes.Progress(), transfer
         )
 
-    def _record(self, call: calls.Call, took_s: float) -> None:
+    def _record(self, call: calls.Call, latency_s: float) -> None:
         plan = call.plan
         if plan is CHECK:
-            self.max_check_s = max(self.max_check_s, took_s)
+            self.max_check_s = max(self.max_check_s, latency_s)
         result = "in time"
-        if took_s > plan.latency_s:
-            result = "late" if took_s <= _TIMEOUT_S else "failed"
+        if latency_s > plan.latency_s:
+            result = "late" if latency_s <= _TIMEOUT_S else "failed"
         self.counts[plan.name, result] += 1
 
 
-def simulate(seed: int, load: float, controlled: bool = True) -> Simulation:
+def simulate(
+    seed: int, load: float, admission_control: bool = True
+) -> LinkSimulation:
     """Simulates downloads and checks over a slow link.
 
     Args:
         seed: Seed of the arrival times and sizes.
-        load: Demand of the downloads, as a ratio of the rate of the link.
-        controlled: Whether the daemon controls admission and scheduling. If
-            not, all answers are admitted and sent as they arrive.
+        load: Ratio of the demand of the downloads to the rate of the link.
+        admission_control: Whether the link admits and schedules answers. If
+            not, all answers are sent as soon as they are complete.
 
     Returns:
         The finished simulation.
     """
 
-    async def run() -> Simulation:
+    async def run() -> LinkSimulation:
         rate, size = 400_000.0, 90_000.0
-        simulation = Simulation(rate, seed, controlled)
+        simulation = LinkSimulation(rate, seed, admission_control)
         await simulation.run(30.0, load * rate / size, size, 25.0)
         return simulation
 
--- a/tests/requests/load/test_queues.py
+++ b/tests/requests/load/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of the order of service and the results on a full backend server."""
+"""Tests of the order of service on a full backend server, and of overload."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 _SLOTS = 12
 
 
-class TurnTest(unittest.TestCase):
+class ServiceOrderTest(unittest.TestCase):
     """Calls that wait for one of two slots."""
 
     def simulate(self, *latency_deadlines_s: float) -> list[float]:
-        """Lets calls wait for a slot and returns the order of service.
+        """Simulates calls that wait for a slot.
 
         Args:
             *latency_deadlines_s: The latency deadline of each call, in seconds
@@ -50,33 +50,33 @@
             return runner.run(run())
 
     def test_caller_that_retries_is_served_first(self) -> None:
-        """The refused caller and the other one are both answered in time.
+        """A refused caller and another caller are both answered in time.
 
-        Two calls wait for a slot. One arrived later, but is the retry of a
-        caller that was refused 0.1 s ago: its latency deadline is earlier.
+        Two calls wait for a slot. The call that arrived later is the retry of a
+        caller that was refused 0.1 s ago, so its latency deadline is earlier.
         """
         self.assertEqual(self.simulate(0.4, 0.3), [0.3, 0.4])
 
     def test_late_call_is_served_last(self) -> None:
-        """A call that is late already does not make the next one late too.
+        """A call that is late already does not make the next call late.
 
-        It waits behind a call that can still be answered in time, though it
-        arrived before, and gets a slot after that one.
+        It gets a slot after a call that can still be answered in time, although
+        that call arrived later.
         """
         self.assertEqual(self.simulate(0.0, 0.4), [0.4, 0.0])
 
     def test_late_calls_are_refused_at_once_while_others_are(self) -> None:
-        """A caller does not wait for a slot that it will not get.
+        """A late call does not wait for a slot that it will not get.
 
-        Calls in time are refused, so all free slots are granted to such calls
-        for some time. A late call would wait and get none.
+        There are so many calls in time that some are refused, so all slots are
+        granted to calls in time for a while. A late call would wait in vain.
         """
 
         async def run() -> None:
             simulation = simulations.Simulation(1)
             await simulation.occupy(_LOOKUP, 0.4)
             turns: list[float] = []
-            rivals = [
+            in_time_calls = [
                 asyncio.create_task(
                     simulation.wait_for_slot(_LOOKUP, 0.4, turns)
                 )
@@ -84,23 +84,24 @@
             ]
             await asyncio.sleep(0)
             self.assertIsNotNone(await simulation.request_slot(_LOOKUP, 0.0))
-            for rival in rivals:
-                rival.cancel()
+            for in_time_call in in_time_calls:
+                in_time_call.cancel()
 
         with asyncio.Runner(loop_factory=model.SimulatedLoop) as runner:
             runner.run(run())
 
 
-class LoadTest(unittest.TestCase):
-    """Results of callers of an overloaded backend server."""
+class OverloadTest(unittest.TestCase):
+    """Callers demand more slots than a backend server has."""
 
     def test_more_calls_than_slots(self) -> None:
         """Nearly all slots serve calls in time, and few answers are late.
 
-        Callers demand 1.1 times the capacity of the backend server and retry
-        when refused. If each attempt counted as a first one and twice the usual
-        time were kept free for it, 0.63 of the calls would be answered in time
-        and 0.19 late (mean of these loads), instead of 0.74 and 0.09.
+        Callers demand 1.1 times the capacity of the backend server, wait 2.5 s
+        and retry twice after refusals. If the latency deadline counted from
+        each attempt and twice the mean hold time were kept free before it, 0.63
+        of the calls would be in time and 0.19 late, instead of 0.74 and 0.09
+        (means over these work times).
         """
         in_time, late = [], []
         for work_s in (0.08, 0.13, 0.2):
@@ -119,8 +120,8 @@
     def test_checks_are_not_refused_while_payouts_overload(self) -> None:
         """Parent calls of checks do not fail because a check is refused.
 
-        Payouts alone demand 1.2 times the slots. Checks are as important and
-        take a fifth of their time, so they are served first.
+        Payouts alone demand 1.2 times the capacity. Checks are as important and
+        have about a fifth of the work time, so they are served first.
         """
         payout = _LOOKUP._replace(name="payout", latency_s=0.5, importance=4)
         check = payout._replace(name="check", latency_s=0.12)
--- a/tests/requests/load/test_round_trips.py
+++ b/tests/requests/load/test_round_trips.py
@@ -10,8 +10,8 @@
 from tests.requests.load import fleets
 from tests.requests.load import simulations
 
-# Work that must not be repeated, whose route has a shorter timeout than its
-# callers.
+# A class whose calls must not be repeated, and whose route has a shorter
+# timeout than its callers.
 _PAYOUT = builders.build_plan(
     "payout",
     repeatable=False,
@@ -24,6 +24,8 @@
 
 
 class RoundTripTimeTest(unittest.TestCase):
+    """Samples and their age, with a simulated clock."""
+
     def setUp(self) -> None:
         self.clock = fakes.Clock()
         self.round_trip = round_trips.RoundTripTime(self.clock.get_time)
@@ -47,15 +49,13 @@
 
 
 class SaturatedLinkTest(unittest.TestCase):
-    """Payouts with a round trip of a quarter of a second.
-
-    Round trips over a saturated link take that long.
-    """
+    """Payouts over a saturated link, with a round trip of a quarter second."""
 
-    def test_call_that_was_not_offered_is_not_in_doubt(self) -> None:
+    def test_call_that_was_not_offered_is_refused(self) -> None:
         """Guards against "unknown" for payouts that reached no backend server.
 
-        Callers must not retry a payout with that outcome.
+        Callers must not retry a payout with that outcome. The demand is 1.3
+        times the capacity, so some payouts are refused.
         """
         servers = [fleets.Server(0.26)] * 8
         rate = 1.3 * 8 * 6 / 0.26
@@ -63,4 +63,4 @@
         fleet = fleets.simulate(
             servers, callers, 8.0, daemons=40, slots=6, round_trip_s=0.25
         )
-        self.assertEqual(fleet.counts["in doubt"], 0, fleet.counts)
+        self.assertEqual(fleet.counts["not offered"], 0, fleet.counts)
