--- a/tests/requests/load/test_acceptance.py
+++ b/tests/requests/load/test_acceptance.py
@@ -16,7 +16,7 @@
 
 
 class AcceptanceTest(unittest.TestCase):
-    """The acceptance rate of a backend server on a simulated clock."""
+    """The acceptance rate of a backend server, with a simulated clock."""
 
     def setUp(self) -> None:
         self.clock = fakes.Clock()
@@ -62,10 +62,10 @@
             self.admission.record_acceptance(number % 2 == 0)
 
     async def test_call_with_other_upstreams_is_refused(self) -> None:
-        """The call is sent to a backend server that accepts it instead.
+        """The caller's daemon sends the call to another backend server instead.
 
-        Admitted here, it would be rejected every second time, and each retry
-        spends a budget that is used up within seconds.
+        If such calls were admitted, every second one would be rejected, and
+        their retries would use up the retry budget within seconds.
         """
         call = builders.build_call()
         call.wait = calls.Wait.NONE
@@ -75,13 +75,14 @@
         self.assertEqual(self.admission.in_flight, 0)
 
     async def test_call_that_polled_other_upstreams_is_admitted(self) -> None:
+        """Guards against calls that all upstreams refuse."""
         self.assertIsNone(await self.admission.acquire(builders.build_call()))
 
     async def test_local_calls_are_sent_elsewhere(self) -> None:
         self.assertFalse(self.admission.has_capacity())
 
     async def test_other_daemons_receive_the_rate(self) -> None:
-        """A daemon without recent calls to it detects it by one answer."""
+        """A daemon without recent calls to it learns the rate by one answer."""
         load = loads.decode_load(loads.encode_load(self.admission.get_load()))
         assert load is not None
         observation = observations.Observation()
--- a/tests/requests/load/test_admission.py
+++ b/tests/requests/load/test_admission.py
@@ -27,6 +27,7 @@
 _CHECK = builders.build_plan(
     "check", rate=100.0, work_s=0.01, latency_s=5.0, importance=5
 )
+# The same class of another organisation.
 _FOREIGN = builders.build_plan(
     "lookup", organisation="kochi", rate=100.0, work_s=0.01, latency_s=5.0
 )
@@ -46,12 +47,12 @@
 
 
 class AdmissionTest(unittest.IsolatedAsyncioTestCase):
-    """Calls acquire and release slots in an order that the test controls."""
+    """Calls acquire and release slots in an order that the test determines."""
 
     async def acquire(
         self, admission: admissions.Admission, plan: snapshot.ClassPlan
     ) -> calls.Call:
-        """Acquires a slot for a call; one must be free."""
+        """Acquires a slot for a call, and asserts that it is not refused."""
         call = builders.build_call(plan=plan, deadline=self.deadline)
         self.assertIsNone(await admission.acquire(call))
         return call
@@ -59,7 +60,7 @@
     def request_slot(
         self, admission: admissions.Admission, plan: snapshot.ClassPlan
     ) -> asyncio.Task[outcomes.NotRun | None]:
-        """Starts to acquire a slot for a call."""
+        """Starts a task that acquires a slot for a call."""
         call = builders.build_call(plan=plan, deadline=self.deadline)
         return asyncio.create_task(admission.acquire(call))
 
@@ -69,9 +70,9 @@
     async def test_class_of_a_host_route_waits(self) -> None:
         """A call waits for the next slot instead of being refused.
 
-        Its class of work is in no target document but comes from a route by
-        host. All slots are held by calls that end within a few hundredths of a
-        second. A refusal would make the parent call fail.
+        Its class of work belongs to a route by host and is in no target
+        document. All slots are held by calls that end within a few hundredths
+        of a second. A refusal would make the parent call fail.
         """
         admission = build_admission()
         check = builders.build_plan(
@@ -121,8 +122,8 @@
     async def test_shorter_calls_of_equal_importance_go_first(self) -> None:
         """A check does not wait behind payouts that arrived before it.
 
-        Checks take a tenth of the time of a payout, and lookups that hold slots
-        of other backend servers wait for them.
+        A check takes a tenth of the time of a payout, and lookups that hold
+        slots of other backend servers wait for checks.
         """
         admission = build_admission()
         payout = builders.build_plan(
@@ -144,13 +145,13 @@
         for task in payouts:
             task.cancel()
 
-    async def test_no_slot_is_reserved_for_a_class_without_rate(self) -> None:
+    async def test_no_slot_is_kept_free_for_a_class_without_rate(self) -> None:
         """A lookup gets the last free slot of a backend server.
 
-        A route by host may send more important payouts to it as well and has
-        sent one. If the last slot were reserved for the next payout, it would
-        stay idle while lookups are refused: a twelfth of the capacity of a
-        backend server with a dozen slots.
+        A route by host may also send more important payouts to it and has sent
+        one. If the last slot were kept free for the next payout, it would stay
+        idle while lookups are refused: a twelfth of the capacity of a backend
+        server with a dozen slots.
         """
         admission = build_admission()
         lookup = builders.build_plan(
@@ -161,7 +162,7 @@
         for _ in range(_SLOTS):
             await self.acquire(admission, lookup)
 
-    async def test_downloads_leave_slots_to_checks(self) -> None:
+    async def test_downloads_leave_a_slot_for_checks(self) -> None:
         """A check is admitted at once, however many downloads are requested.
 
         Downloads hold their slots for minutes. If they borrowed all slots, each
@@ -184,7 +185,8 @@
         """The next free slot is granted to the organisation below its share.
 
         One organisation exceeds its rate, has borrowed all slots and has more
-        calls waiting. The first call of the other one does not wait for them.
+        calls waiting. The first call of the other organisation does not wait
+        for these.
         """
         admission = build_admission(_LOOKUP, _FOREIGN)
         held = [await self.acquire(admission, _LOOKUP) for _ in range(_SLOTS)]
@@ -198,12 +200,14 @@
         for task in waiting:
             task.cancel()
 
-    async def test_unused_slots_are_lent(self) -> None:
+    async def test_unused_slots_are_borrowed(self) -> None:
+        """Guards against idle slots that are guaranteed to another class."""
         admission = build_admission(_LOOKUP, _FOREIGN)
         for _ in range(_SLOTS):
             await self.acquire(admission, _LOOKUP)
 
-    async def test_one_slot_is_reserved_for_more_important_work(self) -> None:
+    async def test_one_slot_is_kept_free_for_more_important_calls(self) -> None:
+        """Guards against checks that wait for borrowed slots."""
         admission = build_admission(_LOOKUP, _CHECK)
         held = [self.request_slot(admission, _LOOKUP) for _ in range(_SLOTS)]
         await asyncio.sleep(0)
@@ -213,7 +217,7 @@
             task.cancel()
 
     async def test_too_long_wait_is_refused_at_once(self) -> None:
-        """The caller is refused at once, with the time to retry after."""
+        """The caller is refused at once, with a retry delay."""
         slow = _LOOKUP._replace(work_s=30.0, latency_s=30.5)
         admission = build_admission(slow)
         for _ in range(_SLOTS):
@@ -244,6 +248,7 @@
             task.cancel()
 
     async def test_least_important_is_shed_first(self) -> None:
+        """Guards against full queues that only contain less important calls."""
         admission = build_admission(_LOOKUP, _CHECK)
         for _ in range(_SLOTS):
             await self.acquire(admission, _CHECK)
@@ -262,6 +267,7 @@
             task.cancel()
 
     async def test_backend_server_drains_while_a_call_waits(self) -> None:
+        """Guards against a call that begins to run during the drain."""
         admission = build_admission(_LOOKUP)
         held = [await self.acquire(admission, _LOOKUP) for _ in range(_SLOTS)]
         waiting = self.request_slot(admission, _LOOKUP)
@@ -275,7 +281,7 @@
 
 
 class SlotsPropertyTest(unittest.TestCase):
-    """No order of calls loses a slot or grants one twice."""
+    """In no order of calls is a slot lost or granted twice."""
 
     @hypothesis.given(strategies.randoms(use_true_random=False))
     def test_slots_are_conserved(self, rng: random.Random) -> None:
--- a/tests/requests/load/test_budgets.py
+++ b/tests/requests/load/test_budgets.py
@@ -1,4 +1,4 @@
-"""Tests of the budget for the retries of all daemons."""
+"""Tests of the retry budgets."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 
 class BudgetTest(unittest.TestCase):
+    """The budget of one of thirteen daemons."""
+
     def setUp(self) -> None:
         self.clock = fakes.Clock()
         self.budgets = budgets.Budgets(lambda: 13, self.clock.get_time)
@@ -25,7 +27,7 @@
             self.budgets.get("kassa").record_call()
 
     def retry(self) -> int:
-        """Makes as many retries as the budget allows, and returns how many."""
+        """Makes as many retries as the budget allows, and counts them."""
         count = 0
         while self.budgets.get("kassa").try_spend():
             count += 1
@@ -35,9 +37,9 @@
         """Callers get answers when some backend servers begin to fail.
 
         A daemon makes a hundred calls per second, and after five seconds
-        without failures every fourth call of a second fails. With a token
-        bucket of a few tokens, refilled by each call, only ten of the 25
-        failures were retried.
+        without failures every fourth call of one second fails. With a token
+        bucket with a capacity of a few tokens, refilled by each call, only ten
+        of the 25 failures would be retried.
         """
         self.call(500)
         self.assertGreaterEqual(self.retry(), 25)
@@ -49,16 +51,17 @@
         self.assertEqual(self.retry(), 3)
 
     def test_unused_retries_expire_after_the_window(self) -> None:
+        """After twenty seconds without calls only the slack is available."""
         self.call(500)
         self.clock.now += 20.0
         self.assertEqual(self.retry(), 3)
 
     def test_calls_made_by_repeats_count_as_repeats(self) -> None:
-        """The called service receives no more repeats than its bound allows.
+        """The called service receives no more repeats than the bounds allow.
 
         Every second call that runs at the local backend server is a repeat, and
         every running call makes a nested call. Twenty nested calls count as ten
-        repeats, which use up the bound.
+        repeats, which use up the budget.
         """
         for _ in range(20):
             self.budgets.get("kassa").record_call()
@@ -67,7 +70,7 @@
 
     @hypothesis.given(strategies.integers(0, 2**32))
     def test_no_window_exceeds_the_bound(self, seed: int) -> None:
-        """No ten seconds contain more retries than their calls allow."""
+        """No ten seconds contain more retries than the bounds allow."""
         rng = random.Random(seed)
         clock = fakes.Clock()
         budget = budgets.Budget(budgets.Bounds(0.1, 2.0, 10.0), clock.get_time)
--- a/tests/requests/load/test_links.py
+++ b/tests/requests/load/test_links.py
@@ -1,4 +1,8 @@
-"""Tests of admission and scheduling of long answers on the outgoing link."""
+"""Tests of admission and scheduling of large answers on the outgoing link.
+
+A download is a large answer with a latency target, an archive is a large
+transfer without one, and a check is a small answer.
+"""
 
 from __future__ import annotations
 
@@ -16,32 +20,40 @@
 if TYPE_CHECKING:
     from merlintrestle.documents import snapshot
 
+# Rate of the link, in bytes per second.
 _RATE = 400_000
+# Size of a download, in bytes.
 _SIZE = 100_000
-# Time between two polls, in seconds: a binary fraction, so that sums are exact.
-_POLL_S = 1 / 64
+# Time between two updates of the bytes in transit, in seconds: a binary
+# fraction, so that sums are exact.
+_SAMPLING_INTERVAL_S = 1 / 64
 _DOWNLOAD = builders.build_plan("download", latency_s=1.0, work_s=0.0)
 _ARCHIVE = builders.build_plan("archive", latency_s=1.0, large=True)
 _CHECK = builders.build_plan("check", latency_s=0.3, work_s=0.0)
 
 
 class MeasuredRateTest(unittest.TestCase):
-    def test_nothing_waited(self) -> None:
+    """The rate is measured while bytes wait for the link."""
+
+    def test_rate_is_unknown_before_bytes_waited(self) -> None:
+        """Guards against admission control with a wrong rate."""
         self.assertEqual(rates.MeasuredRate().get(), 0.0)
 
     def test_first_rate_is_available_soon(self) -> None:
+        """Guards against a second in which every transfer is admitted."""
         rate = rates.MeasuredRate()
         rate.record(1000.1, 0.1, 40_000)
         self.assertEqual(rate.get(), 400_000)
 
-    def test_slow_receivers_do_not_lower_it_at_once(self) -> None:
-        """The rate of a slow receiver says little about the local link."""
+    def test_slow_receivers_do_not_lower_the_rate_at_once(self) -> None:
+        """The rate of a slow receiver may be far below that of the link."""
         rate = rates.MeasuredRate()
         rate.record(1000.0, 1.0, 400_000)
         rate.record(1003.0, 3.0, 90_000)
         self.assertEqual(rate.get(), 400_000)
 
     def test_link_that_became_slower(self) -> None:
+        """The lower rate is used when the samples of the higher one expire."""
         rate = rates.MeasuredRate()
         rate.record(1000.0, 1.0, 400_000)
         for second in range(1, 12):
@@ -49,7 +61,7 @@
         self.assertEqual(rate.get(), 100_000)
 
     def test_single_receiver(self) -> None:
-        """Its rate is a lower bound of the rate of the link."""
+        """Its rate is only a lower bound, so it may only raise a known rate."""
         rate = rates.MeasuredRate()
         rate.record(1000.0, 1.0, 400_000, shared=False)
         self.assertEqual(rate.get(), 0.0)
@@ -74,7 +86,7 @@
         timeout_s: float = 3.0,
         return_trip_s: float = 0.0,
     ) -> reservations.Transfer | outcomes.NotRun:
-        """Asks the link to admit a call; all times are in seconds from now."""
+        """Requests a transfer for a call; all times are in seconds from now."""
         now = self.clock.now
         call = builders.build_call(
             plan=plan,
@@ -94,14 +106,20 @@
         return transfer
 
     def send(
-        self, running: list[reservations.Transfer], length_s: float, rate: float
+        self,
+        running: list[reservations.Transfer],
+        duration_s: float,
+        rate: float,
     ) -> None:
-        """Sends written bytes of all transfers at a total rate, with polls."""
+        """Sends written bytes of all transfers at a total rate.
+
+        After each sampling interval the transfers and the link are updated.
+        """
         self.link.update_rate()
-        for _ in range(round(length_s / _POLL_S)):
-            self.clock.now += _POLL_S
+        for _ in range(round(duration_s / _SAMPLING_INTERVAL_S)):
+            self.clock.now += _SAMPLING_INTERVAL_S
             for transfer in running:
-                sent = round(rate * _POLL_S / len(running))
+                sent = round(rate * _SAMPLING_INTERVAL_S / len(running))
                 transfer.update_unsent(transfer.unsent - sent)
             self.link.update_rate()
 
@@ -118,11 +136,12 @@
         for _ in range(100):
             self.start_download(_SIZE).end()
 
-    def test_nothing_is_refused_before_the_link_was_full(self) -> None:
+    def test_no_call_is_refused_before_the_rate_is_known(self) -> None:
+        """Guards against refusals on a link that has never been full."""
         for _ in range(50):
             self.start_download()
 
-    def test_only_what_ends_in_time_is_admitted(self) -> None:
+    def test_only_answers_in_time_are_admitted(self) -> None:
         """Three downloads fill the second until their latency deadline."""
         self.measure()
         for _ in range(3):
@@ -147,6 +166,7 @@
         )
 
     def test_checks_are_admitted_behind_downloads(self) -> None:
+        """A small answer needs no reservation, so it is always admitted."""
         self.measure()
         for _ in range(3):
             self.start_download()
@@ -190,7 +210,7 @@
             transfer.set_size(_SIZE)
 
     def test_idle_link_admits_any_call(self) -> None:
-        """One call at a time is admitted, however large its class's answers."""
+        """One call at a time is admitted, however large its answer may be."""
         self.measure()
         self.start_download(100 * _SIZE).end()
         first = self.request_transfer(_DOWNLOAD, 0.01)
@@ -198,7 +218,7 @@
         first.end()
         self.assertEqual(self.link.reserved_bytes, 0)
 
-    def test_long_transfers_have_no_latency_target(self) -> None:
+    def test_large_transfers_have_no_latency_target(self) -> None:
         self.measure()
         first = self.request_transfer(_ARCHIVE, 1.0, 60.0)
         assert isinstance(first, reservations.Transfer)
@@ -206,7 +226,8 @@
         self.assertIsInstance(
             self.request_transfer(_ARCHIVE, 1.0, 60.0), reservations.Transfer
         )
-        # It takes 2 s and is scheduled before those with a timeout of a minute.
+        # It takes 2 s and is scheduled before the transfers with a timeout of a
+        # minute.
         self.assertIsInstance(
             self.request_transfer(_ARCHIVE, 1.0, 3.0), reservations.Transfer
         )
@@ -222,8 +243,8 @@
         """Downloads are in time during the transfer of an archive of 20 s.
 
         The archive has a timeout of a minute and is scheduled after all calls
-        in time. When its bytes were counted as ahead of them, all downloads
-        were refused until it was sent.
+        in time. If its bytes counted as ahead of them, all downloads would be
+        refused until it has been sent.
         """
         self.measure()
         archive = self.request_transfer(_ARCHIVE, 1.0, 60.0)
@@ -242,11 +263,11 @@
         )
 
     def test_answer_larger_than_others_of_its_class(self) -> None:
-        """Others do not wait for it once it is known to miss its target.
+        """Other downloads do not wait for it when it misses its target anyway.
 
         A download of 8 MB has a reservation of the mean size of its class,
-        100 kB. If it were scheduled first by its latency deadline, all others
-        would be refused for 20 s.
+        100 kB. If it were scheduled by its latency deadline, which is the
+        first, all others would be refused for 20 s.
         """
         self.measure()
         self.start_download(80 * _SIZE, latency_deadline_s=0.9)
@@ -274,7 +295,8 @@
     def test_answers_without_a_stated_size(self) -> None:
         """Their size is recorded for their class when they end.
 
-        Until then the written bytes count if they exceed the reservation.
+        Until then the written bytes are reserved if they exceed the
+        reservation.
         """
         self.measure()
         report = builders.build_plan("report", latency_s=1.0, work_s=0.0)
@@ -286,7 +308,7 @@
         first.update_unsent(0)
         first.record_size(_SIZE)
         first.end()
-        # The fourth ends exactly at its latency deadline.
+        # The fourth answer ends exactly at its latency deadline.
         for _ in range(4):
             self.assertIsInstance(
                 self.request_transfer(report, 1.0), reservations.Transfer
@@ -319,7 +341,7 @@
         return running
 
     async def test_chunks_are_sent_by_latency_deadline(self) -> None:
-        """A retry is served first, and all wait while the link is full."""
+        """The earliest deadline is first; all wait while the link is full."""
         running = await self.fill_window()
         turns: list[str] = []
         second = asyncio.create_task(
@@ -342,7 +364,7 @@
         self.assertEqual(turns, ["first", "second"])
 
     async def test_late_answers_are_sent_last(self) -> None:
-        """An answer that misses its target in any case makes no other late."""
+        """An answer that misses its target anyway does not make others late."""
         running = await self.fill_window()
         turns: list[str] = []
         late = asyncio.create_task(
@@ -360,6 +382,7 @@
         self.assertEqual(turns, ["in time", "late"])
 
     async def test_transfer_that_is_cancelled_while_it_waits(self) -> None:
+        """Guards against a turn that is granted to a cancelled transfer."""
         self.measure()
         running = self.start_download()
         running.record_written(_SIZE)
@@ -375,10 +398,10 @@
         self.assertEqual(self.link.reserved_bytes, _SIZE)
 
     def test_first_receiver_is_slow(self) -> None:
-        """A caller behind a slow link of its own does not block the others.
+        """A caller with a slow link does not block other callers.
 
-        The only measured rate of the local link is that of the caller, a few
-        kilobytes per second. The next download shows a higher rate at once.
+        The only measured rate of the local link is the rate to that caller, a
+        few kilobytes per second. The next download gives a higher rate at once.
         """
         slow = self.start_download()
         slow.record_written(_SIZE)
@@ -393,9 +416,9 @@
         """The measured rate does not fall, however long the transfer takes.
 
         One caller receives a long download at a few kilobytes per second while
-        there is no other download. When the sample of the last fast transfer
-        had expired, the link seemed to be as slow as that caller, and downloads
-        were refused with a retry delay of 1000 s.
+        there is no other download. If the rate to that caller were used when
+        the sample of the last fast transfer has expired, downloads would be
+        refused with a retry delay of 1000 s.
         """
         self.measure()
         slow = self.request_transfer(_ARCHIVE, 1.0, 3600.0)
@@ -408,10 +431,10 @@
             self.start_download()
 
     def test_two_receivers_that_are_slow_for_a_long_time(self) -> None:
-        """They make the link seem slow; the next transfer corrects the rate.
+        """The measured rate falls, and the next fast transfer corrects it.
 
-        They receive 6 kB/s each, for longer than the sample of a fast transfer
-        is kept.
+        The slow receivers receive 6 kB/s each, for longer than the sample of a
+        fast transfer is kept.
         """
         self.measure()
         slow = [self.start_download(50 * _SIZE) for _ in range(2)]
@@ -428,12 +451,12 @@
         self.assertGreater(self.link.rate, _RATE / 2)
 
     async def test_slow_receiver_leaves_the_send_window_to_others(self) -> None:
-        """It occupies no more than one chunk of the send window.
+        """A slow receiver occupies no more than one chunk of the send window.
 
-        Its transfer has filled the send window, and it receives a few kilobytes
-        per second. Another transfer continues, though the slow one has the
-        earlier latency deadline. The slow one itself waits until all but one
-        chunk is sent.
+        The transfer to it has filled the send window, and it receives a few
+        kilobytes per second. Another transfer continues, although the slow one
+        has the earlier latency deadline. The slow transfer waits until less
+        than one chunk is in transit.
         """
         self.measure()
         slow = self.start_download(5 * _SIZE, latency_deadline_s=2.0)
@@ -452,10 +475,10 @@
         await asyncio.gather(waiting, return_exceptions=True)
 
     def test_event_loop_that_was_blocked(self) -> None:
-        """The interval says nothing about the rate: the link was mostly idle.
+        """No rate is measured in intervals in which the link was mostly idle.
 
-        Polls are repeatedly a third of a second late and find that all bytes in
-        transit have been sent, which takes a tenth of a second.
+        Updates are repeatedly a third of a second late and find that all bytes
+        in transit have been sent, which takes a tenth of a second.
         """
         self.measure()
         running = [self.start_download(50 * _SIZE) for _ in range(2)]
@@ -470,9 +493,9 @@
         self.assertEqual(self.link.rate, _RATE)
 
     async def test_stalled_receiver(self) -> None:
-        """Other downloads continue, though its bytes are not sent.
+        """Other downloads continue while no bytes are sent to one receiver.
 
-        Its caller has vanished without closing the connection. The bytes
+        This caller has disappeared without closing the connection. The bytes
         written to the connection are not sent, as if the link were full, until
         the connection is closed after `bodies.STALL_S`.
         """
@@ -493,13 +516,13 @@
                 break
         await task
         self.assertEqual(self.link.reserved_bytes, _SIZE)
-        # It may not write more at once.
+        # The stalled transfer may not write further chunks.
         more = asyncio.create_task(stalled.wait_for_turn())
         await asyncio.sleep(0)
         self.assertFalse(more.done())
         more.cancel()
         await asyncio.gather(more, return_exceptions=True)
-        # It receives some bytes after all and disconnects.
+        # The caller receives some bytes after all and disconnects.
         stalled.update_unsent(_SIZE // 2)
         self.assertEqual(self.link.unsent, _SIZE // 2)
         self.assertEqual(self.link.reserved_bytes, _SIZE + 9 * _SIZE // 2)
@@ -509,7 +532,7 @@
         )
 
     async def test_link_that_is_faster_than_measured(self) -> None:
-        """All bytes are sent at each poll while transfers wait."""
+        """The rate rises if all bytes are sent while transfers still wait."""
         self.measure()
         transfer = self.start_download(50 * _SIZE)
         for _ in range(60):
@@ -526,6 +549,6 @@
 async def _record_turn(
     turns: list[str], name: str, transfer: reservations.Transfer
 ) -> None:
-    """Records the turn of a transfer."""
+    """Waits for the turn of a transfer and appends its name to `turns`."""
     await transfer.wait_for_turn()
     turns.append(name)
--- a/tests/requests/load/test_picking.py
+++ b/tests/requests/load/test_picking.py
@@ -49,7 +49,7 @@
     def count(
         self, calls: int = 400, probe: bool = False
     ) -> collections.Counter[int]:
-        """Counts the picks of each upstream, for calls that end at once."""
+        """Counts the picks by number of the upstream; no call is in flight."""
         counts: collections.Counter[int] = collections.Counter()
         for _ in range(calls):
             counts[self.upstreams.index(self.pick(probe))] += 1
@@ -73,7 +73,8 @@
         observation.record_answer(self.now, latency_s, _WORK_S)
         observation.end()
 
-    def test_calls_are_spread(self) -> None:
+    def test_calls_are_spread_over_all_upstreams(self) -> None:
+        """Guards against upstreams that get hardly any calls."""
         counts = self.count()
         self.assertGreater(min(counts[number] for number in range(4)), 50)
 
@@ -83,12 +84,12 @@
         self.has_local_capacity = False
         self.assertGreater(len(self.count()), 1)
 
-    def test_upstream_whose_clock_is_ahead_gets_its_share(self) -> None:
+    def test_upstream_whose_clock_is_ahead_gets_its_calls(self) -> None:
         """A backend server is used although the clock of its instance is ahead.
 
         It became ready after the clock had jumped, so its ready time is forty
-        minutes in the future for all others. It counts as cold for as long as
-        any other, not longer.
+        minutes in the future for all others. Its slow start is not longer than
+        that of any other.
         """
         ahead = int((time.time() + 2400) * 1000)
         self.upstreams = (
@@ -100,6 +101,7 @@
         self.assertGreater(self.count()[3], 50)
 
     def test_local_zone_is_preferred_until_it_is_full(self) -> None:
+        """Guards against calls that wait while other zones have free slots."""
         local, remote = (
             builders.build_upstream(1),
             builders.build_upstream(2, zone="zuid"),
@@ -126,11 +128,11 @@
             self.record(1, outcomes.Unknown("broke"))
         self.assertNotIn(1, self.count())
 
-    def test_upstream_whose_calls_are_in_doubt_gets_no_calls(self) -> None:
-        """An upstream is ejected while three calls still wait for it.
+    def test_upstream_with_overdue_calls_gets_no_calls(self) -> None:
+        """An upstream is ejected while three overdue calls still wait for it.
 
-        It is frozen. Its calls are not given up before their deadlines, so
-        until then none of them would count as a failure.
+        It is unresponsive. Its calls only end at their deadlines, so until then
+        none of them would count as a failure.
         """
         for upstream in self.upstreams:
             observation = self.picker.get_observation(upstream.member_id)
@@ -147,15 +149,15 @@
         self.assertIn(1, self.count())
 
     def fail_every_second(self, number: int) -> None:
-        """Records answers and failures of an upstream in turn."""
+        """Records answers and failures of an upstream alternately."""
         for _ in range(10):
             self.answer(number, _WORK_S)
             self.record(number, outcomes.Unknown("broke"))
 
     def test_upstream_that_fails_some_calls_gets_few(self) -> None:
-        """An upstream that is not ejected may still get fewer calls.
+        """An upstream gets fewer calls although it is not ejected.
 
-        Every second call to it fails, never three consecutive ones, and its
+        Every second call to it fails, never three consecutive calls, and its
         status is healthy, so it is never ejected. A payout that fails there is
         not retried, and its caller does not learn whether it ran.
         """
@@ -181,7 +183,7 @@
         self.assertGreater(len(self.count()), 1)
 
     def test_ejected_upstream_is_probed_by_one_call(self) -> None:
-        """After a second, one repeatable call probes it and readmits it."""
+        """After a second, one repeatable call probes it, which readmits it."""
         self.record(1, _UNREACHABLE)
         self.now += 1.1
         self.assertNotIn(1, self.count())
@@ -197,18 +199,19 @@
         self.assertIn(1, self.count())
 
     def test_failed_probe_ejects_for_longer(self) -> None:
+        """Guards against a probe every second while an upstream is down."""
         self.record(1, _UNREACHABLE)
         self.now += 1.1
         self.record(1, _UNREACHABLE)
         self.now += 1.1
         self.assertNotIn(1, self.count(probe=True))
 
-    def test_frozen_upstream_gets_no_calls(self) -> None:
+    def test_unresponsive_upstream_gets_no_calls(self) -> None:
         """An upstream is unavailable after half a second without a first byte.
 
-        It accepts connections and calls, and answers none. If it were only
-        detected at the deadlines of these calls, all calls sent to it until
-        then would be lost.
+        It accepts connections and calls and answers none. If it were detected
+        only at the deadlines of these calls, all calls sent to it until then
+        would fail.
         """
         for number, upstream in enumerate(self.upstreams):
             observation = self.picker.get_observation(upstream.member_id)
@@ -219,7 +222,8 @@
         self.now += 0.6
         self.assertNotIn(1, self.count())
 
-    def test_slow_call_does_not_look_frozen(self) -> None:
+    def test_slow_call_does_not_make_upstream_unresponsive(self) -> None:
+        """Guards against idle upstreams whose calls take seconds to run."""
         for number, upstream in enumerate(self.upstreams):
             observation = self.picker.get_observation(upstream.member_id)
             observation.begin(self.now, 2.0)
@@ -228,7 +232,8 @@
         self.now += 5
         self.assertIn(1, self.count())
 
-    def test_long_transfer_does_not_look_frozen(self) -> None:
+    def test_long_transfer_does_not_make_upstream_unresponsive(self) -> None:
+        """Only the time until the first byte of an answer counts."""
         for upstream in self.upstreams:
             observation = self.picker.get_observation(upstream.member_id)
             observation.begin(self.now, _WORK_S)
@@ -251,8 +256,8 @@
         counts = self.count()
         self.assertLess(counts[1], counts[0] / 2)
 
-    def test_cold_upstream_gets_a_rising_share(self) -> None:
-        """A backend server that just became ready is not overloaded."""
+    def test_new_upstream_gets_a_rising_fraction_of_calls(self) -> None:
+        """Guards against overload of a backend server in its slow start."""
         now_ms = int(time.time() * 1000)
         self.upstreams = (
             builders.build_upstream(1, ready_since_ms=now_ms),
@@ -262,15 +267,16 @@
         for _ in range(60):
             observation = self.picker.get_observation(self.pick().member_id)
             observation.begin(self.now, _WORK_S)
-        cold = self.picker.get_observation(
+        new_count = self.picker.get_observation(
             self.upstreams[0].member_id
         ).in_flight
-        warm = self.picker.get_observation(
+        old_count = self.picker.get_observation(
             self.upstreams[1].member_id
         ).in_flight
-        self.assertLess(cold, warm / 3)
+        self.assertLess(new_count, old_count / 3)
 
     def test_suspected_upstream_that_answers_is_used(self) -> None:
+        """A recent answer overrides the suspicion of other daemons."""
         self.upstreams = (
             builders.build_upstream(1, suspect=True),
             builders.build_upstream(2),
@@ -280,6 +286,7 @@
         self.assertIn(0, self.count())
 
     def test_calls_are_spread_if_all_upstreams_are_ejected(self) -> None:
+        """Calls are not refused, as the observations may be wrong."""
         for number in range(4):
             self.record(number, _UNREACHABLE)
         self.assertGreater(len(self.count()), 1)
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -1,4 +1,4 @@
-"""Tests of polling for a free slot, and of where a call then waits."""
+"""Tests of polling for a free slot, and of the choice where a call waits."""
 
 from __future__ import annotations
 
@@ -59,10 +59,10 @@
     async def test_call_that_a_full_upstream_refuses_runs_elsewhere(
         self,
     ) -> None:
-        """A call does not wait at a full backend server while another is free.
+        """A call does not wait at a full upstream while another has capacity.
 
-        The daemon has no load report of either. If it sends the call to the
-        full one, the call would wait there until the running call ends.
+        The daemon has no load report of either. Without polling, a call that is
+        sent to the full upstream would wait there until the running call ends.
         """
         long_call_began = asyncio.Event()
         resume = asyncio.Event()
@@ -99,7 +99,7 @@
                 self.assertEqual((await long_call).status, 200)
 
     async def test_all_upstreams_are_full(self) -> None:
-        """The call waits at one of them and is answered there."""
+        """The call waits at one of the upstreams and is answered there."""
         resume = asyncio.Event()
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
--- a/tests/requests/load/test_repeats.py
+++ b/tests/requests/load/test_repeats.py
@@ -1,4 +1,4 @@
-"""Tests of the repeats that count against the retry budget of the fleet."""
+"""Tests of the tracking of running repeats."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
     """Calls that run at a backend server, and the repeats among them."""
 
     def test_ratio_of_running_calls(self) -> None:
+        """Each run counts as what it was when it began."""
         tracked = repeats.Repeats()
         self.assertEqual(tracked.get_ratio(), 0.0)
         first, second = builders.build_call(), builders.build_call()
         second.repeat = True
         begun = [tracked.begin(first), tracked.begin(second)]
         self.assertEqual(tracked.get_ratio(), 0.5)
-        # It is also sent to another upstream, but this run was the first one.
+        # The call is also sent to another upstream, but this run of it was the
+        # first.
         first.repeat = True
         for repeat in begun:
             tracked.end(repeat)
@@ -28,12 +30,12 @@
         tracked.begin(builders.build_call())
         self.assertEqual(tracked.get_ratio(), 0.0)
 
-    async def test_daemon_of_the_upstream_knows_of_a_repeat(self) -> None:
-        """The bound holds although nested calls do not identify their caller.
+    async def test_daemon_of_the_upstream_counts_a_repeat(self) -> None:
+        """Nested calls of a repeat count as repeats at the second upstream.
 
         One backend server breaks the connection of a call, which is retried at
-        another. The calls that this one makes while it runs the call are made
-        for the second time.
+        another backend server. The nested calls that the second one makes may
+        have been made by the first one, but do not identify their parent call.
         """
         ratios: list[float] = []
         broken = False
--- a/tests/requests/load/test_retries.py
+++ b/tests/requests/load/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the rules for retries, and of their limit."""
+"""Tests of the rules for retries and hedges, and of the retry budget."""
 
 from __future__ import annotations
 
@@ -47,6 +47,7 @@
         self.assertEqual(sum(len(node.served) for node in nodes), 1)
 
     async def test_refused_call_is_retried_elsewhere(self) -> None:
+        """Guards against refusals while another backend server is ready."""
         async with (
             builders.run_nodes(3) as nodes,
             builders.open_client() as client,
@@ -60,19 +61,21 @@
                 self.assertEqual(answer.status, 200)
         self.assertEqual(len(nodes[2].served), 8)
 
-    async def test_frozen_backend_server_does_not_use_up_the_deadline(
+    async def test_unresponsive_backend_server_does_not_use_up_the_deadline(
         self,
     ) -> None:
         """The caller gets its answer from another upstream.
 
         A backend server accepts calls and answers none. Its daemon is healthy,
-        so nothing looks broken, and without a hedge the call would wait until
+        so no failure is detected, and without a hedge the call would wait until
         its deadline.
         """
-        frozen: list[builders.Node] = []
+        unresponsive: list[builders.Node] = []
 
-        async def freeze(request: web.BaseRequest) -> web.StreamResponse:
-            if request.protocol in frozen[0].backend.connections:
+        async def answer_if_responsive(
+            request: web.BaseRequest,
+        ) -> web.StreamResponse:
+            if request.protocol in unresponsive[0].backend.connections:
                 await asyncio.Event().wait()
             return web.Response()
 
@@ -80,21 +83,21 @@
         async with (
             builders.run_nodes(
                 2,
-                handler=freeze,
+                handler=answer_if_responsive,
                 running=builders.build_snapshot({"/": plan}),
             ) as nodes,
             builders.open_client() as client,
         ):
-            frozen.append(nodes[0])
+            unresponsive.append(nodes[0])
             answer = await client.get(nodes[0].url + "/x")
             self.assertEqual(answer.status, 200)
         self.assertEqual([len(node.served) for node in nodes], [1, 1])
 
     async def test_budget_bounds_retries(self) -> None:
-        """The service receives few calls more than its callers make.
+        """The service receives only few calls more than its callers make.
 
         Every backend server breaks every connection, so all calls fail. Without
-        a budget each call would be run three times while the service is failing
+        a budget each call would be run three times, although the service fails
         anyway.
         """
         async with (
@@ -104,6 +107,7 @@
             for _ in range(100):
                 await builders.fetch(client, nodes[0].url + "/x")
         served = sum(len(node.served) for node in nodes)
+        # The calls, 0.1 retries for each, and 10 additional retries.
         self.assertLessEqual(served, 100 + 10 + 10)
         self.assertGreater(served, 100)
 
@@ -142,6 +146,12 @@
         self.assertLessEqual(len(lowest), 2)
 
     async def test_loop_between_services_ends(self) -> None:
+        """Guards against a call that is nested without limit.
+
+        The backend server calls its own service. `parsing.MAX_DEPTH` allows 7
+        nested calls below the first call, 8 calls in total.
+        """
+
         async def loop(request: web.BaseRequest) -> web.StreamResponse:
             forwarded = {
                 name: request.headers[name] for name in _FORWARDED_HEADERS
@@ -163,7 +173,7 @@
         self.assertEqual(len(nodes[0].served), 8)
 
     def test_last_refusal_does_not_hide_an_earlier_run(self) -> None:
-        """The outcome is "unknown", not the "not run" of the last attempt.
+        """The outcome is "unknown" and not that of the last attempt, "not run".
 
         The connection of the first attempt broke after the call was sent, and
         the second attempt was refused. With the outcome "not run" the caller
--- a/tests/requests/load/test_startup.py
+++ b/tests/requests/load/test_startup.py
@@ -11,13 +11,15 @@
 
 
 class StartupWaitTest(unittest.IsolatedAsyncioTestCase):
+    """A daemon that has started and knows no upstream yet."""
+
     def setUp(self) -> None:
         self.clock = fakes.Clock()
         self.table = fakes.Table()
         self.startup_wait = startup.StartupWait(self.table, self.clock.get_time)
 
     def wait(self) -> asyncio.Task[bool]:
-        """Makes a call with a latency target of 0.4 s wait for an upstream."""
+        """Starts to wait with a call that has a latency target of 0.4 s."""
         plan = builders.build_plan("lookup", latency_s=0.4)
         return asyncio.create_task(
             self.startup_wait.wait(builders.build_call(plan=plan))
@@ -26,9 +28,9 @@
     async def test_call_waits_for_the_first_upstream(self) -> None:
         """The caller gets an answer instead of a refusal.
 
-        All daemons were restarted. One has a version and opens its port, and
-        discovers the backend servers a moment later. If it refused the calls,
-        the retries of the callers would miss their latency target.
+        After a restart of all daemons, this daemon has a version and opens its
+        port, and discovers the backend servers a moment later. If it refused
+        the calls, the retries of the callers would miss their latency target.
         """
         self.startup_wait.begin()
         waiting = self.wait()
@@ -38,6 +40,7 @@
         self.assertTrue(await waiting)
 
     async def test_call_does_not_wait_until_its_latency_deadline(self) -> None:
+        """A call is refused in time for a retry to meet its latency target."""
         self.startup_wait.begin()
         waiting = self.wait()
         await asyncio.sleep(0)
