--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -103,7 +103,7 @@
         An answer that would not be sent in time only makes others late. Any
         call is admitted while at most one large answer is in progress, not
         counting those to slow receivers. If slow receivers have made the
-        measured rate too low, this answer gives a new measurement.
+        measured rate too low, the answer of this call gives a new measurement.
 
         Args:
             call: The call, which is not running yet.
@@ -181,6 +181,7 @@
         self._wake_waiting()
 
     def _record_sample(self, now: float, interval_s: float) -> None:
+        """Records the bytes sent in an interval unless it was too long."""
         if interval_s <= reservations.SEND_WINDOW_S:
             self._measured_rate.record(
                 now, interval_s, self._sent_bytes, self._has_several_receivers()
--- a/merlintrestle/requests/load/reservations.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -274,7 +274,11 @@
         self._set_remaining(0)
 
     def _set_stalled(self, stalled: bool) -> None:
-        """Excludes the bytes from those of the link while `stalled`."""
+        """Excludes the bytes from those of the link, or includes them again.
+
+        Args:
+            stalled: Whether the receiver is stalled.
+        """
         if stalled == self._stalled:
             return
         self._stalled = stalled
--- a/tests/requests/load/test_links.py
+++ b/tests/requests/load/test_links.py
@@ -154,7 +154,7 @@
         self.assertEqual(refusal.retry_after_s, 0.75)
 
     def test_return_trip_time_is_no_time_to_send(self) -> None:
-        """A long answer that would arrive too late is not started."""
+        """A large answer that would arrive too late is not started."""
         self.measure()
         late = _DOWNLOAD._replace(latency_s=10.0)
         self.start_download()
--- a/tests/requests/load/test_repeats.py
+++ b/tests/requests/load/test_repeats.py
@@ -34,8 +34,8 @@
         """Nested calls of a repeat count as repeats at the second upstream.
 
         One backend server breaks the connection of a call, which is retried at
-        another backend server. The nested calls that the second one makes may
-        have been made by the first one, but do not identify their parent call.
+        another backend server. The nested calls of the second run may also have
+        been made by the first run, but do not identify their parent call.
         """
         ratios: list[float] = []
         broken = False
