--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -16,7 +16,7 @@
 
 _CONNECT_S = 0.5
 # An upstream that became ready gets a share of work that rises for so long.
-COLD_S = 10.0
+WARMUP_S = 10.0
 
 
 class LocalBackend:
@@ -55,7 +55,7 @@
         self.on_restart: Callable[[str], None] = _ignore_restart
         self._announced = control_pb2.BACKEND_STATE_UNSPECIFIED
         self._draining = False
-        self._cold_s = COLD_S
+        self._cold_s = WARMUP_S
 
     def announce(
         self,
@@ -64,7 +64,7 @@
         slots: int,
         state: control_pb2.BackendState = control_pb2.READY,
         instance_id: str = "",
-        cold_s: float = COLD_S,
+        cold_s: float = WARMUP_S,
         born_ms: int = 0,
         version: str = "",
     ) -> None:
@@ -83,7 +83,7 @@
             version: Version of its software; empty: it gave none.
         """
         before = self.build_record()
-        self._cold_s = min(cold_s, COLD_S)
+        self._cold_s = min(cold_s, WARMUP_S)
         self.warm_at = time.monotonic() + self._cold_s
         if self._is_another(instance_id, born_ms):
             # What is known is of the process before: that it is warm, and
@@ -118,7 +118,7 @@
             self._set_state(control_pb2.DRAINING)
         self._tell_change(before)
 
-    async def check(self) -> bool:
+    async def check_reachable(self) -> bool:
         """Finds out whether it takes connections; returns `reachable`.
 
         Only a refusal counts: it shows that no process listens. A connection
@@ -156,7 +156,7 @@
 
     def _set_state(self, state: control_pb2.BackendState) -> None:
         if state == control_pb2.READY and self.state != control_pb2.READY:
-            warm_s = COLD_S - self._cold_s
+            warm_s = WARMUP_S - self._cold_s
             self.ready_since_ms = int((time.time() - warm_s) * 1000)
         self.state = state
 
--- a/merlintrestle/requests/crashing/crashes.py
+++ b/merlintrestle/requests/crashing/crashes.py
@@ -125,7 +125,7 @@
 
     async def _check_backend(self) -> None:
         try:
-            await self._backend.check()
+            await self._backend.check_reachable()
         finally:
             self._check_task = None
             self._in_flight_at_disconnect = []
--- a/merlintrestle/requests/interfaces.py
+++ b/merlintrestle/requests/interfaces.py
@@ -11,7 +11,7 @@
     from merlintrestle.store import client
 
 
-class Holder(Protocol):
+class ActiveVersion(Protocol):
     """Holds the configuration version that runs.
 
     Attributes:
@@ -36,7 +36,7 @@
 class Observer(Protocol):
     """Hears what the own backend server answers while versions change."""
 
-    def may_run(self) -> bool:
+    def may_serve(self) -> bool:
         """Returns whether the own backend server is to get calls."""
 
     def record_answer(self, name: str, failed: bool, took_s: float) -> None:
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -36,7 +36,7 @@
     def __init__(
         self,
         backend: backends.LocalBackend,
-        holder: interfaces.Holder,
+        holder: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
         get_time: Callable[[], float] = time.monotonic,
     ):
@@ -167,7 +167,7 @@
         refusal = await self._queue_admission.wait(queue, call)
         if refusal is None:
             refusal = self._recheck_backend(queue, call)
-        call.story.add(
+        call.decision_log.add(
             "waited for a slot",
             outcome="refused" if refusal else "admitted",
             waiting=waiting,
--- a/merlintrestle/requests/load/ranking.py
+++ b/merlintrestle/requests/load/ranking.py
@@ -225,6 +225,6 @@
         age_s = time.time() - upstream.ready_since_ms / 1000
         if age_s < 0:
             age_s = now - self._known_since.get(upstream.member_id, now)
-        if age_s >= backend.COLD_S:
+        if age_s >= backend.WARMUP_S:
             return 1.0
-        return max(_MIN_SLOW_START_FRACTION, age_s / backend.COLD_S)
+        return max(_MIN_SLOW_START_FRACTION, age_s / backend.WARMUP_S)
--- a/merlintrestle/requests/load/slots.py
+++ b/merlintrestle/requests/load/slots.py
@@ -39,7 +39,7 @@
     def __init__(
         self,
         backend: backends.LocalBackend,
-        holder: interfaces.Holder,
+        holder: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
     ):
         """Initialises the slots.
--- a/merlintrestle/requests/reports/stories.py
+++ b/merlintrestle/requests/reports/decision_logs.py
@@ -37,7 +37,7 @@
 _good = event_logs.Bucket(time.monotonic(), GOOD_PER_S, burst=GOOD_PER_S)
 
 
-class Story:
+class DecisionLog:
     """The decisions about one request at one daemon."""
 
     __slots__ = ("_lines", "request_id")
@@ -51,7 +51,7 @@
         """Notes a decision, what decided it and how old that was."""
         self._lines.append((time.time(), event, fields))
 
-    def add_later(
+    def add_lazy(
         self, event: str, describe: Callable[[], dict[str, Any]]
     ) -> None:
         """Notes a decision whose fields are made only if they are written.
@@ -107,7 +107,9 @@
 _REMARKABLE = frozenset(("sent again", "given up"))
 
 
-def end_cut(story: Story, error: BaseException, elapsed_s: float) -> None:
+def write_cancellation(
+    story: DecisionLog, error: BaseException, elapsed_s: float
+) -> None:
     """Ends the story of a request whose sender left or was cut off."""
     story.end(
         "cut",
@@ -117,8 +119,8 @@
     )
 
 
-def end_story(
-    story: Story,
+def write_outcome(
+    story: DecisionLog,
     outcome: outcomes.Outcome,
     elapsed_s: float,
 ) -> None:
@@ -145,7 +147,7 @@
     )
 
 
-def describe(outcome: outcomes.Outcome) -> dict[str, Any]:
+def build_outcome_fields(outcome: outcomes.Outcome) -> dict[str, Any]:
     """Returns what one try at an upstream came to, as fields of a line."""
     if isinstance(outcome, outcomes.Answered):
         return {"outcome": "answered", "status": outcome.response.status}
--- a/merlintrestle/requests/reports/latencies.py
+++ b/merlintrestle/requests/reports/latencies.py
@@ -37,7 +37,7 @@
             collections.Counter()
         )
 
-    def note(
+    def record(
         self,
         plan: snapshot.ClassPlan,
         service: str,
--- a/merlintrestle/requests/reports/statistics.py
+++ b/merlintrestle/requests/reports/statistics.py
@@ -75,7 +75,7 @@
         # metrics are asked for, so that a call is counted in one place.
         self._totals: dict[_Key, Counts] = {}
 
-    def note(
+    def record(
         self,
         plan: snapshot.ClassPlan,
         outcome: outcomes.Outcome,
--- a/merlintrestle/requests/reports/traffic.py
+++ b/merlintrestle/requests/reports/traffic.py
@@ -93,7 +93,7 @@
         self._most_lateness_s = 0.0
         self._most_waiting = 0
 
-    def look(self, lateness_s: float) -> None:
+    def update(self, lateness_s: float) -> None:
         """Looks once; called at intervals by the event loop.
 
         Args:
--- a/merlintrestle/requests/serving/attempt_runner.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -16,7 +16,7 @@
 from merlintrestle.requests.load import loads
 from merlintrestle.requests.load import observations
 from merlintrestle.requests.load import retries
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.transport import headers
 
 if TYPE_CHECKING:
@@ -153,12 +153,12 @@
         )
         report = functools.partial(_report_doubt, attempt, recorder, attempts)
         outcome = await self._run_recorded(attempt, call, recorder, report)
-        call.story.add(
+        call.decision_log.add(
             "tried",
             upstream=attempt.upstream.member_id,
             took_ms=round((self._get_time() - recorder.began) * 1000),
             left_ms=call.get_remaining_ms(),
-            **stories.describe(outcome),
+            **decision_logs.build_outcome_fields(outcome),
         )
         return outcome
 
--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -9,7 +9,7 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.load import refused_callers
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.serving import responses
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
             call = await parsing.read_call(request, match, metadata, began)
             if isinstance(call, outcomes.NotRun):
                 return self._refuse(call, request)
-            call.story.add(
+            call.decision_log.add(
                 "routed",
                 version=running.version,
                 service=match.service,
@@ -148,14 +148,18 @@
                     request, outcome, self._dialect
                 )
             finally:
-                self._statistics.note(call.plan, outcome, duration_s)
-                self._latencies.note(
+                self._statistics.record(call.plan, outcome, duration_s)
+                self._latencies.record(
                     call.plan, call.service, outcome, duration_s
                 )
         except BaseException as error:
-            stories.end_cut(call.story, error, self._get_time() - began)
+            decision_logs.write_cancellation(
+                call.decision_log, error, self._get_time() - began
+            )
             raise
-        stories.end_story(call.story, outcome, self._get_time() - began)
+        decision_logs.write_outcome(
+            call.decision_log, outcome, self._get_time() - began
+        )
         return response
 
     def _refuse(
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -140,7 +140,7 @@
             state.discard_answer()
             return None
         if not isinstance(outcome, outcomes.Answered):
-            state.call.story.add(
+            state.call.decision_log.add(
                 "given up",
                 tries=len(state.upstream_ids),
                 reached=state.reached_count,
@@ -189,7 +189,7 @@
             return True
         state.refusal_count += 1
         best = state.polls.take_best()
-        call.story.add("all full", waits_at=best.member_id)
+        call.decision_log.add("all full", waits_at=best.member_id)
         self._start(attempts_.Attempt(best), state)
         return True
 
@@ -200,7 +200,7 @@
         call = state.call
         attempt, doubt, repeated = event
         if not repeated:
-            call.story.add(
+            call.decision_log.add(
                 "in doubt",
                 upstream=attempt.upstream.member_id,
                 why=doubt.name.lower(),
@@ -257,10 +257,10 @@
             return None
         if state.upstream_ids:
             balance = round(state.budget.balance, 1)
-            call.story.add("sent again", budget=balance)
+            call.decision_log.add("sent again", budget=balance)
         state.upstream_ids.add(upstream.member_id)
         details = self._picker.get_details(upstream, len(upstreams))
-        call.story.add_later("picked", details.describe)
+        call.decision_log.add_lazy("picked", details.describe)
         # A body that is streamed can be sent to one upstream only, so its call
         # waits there without polling others.
         wait = calls.Wait.NORMAL
--- a/merlintrestle/requests/serving/local_runner.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -70,7 +70,7 @@
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
         """Admits a call and forwards it, or refuses it."""
-        if not self._observer.may_run():
+        if not self._observer.may_serve():
             return _OTHER_VERSION_ACTIVE
         release_suspect_slot = await self._crashes.acquire_suspect_slot(call)
         if isinstance(release_suspect_slot, outcomes.NotRun):
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -78,7 +78,7 @@
     def __init__(
         self,
         settings: settings_pb2.DaemonSettings,
-        holder: interfaces.Holder,
+        holder: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
         store: interfaces.Store,
         dialect: object = _NATIVE_DIALECT,
@@ -286,7 +286,8 @@
             # A backend server that sends heartbeats announces its restart
             # itself, with a new id; a check would only use one of its slots.
             reachable = (
-                bool(self.backend.instance_id) or await self.backend.check()
+                bool(self.backend.instance_id)
+                or await self.backend.check_reachable()
             )
             await self.sleep(
                 _CHECK_INTERVAL_S if reachable else _DOWN_CHECK_INTERVAL_S
@@ -298,7 +299,7 @@
         while not self.should_stop:
             expected_at = loop.time() + _TRAFFIC_INTERVAL_S
             await self.sleep(_TRAFFIC_INTERVAL_S)
-            self.traffic.look(max(0.0, loop.time() - expected_at))
+            self.traffic.update(max(0.0, loop.time() - expected_at))
 
     def _count_unsent_bytes(self) -> int:
         """Returns the bytes of answers that wait to be sent on both ports."""
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -104,7 +104,7 @@
         pooled = None
         if call.plan.repeatable and buffered:
             pooled = self._pool.acquire(address)
-        call.story.add(
+        call.decision_log.add(
             "sent to the backend server",
             instance=backend.instance_id,
             address=address,
@@ -154,7 +154,7 @@
                 outcome, idle_s, self._loop.time() - started_at
             )
             if broke and call.body.replayable and budget.try_spend():
-                call.story.add(
+                call.decision_log.add(
                     "connection was gone", idle_ms=round(idle_s * 1000)
                 )
                 self._pool.drop(backend.address)
@@ -212,7 +212,7 @@
         retry is not resent.
         """
         if (
-            await backend.check()
+            await backend.check_reachable()
             and not call.attempt
             and call.body.buffered is not None
             and budget.try_spend()
--- a/merlintrestle/rollouts/observer.py
+++ b/merlintrestle/rollouts/observer.py
@@ -85,7 +85,7 @@
         self._first_call_at = 0.0
         self._reported_at = 0.0
 
-    def may_run(self) -> bool:
+    def may_serve(self) -> bool:
         """Returns whether the local backend server may run calls.
 
         Daemons that have not learned of the phase yet, or are cut off from the
--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -33,9 +33,9 @@
     from merlintrestle.requests.load import budgets
     from merlintrestle.requests.load import picking
 
-GUARD_S = 10.0
+TEST_TIMEOUT_S = 10.0
 # Time of a short call, in seconds.
-SHORT_S = 1.0
+SHORT_DEADLINE_S = 1.0
 
 
 def build_plan(name: str = "lookup", **fields: Any) -> snapshot.ClassPlan:
@@ -72,8 +72,10 @@
 def build_short_plans() -> dict[str, snapshot.ClassPlan]:
     """Builds classes of work that are over after `SHORT_S`."""
     return {
-        "/payouts": build_plan("payout", repeatable=False, deadline_s=SHORT_S),
-        "/": build_plan(deadline_s=SHORT_S),
+        "/payouts": build_plan(
+            "payout", repeatable=False, deadline_s=SHORT_DEADLINE_S
+        ),
+        "/": build_plan(deadline_s=SHORT_DEADLINE_S),
     }
 
 
@@ -187,13 +189,13 @@
         """What picks the upstreams."""
         return self.proxy._dispatch._picker
 
-    def use_up_budget(self) -> None:
+    def exhaust_budget(self) -> None:
         """Leaves no budget for further tries."""
         budget = self.budget
         while budget.try_spend():
             pass
 
-    def know(self, other: Node) -> None:
+    def add_upstream(self, other: Node) -> None:
         """Puts a node into this one's table of members."""
         known = self.table.upstreams.get("kassa", ())
         self.table.upstreams["kassa"] = (*known, other.build_upstream())
@@ -240,7 +242,7 @@
         return await self._handler(request)
 
 
-class Bundle:
+class SlowDownload:
     """A download whose last bytes a slow caller keeps the daemon from sending.
 
     Attributes:
@@ -253,7 +255,9 @@
         self.length = 0
         self._node = node
 
-    async def ask(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def request(
+        self,
+    ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Asks for it over a connection that takes little unread."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -318,7 +322,7 @@
         for node in nodes:
             for other in nodes:
                 if other is node or not apart:
-                    node.know(other)
+                    node.add_upstream(other)
             node.proxy.crashes.send_strike = _tell_all(nodes)
         yield nodes
 
@@ -337,9 +341,9 @@
 async def open_client() -> AsyncIterator[aiohttp.ClientSession]:
     """Opens an HTTP client, guarded by a generous timeout."""
     async with (
-        asyncio.timeout(GUARD_S),
+        asyncio.timeout(TEST_TIMEOUT_S),
         aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=GUARD_S)
+            timeout=aiohttp.ClientTimeout(total=TEST_TIMEOUT_S)
         ) as session,
     ):
         yield session
@@ -383,7 +387,7 @@
     )
 
 
-def hasten_doubt(
+def shorten_probe_delays(
     case: unittest.TestCase, *waits: str, wait_s: float = 0.02
 ) -> None:
     """Has calls be in doubt soon, until the test ends.
@@ -397,7 +401,7 @@
         case.enterContext(mock.patch.object(watchdogs, name, wait_s))
 
 
-def answer_questions(
+def fake_probes(
     case: unittest.TestCase, view: probes.ProbeResult, note: Callable[[], Any]
 ) -> None:
     """Has each question about a call noted and answered so, in this test."""
@@ -409,7 +413,7 @@
     case.enterContext(mock.patch.object(probes, "ask", ask))
 
 
-def watch_method(owner: type, name: str) -> Any:
+def spy_on_method(owner: type, name: str) -> Any:
     """Returns a patch by which a method's calls are recorded and still run."""
     return mock.patch.object(
         owner, name, autospec=True, side_effect=getattr(owner, name)
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -56,13 +56,13 @@
 
     NONE = enum.auto()
     # It never arrives.
-    BEFORE = enum.auto()
+    REQUEST_LOST = enum.auto()
     # It takes effect; the answer is lost.
-    AFTER = enum.auto()
+    REPLY_LOST = enum.auto()
     # The caller gives up; it takes effect later.
-    LATE = enum.auto()
+    DELAYED = enum.auto()
     # A read is answered as if the last write to its key had not been.
-    STALE = enum.auto()
+    STALE_READ = enum.auto()
 
 
 class Store:
@@ -91,7 +91,7 @@
     async def get(self, key: str) -> client.Entry | None:
         """Reads one key."""
         fault = self._take_fault()
-        if fault is Fault.STALE:
+        if fault is Fault.STALE_READ:
             return self._earlier.get(key)
         if fault is not Fault.NONE:
             raise errors.StoreUnavailableError("no answer")
@@ -103,32 +103,32 @@
         """Writes a key if it still has the expected revision."""
         fault = self._take_fault()
         write = (key, value, expected_revision, lease_id)
-        if fault is Fault.LATE:
+        if fault is Fault.DELAYED:
             self._late.append(write)
-        if fault in (Fault.BEFORE, Fault.LATE):
+        if fault in (Fault.REQUEST_LOST, Fault.DELAYED):
             raise errors.StoreUnknownOutcomeError("no answer")
         reply = self._put(*write)
-        if fault is Fault.AFTER:
+        if fault is Fault.REPLY_LOST:
             raise errors.StoreUnknownOutcomeError("no answer")
         return reply
 
     async def delete(self, key: str, expected_revision: int) -> bool:
         """Deletes a key if it still has the expected revision."""
         fault = self._take_fault()
-        if fault in (Fault.BEFORE, Fault.LATE):
+        if fault in (Fault.REQUEST_LOST, Fault.DELAYED):
             raise errors.StoreUnknownOutcomeError("no answer")
         self.writes += 1
         entry = self._read(key)
         if entry is None or entry.revision != expected_revision:
             return False
         self._earlier[key] = self._entries.pop(key)
-        if fault is Fault.AFTER:
+        if fault is Fault.REPLY_LOST:
             raise errors.StoreUnknownOutcomeError("no answer")
         return True
 
     async def grant_lease(self, seconds: int) -> int:
         """Opens a lease."""
-        if self._take_fault() not in (Fault.NONE, Fault.STALE):
+        if self._take_fault() not in (Fault.NONE, Fault.STALE_READ):
             raise errors.StoreUnknownOutcomeError("no answer")
         self.writes += 1
         self._last_lease_id += 1
@@ -141,7 +141,7 @@
         self._leases.clear()
         self._entries.clear()
 
-    def deliver_late(self) -> None:
+    def apply_delayed_writes(self) -> None:
         """Lets the writes that were under way take effect."""
         for write in self._late:
             self._put(*write)
--- a/tests/requests/interleaving.py
+++ b/tests/requests/interleaving.py
@@ -31,7 +31,7 @@
     """
 
     key: str
-    sending: int
+    call_number: int
     at: float
 
 
@@ -54,7 +54,7 @@
             self._get_time,
             self._get_time,
         )
-        self.once = at_most_once.AtMostOnceRunner(
+        self.runner = at_most_once.AtMostOnceRunner(
             self.claims,
             _AdmitAll(),  # type: ignore[arg-type]
             self._forward,
@@ -99,16 +99,18 @@
     def __init__(self) -> None:
         self.store = fakes.Store()
         self.runs: list[Run] = []
-        self.fates: list[str] = []
+        self.backend_results: list[str] = []
         self.results: dict[int, tuple[str, outcomes.Outcome]] = {}
         self.daemons = [Daemon(self, number) for number in range(3)]
         self._tasks: list[asyncio.Task[None]] = []
 
     def take_fate(self) -> str:
         """Returns what becomes of a request at the backend server."""
-        return self.fates.pop(0) if self.fates else "answered"
+        return (
+            self.backend_results.pop(0) if self.backend_results else "answered"
+        )
 
-    def send(self, number: int, key: str) -> None:
+    def send_payout(self, number: int, key: str) -> None:
         """Has a caller send a payout to a daemon."""
         daemon = self.daemons[number]
         sending = len(self._tasks)
@@ -123,14 +125,14 @@
         self.daemons[number].dead = True
         self.daemons[number] = Daemon(self, number)
 
-    def release(self, number: int, index: int) -> None:
+    def resume_step(self, number: int, index: int) -> None:
         """Lets one waiting step of a daemon go on."""
         daemon = self.daemons[number]
         if daemon.waiting and not daemon.frozen:
             position = index % len(daemon.waiting)
             daemon.waiting.pop(position).set_result(None)
 
-    async def settle(self) -> None:
+    async def run_until_blocked(self) -> None:
         """Lets everything go on that does not wait for the driver."""
         for _ in range(_TURNS):
             await asyncio.sleep(0)
@@ -138,12 +140,12 @@
     async def finish(self) -> None:
         """Lets all daemons that live come to an end, without more faults."""
         self.store.faults.clear()
-        self.store.deliver_late()
+        self.store.apply_delayed_writes()
         for _ in range(200):
             for daemon in self.daemons:
                 daemon.frozen = False
-                self.release(daemon.number, 0)
-            await self.settle()
+                self.resume_step(daemon.number, 0)
+            await self.run_until_blocked()
             if not any(daemon.waiting for daemon in self.daemons):
                 break
 
@@ -151,7 +153,7 @@
         """Ends all tasks."""
         tasks: list[asyncio.Task[Any]] = [*self._tasks]
         for daemon in self.daemons:
-            tasks.extend(daemon.once.tasks)
+            tasks.extend(daemon.runner.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -159,7 +161,7 @@
     async def _run(
         self, daemon: Daemon, sending: int, call: calls.Call
     ) -> None:
-        outcome = await daemon.once.run(call)
+        outcome = await daemon.runner.run(call)
         if not daemon.dead:
             self.results[sending] = (call.key, outcome)
 
--- a/tests/requests/load/test_picking.py
+++ b/tests/requests/load/test_picking.py
@@ -97,7 +97,7 @@
             self.upstreams[3]._replace(ready_since_ms=ahead),
         )
         self.assertLess(self.count()[3], 20)
-        self.now += backend.COLD_S
+        self.now += backend.WARMUP_S
         self.assertGreater(self.count()[3], 50)
 
     def test_local_zone_is_preferred_until_it_is_full(self) -> None:
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -91,7 +91,7 @@
                 full.table.upstreams["kassa"] = (full.build_upstream(),)
                 long_call = asyncio.create_task(client.get(full.url + "/long"))
                 await long_call_began.wait()
-                async with asyncio.timeout(builders.GUARD_S):
+                async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                     response = await client.get(local.url + "/x")
                 self.assertEqual(response.status, 200)
                 self.assertEqual(free.served, [("GET", "/x")])
--- a/tests/requests/reports/test_latencies.py
+++ b/tests/requests/reports/test_latencies.py
@@ -25,7 +25,7 @@
 
     def test_a_refusal_is_counted_by_its_reason(self):
         refusal = outcomes.NotRun("no free slot in time", overloaded=True)
-        self.latencies.note(self.plan, "kassa", refusal, 0.06)
+        self.latencies.record(self.plan, "kassa", refusal, 0.06)
         text = self.render()
         self.assertIn(
             'merlintrestle_request_failures_total{outcome="refused",'
@@ -44,7 +44,7 @@
         with mock.patch.object(latencies, "MAX_VALUES", 2):
             for number in range(9):
                 refusal = outcomes.NotRun(f"reason {number}")
-                self.latencies.note(self.plan, "kassa", refusal, 0.06)
+                self.latencies.record(self.plan, "kassa", refusal, 0.06)
         text = self.render()
         self.assertIn('reason="other",service="other"} 7.0', text)
         self.assertNotIn("reason 5", text)
--- a/tests/requests/reports/test_statistics.py
+++ b/tests/requests/reports/test_statistics.py
@@ -17,7 +17,7 @@
 
     def note(self, *found: outcomes.Outcome) -> None:
         for outcome in found:
-            self.statistics.note(self.plan, outcome, 0.0)
+            self.statistics.record(self.plan, outcome, 0.0)
 
     def list_window(self) -> list[tuple[int, int, int, int]]:
         return [
@@ -52,7 +52,7 @@
 
     def test_latency_counts_for_whole_answers_alone(self) -> None:
         kept = outcomes.Replayed(200, (), b"")
-        self.statistics.note(self.plan, kept, self.plan.latency_s)
-        self.statistics.note(self.plan, kept, self.plan.latency_s + 0.001)
+        self.statistics.record(self.plan, kept, self.plan.latency_s)
+        self.statistics.record(self.plan, kept, self.plan.latency_s + 0.001)
         (status,) = self.statistics.get_statuses()
         self.assertEqual((status.answered, status.within_latency), (2, 1))
--- a/tests/requests/reports/test_traffic.py
+++ b/tests/requests/reports/test_traffic.py
@@ -26,7 +26,7 @@
         """Looks twice a second for a time."""
         for _ in range(round(seconds * 2)):
             self.clock.now += 0.5
-            self.report.look(lateness_s)
+            self.report.update(lateness_s)
 
     def read_gauges(self) -> dict[str, float]:
         """Returns the metrics that have one value each."""
--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.serving import dispatch
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import headers
@@ -22,7 +22,7 @@
 # An attempt that is not cancelled ends by itself only after the timeout of the
 # test.
 _LONG_DEADLINE = builders.build_snapshot(
-    {"/": builders.build_plan(deadline_s=6 * builders.GUARD_S)}
+    {"/": builders.build_plan(deadline_s=6 * builders.TEST_TIMEOUT_S)}
 )
 
 
@@ -35,8 +35,8 @@
         self.started = asyncio.Semaphore(0)
         self.cancelled = asyncio.Semaphore(0)
         self.probed = asyncio.Semaphore(0)
-        builders.hasten_doubt(self)
-        builders.answer_questions(
+        builders.shorten_probe_delays(self)
+        builders.fake_probes(
             self, probes.ProbeResult(False), self.probed.release
         )
 
@@ -114,7 +114,9 @@
         the other decisions would be hidden among them.
         """
         async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
-            with builders.watch_method(stories.Story, "add") as add:
+            with builders.spy_on_method(
+                decision_logs.DecisionLog, "add"
+            ) as add:
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
                 await self.wait_for_probes(4)
                 self.proceed.set()
@@ -221,7 +223,7 @@
         No upstream answers probes, and the retry budget is used up.
         """
         async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
-            nodes[0].use_up_budget()
+            nodes[0].exhaust_budget()
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.wait_for_probes(3)
             self.proceed.set()
@@ -287,7 +289,7 @@
         self.proceed = asyncio.Event()
         self.first: int | None = None
         self.probed = asyncio.Event()
-        builders.hasten_doubt(self)
+        builders.shorten_probe_delays(self)
 
     async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers once the test allows it."""
@@ -308,7 +310,7 @@
 
     async def check_slow_upstream(self, view: probes.ProbeResult) -> None:
         """The caller gets the other upstream's answer."""
-        builders.answer_questions(self, view, self.probed.set)
+        builders.fake_probes(self, view, self.probed.set)
         async with relays.run_relayed_nodes(
             self.answer_second, 3, running=_LONG_DEADLINE
         ) as (
@@ -341,9 +343,7 @@
         self, plan: snapshot.ClassPlan, has_budget: bool
     ) -> None:
         """Checks that the call runs once and its caller gets the answer."""
-        builders.answer_questions(
-            self, probes.ProbeResult(True), self.probed.set
-        )
+        builders.fake_probes(self, probes.ProbeResult(True), self.probed.set)
         running = builders.build_snapshot({"/": plan})
         async with relays.run_relayed_nodes(self.wait, running=running) as (
             nodes,
@@ -351,8 +351,8 @@
             client,
         ):
             if not has_budget:
-                nodes[0].use_up_budget()
-            with builders.watch_method(
+                nodes[0].exhaust_budget()
+            with builders.spy_on_method(
                 dispatch.Dispatcher, "_handle_doubt"
             ) as handle_doubt:
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
@@ -382,9 +382,7 @@
         A call is in doubt as its peer is silent, and there is no other
         upstream: nothing is sent, and nothing is paid.
         """
-        builders.answer_questions(
-            self, probes.ProbeResult(False), self.probed.set
-        )
+        builders.fake_probes(self, probes.ProbeResult(False), self.probed.set)
         async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
             budget = nodes[0].budget
             balance_before = budget.balance
--- a/tests/requests/serving/test_drain.py
+++ b/tests/requests/serving/test_drain.py
@@ -149,9 +149,9 @@
         lost, and the bundle would be truncated.
         """
         async with builders.run_nodes(1) as (node,):
-            bundle = builders.Bundle(node)
+            bundle = builders.SlowDownload(node)
             node.use_handler(bundle.send)
-            reader, writer = await bundle.ask()
+            reader, writer = await bundle.request()
             await bundle.wait_until_held_back()
             draining = asyncio.create_task(node.proxy.drain(60))
             await asyncio.sleep(0)
--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -51,9 +51,9 @@
     world = interleaving.World()
     for kind, number, detail in actions:
         if kind == "send":
-            world.send(number, "a" if detail else "b")
+            world.send_payout(number, "a" if detail else "b")
         elif kind == "release":
-            world.release(number, detail)
+            world.resume_step(number, detail)
         elif kind == "crash":
             world.crash(number)
         elif kind == "freeze":
@@ -61,12 +61,12 @@
         elif kind == "fault":
             world.store.faults.append(_FAULTS[detail])
         elif kind == "late":
-            world.store.deliver_late()
+            world.store.apply_delayed_writes()
         elif kind == "fate":
-            world.fates.append(_FATES[detail])
+            world.backend_results.append(_FATES[detail])
         else:
             world.store.now += detail
-        await world.settle()
+        await world.run_until_blocked()
     await world.finish()
     await world.close()
     return world
@@ -85,7 +85,7 @@
             times = sorted(run.at for run in world.runs if run.key == key)
             for earlier, later in zip(times, times[1:], strict=False):
                 self.assertGreater(later - earlier, _MIN_CLAIM_LIFETIME_S)
-        ran = {run.sending for run in world.runs}
+        ran = {run.call_number for run in world.runs}
         for sending, (_, outcome) in world.results.items():
             if isinstance(outcome, outcomes.NotRun):
                 self.assertNotIn(sending, ran)
@@ -118,7 +118,7 @@
             )
         )
         self.assertIsInstance(world.results[0][1], outcomes.NotRun)
-        self.assertEqual([run.sending for run in world.runs], [1])
+        self.assertEqual([run.call_number for run in world.runs], [1])
 
     def test_read_after_a_lost_answer_is_stale(self) -> None:
         """The second sending runs, the first never does.
@@ -142,7 +142,7 @@
             )
         )
         self.assertIsInstance(world.results[0][1], outcomes.NotRun)
-        self.assertEqual([run.sending for run in world.runs], [1])
+        self.assertEqual([run.call_number for run in world.runs], [1])
 
     def test_holder_is_silent_or_has_forgotten(self) -> None:
         """The second caller gets "unknown"; nothing runs twice.
@@ -157,7 +157,7 @@
                 simulate([*first_sending, (fault, 0, 0), *second_sending])
             )
             self.assertIsInstance(world.results[1][1], outcomes.Unknown)
-            self.assertEqual([run.sending for run in world.runs], [0])
+            self.assertEqual([run.call_number for run in world.runs], [0])
 
 
 class ThawTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/requests/serving/test_path.py
+++ b/tests/requests/serving/test_path.py
@@ -69,7 +69,7 @@
                 b"POST /kassa/x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n"
                 b"Expect: 100-continue\r\nConnection: close\r\n\r\n"
             )
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 interim = await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"in")
                 answer = await reader.read()
@@ -172,7 +172,7 @@
             )
             writer.write(b"GET /kassa/x HTTP/1.0\r\nHost: a\r\n\r\n")
             await started.wait()
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 await reader.readuntil(b"half")
                 for transport in node.list_transports():
                     # Closes without action of the daemon, like a kill.
@@ -200,7 +200,7 @@
                 "127.0.0.1", node.proxy.caller_port
             )
             writer.write(b"GET /kassa/x HTTP/1.0\r\nHost: a\r\n\r\n")
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 answer = await reader.read()
             writer.close()
         self.assertTrue(answer.endswith(b"\r\n\r\n" + content))
--- a/tests/requests/serving/test_refusals_in_time.py
+++ b/tests/requests/serving/test_refusals_in_time.py
@@ -22,7 +22,7 @@
     """Delays the answer to each write beyond the deadline of any call."""
 
     async def put(self, *arguments: Any) -> Any:
-        await asyncio.sleep(builders.GUARD_S)
+        await asyncio.sleep(builders.TEST_TIMEOUT_S)
         return await super().put(*arguments)
 
 
--- a/tests/requests/serving/test_remaining_time.py
+++ b/tests/requests/serving/test_remaining_time.py
@@ -49,7 +49,8 @@
                     began = loop.time()
                     await client.request(method, nodes[0].url + path)
                     self.assertGreaterEqual(
-                        ends[-1], began + builders.SHORT_S - _ROUNDING_S
+                        ends[-1],
+                        began + builders.SHORT_DEADLINE_S - _ROUNDING_S,
                     )
 
     async def test_claimed_payout_is_waited_for_until_the_deadline(
@@ -60,7 +61,7 @@
 
         async def work(request: web.BaseRequest) -> web.StreamResponse:
             if request.raw_path != "/quick":
-                await asyncio.sleep(1.5 * builders.SHORT_S)
+                await asyncio.sleep(1.5 * builders.SHORT_DEADLINE_S)
             return web.Response()
 
         async with relays.run_nodes_after_full_link(work, running=_SHORT) as (
@@ -72,7 +73,9 @@
                 nodes[0].url + "/payouts/1",
                 headers={headers.IDEMPOTENCY_KEY: "k"},
             )
-            self.assertGreaterEqual(loop.time() - began, builders.SHORT_S)
+            self.assertGreaterEqual(
+                loop.time() - began, builders.SHORT_DEADLINE_S
+            )
         self.assertEqual(answer.status, 504)
 
     async def test_answer_that_arrives_while_the_event_loop_is_blocked(
@@ -129,7 +132,7 @@
         ):
             async with relays.run_relayed_nodes(send) as (nodes, _, _client):
                 reader, writer = await _request_archive(nodes[0])
-                async with asyncio.timeout(builders.GUARD_S):
+                async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                     for _ in range(2):
                         await probed.acquire()
                     try:
@@ -143,7 +146,7 @@
 
 def _block_event_loop() -> None:
     """Blocks the event loop until the deadline of the call has passed."""
-    time.sleep(builders.SHORT_S)
+    time.sleep(builders.SHORT_DEADLINE_S)
 
 
 async def _request_archive(
--- a/tests/requests/sessions.py
+++ b/tests/requests/sessions.py
@@ -33,21 +33,21 @@
         self.nodes: list[builders.Node] = []
         self._lines: list[str] = []
 
-    def say(self, line: str) -> None:
+    def add_line(self, line: str) -> None:
         """Writes down what happens otherwise."""
         self._lines.append(line)
 
-    def find(self, request: web.BaseRequest) -> int:
+    def find_backend(self, request: web.BaseRequest) -> int:
         """Returns the number of the backend server that has a request."""
         for number, node in enumerate(self.nodes, 1):
             if request.protocol in node.backend.connections:
                 return number
         raise LookupError("no backend server has this request")
 
-    def see(self, request: web.BaseRequest) -> None:
+    def record_request(self, request: web.BaseRequest) -> None:
         """Writes down a request that a backend server got."""
-        self.say(
-            f"backend server {self.find(request)} gets {request.method}"
+        self.add_line(
+            f"backend server {self.find_backend(request)} gets {request.method}"
             f" {request.raw_path}"
         )
 
@@ -60,7 +60,7 @@
         **options: Any,
     ) -> None:
         """Sends a request to a daemon and writes down what comes of it."""
-        self.say(f"caller sends {method} {path} to daemon {number}")
+        self.add_line(f"caller sends {method} {path} to daemon {number}")
         url = self.nodes[number - 1].url + path
         async with client.request(method, url, **options) as answer:
             body = (await answer.read()).decode()
@@ -68,9 +68,9 @@
         for name in (headers.OUTCOME, "Retry-After"):
             if name in answer.headers:
                 line += f", {name}: {answer.headers[name]}"
-        self.say(line)
+        self.add_line(line)
         if headers.OUTCOME not in answer.headers:
-            self.say(f"    {body[:_SHOWN_CHARACTERS]}")
+            self.add_line(f"    {body[:_SHOWN_CHARACTERS]}")
 
     def compare(self, test: unittest.TestCase, name: str) -> None:
         """Compares the session with its golden file."""
--- a/tests/requests/transport/test_connections.py
+++ b/tests/requests/transport/test_connections.py
@@ -273,7 +273,7 @@
     """A connection has one timer, which is kept from call to call."""
 
     def setUp(self) -> None:
-        builders.hasten_doubt(self, wait_s=0.01)
+        builders.shorten_probe_delays(self, wait_s=0.01)
 
     async def test_cleared_alarm_is_not_triggered(self) -> None:
         """A download may continue after the deadline of its headers."""
@@ -298,7 +298,7 @@
         watchdog = watchdogs.Watchdog(
             connection, 0.0, loop.time() + 0.05, check
         )
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             with self.assertRaisesRegex(TimeoutError, "before the deadline"):
                 await connection.read()
         watchdog.close()
@@ -351,7 +351,7 @@
         hidden = b"GET /kassa/y HTTP/1.1\r\nHost: x\r\n\r\n"
         for body in (hidden, hidden + bytes(100_000)):
             async with (
-                asyncio.timeout(builders.GUARD_S),
+                asyncio.timeout(builders.TEST_TIMEOUT_S),
                 builders.run_nodes(1, handler=record) as (node,),
             ):
                 reader, writer = await asyncio.open_connection(
@@ -385,7 +385,7 @@
             closed.set()
 
         async with (
-            asyncio.timeout(builders.GUARD_S),
+            asyncio.timeout(builders.TEST_TIMEOUT_S),
             _run_raw_backend(receive, deadline_s=60.0) as node,
         ):
             reader, writer = await asyncio.open_connection(
--- a/tests/requests/transport/test_silence.py
+++ b/tests/requests/transport/test_silence.py
@@ -27,7 +27,7 @@
         self.started = asyncio.Event()
         self.may_answer = asyncio.Event()
         self.probes_sent = asyncio.Semaphore(0)
-        builders.hasten_doubt(
+        builders.shorten_probe_delays(
             self, "FIRST_BYTE_TIMEOUT_S", "TRANSFER_PROBE_INTERVAL_S"
         )
         ask = probes.ask
@@ -108,14 +108,14 @@
             # A slow connection that is considered silent would not be pooled,
             # and no pooled connection would be there to go silent.
             with mock.patch.object(
-                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.GUARD_S
+                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.TEST_TIMEOUT_S
             ):
                 calls = [asyncio.create_task(client.get(url)) for _ in range(3)]
                 await self.started.wait()
                 self.may_answer.set()
                 await asyncio.gather(*calls)
             relay.silence()
-            with builders.watch_method(pools.Pool, "drop") as drop:
+            with builders.spy_on_method(pools.Pool, "drop") as drop:
                 for _ in range(3):
                     self.assertEqual((await client.get(url)).status, 200)
             self.assertEqual(drop.call_count, 1)
@@ -212,7 +212,7 @@
 
         As between daemons, but the backend server cannot be probed.
         """
-        plan = builders.build_plan(deadline_s=6 * builders.GUARD_S)
+        plan = builders.build_plan(deadline_s=6 * builders.TEST_TIMEOUT_S)
         snapshot = builders.build_snapshot({"/": plan})
         self.may_answer.set()
         async with (
@@ -345,7 +345,7 @@
             builders.open_client() as client,
         ):
             with mock.patch.object(
-                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.GUARD_S
+                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.TEST_TIMEOUT_S
             ):
                 # All run at once, so that as many connections are pooled.
                 await self.send_wave(client, node, 30)
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -122,7 +122,7 @@
         arrive seconds later.
         """
         self.set_slow_link()
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             connections = [
                 await self.request("/download", True) for _ in range(_DOWNLOADS)
             ]
@@ -151,7 +151,7 @@
         self.set_slow_link()
         self.expected_calls = 1
         self.node.proxy.backend.slots = 1
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             reader, writer = await self.request("/download", True)
             while not self.node.proxy._link._waiting:
                 await asyncio.sleep(0)
@@ -165,7 +165,7 @@
 
     async def test_downloads_are_complete(self) -> None:
         """All downloads are complete, and no reservation remains."""
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             connections = [
                 await self.request("/download") for _ in range(_DOWNLOADS)
             ]
@@ -182,7 +182,7 @@
     async def test_disconnecting_receivers_release_reservations(self) -> None:
         """Reserved bytes are released though they were never sent."""
         self.set_slow_link()
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             connections = [
                 await self.request("/download") for _ in range(_DOWNLOADS)
             ]
@@ -203,7 +203,7 @@
         """
         self.set_slow_link()
         self.chunked = True
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             connections = [
                 await self.request("/download", True) for _ in range(_DOWNLOADS)
             ]
@@ -221,7 +221,7 @@
         for method, status in (("HEAD", 200), ("GET", 404)):
             with self.subTest(method=method, status=status):
                 self.status = status
-                async with asyncio.timeout(builders.GUARD_S):
+                async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                     reader, writer = await self.request(
                         "/download", method=method
                     )
@@ -234,7 +234,7 @@
     async def test_mean_size_of_answers_without_content_length(self) -> None:
         self.chunked = True
         self.expected_calls = 1
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             reader, writer = await self.request("/download")
             await reader.read()
             link = self.node.proxy._link
--- a/tests/requests/transport/test_uploads.py
+++ b/tests/requests/transport/test_uploads.py
@@ -18,7 +18,7 @@
 # Twice the time after which the operating system breaks a connection that
 # accepts no data, plus the interval to its next probe.
 _PAUSE_S = 1.5
-_PLAN = builders.build_plan(large=True, deadline_s=6 * builders.GUARD_S)
+_PLAN = builders.build_plan(large=True, deadline_s=6 * builders.TEST_TIMEOUT_S)
 
 
 class Server:
--- a/tests/requests/transport/test_watchdogs.py
+++ b/tests/requests/transport/test_watchdogs.py
@@ -20,7 +20,7 @@
     """A call whose probes have the results that the test gives."""
 
     def setUp(self) -> None:
-        builders.hasten_doubt(self, wait_s=0.01)
+        builders.shorten_probe_delays(self, wait_s=0.01)
         self.reported: asyncio.Queue[doubts.Doubt] = asyncio.Queue()
 
     async def probe(
@@ -63,7 +63,7 @@
                 )
             )
             waiting = asyncio.create_task(goes_on.wait())
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 await asyncio.wait(
                     (probing, waiting), return_when=asyncio.FIRST_COMPLETED
                 )
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -87,7 +87,7 @@
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
             builders.open_client() as client,
         ):
-            store.fault = fakes.Fault.BEFORE
+            store.fault = fakes.Fault.REQUEST_LOST
             answer = await client.post(node.url + "/payouts", headers=_KEY)
             self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
             self.assertIn("Retry-After", answer.headers)
@@ -100,7 +100,7 @@
     async def test_answer_of_the_store_is_lost(self) -> None:
         """The caller gets its answer, as the claim is read from the store."""
         store = fakes.Store()
-        store.faults = [fakes.Fault.NONE, fakes.Fault.AFTER]
+        store.faults = [fakes.Fault.NONE, fakes.Fault.REPLY_LOST]
         self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_inquiries.py
@@ -40,7 +40,7 @@
     ) -> AsyncIterator[tuple[holders.Holder, relays.Relay, request_pb2.Claim]]:
         """Runs a holder behind a relay; yields both, and a claim it holds."""
         async with (
-            asyncio.timeout(builders.GUARD_S),
+            asyncio.timeout(builders.TEST_TIMEOUT_S),
             holders.run_holder() as (holder, claim),
         ):
             relay = relays.Relay(claim.control_port)
@@ -94,7 +94,7 @@
     async def test_slow_holder_gets_few_recalls(self) -> None:
         """A slow holder is not flooded with recalls."""
         async with self.run_holder() as (holder, _, claim):
-            with builders.watch_method(
+            with builders.spy_on_method(
                 recall.RecallClient, "ask"
             ) as mocked_ask:
                 recalling = asyncio.create_task(self.recall(claim))
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -93,10 +93,10 @@
         healthy = builders.build_report(_NEW, 500, 0, watched_ms=9_000)
         self.fixture.tracker.merge_report(healthy)
         self.assertIs(self.fixture.progress.phase, analysis.Phase.NEW)
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
         self.in_flight = 1
         self.fixture.clock.now += 1.0
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         observer.update()
         self.assertFalse(self.fixture.progress.is_drained(_OLD))
         self.in_flight = 0
@@ -106,10 +106,10 @@
     def test_rolled_back_version_runs_no_calls(self) -> None:
         """Guards against calls from daemons that have not learned of it yet."""
         observer = self.start_rollout(_NEW, "v2")
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
         rolled_back = builders.build_rollout(state=control_pb2.ROLLED_BACK)
         self.fixture.tracker.merge_rollout(rolled_back)
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
 
     def start_with_unknown_version(self) -> observers.Observer:
         """Starts a roll-out, with a local backend server of unknown version."""
@@ -141,17 +141,17 @@
     def test_unknown_version_runs_no_calls_during_rollout(self) -> None:
         """Guards against calls to a server whose version may be a bad one."""
         observer = self.start_with_unknown_version()
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         self.fixture.clock.now += 7.9
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         self.fixture.clock.now += 0.2
         self.fixture.tracker.update(builders.SERVICE)
         self.assertIs(self.fixture.progress.phase, analysis.Phase.BACK)
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         self.end_rollout(control_pb2.ROLLED_BACK)
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         self.backend.version = "v1"
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
 
     def test_unknown_version_is_not_reported_drained(self) -> None:
         """Guards against a server of the new version that reports drained."""
@@ -160,7 +160,7 @@
         self.fixture.tracker.merge_report(healthy)
         self.assertIs(self.fixture.progress.phase, analysis.Phase.NEW)
         self.fixture.clock.now += 1.0
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         observer.update()
         self.assertFalse(self.fixture.progress.is_drained(_OLD))
 
@@ -169,16 +169,16 @@
         observer = self.start_with_unknown_version()
         self.end_rollout(control_pb2.COMPLETE)
         self.fixture.clock.now += 1.0
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
 
     def test_unknown_version_does_not_refuse_calls_permanently(self) -> None:
         """Guards against excluding servers that never announce a version."""
         observer = self.start_with_unknown_version()
         self.end_rollout(control_pb2.ROLLED_BACK)
         self.fixture.clock.now += 5.0
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         self.fixture.clock.now += 10.0
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
 
     def complete_rollout(self, version: str) -> observers.Observer:
         """Completes a roll-out, and builds the observer of a backend server.
@@ -194,18 +194,18 @@
 
     def test_old_version_refuses_calls_after_completion(self) -> None:
         """Guards against calls that are lost when their server is stopped."""
-        self.assertFalse(self.complete_rollout("v1").may_run())
+        self.assertFalse(self.complete_rollout("v1").may_serve())
 
     def test_old_version_runs_calls_after_the_new_one_left(self) -> None:
         """Guards against refusing all calls once the new version has left."""
         observer = self.complete_rollout("v1")
         self.fixture.upstreams = self.fixture.upstreams[:3]
         observer.update()
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
 
     def test_later_version_does_not_refuse_calls(self) -> None:
         """Guards against confusing a later version with the replaced one."""
-        self.assertTrue(self.complete_rollout("v3").may_run())
+        self.assertTrue(self.complete_rollout("v3").may_serve())
 
     def test_later_version_runs_calls_after_the_new_one_left(self) -> None:
         """Guards against refusing calls if the old version was never seen.
@@ -215,11 +215,11 @@
         """
         self.fixture.upstreams = self.fixture.upstreams[3:]
         observer = self.complete_rollout("v3")
-        self.assertFalse(observer.may_run())
+        self.assertFalse(observer.may_serve())
         later = builders.build_upstream("10.0.2.1:7600", "v3")
         self.fixture.upstreams = (later,)
         observer.update()
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
 
     def test_service_without_rollout_is_not_observed(self) -> None:
         """Guards against refused calls or reports without a roll-out."""
@@ -228,5 +228,5 @@
         )
         observer.record_answer("lookup", True, 1.0)
         observer.update()
-        self.assertTrue(observer.may_run())
+        self.assertTrue(observer.may_serve())
         self.assertEqual(self.fixture.tracker.list_reports(), [])
