--- a/merlintrestle/daemon/admin.py
+++ b/merlintrestle/daemon/admin.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from merlintrestle.versions import holder as holders
+    from merlintrestle.versions import active_version as holders
 
 logger = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
     def __init__(
         self,
         port: int,
-        holder: holders.Holder,
+        holder: holders.ActiveVersion,
         announce: Callable[[Announcement], None],
         registry: prometheus_client.CollectorRegistry,
     ):
--- a/merlintrestle/daemon/metrics.py
+++ b/merlintrestle/daemon/metrics.py
@@ -15,7 +15,7 @@
 
     from merlintrestle.members import table as tables
     from merlintrestle.requests.serving import proxy as proxies
-    from merlintrestle.versions import holder as holders
+    from merlintrestle.versions import active_version as holders
 
 
 class StateCollector:
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        holder: holders.Holder,
+        holder: holders.ActiveVersion,
         table: tables.MemberTable,
         proxy: proxies.Proxy,
     ):
@@ -64,7 +64,9 @@
 
 
 def build_registry(
-    holder: holders.Holder, table: tables.MemberTable, proxy: proxies.Proxy
+    holder: holders.ActiveVersion,
+    table: tables.MemberTable,
+    proxy: proxies.Proxy,
 ) -> prometheus_client.CollectorRegistry:
     """Returns a registry of one daemon's own metrics."""
     registry = prometheus_client.CollectorRegistry()
--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -26,8 +26,8 @@
 from merlintrestle.schema import request_pb2_grpc
 from merlintrestle.schema import settings_pb2
 from merlintrestle.store import client
+from merlintrestle.versions import active_version as holders
 from merlintrestle.versions import distribution as distributions
-from merlintrestle.versions import holder as holders
 from merlintrestle.versions import source as sources
 
 events = event_logs.EventLog("daemon")
@@ -98,7 +98,7 @@
         self._heartbeats = heartbeats_lib.Heartbeats()
         self._settings = settings_pb2.DaemonSettings()
         self._settings.CopyFrom(settings)
-        self._holder = holders.Holder()
+        self._holder = holders.ActiveVersion()
         self._store = self._surroundings.store
         self._leaving = False
         self._opened = False
@@ -265,7 +265,7 @@
             self._book,
             self._proxy.observer,
             register,
-            distribution.watcher.turns.get_turn,
+            distribution.watcher.selection.get_rank,
         )
         distribution.watcher.on_orders.append(
             lambda entries: self._keeper.handle_orders(
--- a/merlintrestle/members/service.py
+++ b/merlintrestle/members/service.py
@@ -95,21 +95,23 @@
     async def Fetch(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Gives the newest version."""
         del context
-        reply = self._distribution.archive.answer(request)
+        reply = self._distribution.archive.answer_fetch(request)
         return _count("Fetch", request, reply)
 
     async def FetchParts(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Gives the newest version in parts."""
         del context
         _count_received("FetchParts", request)
-        for part in parts.split(self._distribution.archive.answer(request)):
+        for part in parts.split(
+            self._distribution.archive.answer_fetch(request)
+        ):
             accounting.count_sent("FetchParts", part)
             yield part
 
     async def Hold(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Takes over a version that operators have just had accepted."""
         del context
-        held = self._distribution.take_over(request)
+        held = self._distribution.hold_from_operator(request)
         return _count("Hold", request, control_pb2.HoldReply(held=held))
 
     async def Mark(self, request: Any, context: Any) -> Any:  # noqa: N802
@@ -142,7 +144,7 @@
     async def Status(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Says what this daemon runs and measures."""
         del context
-        holder = self._distribution.holder
+        holder = self._distribution.active_version
         reply = control_pb2.StatusReply(
             closed=bool(holder.closed_reason),
             closed_reason=holder.closed_reason,
--- a/merlintrestle/operators/changes.py
+++ b/merlintrestle/operators/changes.py
@@ -62,7 +62,7 @@
         store: records.Store,
         make_id: Callable[[int], str] = make_change_id,
         read_ms: Callable[[], int] = read_clock_ms,
-        pause_s: float = acceptance.PAUSE_S,
+        pause_s: float = acceptance.RETRY_DELAY_S,
         hand_over: Callable[[snapshots.Snapshot], Awaitable[None]]
         | None = None,
     ):
@@ -98,7 +98,7 @@
             return stopped
         for _ in range(MAX_ATTEMPTS):
             outcome = await self._attempt(head, revision, proposal)
-            if not isinstance(outcome, acceptance.Lost):
+            if not isinstance(outcome, acceptance.Conflict):
                 return outcome
             lost = await self._compare(head, outcome.head, proposal)
             if lost is not None:
@@ -109,7 +109,7 @@
 
     async def _attempt(
         self, head: document_pb2.Head, revision: int, proposal: Proposal
-    ) -> outcomes.Outcome | acceptance.Lost:
+    ) -> outcomes.Outcome | acceptance.Conflict:
         documents = await records.read_documents(self._store, head)
         before = documents.pop(proposal.organisation, None)
         if before == proposal.document:
@@ -130,7 +130,7 @@
         proposal: Proposal,
         documents: Mapping[str, document_pb2.Document],
         change: document_pb2.Change,
-    ) -> outcomes.Outcome | acceptance.Lost:
+    ) -> outcomes.Outcome | acceptance.Conflict:
         if proposal.document is not None:
             await records.write_document(self._store, proposal.document)
         await records.write_change(self._store, change)
--- a/merlintrestle/operators/session.py
+++ b/merlintrestle/operators/session.py
@@ -43,7 +43,7 @@
     open_store: Callable[[str, float], Any] = client.StoreClient
     make_id: Callable[[int], str] = changes.make_change_id
     read_ms: Callable[[], int] = changes.read_clock_ms
-    pause_s: float = acceptance.PAUSE_S
+    pause_s: float = acceptance.RETRY_DELAY_S
     ask: fleet.Ask = fleet.ask_daemon
     hand_over: fleet.HandOver = fleet.hand_over
 
--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -13,7 +13,7 @@
 from merlintrestle.platform import rollouts
 from merlintrestle.platform import store as stores
 from merlintrestle.schema import document_pb2
-from merlintrestle.versions import progress
+from merlintrestle.versions import known_revision
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Mapping, Sequence
@@ -41,7 +41,7 @@
         self._latest: dict[int, client.Entry] = {}
         self._revision = 0
         self._orders: Sequence[client.Entry] = ()
-        self._known = progress.Progress()
+        self._known = known_revision.KnownRevision()
         self._head = document_pb2.Head()
         self._compiled: snapshots.Snapshot | None = None
 
@@ -56,11 +56,13 @@
             errors.StoreError: The store did not answer.
             errors.SnapshotError: The record is malformed.
         """
-        if self._known.at:
+        if self._known.revision:
             self._orders, at = await self._store.read_after(
                 _OPERATORS_PREFIX, stores.CONFIGURATION_KEY
             )
-            if at <= self._known.at or await self._learn_without_value(at):
+            if at <= self._known.revision or await self._learn_without_value(
+                at
+            ):
                 return self._head
         revision = self._revision
         entries, at = await self._store.read_all(_OPERATORS_PREFIX)
@@ -71,8 +73,8 @@
         self._orders = [
             entry for entry in entries if entry.key != stores.CONFIGURATION_KEY
         ]
-        self._known.note_read(self._revision != revision)
-        self._known.note(at)
+        self._known.record_read(self._revision != revision)
+        self._known.advance(at)
         return head
 
     async def watch_head(self) -> AsyncIterator[document_pb2.Head]:
@@ -82,18 +84,18 @@
             errors.StoreUnavailableError: The watch ended.
             errors.SnapshotError: A record is malformed.
         """
-        self._known.watches += 1
+        self._known.open_watches += 1
         try:
             if self._revision:
                 yield self._head
             async for entry in self._store.watch(
-                stores.CONFIGURATION_KEY, self._known.at
+                stores.CONFIGURATION_KEY, self._known.revision
             ):
                 head = self._take(entry)
-                self._known.note(entry.revision)
+                self._known.advance(entry.revision)
                 yield head
         finally:
-            self._known.watches -= 1
+            self._known.open_watches -= 1
 
     async def compile_head(self, head: document_pb2.Head) -> snapshots.Snapshot:
         """Compiles the version that a head names.
@@ -142,18 +144,18 @@
         was dropped since then refuses and hides no change.
         """
         delivering = self._store.is_delivering
-        if delivering() or not self._known.may_ask():
+        if delivering() or not self._known.may_query_history():
             return await self._known.wait_for_watch(at, delivering)
         try:
             found, _ = await self._store.read_events(
-                stores.CONFIGURATION_KEY, self._known.at, _ASK_MS
+                stores.CONFIGURATION_KEY, self._known.revision, _ASK_MS
             )
         except errors.StoreUnavailableError:
             return False
         for entry in found[-1:]:
             self._take(entry)
-            self._known.note_read(news=True)
-            self._known.note(entry.revision)
+            self._known.record_read(news=True)
+            self._known.advance(entry.revision)
         return True
 
     def _take(self, entry: client.Entry) -> document_pb2.Head:
--- a/merlintrestle/platform/store.py
+++ b/merlintrestle/platform/store.py
@@ -114,11 +114,11 @@
         entries = read_items(_get(answer, "items", list))
         return entries, _get(answer, "at", int)
 
-    async def read_newest(self, key: str) -> client.Reading:
+    async def read_newest(self, key: str) -> client.ReadResult:
         """Reads one key and the store's revision at which it was read."""
         entries, at = await self.read_all(key)
         found = [entry for entry in entries if entry.key == key]
-        return client.Reading(found[0] if found else None, at)
+        return client.ReadResult(found[0] if found else None, at)
 
     async def read_all(self, prefix: str) -> tuple[Sequence[client.Entry], int]:
         """Reads keys with a prefix, a page at most, and the store's revision.
--- a/merlintrestle/store/acceptance.py
+++ b/merlintrestle/store/acceptance.py
@@ -14,7 +14,7 @@
     from collections.abc import Mapping
 
 _TRIES = 4
-PAUSE_S = 0.2
+RETRY_DELAY_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Lost:
+class Conflict:
     """Another change made the version; this one is not on the chain.
 
     Attributes:
@@ -52,7 +52,7 @@
     reason: str
 
 
-Outcome = Accepted | Lost | Undecided
+Outcome = Accepted | Conflict | Undecided
 
 
 def make_head(
@@ -85,7 +85,7 @@
     store: records.Store,
     head: document_pb2.Head,
     expected_revision: int,
-    pause_s: float = PAUSE_S,
+    pause_s: float = RETRY_DELAY_S,
 ) -> Outcome:
     """Proposes a head and says what became of it.
 
@@ -141,4 +141,4 @@
     made_by = await records.find_accepted_id(store, current, proposed.version)
     if made_by == proposed.change_id:
         return Accepted(proposed.version)
-    return Lost(current, revision)
+    return Conflict(current, revision)
--- a/merlintrestle/store/client.py
+++ b/merlintrestle/store/client.py
@@ -36,16 +36,16 @@
     revision: int
 
 
-class Reading(NamedTuple):
+class ReadResult(NamedTuple):
     """What one read of a key brought.
 
     Attributes:
         entry: The entry; None where the key is not there.
-        at: The store's revision at which that was so.
+        revision: The store's revision at which that was so.
     """
 
     entry: Entry | None
-    at: int
+    revision: int
 
 
 class WriteReply(NamedTuple):
--- a/merlintrestle/versions/holder.py
+++ b/merlintrestle/versions/active_version.py
@@ -15,7 +15,7 @@
 NO_VERSION = "no configuration has been accepted yet"
 
 
-class Taken(NamedTuple):
+class Activation(NamedTuple):
     """A version that was taken into use.
 
     Attributes:
@@ -27,7 +27,7 @@
     at_ms: int
 
 
-class Holder:
+class ActiveVersion:
     """The running snapshot, read by the proxy on every request.
 
     Attributes:
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.running: snapshot_lib.Snapshot | None = None
         self.closed_reason = NO_FLOOR
-        self.history: collections.deque[Taken] = collections.deque(
+        self.history: collections.deque[Activation] = collections.deque(
             maxlen=_HISTORY
         )
 
@@ -48,7 +48,7 @@
         """The running version; 0 before the first."""
         return self.running.version if self.running is not None else 0
 
-    def take(self, snapshot: snapshot_lib.Snapshot) -> bool:
+    def activate(self, snapshot: snapshot_lib.Snapshot) -> bool:
         """Takes a snapshot into use whole; False if it is no newer.
 
         One assignment: a request sees all of a version or none of it. News
@@ -57,5 +57,7 @@
         if snapshot.version <= self.version:
             return False
         self.running = snapshot
-        self.history.append(Taken(snapshot.version, time.time_ns() // 10**6))
+        self.history.append(
+            Activation(snapshot.version, time.time_ns() // 10**6)
+        )
         return True
--- a/merlintrestle/versions/archive.py
+++ b/merlintrestle/versions/archive.py
@@ -68,7 +68,7 @@
                 return self._make_delta(base)
         return None
 
-    def answer(
+    def answer_fetch(
         self, request: control_pb2.FetchRequest
     ) -> control_pb2.FetchReply:
         """Returns the newest version as a delta where that can be."""
--- a/merlintrestle/versions/meeting.py
+++ b/merlintrestle/versions/discovery.py
@@ -18,7 +18,7 @@
 events = event_logs.EventLog("versions")
 
 
-class Meeting:
+class PeerDiscovery:
     """Names members of the zone in the store and meets those named there."""
 
     def __init__(
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -11,11 +11,11 @@
 from merlintrestle import errors
 from merlintrestle import events as event_logs
 from merlintrestle.members import timing as timing_lib
+from merlintrestle.versions import active_version as holder_lib
 from merlintrestle.versions import archive as archive_lib
 from merlintrestle.versions import deltas
 from merlintrestle.versions import fetcher as fetcher_lib
 from merlintrestle.versions import floor as floor_lib
-from merlintrestle.versions import holder as holder_lib
 from merlintrestle.versions import marks as marks_lib
 from merlintrestle.versions import watcher as watcher_lib
 
@@ -40,7 +40,7 @@
     """Brings every accepted version to this daemon, and passes it on.
 
     Attributes:
-        holder: What the proxy runs.
+        active_version: What the proxy runs.
         archive: The newest versions held.
         witness: Marks of other daemons.
         watcher: Reads the store while this daemon is chosen to.
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        holder: holder_lib.Holder,
+        holder: holder_lib.ActiveVersion,
         membership: membership_lib.Membership,
         source: source_lib.Source,
         spread: str = FAST,
@@ -67,7 +67,7 @@
             watch_directly: Whether to ask the store before meeting a peer.
         """
         super().__init__()
-        self.holder = holder
+        self.active_version = holder
         self.archive = archive_lib.Archive()
         self.witness = marks_lib.Witness(membership.table)
         self._membership = membership
@@ -104,7 +104,7 @@
         )
         self._wake_run.set()
 
-    def take_over(self, request: control_pb2.HoldRequest) -> bool:
+    def hold_from_operator(self, request: control_pb2.HoldRequest) -> bool:
         """Holds a version that an operator hands over; False: it is not whole.
 
         The store may fail as it accepts a head, before any watcher hears of
@@ -145,7 +145,7 @@
     @mode.Service.task
     async def _run_versions(self) -> None:
         """Takes the newest version into use once it may be run."""
-        self.holder.closed_reason = holder_lib.NO_FLOOR
+        self.active_version.closed_reason = holder_lib.NO_FLOOR
         if self._witnessed:
             await self._floor.learn()
         self._read_at = time.monotonic() + timing_lib.jitter(
@@ -176,18 +176,20 @@
         if self._witnessed and not await self._marker.mark(newest.version):
             events.note("too few witnesses", version=newest.version)
             return
-        if self.holder.take(newest):
+        if self.active_version.activate(newest):
             events.note("version runs", version=newest.version)
-        self.holder.closed_reason = ""
+        self.active_version.closed_reason = ""
         self.witness.open()
 
     def _explain_closed(self, floor: int) -> None:
-        if self.holder.running is not None:
+        if self.active_version.running is not None:
             return
         if floor == 0:
-            self.holder.closed_reason = holder_lib.NO_VERSION
+            self.active_version.closed_reason = holder_lib.NO_VERSION
         else:
-            self.holder.closed_reason = f"version {floor} has not arrived yet"
+            self.active_version.closed_reason = (
+                f"version {floor} has not arrived yet"
+            )
 
     async def _read_missing(self) -> None:
         """Reads the missing version from the store where no peer has it."""
--- a/merlintrestle/versions/floor.py
+++ b/merlintrestle/versions/floor.py
@@ -95,13 +95,15 @@
         """
         self._replies.clear()
         candidates = self._marker.get_candidates()[:_ASKED]
-        await self._ask_each([*candidates, *self._watcher.turns.get_watchers()])
+        await self._ask_each(
+            [*candidates, *self._watcher.selection.get_watchers()]
+        )
         named = {
             name for reply in self._replies.values() for name in reply.witnesses
         }
         await self._ask_each(named)
         if self._find_head() is None:
-            await self._ask_each(self._watcher.turns.list_other_watchers())
+            await self._ask_each(self._watcher.selection.list_other_watchers())
 
     async def _ask_each(self, names: Iterable[str]) -> None:
         own_id = self._membership.table.local_id
@@ -188,7 +190,7 @@
         a share of the daemons reads in each round that all together keep to
         `READ_BUDGET`; the others ask again.
         """
-        if self._watcher.turns.is_chosen():
+        if self._watcher.selection.is_watcher():
             return True
         fleet = len(self._membership.table.list_usable_ids())
         share = READ_BUDGET * self._timing.max_floor_retry_delay_s / 2 / fleet
--- a/merlintrestle/versions/progress.py
+++ b/merlintrestle/versions/known_revision.py
@@ -20,35 +20,35 @@
 _QUESTIONS_S = 5.0
 
 
-class Progress:
+class KnownRevision:
     """The store's revision up to which the head is known.
 
     The revision moves with the keys of other writers as well. Were the head
     read each time, their writes would fill the link of each watcher.
 
     Attributes:
-        at: The revision; 0 while the head was never read.
-        watches: How many watches of the head are open.
+        revision: The revision; 0 while the head was never read.
+        open_watches: How many watches of the head are open.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
         """Starts with nothing known; the clock is monotonic, in seconds."""
-        self.at = 0
-        self.watches = 0
+        self.revision = 0
+        self.open_watches = 0
         self._clock = clock
         self._moved = asyncio.Event()
         self._needless_at: float | None = None
 
-    def note(self, at: int) -> None:
+    def advance(self, at: int) -> None:
         """Notes a revision up to which the head is known."""
-        self.at = max(self.at, at)
+        self.revision = max(self.revision, at)
         self._moved.set()
 
-    def note_read(self, news: bool) -> None:
+    def record_read(self, news: bool) -> None:
         """Notes whether the read of a moved revision brought a new head."""
         self._needless_at = None if news else self._clock()
 
-    def may_ask(self) -> bool:
+    def may_query_history(self) -> bool:
         """Returns whether the store's history may be asked for the head.
 
         So it is soon after a read without news: others write then. A read
@@ -65,7 +65,7 @@
 
         An answer that has begun to arrive is waited for to its end.
         """
-        while self.watches and self.at < at:
+        while self.open_watches and self.revision < at:
             self._moved.clear()
             try:
                 async with asyncio.timeout(_WATCH_LEAD_S):
@@ -73,4 +73,4 @@
             except TimeoutError:
                 if not is_delivering():
                     break
-        return self.at >= at
+        return self.revision >= at
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -10,8 +10,8 @@
 from merlintrestle import events as event_logs
 from merlintrestle.members import table as table_lib
 from merlintrestle.members import timing as timing_lib
-from merlintrestle.versions import meeting as meeting_lib
-from merlintrestle.versions import turns as turns_lib
+from merlintrestle.versions import discovery as meeting_lib
+from merlintrestle.versions import watcher_selection as turns_lib
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -37,7 +37,7 @@
     frozen and does not know it compiles versions which are no news.
 
     Attributes:
-        turns: Which daemons watch, and whether this one does.
+        selection: Which daemons watch, and whether this one does.
         store_reachable: Whether the last call to the store succeeded.
         on_orders: Called with the orders of roll-outs that the store has.
     """
@@ -74,8 +74,8 @@
         self._head = 0
         self._head_at: float | None = None
         self._reading = asyncio.Lock()
-        self.turns = turns_lib.Turns(membership, clock)
-        self._meeting = meeting_lib.Meeting(membership, source, clock)
+        self.selection = turns_lib.WatcherSelection(membership, clock)
+        self._meeting = meeting_lib.PeerDiscovery(membership, source, clock)
 
     async def run(self) -> None:
         """Watches while chosen, for ever."""
@@ -85,7 +85,7 @@
         await self._membership.wait_for_contact(self._timing.join_timeout_s)
         await self._meeting.meet_herd()
         while True:
-            if not self.turns.is_chosen():
+            if not self.selection.is_watcher():
                 await asyncio.sleep(
                     timing_lib.jitter(self._timing.watcher_settling_time_s)
                 )
@@ -179,7 +179,7 @@
         One read serves all daemons that began before it, so a herd that
         restarts costs the store no more reads than its watchers allow.
         """
-        if not self.turns.is_chosen():
+        if not self.selection.is_watcher():
             return
         try:
             async with asyncio.timeout(self._timing.call_timeout_s / 2):
@@ -219,7 +219,7 @@
         refresh_at = self._clock() + timing_lib.jitter(self.get_refresh_s())
         try:
             await self._meeting.name_seeds()
-            while self.turns.is_chosen():
+            while self.selection.is_watcher():
                 if self._clock() >= refresh_at:
                     await self.refresh()
                     await self._meeting.name_seeds()
--- a/merlintrestle/versions/turns.py
+++ b/merlintrestle/versions/watcher_selection.py
@@ -16,7 +16,7 @@
 WATCHERS_PER_ZONE = 2
 
 
-class Turns:
+class WatcherSelection:
     """Knows the watchers of all zones, as the table of members has them."""
 
     def __init__(
@@ -57,15 +57,15 @@
             )
         ]
 
-    def get_turn(self) -> int | None:
+    def get_rank(self) -> int | None:
         """Returns how many watchers come before this one; None: it is none."""
-        if not self.is_chosen():
+        if not self.is_watcher():
             return None
         watchers = sorted([*self.get_watchers(), *self.list_other_watchers()])
         own_id = self._membership.table.local_id
         return watchers.index(own_id) if own_id in watchers else len(watchers)
 
-    def is_chosen(self) -> bool:
+    def is_watcher(self) -> bool:
         """Tells whether this daemon has been a watcher of its zone for a while.
 
         In a herd each table begins with its own daemon, which then is the
--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -30,7 +30,7 @@
 
     from aiohttp import web
 
-GUARD_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 def build_class(
@@ -190,7 +190,7 @@
             control_port=control_port,
             store=self.store.address,
             spread="fast",
-            drain_limit_s=GUARD_S,
+            drain_limit_s=TEST_TIMEOUT_S,
             claims="claims/",
             seeds=[one.control_address for one in self.daemons[:1]],
         )
@@ -245,7 +245,7 @@
         timing, "Timing", lambda: member_builders.FAST_TIMING
     ):
         async with (
-            asyncio.timeout(GUARD_S),
+            asyncio.timeout(TEST_TIMEOUT_S),
             aiohttp.ClientSession() as client,
         ):
             fleet = Fleet(client)
--- a/tests/daemon/test_daemons.py
+++ b/tests/daemon/test_daemons.py
@@ -117,7 +117,7 @@
             near, far = fleet.daemons
             await fleet.start_backend(far, self.answer)
             await near.wait_for_upstreams(1)
-            far.set_farewell(builders.GUARD_S)
+            far.set_farewell(builders.TEST_TIMEOUT_S)
             stopping = asyncio.create_task(far.on_stop())
             while far.is_ready():
                 await asyncio.sleep(0)
--- a/tests/members/test_links.py
+++ b/tests/members/test_links.py
@@ -92,7 +92,7 @@
         has to end by itself, so that a new one is opened.
         """
         self.open("peer")
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             with self.assertRaises(TimeoutError):
                 await self.tasks[0]
         self.assertEqual(self.links.get_links(), [])
@@ -100,7 +100,7 @@
     async def test_peer_that_takes_nothing_is_given_up(self) -> None:
         pipe = self.open("peer")
         pipe.blocked = True
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             with self.assertRaises(TimeoutError):
                 await self.tasks[0]
 
@@ -178,7 +178,7 @@
     async def test_end_of_stream_ends_the_link(self) -> None:
         pipe = self.open("peer")
         pipe.received.put_nowait(grpc.aio.EOF)
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             await self.tasks[0]
 
     async def test_strike_is_spread_once(self) -> None:
@@ -232,7 +232,7 @@
         pipe.blocked = True
         await pipe.stuck.wait()
         pipe.beat_alone()
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             with self.assertRaises(TimeoutError):
                 await self.tasks[0]
         pipe.close()
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -58,7 +58,7 @@
         there.id = f"127.0.0.1:{relay.port}"
         there.control_port = relay.port
         table.merge(there)
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             await opened.wait()
 
 
--- a/tests/members/test_peers.py
+++ b/tests/members/test_peers.py
@@ -122,7 +122,7 @@
             self.peers.call(address, "Probe", self.request, timeout)
             for timeout in (0.2, 10.0)
         ]
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             found = await asyncio.gather(*calls, return_exceptions=True)
         for error in found:
             self.assertIsInstance(error, peers_lib.PeerError)
@@ -228,7 +228,7 @@
         address = await proxy.start()
         self.addAsyncCleanup(proxy.close)
         self.peers.note_lateness(10_000.0)
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             with self.assertRaises(peers_lib.PeerError):
                 await self.peers.call(address, "Probe", self.request, 0.01)
 
--- a/tests/platform/fleets.py
+++ b/tests/platform/fleets.py
@@ -14,7 +14,7 @@
 from standins import platform_store
 from tests.platform import builders
 
-GUARD_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 class Daemon(service.PlatformDaemon):
@@ -116,7 +116,7 @@
 
     async def meet(self, services: tuple[str, ...]) -> None:
         """Waits until every daemon knows every upstream."""
-        async with asyncio.timeout(GUARD_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             for daemon in self.daemons:
                 for name in set(services):
                     while daemon.count_upstreams(name) < services.count(name):
--- a/tests/platform/processes.py
+++ b/tests/platform/processes.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     import signal
 
-GUARD_S = 60.0
+TEST_TIMEOUT_S = 60.0
 _INTERNAL_PORTS = range(20_000, 32_000, 10)
 _ROOT = pathlib.Path(__file__).parents[2]
 
--- a/tests/platform/soaking.py
+++ b/tests/platform/soaking.py
@@ -97,7 +97,7 @@
 
     async def run(self) -> Findings:
         """Plays the whole soak."""
-        async with asyncio.timeout(processes.GUARD_S), self._fleet:
+        async with asyncio.timeout(processes.TEST_TIMEOUT_S), self._fleet:
             await self._fleet.start(*_SERVICES)
             for daemon in self._fleet.daemons:
                 daemon.backend.handler = self._build_handler(daemon)
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -159,7 +159,7 @@
                 9, builders.build_route("tickets", service="kassa")
             ),
         )
-        async with asyncio.timeout(fleets.GUARD_S):
+        async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
             while any(one.version != 9 for one in self.fleet.daemons):
                 await asyncio.sleep(0.01)
         self.assertEqual((await self.fleet.send())[0], 200)
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -13,7 +13,7 @@
     """Two daemons, beside a desk and beside a till; the route is the desk's."""
 
     async def asyncSetUp(self) -> None:
-        guard = asyncio.timeout(processes.GUARD_S)
+        guard = asyncio.timeout(processes.TEST_TIMEOUT_S)
         await self.enterAsyncContext(guard)
         self.fleet = await self.enterAsyncContext(processes.ProcessFleet())
         await self.fleet.start("balie", "kassa")
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -47,7 +47,7 @@
 
     async def load(self, until: str) -> str:
         """Sends requests until the roll-out has a state; returns it."""
-        async with asyncio.timeout(3 * fleets.GUARD_S):
+        async with asyncio.timeout(3 * fleets.TEST_TIMEOUT_S):
             state = ""
             while state not in until.split():
                 sends = [self.fleet.send() for _ in range(_CALLERS)]
@@ -94,7 +94,7 @@
     async def test_a_version_without_calls_goes_back(self):
         """Guards against a roll-out that nobody can judge and never ends."""
         await self.start(within_s=2)
-        async with asyncio.timeout(fleets.GUARD_S):
+        async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
             while await self.read_state() != "rolled_back":
                 await asyncio.sleep(0.1)
 
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -54,7 +54,7 @@
         )
         self.fleet.backends[0].handler = self.nest
         call = asyncio.create_task(self.fleet.send(1, deadline_ms=5000))
-        async with asyncio.timeout(fleets.GUARD_S):
+        async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
             await self.begun.wait()
             stopping = asyncio.create_task(self.fleet.daemons[0].stop())
             while not self.fleet.daemons[0]._proxy._state.draining:
--- a/tests/store/test_acceptance.py
+++ b/tests/store/test_acceptance.py
@@ -102,8 +102,8 @@
     async def test_loser_gets_the_head_that_stands(self) -> None:
         stands = await self._accept("a")
         outcome = await self._swap(_propose(self.empty, "b"), 0)
-        self.assertIsInstance(outcome, acceptance.Lost)
-        assert isinstance(outcome, acceptance.Lost)
+        self.assertIsInstance(outcome, acceptance.Conflict)
+        assert isinstance(outcome, acceptance.Conflict)
         self.assertEqual(outcome.head, stands)
 
     async def test_chain_goes_further_than_head_names(self) -> None:
--- a/tests/versions/builders.py
+++ b/tests/versions/builders.py
@@ -14,8 +14,8 @@
 from merlintrestle.schema import document_pb2
 from merlintrestle.store import client
 from merlintrestle.store import records
+from merlintrestle.versions import active_version as holder_lib
 from merlintrestle.versions import distribution as distribution_lib
-from merlintrestle.versions import holder as holder_lib
 from tests.members import builders as member_builders
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     from merlintrestle.members import timing as timing_lib
     from tests.store import fakes
 
-GUARD_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 def build_document(
@@ -209,7 +209,7 @@
         self.membership = membership_lib.Membership(
             self.table, None, seeds, timing
         )
-        self.holder = holder_lib.Holder()
+        self.holder = holder_lib.ActiveVersion()
         self.distribution = distribution_lib.Distribution(
             self.holder, self.membership, configuration, spread
         )
@@ -231,7 +231,7 @@
 
 
 async def wait_until(
-    check: Callable[[], bool], guard_s: float = GUARD_S
+    check: Callable[[], bool], guard_s: float = TEST_TIMEOUT_S
 ) -> None:
     """Waits for a state that other tasks bring about."""
     async with asyncio.timeout(guard_s):
--- a/tests/versions/sessions.py
+++ b/tests/versions/sessions.py
@@ -91,7 +91,7 @@
         archive: Any = daemon.distribution.archive
         holder: Any = daemon.holder
         self._record_success(name, archive, "add", "hold")
-        self._record_success(name, holder, "take", "run")
+        self._record_success(name, holder, "activate", "run")
 
     def _record_success(
         self, name: str, part: Any, method: str, step: str
--- a/tests/versions/models.py
+++ b/tests/versions/simulations.py
@@ -8,9 +8,9 @@
 from merlintrestle.members import links as links_lib
 from merlintrestle.members import table as table_lib
 from merlintrestle.schema import control_pb2
+from merlintrestle.versions import active_version as holder_lib
 from merlintrestle.versions import archive as archive_lib
 from merlintrestle.versions import floor as floor_lib
-from merlintrestle.versions import holder as holder_lib
 from merlintrestle.versions import marks as marks_lib
 from merlintrestle.versions import watcher as watcher_lib
 from tests.members import builders as member_builders
@@ -61,10 +61,10 @@
         return False
 
 
-class Model:
+class SimulatedDaemon:
     """The version part of one process at one address."""
 
-    def __init__(self, fleet: Fleet, number: int, incarnation: int):
+    def __init__(self, fleet: SimulatedFleet, number: int, incarnation: int):
         own = member_builders.build_member(number, incarnation)
         self.id = own.id
         self.table = table_lib.MemberTable(own, fleet.get_time)
@@ -73,7 +73,7 @@
         )
         self.contact = contact
         self.archive = archive_lib.Archive()
-        self.holder = holder_lib.Holder()
+        self.holder = holder_lib.ActiveVersion()
         self.witness = marks_lib.Witness(self.table, fleet.get_time)
         self.marker = marks_lib.Marker(self.table, contact.peers, TIMING)
         self.watcher = watcher_lib.Watcher(
@@ -102,7 +102,7 @@
         if newest is None or newest.version < (self.floor.version or 0):
             return
         if await self.marker.mark(newest.version):
-            self.holder.take(newest)
+            self.holder.activate(newest)
             self.witness.open()
 
     async def _answer_floor(
@@ -118,7 +118,7 @@
         return reply
 
 
-class Fleet:
+class SimulatedFleet:
     """Some models, the network between them and the store.
 
     Attributes:
@@ -133,7 +133,7 @@
         self.now = 1000.0
         self.configuration = builders.FakeConfiguration()
         self.network = member_builders.FakeNetwork()
-        self.models: dict[int, Model] = {}
+        self.models: dict[int, SimulatedDaemon] = {}
         self.highest: dict[int, int] = {}
         self._incarnation = 0
         self._version = 0
@@ -153,7 +153,7 @@
     def start(self, number: int) -> None:
         """Starts a process, at the address of an earlier one or anew."""
         self._incarnation += 1
-        self.models[number] = Model(self, number, self._incarnation)
+        self.models[number] = SimulatedDaemon(self, number, self._incarnation)
         for one in self.models.values():
             for other in self.models.values():
                 if one is not other:
@@ -193,7 +193,7 @@
         self.now += TIMING.min_witness_uptime_s + 1
 
 
-async def read_store(model: Model) -> None:
+async def read_store(model: SimulatedDaemon) -> None:
     """Lets a process read the head, as a watcher does."""
     try:
         await model.watcher.refresh()
--- a/tests/versions/test_deltas.py
+++ b/tests/versions/test_deltas.py
@@ -10,9 +10,9 @@
 from merlintrestle import errors
 from merlintrestle.schema import control_pb2
 from merlintrestle.schema import document_pb2
+from merlintrestle.versions import active_version as holder_lib
 from merlintrestle.versions import archive as archive_lib
 from merlintrestle.versions import deltas
-from merlintrestle.versions import holder as holder_lib
 from tests.versions import builders
 
 SERVICES = ("balie", "kassa", "beeldarchief")
@@ -91,18 +91,18 @@
 
     def test_answers_with_a_delta_for_a_held_base(self) -> None:
         held = deltas.make_offer(builders.build_snapshot(1, SERVICES))
-        reply = self.archive.answer(control_pb2.FetchRequest(held=held))
+        reply = self.archive.answer_fetch(control_pb2.FetchRequest(held=held))
         self.assertTrue(reply.HasField("delta"))
         self.assertLess(
             reply.delta.ByteSize(),
-            self.archive.answer(
+            self.archive.answer_fetch(
                 control_pb2.FetchRequest(held=held, whole=True)
             ).ByteSize(),
         )
 
     def test_answers_with_the_whole_for_another_base(self) -> None:
         held = control_pb2.Offer(version=1, digest=b"another")
-        reply = self.archive.answer(control_pb2.FetchRequest(held=held))
+        reply = self.archive.answer_fetch(control_pb2.FetchRequest(held=held))
         self.assertTrue(reply.HasField("snapshot"))
 
     @hypothesis.given(
@@ -118,7 +118,7 @@
         accepted = {
             version: builders.build_snapshot(version) for version in range(1, 7)
         }
-        archive, holder = archive_lib.Archive(), holder_lib.Holder()
+        archive, holder = archive_lib.Archive(), holder_lib.ActiveVersion()
         for version, whole in arrivals:
             base = accepted[max(1, version - 1)]
             delta = deltas.make_delta(base, accepted[version])
@@ -131,7 +131,7 @@
             except errors.SnapshotError:
                 continue
             archive.add(arrived)
-            holder.take(arrived)
+            holder.activate(arrived)
             assert holder.running is not None
             expected = accepted[holder.version].digest
             self.assertEqual(holder.running.digest, expected)
--- a/tests/versions/test_fetcher.py
+++ b/tests/versions/test_fetcher.py
@@ -41,7 +41,7 @@
         held = archive_lib.Archive()
         for number in range(1, version + 1):
             held.add(builders.build_snapshot(number))
-        self.network.handlers[name] = {"Fetch": answer or held.answer}
+        self.network.handlers[name] = {"Fetch": answer or held.answer_fetch}
         self.fetcher.note_offer(name, version)
 
     async def wait_for_version(self, version: int) -> None:
@@ -76,7 +76,7 @@
                 await asyncio.sleep(hedge_s / 4)
             held = archive_lib.Archive()
             held.add(builders.build_snapshot(2))
-            return held.answer(request)
+            return held.answer_fetch(request)
 
         self.add_peer("slow", 2, bring_parts)
         await builders.wait_until(lambda: bool(self.network.calls))
@@ -99,7 +99,7 @@
             held = archive_lib.Archive()
             held.add(builders.build_snapshot(1))
             held.add(builders.build_snapshot(2))
-            reply = held.answer(request)
+            reply = held.answer_fetch(request)
             if reply.HasField("delta"):
                 reply.delta.changed[0].value += b"x"
             return reply
--- a/tests/versions/test_fleet.py
+++ b/tests/versions/test_fleet.py
@@ -9,7 +9,7 @@
 
 from merlintrestle.members import peers as peers_lib
 from merlintrestle.schema import control_pb2
-from merlintrestle.versions import holder as holder_lib
+from merlintrestle.versions import active_version as holder_lib
 from tests.members import builders as member_builders
 from tests.requests import relays
 from tests.versions import builders
@@ -93,7 +93,7 @@
         address = f"127.0.0.1:{relay.port}"
         came: list[int] = []
         reply = await peers.fetch(
-            address, request, builders.GUARD_S, lambda: came.append(1)
+            address, request, builders.TEST_TIMEOUT_S, lambda: came.append(1)
         )
         self.assertEqual(reply.offer.version, 1)
         self.assertLess(relay.forwarded_bytes, reply.ByteSize() / 3)
--- a/tests/versions/test_never_back.py
+++ b/tests/versions/test_no_downgrade.py
@@ -14,7 +14,7 @@
 from merlintrestle.schema import control_pb2
 from merlintrestle.versions import floor
 from merlintrestle.versions import marks
-from tests.versions import models
+from tests.versions import simulations
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -39,7 +39,7 @@
 
 async def run_history(history: Sequence[tuple[str, int, int]]) -> None:
     """Plays steps on a fleet and checks every daemon after each."""
-    fleet = models.Fleet(SIZE)
+    fleet = simulations.SimulatedFleet(SIZE)
     await fleet.accept()
     await fleet.settle()
     for action, number, other in history:
@@ -52,7 +52,7 @@
 
 
 async def act(
-    fleet: models.Fleet, action: str, number: int, other: int
+    fleet: simulations.SimulatedFleet, action: str, number: int, other: int
 ) -> None:
     """Plays one step."""
     match action:
@@ -67,7 +67,7 @@
         case "tick":
             fleet.now += 1.0
         case "read":
-            await models.read_store(fleet.models[number])
+            await simulations.read_store(fleet.models[number])
         case "offer":
             newest = fleet.models[other].archive.newest
             if newest is not None:
@@ -89,22 +89,26 @@
         """
         asyncio.run(run_history(history))
 
-    async def build_running(self, size: int, version: int) -> models.Fleet:
-        fleet = models.Fleet(size)
+    async def build_running(
+        self, size: int, version: int
+    ) -> simulations.SimulatedFleet:
+        fleet = simulations.SimulatedFleet(size)
         await fleet.configuration.accept(version, ["balie"])
         await fleet.settle()
         for number in fleet.models:
             self.assertEqual(await fleet.step(number), version)
         return fleet
 
-    async def check_stale_store(self, fleet: models.Fleet) -> None:
+    async def check_stale_store(
+        self, fleet: simulations.SimulatedFleet
+    ) -> None:
         """A daemon that ran version 7 restarts and reads head 5."""
         await fleet.configuration.accept(7, ["balie"])
-        await models.read_store(fleet.models[1])
+        await simulations.read_store(fleet.models[1])
         self.assertEqual(await fleet.step(1), 7)
         fleet.configuration.stale = 5
         fleet.start(1)
-        await models.read_store(fleet.models[1])
+        await simulations.read_store(fleet.models[1])
         self.assertEqual(await fleet.step(1), 0)
         self.assertEqual(fleet.models[1].floor.version, 7)
 
@@ -123,10 +127,10 @@
         They cannot vouch, so the store's answer counts; the mark that they
         hold must count as well.
         """
-        fleet = models.Fleet(5)
+        fleet = simulations.SimulatedFleet(5)
         await fleet.configuration.accept(5, ["balie"])
         for model in fleet.models.values():
-            await models.read_store(model)
+            await simulations.read_store(model)
         for number in fleet.models:
             self.assertEqual(await fleet.step(number), 5)
         await self.check_stale_store(fleet)
@@ -136,7 +140,7 @@
 
         Versions accepted since then may have run here before the restart.
         """
-        fleet = models.Fleet(3)
+        fleet = simulations.SimulatedFleet(3)
         fleet.configuration.down = True
         model = fleet.models[1]
         fleet.now += 1.0
@@ -156,16 +160,18 @@
         Each would read the head itself in each round, all of them at the
         moment the store comes back. Only a share does.
         """
-        fleet = models.Fleet(3)
+        fleet = simulations.SimulatedFleet(3)
         model = fleet.models[1]
-        model.watcher.turns.is_chosen = lambda: False  # type: ignore[method-assign]
+        model.watcher.selection.is_watcher = lambda: False  # type: ignore[method-assign]
         with mock.patch.object(floor, "READ_BUDGET", 0.1):
             with mock.patch("random.random", return_value=0.0):
                 first = [model.floor._may_read(number) for number in range(6)]
             self.assertFalse(any(first))
             rounds = 4000
             reads = sum(model.floor._may_read(100) for _ in range(rounds))
-        expected = rounds * 0.1 * models.TIMING.max_floor_retry_delay_s / 2 / 3
+        expected = (
+            rounds * 0.1 * simulations.TIMING.max_floor_retry_delay_s / 2 / 3
+        )
         self.assertLess(reads, 3 * expected + 10)
 
     async def test_all_die_with_the_store_down(self) -> None:
@@ -186,7 +192,7 @@
         for _ in range(3):
             for number in fleet.models:
                 self.assertEqual(await fleet.step(number), 0)
-            fleet.now += models.TIMING.min_witness_uptime_s + 1
+            fleet.now += simulations.TIMING.min_witness_uptime_s + 1
         fleet.configuration.down = False
         await fleet.settle()
         for number in fleet.models:
@@ -219,7 +225,7 @@
         for _ in range(3):
             for number, version in expected.items():
                 self.assertEqual(await fleet.step(number), version)
-            fleet.now += models.TIMING.min_witness_uptime_s + 1
+            fleet.now += simulations.TIMING.min_witness_uptime_s + 1
         fleet.configuration.down = False
         await fleet.settle()
         for number in restarted:
@@ -234,7 +240,7 @@
         fleet = await self.build_running(8, 3)
         await fleet.configuration.accept(4, ["balie"])
         model = fleet.models[1]
-        await models.read_store(model)
+        await simulations.read_store(model)
         self.assertEqual(await fleet.step(1), 4)
         fleet.configuration.down = True
         gone = model.marker.get_candidates()[: marks.WITNESSES]
@@ -256,7 +262,7 @@
         fleet = await self.build_running(6, 1)
         await fleet.configuration.accept(2, ["balie"])
         model = fleet.models[1]
-        await models.read_store(model)
+        await simulations.read_store(model)
         witnesses = model.marker.get_candidates()[: marks.WITNESSES]
         fleet.network.silent.update(witnesses[:2])
         self.assertEqual(await fleet.step(1), 1)
@@ -267,7 +273,7 @@
         fleet = await self.build_running(6, 1)
         await fleet.configuration.accept(2, ["balie"])
         model = fleet.models[1]
-        await models.read_store(model)
+        await simulations.read_store(model)
         witnesses = model.marker.get_candidates()[: marks.WITNESSES]
         fleet.network.refused.update(witnesses[:2])
         self.assertEqual(await fleet.step(1), 2)
@@ -326,7 +332,7 @@
         for number, model in fleet.models.items():
             model.hold(old)
             self.assertEqual(await fleet.step(number), 3)
-            self.assertFalse(model.holder.take(old))
+            self.assertFalse(model.holder.activate(old))
 
     async def test_lone_daemon_relies_on_the_store(self) -> None:
         fleet = await self.build_running(1, 3)
@@ -334,7 +340,7 @@
         fleet.start(1)
         self.assertEqual(await fleet.step(1), 0)
         fleet.configuration.down = False
-        await models.read_store(fleet.models[1])
+        await simulations.read_store(fleet.models[1])
         self.assertEqual(await fleet.step(1), 3)
 
 
--- a/tests/versions/test_watcher.py
+++ b/tests/versions/test_watcher.py
@@ -17,14 +17,14 @@
 from tests.members import builders as member_builders
 from tests.store import fakes
 from tests.versions import builders
-from tests.versions import models
+from tests.versions import simulations
 
 
 class WatcherTest(unittest.IsolatedAsyncioTestCase):
     """One watcher over a fake store."""
 
     async def asyncSetUp(self) -> None:
-        self.fleet = models.Fleet(2)
+        self.fleet = simulations.SimulatedFleet(2)
         self.configuration = self.fleet.configuration
         self.model = self.fleet.models[1]
         self.watcher = self.model.watcher
@@ -69,10 +69,10 @@
             self.model.hold,
             self.fleet.get_time,
         )
-        self.assertIn(table.local_id, watcher.turns.get_watchers())
-        self.assertFalse(watcher.turns.is_chosen())
+        self.assertIn(table.local_id, watcher.selection.get_watchers())
+        self.assertFalse(watcher.selection.is_watcher())
         self.fleet.now += member_builders.FAST_TIMING.watcher_settling_time_s
-        self.assertTrue(watcher.turns.is_chosen())
+        self.assertTrue(watcher.selection.is_watcher())
 
     async def test_herd_meets_before_it_watches(self) -> None:
         """The store is not asked by a whole fleet as if all were watchers.
@@ -81,7 +81,7 @@
         is the first of its zone. It names itself, and by the records written
         meanwhile it meets those that are chosen before it.
         """
-        fleet = models.Fleet(1)
+        fleet = simulations.SimulatedFleet(1)
         model, store = fleet.models[1], fleet.configuration
         self.watcher = model.watcher
         met = asyncio.Event()
@@ -95,7 +95,7 @@
 
         with mock.patch.object(model.contact, "contact_unknown", meet):
             await self.run_watcher()
-            await asyncio.wait_for(met.wait(), builders.GUARD_S)
+            await asyncio.wait_for(met.wait(), builders.TEST_TIMEOUT_S)
             for _ in range(50):
                 await asyncio.sleep(0)
         self.assertEqual(store.seed_writes, 1)
@@ -109,7 +109,7 @@
 
         The only daemon of its zone names itself in vain before it watches.
         """
-        fleet = models.Fleet(1)
+        fleet = simulations.SimulatedFleet(1)
         model, store = fleet.models[1], fleet.configuration
         self.watcher = model.watcher
         await store.accept(1, ["balie"])
@@ -126,7 +126,7 @@
         """
         self.configuration.hang = True
         reply = control_pb2.FloorReply()
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             await self.watcher.add_head(reply, 0)
         self.assertFalse(reply.head_read)
 
