--- a/merlintrestle/members/accounting.py
+++ b/merlintrestle/members/accounting.py
@@ -10,10 +10,11 @@
 if TYPE_CHECKING:
     from google.protobuf import message
 
-# Both were measured at the socket. Per message of a link: the frames of gRPC
-# (5) and HTTP/2 (9), and one that widens the window of the other side (13).
+# Bytes at the socket for each message of a link: the gRPC frame (5), the HTTP/2
+# frame (9) and a WINDOW_UPDATE frame (13).
 MESSAGE_OVERHEAD_BYTES = 27
-# Per call on an open connection, in each direction, besides: its headers.
+# Additional bytes of headers for each call on an open connection, in each
+# direction.
 CALL_OVERHEAD_BYTES = 35
 
 _SENT = prometheus_client.Counter(
@@ -29,24 +30,26 @@
 
 
 def count_sent(kind: str, sent: message.Message, overhead: int = 0) -> None:
-    """Counts a message that was sent."""
-    _get_sent(kind).inc(sent.ByteSize() + MESSAGE_OVERHEAD_BYTES + overhead)
+    """Adds a sent message to the counter of its kind."""
+    _get_sent_counter(kind).inc(
+        sent.ByteSize() + MESSAGE_OVERHEAD_BYTES + overhead
+    )
 
 
 def count_received(
     kind: str, received: message.Message, overhead: int = 0
 ) -> None:
-    """Counts a message that was received."""
+    """Adds a received message to the counter of its kind."""
     size = received.ByteSize() + MESSAGE_OVERHEAD_BYTES + overhead
-    _get_received(kind).inc(size)
+    _get_received_counter(kind).inc(size)
 
 
-# The library looks the counter of a label up under a lock.
+# Cached because the library looks up the counter of a label under a lock.
 @functools.cache
-def _get_sent(kind: str) -> prometheus_client.Counter:
+def _get_sent_counter(kind: str) -> prometheus_client.Counter:
     return _SENT.labels(kind)
 
 
 @functools.cache
-def _get_received(kind: str) -> prometheus_client.Counter:
+def _get_received_counter(kind: str) -> prometheus_client.Counter:
     return _RECEIVED.labels(kind)
--- a/merlintrestle/members/anti_entropy.py
+++ b/merlintrestle/members/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy of the member table, and first contact with the fleet."""
+"""Anti-entropy of the member table and first contact with the fleet."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
 
 events = event_logs.EventLog("members")
 
-# One round in so many goes to a member held for dead, or to a seed: it heals
-# regions that were cut from each other for so long that each gave up the other.
-_GONE_SHARE = 4
-# A comparison costs about 1,700 bytes, most of it for a new connection.
-_QUIET_ROUNDS = 4
+# One of this many rounds contacts a gone member or a seed. This reconnects
+# regions that were partitioned for so long that each considers the other dead.
+_GONE_ROUND_INTERVAL = 4
+# While no difference is known, only one of this many rounds is made: a
+# comparison costs about 1,700 bytes, most of them for a new connection.
+_QUIET_ROUND_INTERVAL = 4
 
 
 class AntiEntropy:
-    """Compares the table with other daemons, bucket by bucket.
+    """Compares the member table with other daemons, bucket by bucket.
 
     Attributes:
-        on_reply_built: Called with each reply before it is sent, to add to it.
-        on_reply_received: Called with each reply that came.
+        on_reply_built: Called with each reply before it is sent, to add data.
+        on_reply_received: Called with each received reply.
     """
 
     def __init__(
@@ -55,66 +56,71 @@
         self._store = store
         self._seeds = list(seeds)
         self._timing = timing
-        self._joined = asyncio.Event()
+        self._contacted = asyncio.Event()
         self._differing: set[str] = set()
         self._round = 0
 
     async def wait_for_contact(self, timeout_s: float) -> bool:
-        """Waits until another daemon was met, or none could be found."""
+        """Waits for the end of the first contact; False after the timeout.
+
+        The first contact also ends if no daemon could be found.
+        """
         try:
             async with asyncio.timeout(timeout_s):
-                await self._joined.wait()
+                await self._contacted.wait()
         except TimeoutError:
             return False
         return True
 
-    def note_difference(self, peer_id: str) -> None:
-        """Marks a peer whose digest differed for the next round."""
+    def record_difference(self, peer_id: str) -> None:
+        """Makes a peer whose digest differed a candidate for the next round."""
         if peer_id:
             self._differing.add(peer_id)
 
     async def join(self) -> None:
-        """Finds a first daemon: by the seeds, else by the store's records.
+        """Contacts a first daemon by the seeds, or else by the store's records.
 
-        In a herd the seeds themselves start just now, so they are tried for a
-        while. The first reads of the store are spread over `start_jitter` and
-        later ones back off: a herd must not put them all at once.
+        When many daemons start at once, the seeds are starting too, so they are
+        tried for a while. The first reads of the store are spread over
+        `Timing.start_jitter_s` and later ones back off, so that the daemons do
+        not all read the store at once.
         """
-        if await self._join_by_seeds():
+        if await self._contact_seeds():
             return
         await asyncio.sleep(random.uniform(0, self._timing.start_jitter_s))
         backoff = timing_lib.Backoff(1.0, self._timing.max_store_retry_delay_s)
-        while not self._joined.is_set():
+        while not self._contacted.is_set():
             addresses = await self._read_seeds()
             if addresses is not None:
                 await self._contact_any(addresses)
-                # Nobody answers though the store names everyone: alone.
-                self._joined.set()
+                # If none of the seeds in the store answers, this daemon is
+                # alone.
+                self._contacted.set()
                 return
             await asyncio.sleep(backoff.get_next_delay())
             await self._contact_any(self._seeds)
 
-    async def _join_by_seeds(self) -> bool:
-        """Tries the seeds for `start_jitter`; True once a daemon was met."""
+    async def _contact_seeds(self) -> bool:
+        """Tries the seeds for `start_jitter_s`; True once a daemon answered."""
         backoff = timing_lib.Backoff(0.1, 1.0)
         loop = asyncio.get_running_loop()
-        tried_until = loop.time() + self._timing.start_jitter_s
-        while self._seeds and loop.time() < tried_until:
-            if await self._contact_any(self._seeds) or self._joined.is_set():
+        deadline = loop.time() + self._timing.start_jitter_s
+        while self._seeds and loop.time() < deadline:
+            if await self._contact_any(self._seeds) or self._contacted.is_set():
                 return True
             await asyncio.sleep(backoff.get_next_delay())
-        return self._joined.is_set()
+        return self._contacted.is_set()
 
     async def run_round(self) -> str | None:
-        """Compares with one peer; returns its id if it did not answer.
+        """Compares with a peer; returns its id if it did not answer.
 
-        While nothing is known to differ and nobody is gone, only one round in
-        some is made.
+        Most rounds are skipped while no difference is known and no member is
+        gone.
         """
         self._round += 1
         if self._is_alone():
             await self._contact_any(await self._read_seeds() or [])
-        if self._is_quiet() and self._round % _QUIET_ROUNDS:
+        if self._is_quiet() and self._round % _QUIET_ROUND_INTERVAL:
             return None
         peer_id = self._choose_peer()
         if peer_id is None:
@@ -126,7 +132,7 @@
         return None
 
     async def compare(self, peer_id: str) -> None:
-        """Exchanges the buckets in which a peer's table differs.
+        """Exchanges the buckets that differ from a peer's table.
 
         Raises:
             peers_lib.PeerError: The peer did not answer.
@@ -149,8 +155,8 @@
     def answer(
         self, request: control_pb2.MembersRequest
     ) -> control_pb2.MembersReply:
-        """Takes in the members of a request and gives what differs."""
-        self._joined.set()
+        """Merges the records of a request and returns those that differ."""
+        self._contacted.set()
         self._merge(request.members)
         buckets = list(request.buckets) or self._find_differing(
             request.bucket_digests
@@ -164,45 +170,46 @@
         return reply
 
     async def _contact_any(self, addresses: Sequence[str]) -> bool:
-        """Asks daemons in random order until one answers."""
+        """Contacts daemons in random order until one answers."""
         for address in random.sample(list(addresses), len(addresses)):
             if address == self._table.local_id:
                 continue
             try:
-                await self._contact_by(address)
+                await self._contact(address)
             except peers_lib.PeerError as error:
                 events.note("no contact", member=address, error=str(error))
                 continue
-            self._joined.set()
+            self._contacted.set()
             return True
         return False
 
-    async def _contact_by(self, address: str) -> None:
-        """Learns some members of a first daemon, and all from one of them.
+    async def _contact(self, address: str) -> None:
+        """Gets some members from a first daemon and all from one of these.
 
-        A herd that asked the few seeds for whole tables would drown them.
+        If many starting daemons requested whole tables from the few seeds, they
+        would overload the seeds.
 
         Raises:
-            peers_lib.PeerError: Neither answered.
+            peers_lib.PeerError: Neither daemon answered.
         """
         request = control_pb2.MembersRequest(
             buckets=[random.randrange(table_lib.BUCKETS)],
             members=[self._table.local_member],
         )
         reply = await self._call(address, request)
-        others = [
+        candidates = [
             member.id
             for member in reply.members
             if member.id not in (self._table.local_id, address)
         ]
         self._merge(reply.members)
         try:
-            await self.compare(random.choice(others or [address]))
+            await self.compare(random.choice(candidates or [address]))
         except peers_lib.PeerError:
             await self.compare(address)
 
     async def _read_seeds(self) -> list[str] | None:
-        """Returns the addresses in the store; None: it did not answer."""
+        """Returns the seeds in the store, or None if it did not answer."""
         if self._store is None:
             return []
         try:
@@ -212,20 +219,23 @@
             return None
 
     async def contact_unknown(self, addresses: Sequence[str]) -> None:
-        """Contacts daemons that the table does not have.
+        """Contacts the daemons that are not in the table.
 
-        Two parts of a fleet that started at the same time, each alone, know
-        nothing of each other; the records of seeds are where they meet.
+        Two partitions of a fleet that started separately at the same time do
+        not know each other; the seed records lead one to the other.
         """
         unknown = [i for i in addresses if self._table.get(i) is None]
         await self._contact_any(unknown)
 
-    async def find_others(self) -> None:
-        """Contacts daemons that the records of seeds name and nobody knows."""
+    async def contact_stored_seeds(self) -> None:
+        """Contacts the seeds in the store that are not in the table."""
         await self.contact_unknown(await self._read_seeds() or [])
 
     def _is_alone(self) -> bool:
-        """Tells whether no other member is known, as when all start at once."""
+        """Tells whether no other usable member is known.
+
+        This is the case when all daemons start at once.
+        """
         return len(self._table.list_usable_ids()) <= 1
 
     def _is_quiet(self) -> bool:
@@ -234,12 +244,12 @@
         )
 
     def _choose_peer(self) -> str | None:
-        own_id = self._table.local_id
-        members = [m for m in self._table.list_members() if m.id != own_id]
+        local_id = self._table.local_id
+        members = [m for m in self._table.list_members() if m.id != local_id]
         gone = [m.id for m in members if table_lib.is_gone(m)]
         usable = [m.id for m in members if not table_lib.is_gone(m)]
-        seeds = [seed for seed in self._seeds if seed != own_id]
-        if random.randrange(_GONE_SHARE) == 0 and gone + seeds:
+        seeds = [seed for seed in self._seeds if seed != local_id]
+        if random.randrange(_GONE_ROUND_INTERVAL) == 0 and gone + seeds:
             return random.choice(gone + seeds)
         differing = [i for i in usable if i in self._differing]
         self._differing.clear()
@@ -261,32 +271,34 @@
             self._table.merge(member)
 
     def _select(
-        self, buckets: Sequence[int], told: Sequence[control_pb2.Member]
+        self, buckets: Sequence[int], peer_records: Sequence[control_pb2.Member]
     ) -> list[control_pb2.Member]:
-        """Returns the records of some buckets that the other side needs."""
-        known = {member.id: member for member in told}
+        """Returns the records of some buckets that the peer needs."""
+        records_by_id = {member.id: member for member in peer_records}
         return [
             member
             for member in self._table.list_buckets(buckets)
-            if _is_news(member, known.get(member.id))
+            if _is_needed(member, records_by_id.get(member.id))
         ]
 
     def _find_differing(self, digests: Sequence[int]) -> list[int]:
-        """Returns the buckets that differ; all of them if none were given."""
-        own = self._table.bucket_digests
-        if len(digests) != len(own):
-            return list(range(len(own)))
-        return [i for i, digest in enumerate(digests) if digest != own[i]]
+        """Returns the buckets that differ, or all if no digests were given."""
+        local_digests = self._table.bucket_digests
+        if len(digests) != len(local_digests):
+            return list(range(len(local_digests)))
+        return [
+            i for i, digest in enumerate(digests) if digest != local_digests[i]
+        ]
 
 
-def _is_news(
-    member: control_pb2.Member, told: control_pb2.Member | None
+def _is_needed(
+    member: control_pb2.Member, peer_record: control_pb2.Member | None
 ) -> bool:
-    """Tells whether the other side needs a record.
+    """Tells whether a peer needs a record.
 
-    The gone are named only to one that holds them alive. Otherwise those who
-    forgot them would learn of them again and again.
+    Records of gone members are sent only to a peer that holds an older record.
+    Otherwise daemons that have removed them would receive them again and again.
     """
-    if told is None:
+    if peer_record is None:
         return not table_lib.is_gone(member)
-    return table_lib.outranks(member, told)
+    return table_lib.supersedes(member, peer_record)
--- a/merlintrestle/members/links.py
+++ b/merlintrestle/members/links.py
@@ -1,4 +1,4 @@
-"""Links: long-lived streams between neighbours."""
+"""Long-lived message streams between neighbours."""
 
 from __future__ import annotations
 
@@ -23,44 +23,45 @@
     from merlintrestle.schema import document_pb2
 
 _KIND = "Link"
-# Strikes remembered so that none goes round for ever.
+# Strikes remembered, so that none circulates endlessly.
 _MAX_STRIKES = 10_000
 
 
 class Link:
-    """One stream with one peer, opened by either side.
+    """A stream with a peer, opened by either side.
 
     Attributes:
         peer_id: Id of the peer; empty until its first message.
-        outgoing: True if this daemon opened it.
-        outbox: What the peer is to be told.
+        outgoing: Whether this daemon opened the link.
+        outbox: Updates queued for the peer.
         peer_offer: The newest version that the peer is known to hold.
-        patience: Times `Timing.silence` that it may be silent.
-        heard_at: Monotonic time of its last message, in seconds.
-        writing: True while a message is being sent.
-        written: Messages sent.
+        silence_factor: Multiple of the silence timeout allowed for the link.
+        last_received_at: Monotonic time of the peer's last message, in seconds.
+        is_writing: Whether a message is being sent.
+        messages_written: Number of messages sent.
     """
 
-    def __init__(self, peer_id: str, outgoing: bool, patience: int = 1):
+    def __init__(self, peer_id: str, outgoing: bool, silence_factor: int = 1):
         self.peer_id = peer_id
         self.outgoing = outgoing
-        self.patience = patience
+        self.silence_factor = silence_factor
         self.outbox = outbox.Outbox()
         self.peer_offer: control_pb2.Offer | None = None
-        self.heard_at = time.monotonic()
-        self.writing = False
-        self.written = 0
+        self.last_received_at = time.monotonic()
+        self.is_writing = False
+        self.messages_written = 0
 
 
 class Links:
     """All links of this daemon.
 
     Attributes:
-        on_message: Called with each message and its link.
-        on_open: Called with a link whose peer has become known.
-        on_strike: Called with each strike that a peer sends.
+        on_message: Called with each link and the message received on it.
+        on_open: Called with each link whose peer has become known.
+        on_strike: Called with each new strike from a peer.
         get_offer: Returns the newest version held, for heartbeats.
-        heard_at: Monotonic time of the last message of any peer, in seconds.
+        last_received_at: Monotonic time of the last message from any peer, in
+            seconds.
     """
 
     def __init__(self, table: table_lib.MemberTable, timing: timing_lib.Timing):
@@ -70,87 +71,93 @@
         self.on_open: list[Callable[[Link], None]] = []
         self.on_strike: list[Callable[[control_pb2.Strike], None]] = []
         self.get_offer: Callable[[], control_pb2.Offer | None] = lambda: None
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self._table = table
         self._timing = timing
         self._links: list[Link] = []
         self._strikes: dict[tuple[bytes, str], int] = {}
 
     def get_links(self) -> list[Link]:
-        """Returns the links whose peer has been heard."""
+        """Returns the links whose peer is known."""
         return [link for link in self._links if link.peer_id]
 
-    def is_heard(self, peer_id: str, since: float) -> bool:
-        """Tells whether a peer was heard after a monotonic time in seconds."""
+    def has_sent(self, peer_id: str, since: float) -> bool:
+        """Tells whether a peer has sent a message since a time.
+
+        Args:
+            peer_id: The peer.
+            since: Monotonic time in seconds.
+        """
         return any(
-            link.peer_id == peer_id and link.heard_at > since
+            link.peer_id == peer_id and link.last_received_at > since
             for link in self._links
         )
 
     def send_member(
-        self, member: control_pb2.Member, besides: Link | None = None
+        self, member: control_pb2.Member, exclude: Link | None = None
     ) -> None:
-        """Tells every neighbour of a record, but the one it came from."""
+        """Queues a record on all links except the one it came from."""
         for link in self._links:
-            if link is not besides:
+            if link is not exclude:
                 link.outbox.add_member(member)
 
     def send_strike(self, strike: control_pb2.Strike) -> None:
-        """Tells the fleet of a strike; each daemon passes it on once."""
-        self._spread_strike(strike, None)
+        """Sends a strike to the fleet; each daemon forwards it once."""
+        self._forward_strike(strike, None)
 
     def send_rollout(
-        self, rollout: control_pb2.Rollout, besides: Link | None = None
+        self, rollout: control_pb2.Rollout, exclude: Link | None = None
     ) -> None:
-        """Tells every neighbour of a roll-out, but the one it came from."""
+        """Queues a roll-out on all links except the one it came from."""
         for link in self._links:
-            if link is not besides:
+            if link is not exclude:
                 link.outbox.add_rollout(rollout)
 
     def send_trial(
-        self, trial: control_pb2.Trial, besides: Link | None = None
+        self, trial: control_pb2.Trial, exclude: Link | None = None
     ) -> None:
-        """Tells every neighbour what was seen, but the one it came from."""
+        """Queues a trial record on all links except the one it came from."""
         for link in self._links:
-            if link is not besides:
+            if link is not exclude:
                 link.outbox.add_trial(trial)
 
     def send_offer(
         self,
         offer: control_pb2.Offer,
-        make_delta: Callable[
+        build_delta: Callable[
             [control_pb2.Offer | None], document_pb2.Delta | None
         ],
     ) -> None:
-        """Offers a version to the neighbours not known to hold it.
+        """Offers a version to the neighbours that are not known to hold it.
 
         Args:
             offer: The version.
-            make_delta: Returns the delta from what a peer holds, or None
-                where the offer alone is to be sent.
+            build_delta: Returns the delta from a version held by a peer, or
+                None if only the offer should be sent.
         """
         for link in self._links:
             held = link.peer_offer
             if held is None or held.version < offer.version:
-                delta = make_delta(held)
+                delta = build_delta(held)
                 link.outbox.set_delta(delta)
                 if delta is not None:
-                    # If the delta is lost the peer hears of the version by
-                    # heartbeat, and says what it holds in its own.
+                    # If the delta is lost, the next heartbeat still announces
+                    # the version, and the peer's heartbeats report the version
+                    # that it holds.
                     link.peer_offer = offer
 
-    async def flush(self, limit_s: float) -> None:
-        """Waits until all neighbours were sent what they are to be told.
+    async def flush(self, timeout_s: float) -> None:
+        """Waits until all queued updates have been sent.
 
-        A daemon that ends cuts its links, and gRPC drops what the other side
-        has not read yet; so it lets one more interval pass.
+        When a daemon stops, its links end and gRPC discards messages that the
+        peer has not read yet, so this waits for one more flush interval.
 
         Args:
-            limit_s: Longest wait, in seconds; a neighbour may be silent.
+            timeout_s: Maximum wait in seconds, as a neighbour may be silent.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(limit_s):
-                while any(map(_has_work, self._links)):
+            async with asyncio.timeout(timeout_s):
+                while any(map(_has_unsent, self._links)):
                     await asyncio.sleep(self._timing.flush_delay_s / 4)
                 await asyncio.sleep(self._timing.flush_delay_s)
 
@@ -160,17 +167,17 @@
         read: Callable[[], Any],
         write: Callable[[Any], Any],
     ) -> None:
-        """Serves one link until either side ends it or falls silent.
+        """Serves a link until either side ends it or makes no progress.
 
         Args:
             link: The link.
             read: Returns the next message or `grpc.aio.EOF`.
-            write: Sends one message.
+            write: Sends a message.
 
         Raises:
-            TimeoutError: The peer was silent, or took nothing more.
+            TimeoutError: The peer was silent or stopped reading.
             peers.PeerError: The channel was closed.
-            grpc.aio.AioRpcError: The stream broke.
+            grpc.aio.AioRpcError: The stream failed.
         """
         self._links.append(link)
         tasks = (
@@ -184,8 +191,8 @@
             )
             for task in done:
                 if task.cancelled():
-                    # gRPC does this to a stream whose channel is closed; let
-                    # through, it would end the task that keeps the link.
+                    # gRPC cancels the streams of a closed channel. Propagated,
+                    # the cancellation would end the task that reopens the link.
                     raise peers.PeerError(f"link to {link.peer_id} dropped")
                 task.result()
         finally:
@@ -199,7 +206,7 @@
             message = await read()
             if message is grpc.aio.EOF:
                 return
-            self.heard_at = link.heard_at = time.monotonic()
+            self.last_received_at = link.last_received_at = time.monotonic()
             accounting.count_received(_KIND, message)
             if message.sender:
                 link.peer_id = message.sender
@@ -207,27 +214,27 @@
                     notify(link)
             self._handle(link, message)
 
-    def _note_offer(self, link: Link, offer: control_pb2.Offer) -> None:
+    def _update_peer_offer(self, link: Link, offer: control_pb2.Offer) -> None:
         if offer.digest:
             link.peer_offer = offer
         elif link.peer_offer and link.peer_offer.version != offer.version:
             link.peer_offer = None
 
     def _handle(self, link: Link, message: control_pb2.LinkMessage) -> None:
-        self._note_offer(link, message.offer)
+        self._update_peer_offer(link, message.offer)
         for member in message.members:
             link.outbox.drop_known(member)
         for notify in self.on_message:
             notify(link, message)
         for strike in message.strikes:
-            if self._spread_strike(strike, link):
-                for receive in self.on_strike:
-                    receive(strike)
+            if self._forward_strike(strike, link):
+                for callback in self.on_strike:
+                    callback(strike)
 
-    def _spread_strike(
-        self, strike: control_pb2.Strike, besides: Link | None
+    def _forward_strike(
+        self, strike: control_pb2.Strike, exclude: Link | None
     ) -> bool:
-        """Passes a strike on once; False if it was seen before."""
+        """Forwards a strike once; False if it is known or has expired."""
         key = (strike.request_digest, strike.crash_id)
         if key in self._strikes or len(self._strikes) >= _MAX_STRIKES:
             self._forget_strikes()
@@ -236,85 +243,89 @@
             return False
         self._strikes[key] = strike.until_ms
         for link in self._links:
-            if link is not besides:
+            if link is not exclude:
                 link.outbox.add_strike(strike)
         return True
 
     def _forget_strikes(self) -> None:
         now_ms = time.time_ns() // 10**6
-        kept = [item for item in self._strikes.items() if item[1] > now_ms]
-        self._strikes = dict(kept[-_MAX_STRIKES:])
+        unexpired = [item for item in self._strikes.items() if item[1] > now_ms]
+        self._strikes = dict(unexpired[-_MAX_STRIKES:])
 
     async def _send(self, link: Link, write: Callable[[Any], Any]) -> None:
         sender = self._table.local_id
-        told = 0
+        sent_version = 0
         while True:
-            message = link.outbox.take_message()
+            message = link.outbox.pop_message()
             message.sender = sender
             message.members_digest = self._table.digest
             sender = ""
-            told = self._fill_offer(message, told)
+            sent_version = self._add_offer(message, sent_version)
             accounting.count_sent(_KIND, message)
-            link.writing = True
+            link.is_writing = True
             await _write(link, message, write)
-            link.writing = False
-            link.written += 1
-            await self._wait_for_work(link)
+            link.is_writing = False
+            link.messages_written += 1
+            await self._wait_for_update(link)
 
-    def _fill_offer(self, message: control_pb2.LinkMessage, told: int) -> int:
-        """Puts the newest offer into a message; returns its version.
+    def _add_offer(
+        self, message: control_pb2.LinkMessage, sent_version: int
+    ) -> int:
+        """Adds the newest offer to a message; returns its version.
 
-        The offer in every heartbeat makes up for pushes that were lost.
+        The offer in every heartbeat compensates for lost pushes.
         """
         offer = self.get_offer()
         if offer is None:
-            return told
+            return sent_version
         message.offer.CopyFrom(offer)
-        if offer.version == told:
+        if offer.version == sent_version:
             message.offer.ClearField("digest")
         return offer.version
 
-    async def _wait_for_work(self, link: Link) -> None:
-        """Waits until the next heartbeat is due or something is to be told."""
-        wait = timing_lib.jitter(self._timing.heartbeat_interval_s)
+    async def _wait_for_update(self, link: Link) -> None:
+        """Waits until the next heartbeat is due or an update is queued."""
+        wait_s = timing_lib.jitter(self._timing.heartbeat_interval_s)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(wait):
+            async with asyncio.timeout(wait_s):
                 await link.outbox.filled.wait()
             async with asyncio.timeout(self._timing.flush_delay_s):
                 await link.outbox.urgent.wait()
 
     async def _watch_progress(self, link: Link) -> None:
-        """Gives up a link whose peer says nothing or takes nothing more.
+        """Ends a link whose peer is silent or has stopped reading.
 
-        A connection that something between the two ends has lost track of
-        stays open for ever and delivers nothing. Silence in spite of
-        heartbeats makes that likely and proves nothing: the peer may be as
-        busy as this daemon. So the link is opened anew and the next one may be
-        silent for longer, and calls over this one go on.
+        A connection whose state was lost by a device between the two ends stays
+        open for ever and delivers nothing. Silence despite heartbeats makes
+        this likely but does not prove it: the peer may be as busy as this
+        daemon. So the link is reopened with a longer silence timeout, and the
+        calls that use the channel continue.
 
-        What counts is rounds of this loop, however late they come. By the
-        clock, a daemon that stood still would give up all its links before it
-        has read what they brought, with the calls they carry. To open them
-        anew is work that makes it later still, and it would never end. In as
-        many rounds of the loop what had arrived is read.
+        The timeout counts iterations of this loop, however late they run. If it
+        used the clock, a daemon that was paused would end all its links before
+        it had read the messages that arrived meanwhile, and with them the calls
+        that use the links. Reopening them is work that would delay it further,
+        without end. Within that many iterations, arrived messages are read.
 
         Raises:
-            TimeoutError: No progress for `Timing.silence`, times the patience.
+            TimeoutError: No progress for the silence timeout of the link.
         """
-        tick = self._timing.heartbeat_interval_s / 2
-        rounds = math.ceil(
-            link.patience * self._timing.silence_timeout_s / tick
+        tick_s = self._timing.heartbeat_interval_s / 2
+        max_rounds = math.ceil(
+            link.silence_factor * self._timing.silence_timeout_s / tick_s
+        )
+        silent_rounds = stalled_rounds = 0
+        while max(silent_rounds, stalled_rounds) < max_rounds:
+            received_at, written = link.last_received_at, link.messages_written
+            await asyncio.sleep(tick_s)
+            received = link.last_received_at != received_at
+            progressed = not link.is_writing or link.messages_written != written
+            silent_rounds = 0 if received else silent_rounds + 1
+            stalled_rounds = 0 if progressed else stalled_rounds + 1
+        problem = (
+            "silent" if silent_rounds >= max_rounds else "taking nothing more"
         )
-        unheard = unwritten = 0
-        while max(unheard, unwritten) < rounds:
-            heard_at, written = link.heard_at, link.written
-            await asyncio.sleep(tick)
-            heard = link.heard_at != heard_at
-            wrote = not link.writing or link.written != written
-            unheard = 0 if heard else unheard + 1
-            unwritten = 0 if wrote else unwritten + 1
-        fault = "silent" if unheard >= rounds else "taking nothing more"
-        raise TimeoutError(f"{link.peer_id} is {fault}")
+        raise TimeoutError(f"{link.peer_id} is {problem}")
 
 
 async def _write(
@@ -322,12 +333,12 @@
     message: control_pb2.LinkMessage,
     write: Callable[[Any], Any],
 ) -> None:
-    """Sends one message.
+    """Sends a message.
 
     Raises:
-        peers.PeerError: The stream has ended. gRPC raises the error of a wrong
-            use, for the end was not read yet; let through, it would end the
-            task that keeps the link, and the neighbour would be lost for good.
+        peers.PeerError: The stream has ended. As the end was not read yet, gRPC
+            raises `InvalidStateError`; propagated, it would end the task that
+            reopens the link, and the neighbour would be lost for good.
     """
     try:
         await write(message)
@@ -335,5 +346,5 @@
         raise peers.PeerError(f"link to {link.peer_id} has ended") from error
 
 
-def _has_work(link: Link) -> bool:
-    return link.writing or link.outbox.filled.is_set()
+def _has_unsent(link: Link) -> bool:
+    return link.is_writing or link.outbox.filled.is_set()
--- a/merlintrestle/members/membership.py
+++ b/merlintrestle/members/membership.py
@@ -1,4 +1,4 @@
-"""Membership: finding the fleet, keeping links, and telling who failed."""
+"""Membership service: discovery, links and failure detection."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from merlintrestle import events as event_logs
 from merlintrestle.members import anti_entropy
+from merlintrestle.members import failure_detection
 from merlintrestle.members import links as links_lib
 from merlintrestle.members import peers as peers_lib
 from merlintrestle.members import rendezvous
 from merlintrestle.members import selection
-from merlintrestle.members import suspicion
 from merlintrestle.members import table as table_lib
 from merlintrestle.members import timing as timing_lib
 from merlintrestle.schema import control_pb2
@@ -30,21 +30,22 @@
 
 NEIGHBOURS = 4
 
-# Name under which who opens a link says how patient both ends are with it.
-_PATIENCE_KEY = "patience"
-_MOST_PATIENCE = 8
+# Metadata key by which the daemon that opens a link sets the silence factor of
+# both ends.
+_SILENCE_FACTOR_KEY = "patience"
+_MAX_SILENCE_FACTOR = 8
 _LINK_ERRORS = (grpc.aio.AioRpcError, peers_lib.PeerError, TimeoutError)
 
 
 class Membership(mode.Service):
-    """Keeps this daemon in touch with the fleet.
+    """Keeps this daemon connected to the fleet.
 
     Attributes:
-        table: All members known.
-        links: The links to neighbours, and those that others opened.
-        peers: Channels for single calls.
+        table: All known members.
+        links: The links to neighbours and those opened by other daemons.
+        peers: Client for control calls.
         anti_entropy: Compares the table with other daemons.
-        timing: Intervals.
+        timing: Intervals and timeouts.
     """
 
     def __init__(
@@ -54,13 +55,13 @@
         seeds: Sequence[str] = (),
         timing: timing_lib.Timing | None = None,
     ):
-        """Sets up the parts.
+        """Initializes the service.
 
         Args:
-            table: The table; this daemon is in it.
-            store: Gives first contact where no seed does.
+            table: The member table, with this daemon in it.
+            store: Holds the seed records, for first contact if no seed answers.
             seeds: Control addresses of daemons to contact first.
-            timing: Intervals.
+            timing: Intervals and timeouts.
         """
         super().__init__()
         self.table = table
@@ -70,57 +71,58 @@
         self.anti_entropy = anti_entropy.AntiEntropy(
             table, self.peers, store, seeds, self.timing
         )
-        self._judge = suspicion.Judge(
+        self._detector = failure_detection.FailureDetector(
             table, self.peers, self.links, self.timing
         )
         key = rendezvous.build_neighbours_key(table.local_id)
-        self._choice = selection.MemberSelection(table, key, NEIGHBOURS)
+        self._selection = selection.MemberSelection(table, key, NEIGHBOURS)
         self._neighbours: dict[str, asyncio.Task[None]] = {}
         self._changed = asyncio.Event()
-        self._source: links_lib.Link | None = None
+        self._receiving_link: links_lib.Link | None = None
         self.links.on_message.append(self._receive)
-        self.links.on_open.append(self._greet)
-        table.on_change.append(self._spread)
+        self.links.on_open.append(self._send_initial_records)
+        table.on_change.append(self._forward)
 
     async def on_start(self) -> None:
-        """Begins with no neighbours; tasks find them."""
+        """Triggers the first selection of neighbours."""
         self._changed.set()
 
     async def on_stop(self) -> None:
-        """Ends all links of this daemon."""
+        """Ends all links opened by this daemon and closes its channels."""
         for task in self._neighbours.values():
             task.cancel()
         await asyncio.gather(*self._neighbours.values(), return_exceptions=True)
         await self.peers.close()
 
     async def wait_for_contact(self, timeout_s: float) -> bool:
-        """Waits for the first answer of another daemon; False: none came."""
+        """Waits for the end of the first contact; False after the timeout."""
         return await self.anti_entropy.wait_for_contact(timeout_s)
 
     def is_isolated(self) -> bool:
-        """Tells whether no peer has said anything for a while.
+        """Tells whether no peer has sent a message for two heartbeat intervals.
 
-        A daemon that is cut from its peers, or whose zone has just lost its
-        watchers, hears of no version but from the store.
+        A daemon that is cut off from its peers, or whose zone has just lost its
+        watchers, can get new versions only from the store.
         """
-        heard_at = self.links.heard_at
-        silent_s = time.monotonic() - heard_at
+        last_received_at = self.links.last_received_at
+        silent_s = time.monotonic() - last_received_at
         return (
-            bool(heard_at) and silent_s > 2 * self.timing.heartbeat_interval_s
+            bool(last_received_at)
+            and silent_s > 2 * self.timing.heartbeat_interval_s
         )
 
     async def contact_unknown(self, addresses: Sequence[str]) -> None:
-        """Contacts daemons that the table does not have yet."""
+        """Contacts the daemons that are not in the table yet."""
         await self.anti_entropy.contact_unknown(addresses)
 
     async def contact_stored_seeds(self) -> None:
-        """Contacts daemons that the store names and the table does not."""
-        await self.anti_entropy.find_others()
+        """Contacts the seeds in the store that are not in the table."""
+        await self.anti_entropy.contact_stored_seeds()
 
     async def serve_link(self, stream: grpc.aio.ServicerContext) -> None:
-        """Serves a link that a peer opened, until it ends."""
-        patience = _read_patience(stream.invocation_metadata())
-        link = links_lib.Link("", outgoing=False, patience=patience)
+        """Serves a link opened by a peer until it ends."""
+        silence_factor = _read_silence_factor(stream.invocation_metadata())
+        link = links_lib.Link("", outgoing=False, silence_factor=silence_factor)
         try:
             await self.links.run_link(link, stream.read, stream.write)
         except _LINK_ERRORS as error:
@@ -128,28 +130,28 @@
         finally:
             # gRPC cancels this coroutine when the connection breaks.
             if link.peer_id and not self.should_stop:
-                self._judge.check_soon(link.peer_id)
+                self._detector.start_check(link.peer_id)
 
     async def probe(self, member_id: str) -> bool:
-        """Reaches a member on behalf of another daemon."""
-        return await self._judge.reach(member_id)
+        """Probes a member on behalf of another daemon."""
+        return await self._detector.probe(member_id)
 
     def answer_members(
         self, request: control_pb2.MembersRequest
     ) -> control_pb2.MembersReply:
-        """Takes in and gives members by bucket."""
+        """Answers a request for member records by bucket."""
         return self.anti_entropy.answer(request)
 
     @mode.Service.task
     async def _choose_neighbours(self) -> None:
-        # Looked at before each wait as well: `sleep` may return for the stop
-        # and swallow the cancellation that comes with it.
+        # `should_stop` is checked before each wait, as `sleep` may return for
+        # the stop and swallow the cancellation that comes with it.
         while not self.should_stop:
             await self._changed.wait()
             if self.should_stop:
-                # News that come while the links are being ended would open
-                # one that nobody ends; over it this daemon would go on saying
-                # that it is alive.
+                # A change that arrives while the links are being ended would
+                # open a link that is never ended, and over it this daemon
+                # would still announce that it is alive.
                 return
             self._changed.clear()
             self._update_neighbours()
@@ -157,13 +159,13 @@
 
     @mode.Service.task
     async def _watch_states(self) -> None:
-        tick = self.timing.heartbeat_interval_s / 2
+        tick_s = self.timing.heartbeat_interval_s / 2
         while not self.should_stop:
             before = time.monotonic()
-            await self.sleep(tick)
-            elapsed = time.monotonic() - before
-            self.peers.note_lateness(max(0.0, elapsed - tick))
-            self._judge.tick(elapsed, tick)
+            await self.sleep(tick_s)
+            elapsed_s = time.monotonic() - before
+            self.peers.record_lateness(max(0.0, elapsed_s - tick_s))
+            self._detector.tick(elapsed_s, tick_s)
 
     @mode.Service.task
     async def _join(self) -> None:
@@ -177,12 +179,12 @@
             )
             member_id = await self.anti_entropy.run_round()
             if member_id is not None:
-                self._judge.check_soon(member_id)
-            self.table.forget_gone()
-            await self.peers.trim()
+                self._detector.start_check(member_id)
+            self.table.remove_gone()
+            await self.peers.close_idle_channels()
 
     def _update_neighbours(self) -> None:
-        wanted = self._choice.get()
+        wanted = self._selection.get()
         for member_id in set(self._neighbours) - set(wanted):
             self._neighbours.pop(member_id).cancel()
         for member_id in wanted:
@@ -192,43 +194,50 @@
                 )
 
     async def _keep_link(self, member_id: str) -> None:
-        """Keeps one link open while the peer is a neighbour."""
+        """Reopens the link to a neighbour until it is cancelled."""
         backoff = timing_lib.Backoff(
             self.timing.reconnect_delay_s, self.timing.max_reconnect_delay_s
         )
-        patience = 1
+        silence_factor = 1
         while True:
             began = time.monotonic()
-            link = links_lib.Link(member_id, outgoing=True, patience=patience)
+            link = links_lib.Link(
+                member_id, outgoing=True, silence_factor=silence_factor
+            )
             try:
                 await self._run_outgoing(link)
             except _LINK_ERRORS as error:
                 events.note("link to lost", member=member_id, error=str(error))
                 if isinstance(error, TimeoutError):
-                    patience = min(2 * patience, _MOST_PATIENCE)
-            if link.heard_at - began > self.timing.silence_timeout_s:
-                patience = max(1, patience // 2)
+                    silence_factor = min(
+                        2 * silence_factor, _MAX_SILENCE_FACTOR
+                    )
+            if link.last_received_at - began > self.timing.silence_timeout_s:
+                silence_factor = max(1, silence_factor // 2)
             if time.monotonic() - began > self.timing.silence_timeout_s:
                 backoff.reset()
-            self._judge.check_soon(member_id)
+            self._detector.start_check(member_id)
             await asyncio.sleep(backoff.get_next_delay())
 
     async def _run_outgoing(self, link: links_lib.Link) -> None:
         channel = peers_lib.open_channel(link.peer_id)
         stream = control_pb2_grpc.ControlStub(channel).Link(
-            metadata=((_PATIENCE_KEY, str(link.patience)),)
+            metadata=((_SILENCE_FACTOR_KEY, str(link.silence_factor)),)
+        )
+        self.peers.share_channel(
+            link.peer_id, channel, lambda: link.last_received_at
         )
-        self.peers.lend(link.peer_id, channel, lambda: link.heard_at)
         try:
             await self.links.run_link(link, stream.read, stream.write)
         finally:
             stream.cancel()
-            self.peers.retire(link.peer_id, channel)
+            self.peers.retire_channel(link.peer_id, channel)
 
-    def _greet(self, link: links_lib.Link) -> None:
-        """Tells a peer about itself and this daemon when a link opens.
+    def _send_initial_records(self, link: links_lib.Link) -> None:
+        """Sends the records of a peer and of this daemon when a link opens.
 
-        A peer that was held for dead learns it from here and refutes.
+        A peer that is considered dead learns this from its record and refutes
+        it.
         """
         events.note("link open", member=link.peer_id, outgoing=link.outgoing)
         link.outbox.add_member(self.table.local_member)
@@ -239,25 +248,27 @@
     def _receive(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
     ) -> None:
-        self._source = link
+        self._receiving_link = link
         try:
             for member in message.members:
                 self.table.merge(member)
         finally:
-            self._source = None
+            self._receiving_link = None
         if message.members_digest != self.table.digest:
-            self.anti_entropy.note_difference(link.peer_id)
+            self.anti_entropy.record_difference(link.peer_id)
 
-    def _spread(self, member: control_pb2.Member) -> None:
-        """Passes a record on to the neighbours, and chooses them anew."""
-        besides = None if member.id == self.table.local_id else self._source
-        self.links.send_member(member, besides)
+    def _forward(self, member: control_pb2.Member) -> None:
+        """Forwards a record to the neighbours and triggers their selection."""
+        exclude = (
+            None if member.id == self.table.local_id else self._receiving_link
+        )
+        self.links.send_member(member, exclude)
         self._changed.set()
 
 
-def _read_patience(metadata: Iterable[tuple[str, str | bytes]]) -> int:
-    """Returns how patient a peer wants a link of its own to be treated."""
+def _read_silence_factor(metadata: Iterable[tuple[str, str | bytes]]) -> int:
+    """Returns the silence factor set by a peer for a link that it opens."""
     for key, value in metadata:
-        if key == _PATIENCE_KEY and str(value).isdecimal():
-            return max(1, min(int(value), _MOST_PATIENCE))
+        if key == _SILENCE_FACTOR_KEY and str(value).isdecimal():
+            return max(1, min(int(value), _MAX_SILENCE_FACTOR))
     return 1
--- a/merlintrestle/members/outbox.py
+++ b/merlintrestle/members/outbox.py
@@ -1,4 +1,4 @@
-"""What waits to be sent on one link."""
+"""Queue of the updates to send on a link."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 if TYPE_CHECKING:
     from merlintrestle.schema import document_pb2
 
-# Records and strikes of one message; the rest follow in the next one.
+# Maximum numbers of records and strikes in a message; further records follow in
+# the next one.
 MAX_MEMBERS = 500
 MAX_STRIKES = 100
 
 
 class Outbox:
-    """Coalesces what one peer is to be told.
+    """Coalesces the updates for one peer.
 
-    A peer that reads slowly costs no more than one record of each member and
-    the newest delta, however much happens meanwhile.
+    For a peer that reads slowly it holds at most one record of each member and
+    the newest delta, however many updates arrive meanwhile.
 
     Attributes:
-        urgent: Set while something waits that should travel at once.
-        filled: Set while anything waits.
+        urgent: Set while an update is queued that should be sent at once.
+        filled: Set while any update is queued.
     """
 
     def __init__(self) -> None:
@@ -37,53 +38,53 @@
         self._delta: document_pb2.Delta | None = None
 
     def add_member(self, member: control_pb2.Member) -> None:
-        """Adds a record in place of an older one of the same member."""
-        held = self._members.get(member.id)
-        if held is None or table_lib.outranks(member, held):
+        """Adds a record, replacing an older one of the same member."""
+        queued = self._members.get(member.id)
+        if queued is None or table_lib.supersedes(member, queued):
             self._members[member.id] = member
             self.filled.set()
 
     def drop_known(self, member: control_pb2.Member) -> None:
-        """Drops a waiting record that the peer has proved to know."""
-        held = self._members.get(member.id)
-        if held is not None and not table_lib.outranks(held, member):
+        """Drops a queued record if the peer has sent it or a newer one."""
+        queued = self._members.get(member.id)
+        if queued is not None and not table_lib.supersedes(queued, member):
             del self._members[member.id]
 
     def add_strike(self, strike: control_pb2.Strike) -> None:
-        """Adds a strike, sent at once."""
+        """Adds a strike, which is sent at once."""
         if len(self._strikes) < MAX_STRIKES:
             key = (strike.request_digest, strike.crash_id)
             self._strikes[key] = strike
-        self._wake()
+        self._mark_urgent()
 
     def add_rollout(self, rollout: control_pb2.Rollout) -> None:
-        """Adds the newest record of a roll-out, sent at once."""
+        """Adds the newest record of a roll-out, which is sent at once."""
         self._rollouts[rollout.service] = rollout
-        self._wake()
+        self._mark_urgent()
 
     def add_trial(self, trial: control_pb2.Trial) -> None:
-        """Adds what was seen of a backend server in place of an older record.
+        """Adds a trial record, replacing an older one of the backend server.
 
-        What makes it suspect is sent at once: until all daemons have heard it,
-        callers get its bad answers.
+        A record that marks the backend server as suspect is sent at once: until
+        all daemons have received it, callers get bad answers from that server.
         """
         self._trials[trial.service, trial.member_id] = trial
         if trial.suspect:
-            self._wake()
+            self._mark_urgent()
         else:
             self.filled.set()
 
     def set_delta(self, delta: document_pb2.Delta | None) -> None:
-        """Replaces the delta that waits; the offer itself is in any message.
+        """Replaces the queued delta; every message contains the offer itself.
 
         Args:
-            delta: The newest delta; None sends a message with the offer.
+            delta: The newest delta; None sends a message with only the offer.
         """
         self._delta = delta
-        self._wake()
+        self._mark_urgent()
 
-    def take_message(self) -> control_pb2.LinkMessage:
-        """Returns a message with what waits, and empties the box."""
+    def pop_message(self) -> control_pb2.LinkMessage:
+        """Removes queued updates and returns them as a message."""
         message = control_pb2.LinkMessage()
         if self._delta is not None:
             message.delta.CopyFrom(self._delta)
@@ -101,6 +102,6 @@
             self.filled.clear()
         return message
 
-    def _wake(self) -> None:
+    def _mark_urgent(self) -> None:
         self.urgent.set()
         self.filled.set()
--- a/merlintrestle/members/parts.py
+++ b/merlintrestle/members/parts.py
@@ -1,4 +1,7 @@
-"""Large messages in compressed parts, so that their progress can be seen."""
+"""Splitting large messages into compressed parts.
+
+The receiver can observe the progress of a message that comes in parts.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +15,22 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# A link of 0.4 MB/s carries one part in 0.04 s, well within the time after
+# A link of 0.4 MB/s carries a part in 0.04 s, well below the hedge delay after
 # which another peer is asked.
 PART_BYTES = 16 * 1024
-# Longest message that is taken in.
+# Maximum size of a decompressed message.
 MAX_BYTES = 8 * 1024 * 1024
 
 
 class BrokenPartsError(ValueError):
-    """Parts that are not a whole message."""
+    """The parts do not form a complete message."""
 
 
 def split(reply: control_pb2.FetchReply) -> Iterator[control_pb2.FetchPart]:
-    """Yields a message in parts.
+    """Yields the compressed parts of a message.
 
-    Records of a version are much alike: one of 1,600 routes has 156 KB and
-    22 KB compressed, in 3 ms of processor time.
+    The records of a version are similar to each other and compress well: 1,600
+    routes shrink from 156 KB to 22 KB in 3 ms of processor time.
     """
     data = zlib.compress(reply.SerializeToString())
     for start in range(0, len(data), PART_BYTES):
@@ -35,22 +38,23 @@
 
 
 def join(parts: Iterable[control_pb2.FetchPart]) -> control_pb2.FetchReply:
-    """Returns the message that was split.
+    """Returns the message that was split into parts.
+
+    At most `MAX_BYTES` are decompressed, so that a peer with corrupt memory
+    cannot exhaust the memory of this daemon.
 
     Raises:
-        BrokenPartsError: Parts are missing or are not what was sent. A peer
-            whose memory is broken must not fill that of this daemon, so no
-            more than `MAX_BYTES` is taken out of them.
+        BrokenPartsError: Parts are missing, corrupt or too large.
     """
-    inflater = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     data = b"".join(part.data for part in parts)
     try:
-        text = inflater.decompress(data, MAX_BYTES)
+        serialized = decompressor.decompress(data, MAX_BYTES)
     except zlib.error as error:
         raise BrokenPartsError(str(error)) from error
-    if not inflater.eof:
+    if not decompressor.eof:
         raise BrokenPartsError("the parts are not whole")
     try:
-        return control_pb2.FetchReply.FromString(text)
+        return control_pb2.FetchReply.FromString(serialized)
     except message.DecodeError as error:
         raise BrokenPartsError(str(error)) from error
--- a/merlintrestle/members/rendezvous.py
+++ b/merlintrestle/members/rendezvous.py
@@ -1,4 +1,4 @@
-"""Choosing members by rendezvous hashing (highest random weight)."""
+"""Rendezvous hashing (highest random weight)."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def choose(key: str, candidates: Iterable[str], count: int) -> list[str]:
-    """Returns the `count` candidates of highest weight for a key, in order.
+    """Returns the `count` candidates with the highest weights, in order.
 
-    Everyone who knows the same candidates chooses the same ones, and one
-    candidate more or less changes the choice of few keys.
+    All daemons that know the same candidates choose the same ones. Adding or
+    removing a candidate changes the result for few keys.
     """
     return heapq.nlargest(
         count, candidates, key=lambda name: (weigh(key, name), name)
@@ -22,14 +22,15 @@
 
 
 def build_neighbours_key(member_id: str) -> str:
-    """Returns the key by which a member's neighbours are chosen.
+    """Returns the key that selects a member's neighbours.
 
-    The first of them are its witnesses too, whose links carry its marks.
+    The first neighbours are also its witnesses: its marks travel over the
+    links to them.
     """
     return f"neighbours/{member_id}"
 
 
 def weigh(key: str, name: str) -> int:
-    """Returns the weight (64 bits) of one candidate for a key."""
+    """Returns the 64-bit weight of a candidate for a key."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8)
     return int.from_bytes(digest.digest(), "big")
--- a/merlintrestle/members/selection.py
+++ b/merlintrestle/members/selection.py
@@ -1,4 +1,4 @@
-"""A standing choice of members that follows the table."""
+"""Selection of members that is kept up to date with the member table."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
     from merlintrestle.schema import control_pb2
 
 
-# A link counts as wide from this part of the widest on. Hosts of one make
-# differ by less; those of another differ by a whole factor.
-_WIDE = 0.5
+# Ratio to the speed of the fastest link from which on a link counts as fast.
+# Links of hosts of the same model differ by less, links of hosts of different
+# models by a whole factor.
+_FAST_LINK_RATIO = 0.5
 
 
 class _Rank(NamedTuple):
-    """Place of a member in a choice; the highest are chosen.
+    """Sort key of a member; the members with the highest ranks are selected.
 
     Attributes:
-        wide: Whether its link is wide.
-        weight: Its weight for the key.
-        member_id: Its id, which decides between equal weights.
+        fast_link: Whether the member's link is fast.
+        weight: Weight of the member for the key.
+        member_id: Id of the member, which orders equal weights.
     """
 
-    wide: bool
+    fast_link: bool
     weight: int
     member_id: str
 
@@ -36,36 +37,39 @@
 def choose_by_link_speed(
     key: str, members: Sequence[control_pb2.Member], count: int
 ) -> list[str]:
-    """Returns the ids of the highest weight, behind wide links if there are.
-
-    What one member does for many fills its link: a watcher takes in each
-    configuration whole. Behind a thin link, calls to the backend server there
-    waited seconds behind it, and so did the configuration. Where too few links
-    are wide, members behind the others make up the number. Links that are all
-    alike or all not known leave the weight alone to decide.
+    """Returns the ids of the highest weight, members with fast links first.
+
+    A member that does work for many others fills its link: a watcher downloads
+    every configuration in full. On a slow link, that delayed calls to the
+    backend server of the instance and the configuration itself by seconds. If
+    there are too few fast links, members with slow links fill the remaining
+    places. If all links have the same speed, or none is known, only the weight
+    counts.
     """
-    widest = find_widest(members)
-    ranks = [rank(key, member, widest) for member in members]
-    return [found.member_id for found in heapq.nlargest(count, ranks)]
+    max_link_mbps = find_max_link_mbps(members)
+    ranks = [compute_rank(key, member, max_link_mbps) for member in members]
+    return [rank.member_id for rank in heapq.nlargest(count, ranks)]
 
 
-def find_widest(members: Iterable[control_pb2.Member]) -> float:
-    """Returns the capacity of the widest link, in Mbit/s; 0: not known."""
+def find_max_link_mbps(members: Iterable[control_pb2.Member]) -> float:
+    """Returns the speed of the fastest link in Mbit/s, 0 if none is known."""
     return max((member.link_mbps for member in members), default=0.0)
 
 
-def rank(key: str, member: control_pb2.Member, widest: float) -> _Rank:
-    """Returns the place of a member where the widest link has a capacity."""
-    wide = member.link_mbps >= _WIDE * widest
-    return _Rank(wide, rendezvous.weigh(key, member.id), member.id)
+def compute_rank(
+    key: str, member: control_pb2.Member, max_link_mbps: float
+) -> _Rank:
+    """Returns the rank of a member, given the speed of the fastest link."""
+    fast_link = member.link_mbps >= _FAST_LINK_RATIO * max_link_mbps
+    return _Rank(fast_link, rendezvous.weigh(key, member.id), member.id)
 
 
 class MemberSelection:
-    """The members of highest weight for a key, kept as the table changes.
+    """The members of highest weight for a key, updated as the table changes.
 
-    A record costs one hash; only the loss of a chosen member costs a pass
-    over the table. Choosing anew at each use would take some 10 ms at 6,000
-    members, several times a second.
+    A changed record costs one hash; only the loss of a selected member costs a
+    pass over the table. Selecting again at each use would take about 10 ms with
+    6,000 members, several times a second.
     """
 
     def __init__(
@@ -74,109 +78,126 @@
         key: str,
         count: int,
         zone: str = "",
-        with_own: bool = False,
-        with_dead: bool = False,
-        by_link: bool = False,
+        include_local: bool = False,
+        include_dead: bool = False,
+        prefer_fast_links: bool = False,
     ):
-        """Sets what is chosen.
+        """Initializes the selection.
 
         Args:
-            table: The table to choose from.
+            table: The table to select from.
             key: Key of the rendezvous hashing.
-            count: How many are chosen at most.
-            zone: Only members of this availability zone; empty: of all.
-            with_own: Whether this daemon itself may be chosen.
-            with_dead: Whether members held for dead may be chosen.
-            by_link: Whether members behind wide links go before the others;
-                see `choose_by_link`.
+            count: Maximum number of members.
+            zone: Availability zone of the members; empty means any.
+            include_local: Whether the local daemon can be selected.
+            include_dead: Whether dead members can be selected.
+            prefer_fast_links: Whether members with fast links come first; see
+                `choose_by_link_speed`.
         """
         self._table = table
         self._key = key
         self._count = count
         self._zone = zone
-        self._with_own = with_own
-        self._with_dead = with_dead
-        self._by_link = by_link
-        self._widest = 0.0
-        self._links: dict[str, float] = {}
-        self._chosen: dict[str, _Rank] = {}
+        self._include_local = include_local
+        self._include_dead = include_dead
+        self._prefer_fast_links = prefer_fast_links
+        self._max_link_mbps = 0.0
+        self._link_mbps: dict[str, float] = {}
+        self._selected: dict[str, _Rank] = {}
         self._stale = True
-        table.on_change.append(self._note)
+        table.on_change.append(self._update)
 
     def get(self) -> list[str]:
-        """Returns the ids chosen, highest weight first."""
+        """Returns the ids of the selected members, highest rank first."""
         if self._stale:
-            self._choose()
-        return list(self._chosen)
+            self._select()
+        return list(self._selected)
 
     def close(self) -> None:
-        """Follows the table no more."""
-        self._table.on_change.remove(self._note)
+        """Stops following the table."""
+        self._table.on_change.remove(self._update)
 
-    def _choose(self) -> None:
-        fitting = [
+    def _select(self) -> None:
+        eligible = [
             member
             for member in self._table.list_members()
-            if self._fits(member)
+            if self._is_eligible(member)
         ]
-        if self._by_link:
-            self._links = {member.id: member.link_mbps for member in fitting}
-            self._widest = find_widest(fitting)
-        ranked = {m.id: rank(self._key, m, self._widest) for m in fitting}
-        chosen = heapq.nlargest(self._count, ranked, key=lambda i: ranked[i])
-        self._chosen = {i: ranked[i] for i in chosen}
+        if self._prefer_fast_links:
+            self._link_mbps = {
+                member.id: member.link_mbps for member in eligible
+            }
+            self._max_link_mbps = find_max_link_mbps(eligible)
+        ranks = {
+            candidate.id: compute_rank(
+                self._key, candidate, self._max_link_mbps
+            )
+            for candidate in eligible
+        }
+        selected = heapq.nlargest(
+            self._count, ranks, key=lambda member_id: ranks[member_id]
+        )
+        self._selected = {member_id: ranks[member_id] for member_id in selected}
         self._stale = False
 
-    def _note(self, member: control_pb2.Member) -> None:
+    def _update(self, member: control_pb2.Member) -> None:
         if self._stale:
             return
-        fits = self._fits(member)
-        if self._by_link and self._note_link(member, fits):
+        is_eligible = self._is_eligible(member)
+        if self._prefer_fast_links and self._update_link(member, is_eligible):
             self._stale = True
             return
-        if member.id in self._chosen:
-            self._stale = not fits
+        if member.id in self._selected:
+            self._stale = not is_eligible
             return
-        if fits:
-            self._consider(member)
-
-    def _note_link(self, member: control_pb2.Member, fits: bool) -> bool:
-        """Keeps the links to choose from; True if ranks are others by it."""
-        before = self._links.pop(member.id, None)
-        if fits:
-            self._links[member.id] = member.link_mbps
-        elif before is None:
+        if is_eligible:
+            self._insert(member)
+
+    def _update_link(
+        self, member: control_pb2.Member, is_eligible: bool
+    ) -> bool:
+        """Updates the link speed of a member; True if ranks change by it."""
+        old_mbps = self._link_mbps.pop(member.id, None)
+        if is_eligible:
+            self._link_mbps[member.id] = member.link_mbps
+        elif old_mbps is None:
             return False
-        if before is not None and fits and before != member.link_mbps:
+        if (
+            old_mbps is not None
+            and is_eligible
+            and old_mbps != member.link_mbps
+        ):
             return True
-        return max(self._links.values(), default=0.0) != self._widest
+        return max(self._link_mbps.values(), default=0.0) != self._max_link_mbps
 
-    def _consider(self, member: control_pb2.Member) -> None:
-        """Adds a member if its rank is among the highest."""
-        found = rank(self._key, member, self._widest)
-        ranked = [*self._chosen.items(), (member.id, found)]
+    def _insert(self, member: control_pb2.Member) -> None:
+        """Selects a member if its rank is among the highest."""
+        rank = compute_rank(self._key, member, self._max_link_mbps)
+        ranked = [*self._selected.items(), (member.id, rank)]
         ranked.sort(key=lambda item: item[1], reverse=True)
-        self._chosen = dict(ranked[: self._count])
+        self._selected = dict(ranked[: self._count])
 
-    def _fits(self, member: control_pb2.Member) -> bool:
-        if member.id == self._table.local_id and not self._with_own:
+    def _is_eligible(self, member: control_pb2.Member) -> bool:
+        if member.id == self._table.local_id and not self._include_local:
             return False
         if self._zone and member.zone != self._zone:
             return False
-        if self._with_dead and table_lib.is_dead(member):
+        if self._include_dead and table_lib.is_dead(member):
             return True
         return not table_lib.is_gone(member)
 
 
 def build_zone_key(purpose: str, zone: str) -> str:
-    """Returns the key of a choice that is made in an availability zone."""
+    """Returns the key of a selection within an availability zone."""
     return f"{purpose}/{zone}"
 
 
 def choose_in_local_zone(
     table: table_lib.MemberTable, purpose: str, count: int
 ) -> MemberSelection:
-    """Returns the members of the own zone, this one too, for a purpose."""
+    """Returns a selection from the local zone, the local daemon included."""
     zone = table.local_member.zone
     key = build_zone_key(purpose, zone)
-    return MemberSelection(table, key, count, zone, with_own=True, by_link=True)
+    return MemberSelection(
+        table, key, count, zone, include_local=True, prefer_fast_links=True
+    )
--- a/merlintrestle/members/service.py
+++ b/merlintrestle/members/service.py
@@ -1,4 +1,4 @@
-"""The gRPC service through which daemons control each other."""
+"""The gRPC service for control calls between daemons."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
     ("grpc.max_receive_message_length", peers_lib.MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", peers_lib.MAX_MESSAGE_BYTES),
     ("grpc.http2.bdp_probe", 0),
-    # Two daemons with one port would each get half of the other's calls.
+    # With port reuse, two daemons on one port would each receive half of the
+    # other's calls.
     ("grpc.so_reuseport", 0),
 ]
 
 
 class ControlServer:
-    """The control port.
+    """The gRPC server on the control port.
 
     Attributes:
-        server: The gRPC server; other servicers may be added before `start`.
-        port: The port that was bound.
+        server: The gRPC server; other servicers can be added before `start`.
+        port: The bound port.
     """
 
     def __init__(self, address: str, port: int):
-        """Binds the port; 0 takes a free one.
+        """Binds the port; 0 selects a free one.
 
         Must be called inside a running event loop.
 
         Raises:
-            errors.MerlintrestleError: The port is taken.
+            errors.MerlintrestleError: The port cannot be bound.
         """
         self.server = grpc.aio.server(options=_OPTIONS)
         try:
@@ -53,17 +54,17 @@
             ) from error
 
     async def start(self, servicer: ControlServicer) -> None:
-        """Starts to serve."""
+        """Starts serving."""
         control_pb2_grpc.add_ControlServicer_to_server(servicer, self.server)
         await self.server.start()
 
     async def close(self, grace_s: float = 0.2) -> None:
-        """Stops to serve; links end at once."""
+        """Stops serving; open links end after `grace_s` seconds."""
         await self.server.stop(grace_s)
 
 
 class ControlServicer(control_pb2_grpc.ControlServicer):
-    """Answers other daemons and operators."""
+    """Answers control calls from other daemons and operators."""
 
     def __init__(
         self,
@@ -74,12 +75,12 @@
         ] = lambda: (),
         get_in_flight: Callable[[], int] = lambda: 0,
     ):
-        """Connects the parts.
+        """Initializes the servicer.
 
         Args:
-            membership: Members and links.
-            distribution: Versions.
-            get_classes: Returns what was measured of the classes of work.
+            membership: Answers calls about members and links.
+            distribution: Answers calls about versions.
+            get_classes: Returns the measurements of each class of calls.
             get_in_flight: Returns the number of requests in flight.
         """
         self._membership = membership
@@ -88,18 +89,18 @@
         self._get_in_flight = get_in_flight
 
     async def Link(self, request_iterator: Any, context: Any) -> None:  # noqa: N802
-        """Serves a link that a peer opened."""
+        """Serves a link opened by a peer."""
         del request_iterator
         await self._membership.serve_link(context)
 
     async def Fetch(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Gives the newest version."""
+        """Returns the newest version."""
         del context
         reply = self._distribution.archive.answer(request)
         return _count("Fetch", request, reply)
 
     async def FetchParts(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Gives the newest version in parts."""
+        """Streams the newest version in parts."""
         del context
         _count_received("FetchParts", request)
         for part in parts.split(self._distribution.archive.answer(request)):
@@ -107,40 +108,40 @@
             yield part
 
     async def Hold(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Takes over a version that operators have just had accepted."""
+        """Stores a version that was just accepted from an operator."""
         del context
         held = self._distribution.take_over(request)
         return _count("Hold", request, control_pb2.HoldReply(held=held))
 
     async def Mark(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Records the version of a daemon."""
+        """Records the version that a daemon runs, as its witness."""
         del context
         reply = self._distribution.witness.record(request)
         return _count("Mark", request, reply)
 
     async def Floor(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Says what is known of versions that a daemon ran."""
+        """Returns what is known about the versions that a daemon has run."""
         del context
         reply = await self._distribution.answer_floor(request)
         return _count("Floor", request, reply)
 
     async def Members(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Exchanges members by bucket."""
+        """Exchanges member records by bucket."""
         del context
         reply = self._membership.answer_members(request)
         return _count("Members", request, reply)
 
     async def Probe(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Reaches a daemon for another; its own id is the plain ping."""
+        """Probes a member for another daemon; the local id is a plain ping."""
         del context
-        own_id = self._membership.table.local_id
-        reached = request.member_id == own_id or await self._membership.probe(
+        local_id = self._membership.table.local_id
+        reached = request.member_id == local_id or await self._membership.probe(
             request.member_id
         )
         return _count("Probe", request, control_pb2.ProbeReply(reached=reached))
 
     async def Status(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Says what this daemon runs and measures."""
+        """Returns what this daemon runs and measures."""
         del context
         holder = self._distribution.holder
         reply = control_pb2.StatusReply(
--- a/merlintrestle/members/table.py
+++ b/merlintrestle/members/table.py
@@ -1,4 +1,4 @@
-"""The table of members: who is in the fleet and which upstreams it has."""
+"""The table of the fleet's members and upstreams."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import NamedTuple, TYPE_CHECKING
 
 from merlintrestle import events as event_logs
-from merlintrestle.members import validity
+from merlintrestle.members import validation
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
@@ -15,29 +15,29 @@
 
 events = event_logs.EventLog("members")
 
-# Members of one bucket are compared by one digest (anti-entropy).
+# Number of buckets of members; anti-entropy compares one digest for each.
 BUCKETS = 64
-# A member that left or died is remembered this long, so that late news of its
-# life does not bring it back.
-GONE_MEMORY_S = 600.0
+# How long a member that left or died is remembered, so that an outdated record
+# of it as alive does not bring it back.
+GONE_RETENTION_S = 600.0
 
-_GONE = (control_pb2.LEAVING, control_pb2.DEAD)
-_USABLE = (control_pb2.ALIVE, control_pb2.SUSPECT)
+_GONE_STATES = (control_pb2.LEAVING, control_pb2.DEAD)
+_USABLE_STATES = (control_pb2.ALIVE, control_pb2.SUSPECT)
 
 
 class Upstream(NamedTuple):
-    """One backend server that may be sent work, by way of its daemon.
+    """A backend server that takes calls through its daemon.
 
     Attributes:
-        member_id: Id of the daemon beside it, "ip:control_port".
-        address: IP number of the daemon.
+        member_id: Id of its daemon, "ip:control_port".
+        address: IP address of the daemon.
         peer_port: Port of the daemon for calls from peers.
         zone: Availability zone.
         region: Region.
-        slots: Calls it runs at once.
-        ready_since_ms: When it became ready, in ms since 1970.
-        suspect: True while the daemon is suspected to have failed.
-        version: Version of the backend server's software; empty: not stated.
+        slots: Number of calls that it runs concurrently.
+        ready_since_ms: Time when it became ready, in ms since 1970.
+        suspect: Whether the daemon is suspected to have failed.
+        version: Version of the backend server's software; empty if not stated.
     """
 
     member_id: str
@@ -52,31 +52,32 @@
 
 
 class MemberTable:
-    """What this daemon knows of all members, itself included.
+    """The records of all members known to this daemon, itself included.
 
-    Of two records of one member the one that `outranks` the other is kept, so
-    that records may come in any order, and more than once.
+    Of two records of a member, the one that supersedes the other is kept, so
+    that records can arrive in any order and repeatedly.
 
     Attributes:
         local_id: Id of this daemon.
-        digest: XOR over the digests of all members that are not gone.
-        bucket_digests: The same by bucket.
-        on_change: Called with each record that was taken in.
+        digest: XOR of the digests of all members that are not gone.
+        bucket_digests: The same for each bucket.
+        on_change: Called with each record that was stored.
     """
 
     def __init__(
         self,
-        own: control_pb2.Member,
+        local_member: control_pb2.Member,
         clock: Callable[[], float] = time.monotonic,
     ):
-        """Starts the table with this daemon alone.
+        """Initializes the table with this daemon as the only member.
 
         Args:
-            own: This daemon; without an incarnation it gets the time in ms,
-                which is above that of any earlier process at its address.
-            clock: Monotonic time in seconds.
+            local_member: Record of this daemon. Without an incarnation it gets
+                the time in ms, which is above that of any earlier process at
+                its address.
+            clock: Returns the monotonic time in seconds.
         """
-        self.local_id = own.id
+        self.local_id = local_member.id
         self.digest = 0
         self.bucket_digests = [0] * BUCKETS
         self.on_change: list[Callable[[control_pb2.Member], None]] = []
@@ -85,14 +86,16 @@
         self._usable_count = 0
         self._suspects: set[str] = set()
         self._changed_at: dict[str, float] = {}
-        self._served: dict[str, dict[str, Upstream]] = {}
-        self._upstreams: dict[str, tuple[Upstream, ...]] = {}
-        first = control_pb2.Member()
-        first.CopyFrom(own)
-        first.incarnation = own.incarnation or time.time_ns() // 1_000_000
-        first.process = own.process or first.incarnation
-        first.state = control_pb2.ALIVE
-        self._put(first)
+        self._upstreams_by_id: dict[str, dict[str, Upstream]] = {}
+        self._cached_upstreams: dict[str, tuple[Upstream, ...]] = {}
+        record = control_pb2.Member()
+        record.CopyFrom(local_member)
+        record.incarnation = (
+            local_member.incarnation or time.time_ns() // 1_000_000
+        )
+        record.process = local_member.process or record.incarnation
+        record.state = control_pb2.ALIVE
+        self._put(record)
 
     @property
     def local_member(self) -> control_pb2.Member:
@@ -100,23 +103,23 @@
         return self._members[self.local_id]
 
     def get(self, member_id: str) -> control_pb2.Member | None:
-        """Returns the record of one member."""
+        """Returns the record of a member."""
         return self._members.get(member_id)
 
     def list_members(self) -> list[control_pb2.Member]:
-        """Returns the records of all members, gone ones included."""
+        """Returns the records of all members, including those that are gone."""
         return list(self._members.values())
 
-    def suspects(self) -> list[str]:
-        """Returns the ids of the members that are suspected."""
+    def list_suspects(self) -> list[str]:
+        """Returns the ids of suspect members."""
         return list(self._suspects)
 
     def list_usable_ids(self) -> list[str]:
-        """Returns ids of the members that are not gone, own one included."""
+        """Returns the ids of members that are not gone, the local included."""
         return [
             member.id
             for member in self._members.values()
-            if member.state in _USABLE
+            if member.state in _USABLE_STATES
         ]
 
     def count_usable(self) -> int:
@@ -124,71 +127,71 @@
         return self._usable_count
 
     def get_upstreams(self, service: str) -> tuple[Upstream, ...]:
-        """Returns the upstreams of a service; the same tuple until a change."""
-        found = self._upstreams.get(service)
-        if found is None:
-            served = self._served.get(service, {})
-            found = tuple(served[member_id] for member_id in sorted(served))
-            self._upstreams[service] = found
-        return found
+        """Returns the upstreams of a service, the same tuple until a change."""
+        upstreams = self._cached_upstreams.get(service)
+        if upstreams is None:
+            by_id = self._upstreams_by_id.get(service, {})
+            upstreams = tuple(by_id[member_id] for member_id in sorted(by_id))
+            self._cached_upstreams[service] = upstreams
+        return upstreams
 
     def get_state_age(self, member_id: str) -> float:
         """Returns the seconds since the record of a member changed."""
         return self._clock() - self._changed_at[member_id]
 
-    def delay_states(self, seconds: float) -> None:
-        """Counts time in which this daemon was paused for no state."""
+    def exclude_pause(self, pause_s: float) -> None:
+        """Excludes a pause of this daemon, in seconds, from all state ages."""
         for member_id in self._changed_at:
-            self._changed_at[member_id] += seconds
+            self._changed_at[member_id] += pause_s
 
     def set_backend(self, backend: control_pb2.Backend | None) -> None:
-        """Announces the backend server beside this daemon, or none."""
-        own = self._copy_own()
-        own.ClearField("backend")
+        """Announces the local backend server, or that there is none."""
+        local = self._copy_local()
+        local.ClearField("backend")
         if backend is not None:
-            own.backend.CopyFrom(backend)
-        self._raise_own(own)
+            local.backend.CopyFrom(backend)
+        self._update_local(local)
 
     def set_peer_port(self, port: int) -> None:
-        """Announces the port for calls from peers, once it is bound."""
-        own = self._copy_own()
-        own.peer_port = port
-        self._raise_own(own)
+        """Announces the bound port for calls from peers."""
+        local = self._copy_local()
+        local.peer_port = port
+        self._update_local(local)
 
     def leave(self) -> None:
-        """Announces that this daemon leaves and takes no new work."""
-        own = self._copy_own()
-        own.state = control_pb2.LEAVING
-        if own.HasField("backend"):
-            own.backend.state = control_pb2.DRAINING
-        self._raise_own(own)
+        """Announces that this daemon is leaving and takes no new calls."""
+        local = self._copy_local()
+        local.state = control_pb2.LEAVING
+        if local.HasField("backend"):
+            local.backend.state = control_pb2.DRAINING
+        self._update_local(local)
 
     def merge(self, member: control_pb2.Member) -> bool:
-        """Takes in a record if it outranks the one held; True if it did."""
+        """Merges a valid record that supersedes the held one; True if so."""
         held = self._members.get(member.id)
-        if held is not None and not outranks(member, held):
+        if held is not None and not supersedes(member, held):
             return False
-        if fault := validity.find_fault(member):
-            events.warn("record refused", member=member.id, error=fault)
+        if problem := validation.find_problem(member):
+            events.warn("record refused", member=member.id, error=problem)
             return False
         if member.id == self.local_id:
             self._refute(member)
             return True
-        kept = control_pb2.Member()
-        kept.CopyFrom(member)
-        self._put(kept)
+        copy = control_pb2.Member()
+        copy.CopyFrom(member)
+        self._put(copy)
         return True
 
     def set_state(self, member_id: str, state: control_pb2.MemberState) -> bool:
-        """Takes in a worse state of another member at its incarnation."""
+        """Sets a worse state of another member at its current incarnation."""
         held = self._members[member_id]
-        judged = control_pb2.Member()
-        judged.CopyFrom(held)
-        judged.state = state
-        return self.merge(judged)
+        changed = control_pb2.Member()
+        changed.CopyFrom(held)
+        changed.state = state
+        return self.merge(changed)
 
     def list_buckets(self, buckets: Iterable[int]) -> list[control_pb2.Member]:
-        """Returns the records of members of some buckets, gone ones too."""
+        """Returns the records in some buckets, including gone members."""
         wanted = set(buckets)
         return [
             member
@@ -196,73 +199,77 @@
             if get_bucket(member.id) in wanted
         ]
 
-    def forget_gone(self) -> None:
-        """Drops members that have been gone for `GONE_MEMORY_S`."""
+    def remove_gone(self) -> None:
+        """Removes members that have been gone for `GONE_RETENTION_S`."""
         for member in self.list_members():
-            if member.id == self.local_id or member.state not in _GONE:
+            if member.id == self.local_id or member.state not in _GONE_STATES:
                 continue
-            if self.get_state_age(member.id) > GONE_MEMORY_S:
+            if self.get_state_age(member.id) > GONE_RETENTION_S:
                 del self._members[member.id]
                 del self._changed_at[member.id]
 
-    def _copy_own(self) -> control_pb2.Member:
-        own = control_pb2.Member()
-        own.CopyFrom(self.local_member)
-        return own
+    def _copy_local(self) -> control_pb2.Member:
+        local = control_pb2.Member()
+        local.CopyFrom(self.local_member)
+        return local
 
-    def _raise_own(self, own: control_pb2.Member) -> None:
-        own.incarnation += 1
-        self._put(own)
+    def _update_local(self, local: control_pb2.Member) -> None:
+        local.incarnation += 1
+        self._put(local)
 
-    def _refute(self, told: control_pb2.Member) -> None:
-        """Raises the own incarnation above one that others hold.
+    def _refute(self, record: control_pb2.Member) -> None:
+        """Raises the local incarnation above the one that others hold.
 
-        Others hold this daemon for dead or suspect, or an earlier process at
-        its address had a later clock. Only a higher incarnation outranks that.
+        Others consider this daemon dead or suspect, or an earlier process at
+        its address had a clock ahead of the current one. Only a higher
+        incarnation supersedes such a record.
         """
-        own = self._copy_own()
-        own.incarnation = max(own.incarnation, told.incarnation)
-        self._raise_own(own)
+        local = self._copy_local()
+        local.incarnation = max(local.incarnation, record.incarnation)
+        self._update_local(local)
 
     def _put(self, member: control_pb2.Member) -> None:
         held = self._members.get(member.id)
-        if held is None or _differs(held, member):
-            _note_change(member)
+        if held is None or _changes_routing(held, member):
+            _log_change(member)
         if held is not None:
-            self._count_digest(held)
-            self._forget_upstream(held)
-            self._usable_count -= held.state in _USABLE
+            self._toggle_digest(held)
+            self._remove_upstream(held)
+            self._usable_count -= held.state in _USABLE_STATES
         self._members[member.id] = member
-        self._usable_count += member.state in _USABLE
+        self._usable_count += member.state in _USABLE_STATES
         self._suspects.discard(member.id)
         if member.state == control_pb2.SUSPECT:
             self._suspects.add(member.id)
         self._changed_at[member.id] = self._clock()
-        self._count_digest(member)
+        self._toggle_digest(member)
         self._add_upstream(member)
         for notify in self.on_change:
             notify(member)
 
-    def _count_digest(self, member: control_pb2.Member) -> None:
-        """Adds a record to the digests, or takes it out again (XOR)."""
-        if member.state in _GONE:
+    def _toggle_digest(self, member: control_pb2.Member) -> None:
+        """Adds a record to the digests or removes it again, by XOR."""
+        if member.state in _GONE_STATES:
             return
         digest = _compute_digest(member)
         self.digest ^= digest
         self.bucket_digests[get_bucket(member.id)] ^= digest
 
-    def _forget_upstream(self, member: control_pb2.Member) -> None:
+    def _remove_upstream(self, member: control_pb2.Member) -> None:
         service = member.backend.service
-        if self._served.get(service, {}).pop(member.id, None) is not None:
-            self._upstreams.pop(service, None)
+        if (
+            self._upstreams_by_id.get(service, {}).pop(member.id, None)
+            is not None
+        ):
+            self._cached_upstreams.pop(service, None)
 
     def _add_upstream(self, member: control_pb2.Member) -> None:
         backend = member.backend
         ready = backend.state == control_pb2.READY
-        if not ready or member.state not in _USABLE:
+        if not ready or member.state not in _USABLE_STATES:
             return
-        served = self._served.setdefault(backend.service, {})
-        served[member.id] = Upstream(
+        by_id = self._upstreams_by_id.setdefault(backend.service, {})
+        by_id[member.id] = Upstream(
             member.id,
             member.address,
             member.peer_port,
@@ -273,20 +280,20 @@
             member.state == control_pb2.SUSPECT,
             backend.version,
         )
-        self._upstreams.pop(backend.service, None)
+        self._cached_upstreams.pop(backend.service, None)
 
 
-def outranks(one: control_pb2.Member, other: control_pb2.Member) -> bool:
-    """Tells whether a record of a member goes before another of it.
+def supersedes(record: control_pb2.Member, other: control_pb2.Member) -> bool:
+    """Tells whether a record of a member supersedes another one of it.
 
-    A total order (incarnation, then state, then bytes), so that any order of
-    arrival leaves the same record.
+    Records have a total order (incarnation, then state, then bytes), so that
+    the result does not depend on the order of arrival.
     """
-    if one.incarnation != other.incarnation:
-        return one.incarnation > other.incarnation
-    if one.state != other.state:
-        return one.state > other.state
-    return _serialize(one) > _serialize(other)
+    if record.incarnation != other.incarnation:
+        return record.incarnation > other.incarnation
+    if record.state != other.state:
+        return record.state > other.state
+    return _serialize(record) > _serialize(other)
 
 
 def get_bucket(member_id: str) -> int:
@@ -296,25 +303,27 @@
 
 
 def is_gone(member: control_pb2.Member) -> bool:
-    """Tells whether a member left or died."""
-    return member.state in _GONE
+    """Tells whether a member has left or died."""
+    return member.state in _GONE_STATES
 
 
 def is_dead(member: control_pb2.Member) -> bool:
-    """Tells whether a member is held for dead."""
+    """Tells whether a member is considered dead."""
     return member.state == control_pb2.DEAD
 
 
-def _differs(one: control_pb2.Member, other: control_pb2.Member) -> bool:
-    """Tells whether calls are sent otherwise by one record than by another."""
+def _changes_routing(
+    record: control_pb2.Member, other: control_pb2.Member
+) -> bool:
+    """Tells whether two records of a member differ in how calls are routed."""
     return (
-        one.state != other.state
-        or one.backend.state != other.backend.state
-        or one.backend.service != other.backend.service
+        record.state != other.state
+        or record.backend.state != other.backend.state
+        or record.backend.service != other.backend.service
     )
 
 
-def _note_change(member: control_pb2.Member) -> None:
+def _log_change(member: control_pb2.Member) -> None:
     events.note(
         "member changed",
         member=member.id,
--- a/merlintrestle/members/timing.py
+++ b/merlintrestle/members/timing.py
@@ -1,4 +1,4 @@
-"""Intervals of membership and of spreading; tests shorten them."""
+"""Intervals and timeouts of membership and gossip."""
 
 from __future__ import annotations
 
@@ -7,50 +7,50 @@
 
 
 class Timing(NamedTuple):
-    """Intervals in seconds.
+    """Intervals and timeouts in seconds.
 
     Attributes:
-        heartbeat_interval_s: Mean time between two messages on a quiet link.
-        silence_timeout_s: A link that said nothing for so long is given up.
-        call_timeout_s: Deadline of one control call.
-        fetch_timeout_s: Longest pause between two parts of a snapshot; deadline
-            of a call that carries a table.
-        flush_delay_s: Member updates wait up to this long to travel together.
-        reconnect_delay_s: First wait before a lost link is opened again.
-        max_reconnect_delay_s: Longest such wait.
-        suspicion_timeout_s: A suspect that has not refuted after this long is
-            dead.
-        anti_entropy_interval_s: Mean time between two rounds of anti-entropy.
-        pause_threshold_s: The own loop is paused if a tick is late by more.
-        start_jitter_s: Seeds are tried so long; then a herd spreads its first
-            reads of the store over the same time.
-        join_timeout_s: Longest wait for a first daemon before this one goes on
-            alone.
-        max_store_retry_delay_s: Longest wait between two tries at the store by
-            a daemon that has met no other.
-        max_floor_retry_delay_s: Longest wait between two tries of a daemon that
-            seeks its floor.
-        max_watch_retry_delay_s: Longest wait between two tries of a watcher.
-            They are few, and a change that is accepted before they are back,
-            with the store failing again at once, would reach nobody.
-        first_read_retry_delay_s: First wait before a starting daemon asks a
-            store anew that failed; it grows to `watch_retry_max`, which is the
-            wait where the store has no version yet.
-        seeds_write_interval_s: Least time between two writes of a zone's seeds.
-        seeds_check_interval_s: The records of seeds are looked at again after
-            so long, for parts of the fleet that this one does not know; sooner,
-            from `seeds_write` on, after the start.
-        head_refresh_interval_s: Mean time between two reads of the head by a
-            watcher.
-        min_witness_uptime_s: A witness must have been open so long to answer
+        heartbeat_interval_s: Mean interval of messages on an idle link.
+        silence_timeout_s: A link that receives no message for this time ends.
+        call_timeout_s: Timeout of a control call.
+        fetch_timeout_s: Maximum gap between two parts of a snapshot; also the
+            timeout of a call that transfers a member table.
+        flush_delay_s: Maximum time for which member updates are batched.
+        reconnect_delay_s: First delay before a lost link is reopened.
+        max_reconnect_delay_s: Maximum delay before a lost link is reopened.
+        suspicion_timeout_s: A suspect that has not refuted within this time is
+            declared dead.
+        anti_entropy_interval_s: Mean interval of anti-entropy rounds.
+        pause_threshold_s: If a tick is later than this, the daemon was paused.
+        start_jitter_s: How long seeds are tried; the first reads of the store
+            by daemons that start together are then spread over the same time.
+        join_timeout_s: Maximum wait for the first contact before a daemon
+            continues alone.
+        max_store_retry_delay_s: Maximum delay between two reads of the store
+            by a daemon without any contact.
+        max_floor_retry_delay_s: Maximum delay between two attempts to find the
+            daemon's floor.
+        max_watch_retry_delay_s: Maximum delay between two attempts of a
+            watcher. There are few watchers, and a change that is accepted
+            before they have reconnected would reach no daemon if the store
+            failed again at once.
+        first_read_retry_delay_s: First delay before a starting daemon reads a
+            failed store again. It grows to `max_watch_retry_delay_s`, which is
+            also the delay if the store has no version yet.
+        seeds_write_interval_s: Minimum interval of writes of a zone's seeds.
+        seeds_check_interval_s: Interval at which the seed records are checked
+            for unknown partitions of the fleet. After the start, the interval
+            is shorter, beginning with `seeds_write_interval_s`.
+        head_refresh_interval_s: Mean interval of a watcher's reads of the head.
+        min_witness_uptime_s: How long a witness must have been open to answer
             for marks.
-        hedge_delay_s: A fetch of which nothing came for so long is tried with
-            another peer as well.
-        store_fallback_delay_s: A version that is known and does not come from
-            peers is read from the store after so long.
-        watcher_settling_time_s: A daemon must have been chosen as watcher for
-            so long before it acts as one; tables that fill change the choice
-            often.
+        hedge_delay_s: A fetch that receives nothing for this time is hedged
+            with another peer.
+        store_fallback_delay_s: A known version that does not arrive from peers
+            is read from the store after this time.
+        watcher_settling_time_s: How long a daemon must have been selected as
+            watcher before it acts as one. While the member table fills, the
+            selection changes often.
     """
 
     heartbeat_interval_s: float = 2.0
@@ -78,9 +78,8 @@
     watcher_settling_time_s: float = 1.0
 
 
-# Where callers wait a second or two: a restarted daemon serves within a
-# second, and a failed one is noticed in a few. Its cost in control bytes has
-# not been measured.
+# For callers that wait only a second or two: a restarted daemon serves within a
+# second, and a failed one is detected within a few seconds.
 QUICK = Timing(
     heartbeat_interval_s=1.0,
     silence_timeout_s=3.0,
@@ -101,30 +100,30 @@
 )
 
 
-def jitter(seconds: float) -> float:
-    """Returns a time spread by a quarter around a mean."""
-    return seconds * random.uniform(0.75, 1.25)
+def jitter(mean_s: float) -> float:
+    """Returns a random duration within a quarter of a mean, in seconds."""
+    return mean_s * random.uniform(0.75, 1.25)
 
 
 class Backoff:
-    """Waits that grow, with full jitter.
+    """Exponential backoff with jitter.
 
     Attributes:
-        failures: Tries that failed since the last success.
+        failures: Failed attempts since the last success.
     """
 
-    def __init__(self, first: float, longest: float):
-        """Sets the bounds in seconds."""
-        self._first = first
-        self._longest = longest
+    def __init__(self, first_s: float, max_s: float):
+        """Sets the first and the maximum delay in seconds."""
+        self._first_s = first_s
+        self._max_s = max_s
         self.failures = 0
 
     def reset(self) -> None:
-        """Starts again at the first wait."""
+        """Resets to the first delay, after a success."""
         self.failures = 0
 
     def get_next_delay(self) -> float:
-        """Counts a failure and returns the seconds to wait after it."""
-        bound = min(self._longest, self._first * 2**self.failures)
+        """Counts a failure and returns the delay after it in seconds."""
+        bound_s = min(self._max_s, self._first_s * 2**self.failures)
         self.failures = min(self.failures + 1, 32)
-        return random.uniform(bound / 2, bound)
+        return random.uniform(bound_s / 2, bound_s)
--- a/merlintrestle/members/validity.py
+++ b/merlintrestle/members/validation.py
@@ -1,4 +1,4 @@
-"""Which records of members can be used."""
+"""Validation of member records."""
 
 from __future__ import annotations
 
@@ -7,19 +7,18 @@
 from merlintrestle import config
 from merlintrestle.schema import control_pb2
 
-# A member raises its incarnation by one above what others hold; the largest
-# numbers would leave it no room.
+# A member refutes by an incarnation one above that held by others; the largest
+# integers would leave no higher number.
 _MAX_INCARNATION = 2**62
 _MAX_VERSION_CHARACTERS = 200
 
 
-def find_fault(member: control_pb2.Member) -> str:
-    """Returns why a record cannot be used; empty: it can.
+def find_problem(member: control_pb2.Member) -> str:
+    """Returns why a record is invalid, or an empty string if it is valid.
 
-    Records spread to every daemon. One with an address that no connection
-    can be made to would raise wherever it is used, in the whole fleet, and a
-    task that raises ends its daemon. Refused where it comes in, it is neither
-    used nor passed on.
+    Records reach every daemon. A record with an unusable address would raise
+    wherever it is used, in the whole fleet, and an exception in a task ends its
+    daemon. A record that is refused on receipt is neither used nor forwarded.
     """
     if problem := config.check_address(member.id):
         return problem
--- a/tests/members/builders.py
+++ b/tests/members/builders.py
@@ -1,4 +1,4 @@
-"""Builders of members, tables and short intervals."""
+"""Builders of members and tables, and a fake network."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Short enough for tests; proofs wait on events, never on these.
+# Short intervals; tests wait for events and never for these.
 FAST_TIMING = timing.Timing(
     heartbeat_interval_s=0.1,
     silence_timeout_s=0.5,
@@ -49,7 +49,7 @@
     service: str = "",
     link_mbps: float = 0.0,
 ) -> control_pb2.Member:
-    """Builds a member; with a service it has a READY backend server."""
+    """Builds a member; with a service, it has a READY backend server."""
     port = 9000 + number
     member = control_pb2.Member(
         id=f"127.0.0.1:{port}",
@@ -71,26 +71,26 @@
     service: str = "balie",
     state: control_pb2.BackendState = control_pb2.READY,
 ) -> control_pb2.Backend:
-    """Builds the announcement of a backend server."""
+    """Builds the record of a backend server."""
     return control_pb2.Backend(
         service=service, slots=12, state=state, ready_since_ms=1
     )
 
 
 def build_table(number: int = 1) -> table_lib.MemberTable:
-    """Builds the table of a daemon that knows itself alone."""
+    """Builds the table of a daemon that knows no other member."""
     return table_lib.MemberTable(build_member(number))
 
 
 class FakeNetwork:
-    """Calls between daemons without sockets.
+    """Connects daemons without sockets.
 
     Attributes:
-        handlers: By id and method, what answers a request.
-        silent: Ids that do not answer.
-        refused: Ids whose host refuses the connection.
-        cut: Pairs (from, to) between which nothing passes.
-        calls: (from, to, method) of every call, in order.
+        handlers: Functions that answer requests, by id and method.
+        silent: Ids of daemons that do not answer.
+        refused: Ids of daemons whose host refuses connections.
+        cut: Pairs (source, target) between which calls fail.
+        calls: (source, target, method) of every call, in order.
     """
 
     def __init__(self) -> None:
@@ -101,7 +101,7 @@
         self.calls: list[tuple[str, str, str]] = []
 
     def is_reachable(self, source: str, target: str) -> bool:
-        """Tells whether a call would be answered."""
+        """Tells whether a call between two daemons would be answered."""
         down = self.silent | self.refused
         return (
             target in self.handlers
@@ -111,38 +111,38 @@
 
 
 class FakePeerClient(peers.PeerClient):
-    """The calls of one daemon over a `Network`."""
+    """Client for the calls of a daemon over a fake network."""
 
-    def __init__(self, network: FakeNetwork, own_id: str):
+    def __init__(self, network: FakeNetwork, local_id: str):
         super().__init__()
         self._network = network
-        self._own_id = own_id
+        self._local_id = local_id
 
     async def call(
         self, address: str, method: str, request: Any, timeout_s: float
     ) -> Any:
-        """Calls the answer of the target at once."""
-        self._network.calls.append((self._own_id, address, method))
-        if not self._network.is_reachable(self._own_id, address):
+        """Calls the target's handler of the method."""
+        self._network.calls.append((self._local_id, address, method))
+        if not self._network.is_reachable(self._local_id, address):
             raise peers.PeerError(f"{address}: {method}: unavailable")
         reply = self._network.handlers[address][method](request)
         if inspect.isawaitable(reply):
             reply = await reply
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         return reply
 
     async def fetch(
         self,
         address: str,
         request: control_pb2.FetchRequest,
-        pause_s: float,
-        note_part: Callable[[], None],
+        gap_s: float,
+        on_part: Callable[[], None],
     ) -> control_pb2.FetchReply:
-        """Calls the answer of the target; all comes as one part."""
-        reply = await self.call(address, "Fetch", request, pause_s)
-        note_part()
+        """Calls the target's handler; the reply is a single part."""
+        reply = await self.call(address, "Fetch", request, gap_s)
+        on_part()
         return reply
 
     async def refuses_connection(self, address: str, timeout_s: float) -> bool:
-        """Tells whether the target is in `Network.refused`."""
+        """Tells whether the target's host refuses connections."""
         return address in self._network.refused
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of starting and stopping the membership."""
+"""Tests of the membership service."""
 
 from __future__ import annotations
 
@@ -14,31 +14,30 @@
 
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
-    async def test_news_during_the_stop_open_no_link(self) -> None:
-        """A daemon that was stopped goes on refuting that it is gone.
+    async def test_change_during_the_stop_opens_no_link(self) -> None:
+        """A stopping daemon learns of its first neighbour as it ends its links.
 
-        It hears of its first neighbour just while it ends its links. The new
-        link would be ended by nobody, and the other daemons would send work
-        to a daemon that serves none.
+        A new link would never be ended. Over it the stopped daemon would keep
+        refuting that it is gone, and other daemons would route calls to it.
         """
         table = tables.MemberTable(builders.build_member(1))
         timing = builders.FAST_TIMING._replace(flush_delay_s=0)
         membership = memberships.Membership(table, None, (), timing)
         await membership.start()
-        await _let_others_run()
+        await _run_other_tasks()
 
         async def close() -> None:
             table.merge(builders.build_member(2))
-            await _let_others_run()
+            await _run_other_tasks()
 
         with mock.patch.object(membership.peers, "close", close):
             await membership.stop()
         self.assertEqual(membership._neighbours, {})
 
 
-class SlowWayTest(unittest.IsolatedAsyncioTestCase):
-    async def test_link_over_a_slow_way_comes_to_be(self) -> None:
-        """Guards against links given up as silent before they can open."""
+class SlowPathTest(unittest.IsolatedAsyncioTestCase):
+    async def test_link_over_a_slow_path_opens(self) -> None:
+        """Guards against links that time out before they are open."""
         peer = version_builders.Daemon(version_builders.FakeConfiguration())
         await peer.server.start(peer.servicer)
         self.addAsyncCleanup(peer.server.close, 0)
@@ -54,14 +53,14 @@
         membership.links.on_open.append(lambda _: opened.set())
         await membership.start()
         self.addAsyncCleanup(membership.stop)
-        there = builders.build_member(2)
-        there.id = f"127.0.0.1:{relay.port}"
-        there.control_port = relay.port
-        table.merge(there)
+        member = builders.build_member(2)
+        member.id = f"127.0.0.1:{relay.port}"
+        member.control_port = relay.port
+        table.merge(member)
         async with asyncio.timeout(version_builders.GUARD_S):
             await opened.wait()
 
 
-async def _let_others_run() -> None:
+async def _run_other_tasks() -> None:
     for _ in range(20):
         await asyncio.sleep(0)
--- a/tests/members/test_parts.py
+++ b/tests/members/test_parts.py
@@ -1,4 +1,4 @@
-"""Tests of large messages in parts."""
+"""Tests of splitting messages into parts."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 from merlintrestle.schema import control_pb2
 
 
-def build_reply(text: bytes = b"x" * 1000) -> control_pb2.FetchReply:
-    """Builds a reply with some bytes in it."""
+def build_reply(data: bytes = b"x" * 1000) -> control_pb2.FetchReply:
+    """Builds a reply that contains the given bytes."""
     return control_pb2.FetchReply(
-        offer=control_pb2.Offer(version=1, digest=text)
+        offer=control_pb2.Offer(version=1, digest=data)
     )
 
 
 class PartsTest(unittest.TestCase):
     @hypothesis.given(strategies.binary(), strategies.integers(1, 50))
-    def test_what_is_split_is_joined(self, text: bytes, size: int) -> None:
+    def test_join_reverses_split(self, data: bytes, size: int) -> None:
         with mock.patch.object(parts, "PART_BYTES", size):
-            split = list(parts.split(build_reply(text)))
-        self.assertEqual(parts.join(split), build_reply(text))
+            split = list(parts.split(build_reply(data)))
+        self.assertEqual(parts.join(split), build_reply(data))
 
     @hypothesis.given(strategies.lists(strategies.binary(max_size=20)))
-    def test_other_parts_are_an_error_of_their_own(
-        self, pieces: list[bytes]
+    def test_corrupt_parts_raise_broken_parts_error(
+        self, chunks: list[bytes]
     ) -> None:
-        """A daemon goes on and asks another peer.
+        """Corrupt parts from a peer raise `BrokenPartsError`.
 
-        What a peer sends is broken. Any other error would end the task that
-        fetches, and with it the daemon.
+        The daemon then asks another peer. Any other exception would end the
+        task that fetches, and with it the daemon.
         """
-        found = [control_pb2.FetchPart(data=piece) for piece in pieces]
+        corrupt = [control_pb2.FetchPart(data=chunk) for chunk in chunks]
         with self.assertRaises(parts.BrokenPartsError):
-            parts.join(found)
+            parts.join(corrupt)
 
-    def test_missing_parts_are_noticed(self) -> None:
+    def test_incomplete_parts_are_rejected(self) -> None:
         split = list(parts.split(build_reply()))
-        cut = control_pb2.FetchPart(data=split[0].data[:-1])
+        truncated = control_pb2.FetchPart(data=split[0].data[:-1])
         with self.assertRaises(parts.BrokenPartsError):
-            parts.join([cut])
+            parts.join([truncated])
 
-    def test_too_much_is_not_taken_in(self) -> None:
+    def test_too_large_message_is_rejected(self) -> None:
         with (
             mock.patch.object(parts, "MAX_BYTES", 500),
             self.assertRaises(parts.BrokenPartsError),
--- a/tests/members/test_peers.py
+++ b/tests/members/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of calls on channels, over loopback."""
+"""Tests of control calls over loopback."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.versions import builders
 
 
-class SilentFirst:
-    """Forwards connections to a port, but the first goes silent for good."""
+class SilentFirstProxy:
+    """Forwards connections to a port; the first one drops all requests."""
 
     def __init__(self, port: int):
         self.connections = 0
@@ -25,7 +25,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> str:
-        """Listens and returns the address."""
+        """Starts listening and returns the address."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         port = self._server.sockets[0].getsockname()[1]
         return f"127.0.0.1:{port}"
@@ -43,12 +43,12 @@
     ) -> None:
         self.connections += 1
         silent = self.connections == 1
-        far_reader, far_writer = await asyncio.open_connection(
+        upstream_reader, upstream_writer = await asyncio.open_connection(
             "127.0.0.1", self._port
         )
         for source, sink, drop in (
-            (reader, far_writer, silent),
-            (far_reader, writer, False),
+            (reader, upstream_writer, silent),
+            (upstream_reader, writer, False),
         ):
             task = asyncio.create_task(_copy(source, sink, drop))
             self._tasks.add(task)
@@ -63,8 +63,8 @@
     sink.close()
 
 
-class PeersTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon that answers, and ways to it that do not."""
+class PeerClientTest(unittest.IsolatedAsyncioTestCase):
+    """Calls to a daemon, directly or over silent connections."""
 
     async def asyncSetUp(self) -> None:
         self.daemon = builders.Daemon(builders.FakeConfiguration())
@@ -76,13 +76,13 @@
         await self.peers.close()
         await self.daemon.server.close(0)
 
-    async def test_silent_connection_costs_one_deadline(self) -> None:
-        """A connection went silent; new ones to the same daemon work.
+    async def test_silent_connection_costs_one_timeout(self) -> None:
+        """A connection went silent, while new ones to the same daemon work.
 
-        The first call runs into its deadline. The channel must be rebuilt
-        with a connection of its own, or every later call ends the same way.
+        The first call times out. The channel must be rebuilt with a new
+        connection, or every later call would time out as well.
         """
-        proxy = SilentFirst(self.daemon.server.port)
+        proxy = SilentFirstProxy(self.daemon.server.port)
         address = await proxy.start()
         self.addAsyncCleanup(proxy.close)
         with self.assertRaises(peers_lib.PeerError):
@@ -91,13 +91,13 @@
         self.assertTrue(reply.reached)
         self.assertEqual(proxy.connections, 2)
 
-    async def test_channel_has_a_connection_of_its_own(self) -> None:
+    async def test_channel_does_not_share_a_connection(self) -> None:
         """A link's connection went silent, and a call is made to its peer.
 
-        gRPC gives channels with one target the same connection unless told
-        otherwise; the call would go silent too, and the peer look dead.
+        By default, gRPC channels to the same target share a connection: the
+        call would time out too, and the peer would seem dead.
         """
-        proxy = SilentFirst(self.daemon.server.port)
+        proxy = SilentFirstProxy(self.daemon.server.port)
         address = await proxy.start()
         self.addAsyncCleanup(proxy.close)
         channel = peers_lib.open_channel(address)
@@ -109,87 +109,90 @@
         self.assertTrue(reply.reached)
 
     async def test_call_in_flight_survives_a_dropped_channel(self) -> None:
-        """Two calls share a channel; one runs into its deadline first.
+        """Two calls share a channel, and one of them times out first.
 
-        Dropping the channel cancels the other call. gRPC raises that as if
-        the caller's own task were cancelled, which would end the task of a
-        link or a watcher without a word.
+        Dropping the channel cancels the other call. gRPC raises this as if the
+        task of the caller were cancelled, which would end the task of a link or
+        a watcher without any log message.
         """
-        proxy = SilentFirst(self.daemon.server.port)
+        proxy = SilentFirstProxy(self.daemon.server.port)
         address = await proxy.start()
         self.addAsyncCleanup(proxy.close)
         calls = [
-            self.peers.call(address, "Probe", self.request, timeout)
-            for timeout in (0.2, 10.0)
+            self.peers.call(address, "Probe", self.request, timeout_s)
+            for timeout_s in (0.2, 10.0)
         ]
         async with asyncio.timeout(builders.GUARD_S):
-            found = await asyncio.gather(*calls, return_exceptions=True)
-        for error in found:
-            self.assertIsInstance(error, peers_lib.PeerError)
+            results = await asyncio.gather(*calls, return_exceptions=True)
+        for result in results:
+            self.assertIsInstance(result, peers_lib.PeerError)
 
-    async def call_on_loan(self, heard_after_s: float) -> bool:
-        """Calls over the channel of a link until the deadline.
+    async def call_over_shared_channel(
+        self, last_received_after_s: float
+    ) -> bool:
+        """Makes a call that times out over the channel of a link.
 
         Args:
-            heard_after_s: When the link is heard last, from the call on.
+            last_received_after_s: When the link receives its last message, in
+                seconds after the start of the call.
 
         Returns:
             Whether the link keeps its channel.
         """
-        proxy = SilentFirst(self.daemon.server.port)
+        proxy = SilentFirstProxy(self.daemon.server.port)
         address = await proxy.start()
         self.addAsyncCleanup(proxy.close)
         channel = peers_lib.open_channel(address)
         self.addAsyncCleanup(channel.close)
-        heard_at = time.monotonic() + heard_after_s
-        self.peers.lend(address, channel, lambda: heard_at)
+        last_received_at = time.monotonic() + last_received_after_s
+        self.peers.share_channel(address, channel, lambda: last_received_at)
         with self.assertRaises(peers_lib.PeerError):
             await self.peers.call(address, "Probe", self.request, 0.2)
         return channel.get_state() is not grpc.ChannelConnectivity.SHUTDOWN
 
-    async def test_slow_peer_keeps_the_link_that_hears_it(self) -> None:
+    async def test_timeout_keeps_the_channel_of_a_live_link(self) -> None:
         """A busy peer answers a call too late, while its heartbeats arrive.
 
-        If the call took the channel down, the link and every other call on it
-        would end too. To open them anew costs the busy peer more than the
-        answer, so that the next call is late as well.
+        If the timeout closed the channel, the link and every other call on it
+        would end too. Reopening them costs the busy peer more than the answer,
+        so that the next call would time out as well.
         """
-        self.assertTrue(await self.call_on_loan(0.1))
+        self.assertTrue(await self.call_over_shared_channel(0.1))
 
-    async def test_silent_link_loses_its_channel_to_a_call(self) -> None:
-        self.assertFalse(await self.call_on_loan(-0.1))
+    async def test_timeout_drops_the_channel_of_a_silent_link(self) -> None:
+        self.assertFalse(await self.call_over_shared_channel(-0.1))
 
     async def answer_slowly(self, member_id: str) -> bool:
-        """Answers a probe after more than the shortest limits of the tests."""
+        """Answers a probe later than the shortest timeouts of the tests."""
         del member_id
         await asyncio.sleep(0.4)
         return True
 
-    async def test_late_call_ends_no_other(self) -> None:
-        """Guards against calls ended as another on their channel is late."""
+    async def test_timeout_ends_no_other_call(self) -> None:
+        """Guards against a timeout that ends other calls on the channel."""
         self.daemon.membership.probe = self.answer_slowly  # type: ignore[method-assign]
         request = control_pb2.ProbeRequest(member_id="127.0.0.1:1")
-        long = asyncio.create_task(
+        long_call = asyncio.create_task(
             self.peers.call(self.daemon.id, "Probe", request, 10.0)
         )
         with self.assertRaises(peers_lib.PeerError):
             await self.peers.call(self.daemon.id, "Probe", request, 0.1)
-        self.assertTrue((await long).reached)
+        self.assertTrue((await long_call).reached)
 
     async def test_call_outlives_the_link_of_its_channel(self) -> None:
-        """Guards against marks that are lost with a link given up as silent."""
+        """Guards against marks that are lost when a silent link ends."""
         self.daemon.membership.probe = self.answer_slowly  # type: ignore[method-assign]
         request = control_pb2.ProbeRequest(member_id="127.0.0.1:1")
         channel = peers_lib.open_channel(self.daemon.id)
-        self.peers.lend(self.daemon.id, channel, lambda: 0.0)
+        self.peers.share_channel(self.daemon.id, channel, lambda: 0.0)
         call = asyncio.create_task(
             self.peers.call(self.daemon.id, "Probe", request, 10.0)
         )
         await asyncio.sleep(0.1)
-        self.peers.retire(self.daemon.id, channel)
+        self.peers.retire_channel(self.daemon.id, channel)
         self.assertTrue((await call).reached)
 
-    async def test_refusal_is_told_from_an_answer(self) -> None:
+    async def test_refused_connection_is_detected(self) -> None:
         self.assertFalse(
             await self.peers.refuses_connection(self.daemon.id, 5.0)
         )
@@ -198,12 +201,12 @@
             await self.peers.refuses_connection(self.daemon.id, 5.0)
         )
 
-    async def test_late_daemon_takes_the_answer_that_has_come(self) -> None:
-        """A daemon on a busy machine hears its peers though it is late.
+    async def test_slow_event_loop_extends_the_timeout(self) -> None:
+        """The event loop of a daemon on a busy machine is slow.
 
-        Its loop turns seldom, so the answer waits for its turn beyond the time
-        limit. Taken for silence, every call would be made again, and that work
-        makes it later still.
+        An answer that has arrived is processed only after the timeout. If this
+        counted as silence, every call would be repeated, and this work would
+        slow the loop down further.
         """
 
         async def answer_late(member_id: str) -> bool:
@@ -213,7 +216,7 @@
 
         self.daemon.membership.probe = answer_late  # type: ignore[method-assign]
         for _ in range(3):
-            self.peers.note_lateness(1.0)
+            self.peers.record_lateness(1.0)
         reply = await self.peers.call(
             self.daemon.id,
             "Probe",
@@ -222,12 +225,12 @@
         )
         self.assertTrue(reply.reached)
 
-    async def test_daemon_that_was_frozen_once_is_not_late(self) -> None:
-        """Its calls to a silent peer end as soon as they usually do."""
-        proxy = SilentFirst(self.daemon.server.port)
+    async def test_single_pause_does_not_extend_the_timeout(self) -> None:
+        """Calls to a silent peer still time out early after a long pause."""
+        proxy = SilentFirstProxy(self.daemon.server.port)
         address = await proxy.start()
         self.addAsyncCleanup(proxy.close)
-        self.peers.note_lateness(10_000.0)
+        self.peers.record_lateness(10_000.0)
         async with asyncio.timeout(builders.GUARD_S):
             with self.assertRaises(peers_lib.PeerError):
                 await self.peers.call(address, "Probe", self.request, 0.01)
--- a/tests/members/test_table.py
+++ b/tests/members/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the member table and of choices from it."""
+"""Tests of the member table and of selections from it."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def merge_all(history: list[control_pb2.Member]) -> table_lib.MemberTable:
-    """Merges records into a fresh table."""
+    """Merges records into a new table."""
     table = builders.build_table()
     for record in history:
         table.merge(record)
@@ -46,7 +46,7 @@
 
 
 def describe(table: table_lib.MemberTable) -> dict[str, bytes]:
-    """Returns the records of other members as bytes."""
+    """Returns the serialized records of the other members by id."""
     return {
         member.id: member.SerializeToString(deterministic=True)
         for member in table.list_members()
@@ -55,7 +55,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Properties of merging."""
+    """Properties of merging records."""
 
     @hypothesis.given(histories, strategies.randoms(use_true_random=False))
     def test_order_and_duplicates_do_not_matter(
@@ -63,9 +63,12 @@
     ) -> None:
         shuffled = history + history[:3]
         random.shuffle(shuffled)
-        one, other = merge_all(history), merge_all(shuffled)
-        self.assertEqual(describe(one), describe(other))
-        self.assertEqual(one.digest ^ _own(one), other.digest ^ _own(other))
+        ordered, reordered = merge_all(history), merge_all(shuffled)
+        self.assertEqual(describe(ordered), describe(reordered))
+        self.assertEqual(
+            ordered.digest ^ _compute_local_digest(ordered),
+            reordered.digest ^ _compute_local_digest(reordered),
+        )
 
     @hypothesis.given(histories, histories)
     def test_merging_tables_is_associative(
@@ -79,34 +82,34 @@
         self.assertEqual(describe(both), describe(joined))
 
     @hypothesis.given(histories)
-    def test_old_news_resurrect_nobody(
+    def test_outdated_records_do_not_revive_a_member(
         self, history: list[control_pb2.Member]
     ) -> None:
-        left = builders.build_member(
+        leaving = builders.build_member(
             2, incarnation=3, state=control_pb2.LEAVING, service="balie"
         )
-        table = merge_all([left, *history])
-        held = table.get(left.id)
-        assert held is not None
-        self.assertIn(held.state, (control_pb2.LEAVING, control_pb2.DEAD))
-        ids = [up.member_id for up in table.get_upstreams("balie")]
-        self.assertNotIn(left.id, ids)
+        table = merge_all([leaving, *history])
+        record = table.get(leaving.id)
+        assert record is not None
+        self.assertIn(record.state, (control_pb2.LEAVING, control_pb2.DEAD))
+        ids = [upstream.member_id for upstream in table.get_upstreams("balie")]
+        self.assertNotIn(leaving.id, ids)
 
     @hypothesis.given(histories)
-    def test_digests_are_those_of_a_fresh_table(
+    def test_digests_equal_those_of_a_new_table(
         self, history: list[control_pb2.Member]
     ) -> None:
         table = merge_all(history)
-        fresh = table_lib.MemberTable(table.local_member)
+        new_table = table_lib.MemberTable(table.local_member)
         for record in table.list_members():
-            fresh.merge(record)
-        self.assertEqual(table.bucket_digests, fresh.bucket_digests)
+            new_table.merge(record)
+        self.assertEqual(table.bucket_digests, new_table.bucket_digests)
 
     def test_a_daemon_refutes_its_own_death(self) -> None:
-        """A paused daemon was declared dead and runs again.
+        """A paused daemon was declared dead and has resumed.
 
-        It hears that it is dead. Unless it raises its incarnation above the
-        one it is dead at, everyone keeps ignoring it for good.
+        It receives its own record as dead. Unless it raises its incarnation
+        above that of the record, all other daemons ignore it for good.
         """
         table = builders.build_table(1)
         table.merge(builders.build_member(1, 7, control_pb2.DEAD))
@@ -115,22 +118,22 @@
         other.merge(builders.build_member(2, 7, control_pb2.DEAD))
         self.assertEqual(table.local_member.incarnation, 8)
 
-    def test_forgotten_only_after_the_memory(self) -> None:
+    def test_gone_members_are_removed_after_the_retention(self) -> None:
         now = [0.0]
         table = table_lib.MemberTable(
             builders.build_member(1), clock=lambda: now[0]
         )
         dead = builders.build_member(2, 1, control_pb2.DEAD)
         table.merge(dead)
-        table.forget_gone()
+        table.remove_gone()
         self.assertIsNotNone(table.get(dead.id))
-        now[0] = table_lib.GONE_MEMORY_S + 1
-        table.forget_gone()
+        now[0] = table_lib.GONE_RETENTION_S + 1
+        table.remove_gone()
         self.assertIsNone(table.get(dead.id))
 
 
 class UpstreamsTest(unittest.TestCase):
-    """What the proxy reads."""
+    """The upstreams of a service, as the proxy reads them."""
 
     def test_same_tuple_until_the_service_changes(self) -> None:
         table = builders.build_table()
@@ -141,14 +144,16 @@
         table.merge(builders.build_member(4, service="balie"))
         self.assertEqual(len(table.get_upstreams("balie")), 2)
 
-    def test_suspects_are_marked_and_the_gone_left_out(self) -> None:
+    def test_suspects_are_marked_and_gone_members_excluded(self) -> None:
         table = builders.build_table()
         for number, state in enumerate(STATES, start=2):
             table.merge(builders.build_member(number, 1, state, service="s"))
-        found = table.get_upstreams("s")
-        self.assertEqual([up.suspect for up in found], [False, True])
+        upstreams = table.get_upstreams("s")
+        self.assertEqual(
+            [upstream.suspect for upstream in upstreams], [False, True]
+        )
 
-    def test_leaving_and_draining_take_no_work(self) -> None:
+    def test_leaving_and_draining_backends_are_excluded(self) -> None:
         table = builders.build_table()
         table.set_backend(builders.build_backend("balie"))
         self.assertEqual(len(table.get_upstreams("balie")), 1)
@@ -160,73 +165,73 @@
         self.assertEqual(table.local_member.backend.state, control_pb2.DRAINING)
 
 
-class ChoiceTest(unittest.TestCase):
-    """A standing choice is what choosing anew would give."""
+class MemberSelectionTest(unittest.TestCase):
+    """A selection equals one made again from the whole table."""
 
     @hypothesis.given(histories, strategies.booleans())
     def test_follows_the_table(
-        self, history: list[control_pb2.Member], with_dead: bool
+        self, history: list[control_pb2.Member], include_dead: bool
     ) -> None:
         table = builders.build_table()
-        standing = selection.MemberSelection(
-            table, "key", 2, with_dead=with_dead
+        selected = selection.MemberSelection(
+            table, "key", 2, include_dead=include_dead
         )
         for record in history:
             table.merge(record)
-            fitting = [
+            eligible = [
                 member.id
                 for member in table.list_members()
                 if member.id != table.local_id
                 and (
                     not table_lib.is_gone(member)
-                    or (with_dead and table_lib.is_dead(member))
+                    or (include_dead and table_lib.is_dead(member))
                 )
             ]
-            wanted = rendezvous.choose("key", fitting, 2)
-            self.assertEqual(standing.get(), wanted)
+            expected = rendezvous.choose("key", eligible, 2)
+            self.assertEqual(selected.get(), expected)
 
     @hypothesis.given(histories)
     def test_follows_the_links(self, history: list[control_pb2.Member]) -> None:
         table = builders.build_table()
-        standing = selection.MemberSelection(
-            table, "key", 2, "zone-a", by_link=True
+        selected = selection.MemberSelection(
+            table, "key", 2, "zone-a", prefer_fast_links=True
         )
         for record in history:
             table.merge(record)
-            fitting = [
+            eligible = [
                 member
                 for member in table.list_members()
                 if member.id != table.local_id
                 and member.zone == "zone-a"
                 and not table_lib.is_gone(member)
             ]
-            wanted = selection.choose_by_link_speed("key", fitting, 2)
-            self.assertEqual(standing.get(), wanted)
+            expected = selection.choose_by_link_speed("key", eligible, 2)
+            self.assertEqual(selected.get(), expected)
 
-    def test_wide_links_go_first_and_thin_ones_make_up_the_number(self) -> None:
-        """Calls behind thin links do not wait behind what watchers take in.
+    def test_fast_links_come_first_and_slow_ones_fill_the_rest(self) -> None:
+        """Calls over slow links are not delayed by downloads of watchers.
 
-        Two hosts of a zone have wide links. With the watch at a daemon behind
-        a thin one, each configuration fills that link for half a second.
+        Two hosts of a zone have fast links. If a daemon with a slow link were a
+        watcher, each configuration would fill that link for half a second.
         """
-        thin = [builders.build_member(n, link_mbps=3.25) for n in range(2, 20)]
-        wide = [builders.build_member(n, link_mbps=50.0) for n in (20, 21)]
+        slow = [builders.build_member(n, link_mbps=3.25) for n in range(2, 20)]
+        fast = [builders.build_member(n, link_mbps=50.0) for n in (20, 21)]
         for key in ("watch/a", "watch/b", "watch/c"):
             with self.subTest(key):
-                chosen = selection.choose_by_link_speed(key, [*thin, *wide], 2)
-                self.assertEqual(set(chosen), {wide[0].id, wide[1].id})
-                # One of them fails, then both.
+                chosen = selection.choose_by_link_speed(key, [*slow, *fast], 2)
+                self.assertEqual(set(chosen), {fast[0].id, fast[1].id})
+                # One of the two fails, then both.
                 chosen = selection.choose_by_link_speed(
-                    key, [*thin, wide[0]], 2
+                    key, [*slow, fast[0]], 2
                 )
-                self.assertEqual(chosen[0], wide[0].id)
-                ids = [member.id for member in thin]
+                self.assertEqual(chosen[0], fast[0].id)
+                ids = [member.id for member in slow]
                 self.assertEqual(
-                    selection.choose_by_link_speed(key, thin, 2),
+                    selection.choose_by_link_speed(key, slow, 2),
                     rendezvous.choose(key, ids, 2),
                 )
 
-    def test_links_that_are_not_known_change_no_choice(self) -> None:
+    def test_unknown_link_speeds_change_no_selection(self) -> None:
         members = [builders.build_member(number) for number in range(2, 20)]
         ids = [member.id for member in members]
         self.assertEqual(
@@ -234,7 +239,7 @@
             rendezvous.choose("key", ids, 3),
         )
 
-    def test_one_member_less_changes_few_choices(self) -> None:
+    def test_removing_a_member_changes_few_selections(self) -> None:
         names = [f"daemon-{number}" for number in range(50)]
         moved = 0
         for key in names:
@@ -244,23 +249,22 @@
         self.assertEqual(moved, 0)
 
 
-def _own(table: table_lib.MemberTable) -> int:
-    """Returns the digest of the own record, which holds the start time."""
-    alone = table_lib.MemberTable(table.local_member)
-    return alone.digest
+def _compute_local_digest(table: table_lib.MemberTable) -> int:
+    """Returns the digest of the local record, which contains a start time."""
+    new_table = table_lib.MemberTable(table.local_member)
+    return new_table.digest
 
 
-# Every order of a few records of one member, without sampling.
 class OrderTest(unittest.TestCase):
-    """All orders of the states of one incarnation."""
+    """All orders of the states of one incarnation, without sampling."""
 
     def test_all_orders_end_in_the_same_state(self) -> None:
         history = [builders.build_member(2, 1, state) for state in STATES]
         for order in itertools.permutations(history):
             table = merge_all(list(order))
-            held = table.get(history[0].id)
-            assert held is not None
-            self.assertEqual(held.state, control_pb2.DEAD)
+            record = table.get(history[0].id)
+            assert record is not None
+            self.assertEqual(record.state, control_pb2.DEAD)
 
 
 if __name__ == "__main__":
--- a/tests/members/test_validity.py
+++ b/tests/members/test_validation.py
@@ -1,4 +1,4 @@
-"""Records of members that cannot be used."""
+"""Tests of the validation of member records."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.members import builders
 
 
-def build_bad_members() -> dict[str, control_pb2.Member]:
-    """Builds records that raise where they are used, by what is wrong."""
+def build_invalid_members() -> dict[str, control_pb2.Member]:
+    """Builds invalid records that would raise when used, keyed by fault."""
     members = {
         name: builders.build_member(2, service="balie")
         for name in (
@@ -43,28 +43,28 @@
     return members
 
 
-class ValidityTest(unittest.TestCase):
-    """What a peer tells, by mistake or because its memory is broken."""
+class ValidationTest(unittest.TestCase):
+    """Invalid records from a peer with a bug or with corrupt memory."""
 
-    def test_bad_records_are_neither_kept_nor_passed_on(self) -> None:
-        """Daemons go on as if they had not been told.
+    def test_invalid_records_are_not_stored(self) -> None:
+        """Invalid records are ignored.
 
-        A member with port 99999 becomes the witness of some daemon, whose
-        mark then raises; a backend server without slots raises in every pick.
-        As records spread, each daemon that hears of one would end.
+        If a member with port 99999 became the witness of a daemon, the mark of
+        that daemon would raise; a backend server without slots raises in every
+        pick. As records reach every daemon, all daemons would end.
         """
-        for name, member in build_bad_members().items():
+        for name, member in build_invalid_members().items():
             with self.subTest(name):
                 table = builders.build_table()
-                told: list[control_pb2.Member] = []
-                table.on_change.append(told.append)
+                changes: list[control_pb2.Member] = []
+                table.on_change.append(changes.append)
                 self.assertFalse(table.merge(member))
-                self.assertEqual(told, [])
+                self.assertEqual(changes, [])
                 self.assertEqual(table.get_upstreams("balie"), ())
 
-    def test_own_incarnation_cannot_be_used_up(self) -> None:
-        """A daemon that is held for dead at the last number stays alive."""
+    def test_local_incarnation_cannot_be_exhausted(self) -> None:
+        """A record with the highest number cannot declare a daemon dead."""
         table = builders.build_table()
-        last = builders.build_member(1, 2**64 - 1, control_pb2.DEAD)
-        self.assertFalse(table.merge(last))
+        highest = builders.build_member(1, 2**64 - 1, control_pb2.DEAD)
+        self.assertFalse(table.merge(highest))
         self.assertEqual(table.local_member.state, control_pb2.ALIVE)
