--- a/merlintrestle/members/service.py
+++ b/merlintrestle/members/service.py
@@ -96,14 +96,16 @@
     async def Fetch(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Returns the newest version."""
         del context
-        reply = self._distribution.archive.answer(request)
+        reply = self._distribution.archive.answer_fetch(request)
         return _count("Fetch", request, reply)
 
     async def FetchParts(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Streams the newest version in parts."""
         del context
         _count_received("FetchParts", request)
-        for part in parts.split(self._distribution.archive.answer(request)):
+        for part in parts.split(
+            self._distribution.archive.answer_fetch(request)
+        ):
             accounting.count_sent("FetchParts", part)
             yield part
 
--- a/tests/members/test_links.py
+++ b/tests/members/test_links.py
@@ -98,7 +98,7 @@
         must end, so that it is reopened.
         """
         self.open("peer")
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             with self.assertRaises(TimeoutError):
                 await self.tasks[0]
         self.assertEqual(self.links.get_links(), [])
@@ -106,7 +106,7 @@
     async def test_link_to_a_peer_that_reads_nothing_ends(self) -> None:
         stream = self.open("peer")
         stream.blocked = True
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             with self.assertRaises(TimeoutError):
                 await self.tasks[0]
 
@@ -184,7 +184,7 @@
     async def test_end_of_stream_ends_the_link(self) -> None:
         stream = self.open("peer")
         stream.received.put_nowait(grpc.aio.EOF)
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             await self.tasks[0]
 
     async def test_strike_is_forwarded_once(self) -> None:
@@ -242,7 +242,7 @@
         stream.blocked = True
         await stream.write_blocked.wait()
         stream.start_heartbeats()
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             with self.assertRaises(TimeoutError):
                 await self.tasks[0]
         stream.close()
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -57,7 +57,7 @@
         member.id = f"127.0.0.1:{relay.port}"
         member.control_port = relay.port
         table.merge(member)
-        async with asyncio.timeout(version_builders.GUARD_S):
+        async with asyncio.timeout(version_builders.TEST_TIMEOUT_S):
             await opened.wait()
 
 
--- a/tests/members/test_peers.py
+++ b/tests/members/test_peers.py
@@ -122,7 +122,7 @@
             self.peers.call(address, "Probe", self.request, timeout_s)
             for timeout_s in (0.2, 10.0)
         ]
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             results = await asyncio.gather(*calls, return_exceptions=True)
         for result in results:
             self.assertIsInstance(result, peers_lib.PeerError)
@@ -231,7 +231,7 @@
         address = await proxy.start()
         self.addAsyncCleanup(proxy.close)
         self.peers.record_lateness(10_000.0)
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             with self.assertRaises(peers_lib.PeerError):
                 await self.peers.call(address, "Probe", self.request, 0.01)
 
