--- a/merlintrestle/requests/calls/call.py
+++ b/merlintrestle/requests/calls/call.py
@@ -86,7 +86,7 @@
     story: stories.Story = dataclasses.field(
         default_factory=lambda: stories.Story("")
     )
-    _identity: bytes = b""
+    _request_digest: bytes = b""
 
     @property
     def refuse_by(self) -> float:
@@ -98,16 +98,16 @@
         remaining_s = self.deadline - asyncio.get_running_loop().time()
         return math.floor(remaining_s * 1000)
 
-    def get_identity(self) -> bytes:
+    def get_request_digest(self) -> bytes:
         """Returns a digest of the request that does not depend on its sender.
 
         A body that is forwarded in chunks counts by its length alone.
         """
-        if not self._identity:
-            self._identity = self._compute_identity()
-        return self._identity
+        if not self._request_digest:
+            self._request_digest = self._compute_request_digest()
+        return self._request_digest
 
-    def _compute_identity(self) -> bytes:
+    def _compute_request_digest(self) -> bytes:
         digest = hashlib.sha256()
         for text in (self.service, self.method, self.target):
             digest.update(text.encode("utf-8", "surrogateescape") + b"\0")
--- a/merlintrestle/requests/crashing/crashes.py
+++ b/merlintrestle/requests/crashing/crashes.py
@@ -53,7 +53,7 @@
         """Returns why a call must not run here; None if it may."""
         if not self.strikes:
             return None
-        blocked_s = self.strikes.get_blocked_s(call.get_identity())
+        blocked_s = self.strikes.get_blocked_s(call.get_request_digest())
         if blocked_s <= 0:
             return None
         return outcomes.NotRun(
@@ -96,7 +96,7 @@
         """Records the end of a call, and whether its answer was complete."""
         self._running.pop(id(call), None)
         if answered and self.strikes:
-            self.strikes.clear(call.get_identity())
+            self.strikes.clear(call.get_request_digest())
 
     def record_disconnect(self) -> None:
         """Records that the connection of a call to the backend server broke.
@@ -133,7 +133,7 @@
     def _add_strikes(self, in_flight: list[calls.Call]) -> None:
         suspects = [call for call in in_flight if self._is_suspect(call)]
         crash_id = secrets.token_hex(8)
-        digests = {call.get_identity() for call in suspects or in_flight}
+        digests = {call.get_request_digest() for call in suspects or in_flight}
         events.warn(
             "backend server crashed",
             in_flight=len(in_flight),
@@ -150,7 +150,7 @@
             return True
         if not self.strikes:
             return False
-        return self.strikes.count(call.get_identity()) > 0
+        return self.strikes.count(call.get_request_digest()) > 0
 
 
 def _ignore(strike: control_pb2.Strike) -> None:
--- a/merlintrestle/requests/unrepeatable/at_most_once.py
+++ b/merlintrestle/requests/unrepeatable/at_most_once.py
@@ -53,7 +53,10 @@
         claims = self._claims
         claim_key = claims.build_key(call)
         record = claims.ledger.find_answered(claim_key)
-        if record is not None and record.request_digest == call.get_identity():
+        if (
+            record is not None
+            and record.request_digest == call.get_request_digest()
+        ):
             return record.answer or _build_ran()
         revision = 0
         for _ in range(_MAX_CLAIM_ATTEMPTS):
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -164,7 +164,7 @@
         if self._get_time() >= call.refuse_by:
             return outcomes.TOO_LATE
         owner = self._owner()
-        digest = call.get_identity()
+        digest = call.get_request_digest()
         record = self.ledger.open(claim_key, secrets.token_hex(8), digest)
         claim = request_pb2.Claim(
             member_id=owner.member_id,
@@ -235,7 +235,7 @@
     ) -> ReleasedClaim | outcomes.Failure | outcomes.Replayed:
         """Returns what became of another attempt at the same request."""
         claim = foreign.claim
-        if claim.request_digest != call.get_identity():
+        if claim.request_digest != call.get_request_digest():
             return _refuse_reused_key(call)
         wait_s = 0.0
         while True:
--- a/tests/requests/crashing/test_crashes.py
+++ b/tests/requests/crashing/test_crashes.py
@@ -138,8 +138,8 @@
         """Returns the strikes against the culprit and the innocent request."""
         recorded = self.crashes.strikes
         return (
-            recorded.count(self.culprit.get_identity()),
-            recorded.count(self.innocent.get_identity()),
+            recorded.count(self.culprit.get_request_digest()),
+            recorded.count(self.innocent.get_request_digest()),
         )
 
     async def test_all_get_a_strike_at_first(self) -> None:
