--- a/merlintrestle/requests/calls/call.py
+++ b/merlintrestle/requests/calls/call.py
@@ -19,13 +19,14 @@
 
 
 class Wait(enum.Enum):
-    """How long a call may wait for a slot at the upstream it is sent to."""
+    """How long a call may wait for a slot of the upstream's backend server."""
 
-    # As long as its latency target allows.
+    # As long as the latency target of the call allows.
     NORMAL = enum.auto()
-    # A fraction of that; another upstream is tried afterwards.
+    # A fraction of the normal wait. If the call is refused, another upstream is
+    # polled.
     SHORT = enum.auto()
-    # Not at all.
+    # Not at all: the call is refused if no slot is free.
     NONE = enum.auto()
 
 
@@ -35,28 +36,35 @@
 
     Attributes:
         service: Name of the destination service.
-        plan: Its class of work.
+        plan: Class of work of the request.
         method: HTTP method.
         target: Path and query for the backend server, beginning with "/".
-        organisation: Organisation of the caller.
-        headers: End-to-end headers.
-        body: Its body.
+        organisation: Organisation that declares the targets of the class of
+            work, as in `plan`.
+        headers: End-to-end headers of the request.
+        body: Body of the request.
         deadline: Event loop time by which the caller must have its final
             answer, in seconds.
         latency_deadline: Event loop time by which the latency target must be
-            met, in seconds. It counts from the caller's first attempt.
-        depth: Number of calls that this one is nested in.
-        attempt: More than 0 if this call is a retry, or if a call that it is
-            nested in may be retried.
+            met, in seconds. It is measured from the caller's first attempt.
+        depth: Number of calls that this call is nested in.
+        attempt: 0 if this daemon may retry the call. More than 0 if the call is
+            a retry, or if another daemon may retry the call or one that it is
+            nested in.
         key: Idempotency-Key; empty if there is none.
-        return_trip_s: Time that a refusal needs to reach the caller's daemon,
-            in seconds. It is an estimate, so it never ends running work.
+        return_trip_s: Estimated time that a refusal takes to reach the
+            caller's daemon, in seconds. Only `refuse_by` depends on it; a call
+            that is running is not cancelled before `deadline`, as this is only
+            an estimate.
         repeat: True if the call may have been sent to a backend server before.
-        wait: How long it may wait for a slot of the backend server.
-        admitted_at: When it got its slot of the backend server, in seconds.
-        suspect: True if it broke a connection before, so that it may have
-            crashed the backend server.
-        request_id: Id that the caller gave it; empty if there is none.
+        wait: How long the call may wait for a slot of the upstream's backend
+            server.
+        admitted_at: Time at which the call was given a slot of the backend
+            server, in seconds.
+        suspect: True if a connection broke when this call was sent before, so
+            that the call may have crashed a backend server.
+        request_id: Id that the caller gave to the request; empty if there is
+            none.
         origin: Service of the instance at which the request began; empty if
             unknown.
         route: Name of the host route; empty if the call was routed otherwise.
@@ -101,7 +109,8 @@
     def get_request_digest(self) -> bytes:
         """Returns a digest of the request that does not depend on its sender.
 
-        A body that is forwarded in chunks counts by its length alone.
+        Of a body that is not buffered, the digest includes only the length that
+        the caller stated.
         """
         if not self._request_digest:
             self._request_digest = self._compute_request_digest()
--- a/merlintrestle/requests/calls/dialect.py
+++ b/merlintrestle/requests/calls/dialect.py
@@ -1,6 +1,7 @@
-"""Dialects in which callers and backend servers talk to a daemon.
+"""HTTP conventions between a daemon and its callers and backend server.
 
-Daemons talk to each other in the same way whatever the dialect.
+A dialect determines the paths and headers that callers and backend servers use.
+Requests between daemons do not depend on it.
 """
 
 from __future__ import annotations
@@ -34,7 +35,9 @@
 @generics.remember_choices
 @functools.singledispatch
 def match_caller(
-    dialect: object, running: snapshot.Snapshot, request: web.BaseRequest
+    dialect: object,
+    running_snapshot: snapshot.Snapshot,
+    request: web.BaseRequest,
 ) -> routing.Match | outcomes.NotRun:
     """Returns the destination of a caller's request, or a refusal."""
     raise TypeError(f"not a dialect: {dialect!r}")
@@ -52,14 +55,17 @@
 @generics.remember_choices
 @functools.singledispatch
 def may_be_nested(
-    dialect: object, request: web.BaseRequest, working: bool
+    dialect: object, request: web.BaseRequest, backend_busy: bool
 ) -> bool:
-    """Returns whether a request may come from work of this instance.
+    """Returns whether a request may be nested in a call that is running here.
+
+    The local backend server sends such a request while it runs another call.
+    It is served during a drain too, so that the other call does not fail.
 
     Args:
         dialect: Dialect of the callers.
         request: The request.
-        working: True if the local backend server is running calls.
+        backend_busy: True if the local backend server is running a call.
     """
     raise TypeError(f"not a dialect: {dialect!r}")
 
@@ -87,7 +93,12 @@
 def is_answer_to(
     dialect: object, answer: answers.Answer, call: calls.Call
 ) -> bool:
-    """Returns whether an answer is for this call and not for another one."""
+    """Returns whether an answer of the backend server is for this call.
+
+    It may be for an earlier call over the same connection, if the backend
+    server answered that call twice. A dialect can detect this only if answers
+    state the id of their request; otherwise all answers are accepted.
+    """
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
@@ -96,10 +107,12 @@
 def check_answer(
     dialect: object, answer: answers.Answer
 ) -> outcomes.Failure | None:
-    """Returns the failure that an answer of the backend server stands for.
+    """Returns the failure that an answer of the backend server reports.
+
+    For example, a status or header may state that the request was not run.
 
     Returns:
-        None for an answer that is passed on to the caller.
+        None if the answer is to be passed on to the caller.
     """
     raise TypeError(f"not a dialect: {dialect!r}")
 
@@ -107,15 +120,20 @@
 @generics.remember_choices
 @functools.singledispatch
 def accepts_unframed_answers(dialect: object) -> bool:
-    """Returns whether closing the connection alone may end an answer."""
+    """Returns whether the end of an answer may be unmarked.
+
+    The answer then ends when the backend server closes the connection.
+    """
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
 @match_caller.register(NativeDialect)
 def _match_caller(
-    dialect: NativeDialect, running: snapshot.Snapshot, request: web.BaseRequest
+    dialect: NativeDialect,
+    running_snapshot: snapshot.Snapshot,
+    request: web.BaseRequest,
 ) -> routing.Match | outcomes.NotRun:
-    return parsing.match_caller(running, request)
+    return parsing.match_caller(running_snapshot, request)
 
 
 @read_metadata.register(NativeDialect)
@@ -127,7 +145,7 @@
 
 @may_be_nested.register(NativeDialect)
 def _may_be_nested(
-    dialect: NativeDialect, request: web.BaseRequest, working: bool
+    dialect: NativeDialect, request: web.BaseRequest, backend_busy: bool
 ) -> bool:
     return parsing.get_depth(request) > 0
 
@@ -148,9 +166,10 @@
     sent_headers[headers.ORGANISATION] = call.organisation
     sent_headers[headers.DEADLINE] = str(max(1, int(remaining_s * 1000)))
     sent_headers[headers.DEPTH] = str(call.depth + 1)
-    # Only the outermost repeatable call of a nest is retried; the calls nested
-    # in it are sent as retries, so that they are not. Otherwise N nested
-    # levels would run the lowest one N + 1 times, as each level has a retry.
+    # Only the outermost repeatable call is retried. The calls nested in it are
+    # marked as retries (attempt 1), because daemons do not retry such calls.
+    # Otherwise each of N levels would have a retry, and the innermost call
+    # would run up to N + 1 times.
     attempt = 1 if call.plan.repeatable else call.attempt
     sent_headers[headers.ATTEMPT] = str(attempt)
     return sent_headers
--- a/merlintrestle/requests/calls/doubts.py
+++ b/merlintrestle/requests/calls/doubts.py
@@ -1,6 +1,6 @@
-"""Reasons to hedge a call while its first attempt is running.
+"""Reasons to hedge a call.
 
-None of them proves that the call is not being worked on.
+For each of these reasons, the first attempt may still be running.
 """
 
 from __future__ import annotations
@@ -9,19 +9,22 @@
 
 
 class Doubt(enum.Enum):
-    """Why the answer of an attempt may not arrive in time."""
+    """Reason why the answer of an attempt may not arrive in time."""
 
-    # The attempt takes far longer than the targets expect of a call.
+    # The attempt takes far longer than the targets of the class of work expect.
     LATE = enum.auto()
-    # The peer does not answer a query about the call and sends nothing else
-    # either.
+    # The peer does not answer a probe about the call and sends no other data.
     PEER_SILENT = enum.auto()
-    # The peer answers that it has not seen the call, which may be in transit.
+    # The peer answered a probe and has not received the call, which may be in
+    # transit.
     NOT_ARRIVED = enum.auto()
-    # The peer answers that it has sent the answer, which has not arrived.
+    # The peer answered a probe and has sent the answer, which has not arrived.
     ANSWER_MISSING = enum.auto()
 
     @property
     def concerns_connection_only(self) -> bool:
-        """True if the connection alone is in doubt, and not its peer."""
+        """True if the peer answered a probe, so that it is responsive.
+
+        Only the connection of the call may then be broken.
+        """
         return self in (Doubt.NOT_ARRIVED, Doubt.ANSWER_MISSING)
--- a/merlintrestle/requests/calls/metadata.py
+++ b/merlintrestle/requests/calls/metadata.py
@@ -1,7 +1,7 @@
-"""Encoding of call metadata for other daemons, in a single header.
+"""Encoding of call metadata for other daemons in a single header.
 
-Each further header would cost both daemons its writing, its parsing and a check
-whether to forward it to the backend server.
+Each further header would have to be written by one daemon, and parsed and
+checked for forwarding to the backend server by the other one.
 """
 
 from __future__ import annotations
@@ -12,20 +12,22 @@
 from merlintrestle.requests.calls import parsing
 
 _SEPARATOR = " "
-# Trailing blanks are not part of a header value, and the id may be empty.
+# Ends the header value. An empty id would leave a trailing space, which HTTP
+# does not regard as part of the value.
 _TERMINATOR = ";"
 _SUSPECT_FLAG = "s"
 _REPEAT_FLAG = "r"
-# Sent among the flags, where daemons of older versions ignore it.
-_RETURN_TRIP = re.compile(r"\d+")
+# Return trip time in milliseconds. It is sent among the flags, because daemons
+# of older versions ignore flags that they do not know.
+_RETURN_TRIP_PATTERN = re.compile(r"\d+")
 _WAIT_FLAGS = {calls.Wait.SHORT: "w", calls.Wait.NONE: "n"}
-# Four numbers, the flags and the origin precede the id, which may contain
-# separators.
+# The id is the last field, because it may contain separators. Four numbers, the
+# flags and the origin precede it.
 _FIELDS_BEFORE_ID = 6
 
 
 def encode_metadata(metadata: parsing.CallMetadata) -> str:
-    """Returns the value of the header; the timeout must be set."""
+    """Returns the header value for metadata whose timeout is set."""
     flags = _SUSPECT_FLAG if metadata.suspect else ""
     flags += _WAIT_FLAGS.get(metadata.wait, "")
     if metadata.repeat:
@@ -76,5 +78,5 @@
 
 
 def _decode_return_trip_ms(flags: str) -> int:
-    match = _RETURN_TRIP.search(flags)
+    match = _RETURN_TRIP_PATTERN.search(flags)
     return int(match[0]) if match else 0
--- a/merlintrestle/requests/calls/outcomes.py
+++ b/merlintrestle/requests/calls/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of a call, and the HTTP responses that report them."""
+"""Outcomes of calls and the HTTP responses that report them."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 SHEDDING_STATUS = 503
 # Lowest status that means a failure of the backend server.
 MIN_SERVER_ERROR_STATUS = 500
-# Status of a call whose answer did not arrive in time.
+# Status with which a daemon reports that there was no answer in time.
 TIMEOUT_STATUS = 504
 
 
 @dataclasses.dataclass(slots=True)
 class Answered:
-    """A backend server answered, with success or with an error.
+    """A backend server answered the call, with a success or an error status.
 
     Attributes:
-        response: The answer, with its headers read.
-        body: Its whole body; None if it is passed on in chunks.
-        release_callbacks: Callbacks that free the resources of the call, run
-            in this order.
-        truncated: True if its body ended early.
+        response: The answer, whose headers have been read.
+        body: The whole body of the answer; None if it is passed on in chunks.
+        release_callbacks: Callbacks that free the resources of the call, in
+            the order in which they are run.
+        truncated: True if the body of the answer ended early.
     """
 
     response: answers.Answer
@@ -50,10 +50,10 @@
         self.release_callbacks.append(callback)
 
     def release(self) -> None:
-        """Frees the resources of the call; called when its body has ended."""
-        # The callbacks refer to this outcome. If the list kept them, the call
-        # would stay in memory until the garbage collector runs, which stops
-        # all other calls meanwhile.
+        """Frees the resources of the call; called once its body has ended."""
+        # The callbacks refer to this outcome. If they remained in the list, the
+        # call would stay in memory until the garbage collector runs, and all
+        # other calls pause while it runs.
         callbacks, self.release_callbacks = self.release_callbacks, []
         for callback in callbacks:
             callback()
@@ -65,12 +65,14 @@
 
     Attributes:
         reason: Reason in one sentence, for the caller.
-        status: HTTP status of the answer.
+        status: HTTP status of the response to the caller.
         retry_after_s: Seconds until a retry is worthwhile; None if never.
-        elsewhere: True if another upstream may run the call at once.
+        elsewhere: True if the call may be retried at another upstream at once.
         overloaded: True if the call was refused for lack of capacity.
-        unreachable: True if no connection could be made.
-        reached: True if the backend server itself refused the call.
+        unreachable: True if no connection to the backend server or daemon could
+            be opened, so that the call was not sent.
+        reached: True if the call reached the backend server, which itself
+            refused it.
         unqueued: True if the call was refused because it was not allowed to
             wait for a slot; the wait would have taken `retry_after_s`.
     """
@@ -90,13 +92,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ran:
-    """The call ran, and its answer is not available.
+    """The call ran, but its answer is not available.
 
     Attributes:
         reason: Reason in one sentence, for the caller.
-        status: HTTP status of the answer.
+        status: HTTP status of the response to the caller.
         retry_after_s: Seconds until a retry is worthwhile; None if never.
-        broken: True if the connection broke, as it does in a crash.
+        broken: True if the connection of the call broke, as in a crash of the
+            backend server.
     """
 
     reason: str
@@ -111,10 +114,11 @@
 
     Attributes:
         reason: Reason in one sentence, for the caller.
-        status: HTTP status of the answer.
-        retry_after_s: Seconds until a retry with the same key may resolve it;
-            None if never.
-        broken: True if the connection broke, as it does in a crash.
+        status: HTTP status of the response to the caller.
+        retry_after_s: Seconds until a retry with the same key may return the
+            actual outcome; None if never.
+        broken: True if the connection of the call broke, as in a crash of the
+            backend server.
     """
 
     reason: str
@@ -129,8 +133,8 @@
 
     Attributes:
         status: HTTP status of the answer.
-        headers: Its end-to-end headers.
-        body: Its whole body.
+        headers: End-to-end headers of the answer.
+        body: The whole body of the answer.
     """
 
     status: int
@@ -149,7 +153,11 @@
 
 
 def release_unused(task: asyncio.Future[Outcome]) -> None:
-    """Done callback that frees an answer which is no longer needed."""
+    """Releases the answer of a task whose result is no longer needed.
+
+    Args:
+        task: The task, which calls this function when it is done.
+    """
     if task.cancelled() or task.exception() is not None:
         return
     outcome = task.result()
@@ -160,7 +168,7 @@
 @generics.remember_choices
 @functools.singledispatch
 def render(outcome: object) -> web.Response:
-    """Returns the response for an outcome without a body to stream."""
+    """Returns the response that reports an outcome other than `Answered`."""
     raise TypeError(f"cannot be rendered: {outcome!r}")
 
 
@@ -189,7 +197,10 @@
 
 
 def read_failure(answered: Answered) -> Failure:
-    """Returns the failure that another daemon reported in its answer."""
+    """Returns the failure that another daemon reported.
+
+    Releases the answer, whose body is already in memory.
+    """
     response = answered.response
     answered.release()
     try:
@@ -205,8 +216,8 @@
             "retry_after_s": None,
         }
     fields["status"] = response.status
-    name = response.headers[headers.OUTCOME]
-    if name == "not-run":
+    outcome_name = response.headers[headers.OUTCOME]
+    if outcome_name == "not-run":
         return NotRun(
             **fields,
             elsewhere=bool(reported.get("elsewhere")),
@@ -215,23 +226,23 @@
             unqueued=bool(reported.get("unqueued")),
         )
     broken = bool(reported.get("broken"))
-    if name == "ran":
+    if outcome_name == "ran":
         return Ran(**fields, broken=broken)
     return Unknown(**fields, broken=broken)
 
 
 def _build_failure_response(
-    name: str, outcome: Failure, retry_after_s: float | None
+    outcome_name: str, outcome: Failure, retry_after_s: float | None
 ) -> web.Response:
-    # Under load most responses to other daemons are refusals, and
-    # `dataclasses.asdict` copies each field as if it were a container.
-    fields: dict[str, object] = {"outcome": name}
+    # Not `dataclasses.asdict`, which copies each field as if it were a
+    # container: under load, most responses to other daemons are refusals.
+    fields: dict[str, object] = {"outcome": outcome_name}
     for field in outcome.__slots__:
         fields[field] = getattr(outcome, field)
     response = answers.ShortAnswer(
         outcome.status, "application/json", json.dumps(fields)
     )
-    response.headers[headers.OUTCOME] = name
+    response.headers[headers.OUTCOME] = outcome_name
     if retry_after_s is not None:
         response.headers["Retry-After"] = str(max(1, math.ceil(retry_after_s)))
     return response
--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -17,18 +17,21 @@
 
     from merlintrestle.documents import snapshot
 
-# A call that is nested deeper is taken for a loop between services.
+# A call that is nested deeper is regarded as a loop between services.
 MAX_DEPTH = 7
 _MAX_KEY_CHARACTERS = 255
 
 
 def match_caller(
-    running: snapshot.Snapshot, request: web.BaseRequest
+    running_snapshot: snapshot.Snapshot, request: web.BaseRequest
 ) -> routing.Match | outcomes.NotRun:
-    """Returns the destination of a caller's request, or a refusal."""
+    """Returns the destination of a caller's request, or a refusal.
+
+    Refuses requests that are nested too deep or have no valid Idempotency-Key.
+    """
     organisation = request.headers.get(headers.ORGANISATION, "")
     match = routing.match_service(
-        running, request.method, request.raw_path, organisation
+        running_snapshot, request.method, request.raw_path, organisation
     )
     if isinstance(match, outcomes.NotRun):
         return match
@@ -38,25 +41,30 @@
 
 
 class CallMetadata(NamedTuple):
-    """What the headers of a request state about its call.
+    """Metadata of a call, as stated in the headers of a request.
 
     Attributes:
-        timeout_ms: Milliseconds that the caller waits; None if not stated.
-        request_id: Id that the caller gave the request; empty if none.
+        timeout_ms: Milliseconds for which the caller waits; None if not stated.
+        request_id: Id that the caller gave to the request; empty if none.
         origin: Service of the instance at which the request began; empty if
             unknown.
-        depth: Number of calls that it is nested in.
-        attempt: More than 0 if it is a retry, or if a call that it is nested
-            in may be retried.
-        waited_ms: Milliseconds since the caller's first attempt.
-        retries_keep_deadline: True if a retry states the deadline of the first
-            attempt again, but not that it is a retry nor how long ago the
-            first attempt was.
-        suspect: True if the call broke a connection before.
-        wait: How long it may wait for a slot of the backend server.
-        repeat: True if it may have been sent to a backend server before.
-        return_trip_ms: Milliseconds of the timeout that a refusal needs for
-            its return trip to the caller's daemon.
+        depth: Number of calls that the call is nested in.
+        attempt: 0 if this daemon may retry the call. More than 0 if the call is
+            a retry, or if another daemon may retry the call or one that it is
+            nested in.
+        waited_ms: Milliseconds that have elapsed since the caller's first
+            attempt, during which the caller has waited.
+        retries_keep_deadline: True if the caller does not mark retries, as in
+            the platform's dialect: a retry has the deadline of the first
+            attempt and states neither that it is a retry nor the time that has
+            elapsed.
+        suspect: True if a connection broke when the call was sent before, so
+            that the call may have crashed a backend server.
+        wait: How long the call may wait for a slot of the upstream's backend
+            server.
+        repeat: True if the call may have been sent to a backend server before.
+        return_trip_ms: Estimated milliseconds that a refusal takes to reach the
+            caller's daemon. They are part of `timeout_ms`.
     """
 
     timeout_ms: int | None
@@ -73,7 +81,10 @@
 
 
 def match_peer(request: web.BaseRequest) -> routing.Match | outcomes.NotRun:
-    """Returns the destination of another daemon's request, or a refusal."""
+    """Returns the destination of another daemon's request, or a refusal.
+
+    The other daemon has already chosen the service and the class of work.
+    """
     path = request.raw_path
     service_end = path.find("/", 1)
     service = path[1:service_end]
@@ -106,7 +117,7 @@
     metadata: CallMetadata,
     arrived_at: float,
 ) -> calls.Call | outcomes.NotRun:
-    """Reads a request, and its body too if that is small.
+    """Builds a call from a request, and reads the body if it is small.
 
     Args:
         request: The request.
@@ -115,7 +126,7 @@
         arrived_at: Event loop time at which the request arrived, in seconds.
 
     Returns:
-        The call, or a refusal if the body is malformed.
+        The call, or a refusal if the body is incomplete or arrives too slowly.
     """
     plan = match.plan
     timeout_s = plan.deadline_s
@@ -165,7 +176,7 @@
     if len(key) > _MAX_KEY_CHARACTERS:
         return outcomes.NotRun("Idempotency-Key is too long", 400, None)
     if not key.isascii():
-        # The HTTP library drops what is not UTF-8 when it forwards a header,
-        # so that the keys of two requests could become equal.
+        # The HTTP library drops bytes that are not UTF-8 when it forwards a
+        # header, so the keys of two requests could become equal.
         return outcomes.NotRun("Idempotency-Key must be ASCII", 400, None)
     return None
--- a/merlintrestle/requests/calls/plans.py
+++ b/merlintrestle/requests/calls/plans.py
@@ -1,7 +1,7 @@
-"""Encoding of classes of work for requests between daemons.
+"""Encoding of classes of work in requests between daemons.
 
-A class is sent with its targets, so that the daemon of an upstream treats a
-call as the daemon that sent it does, whichever version it runs.
+A class of work is sent with its targets, so that both daemons apply the same
+targets to a call, even if they run different versions.
 """
 
 from __future__ import annotations
@@ -11,19 +11,20 @@
 
 from merlintrestle.documents import snapshot
 
-# Entries of each cache; there are a few classes per route and version.
+# Entries of each cache. There are only a few classes of work per route and
+# version.
 _MAX_CACHED_PLANS = 4096
 
 
 @functools.lru_cache(_MAX_CACHED_PLANS)
 def encode_plan(plan: snapshot.ClassPlan) -> str:
-    """Returns the header value that describes a class of work."""
+    """Returns the header value for a class of work."""
     return json.dumps(plan, separators=(",", ":"))
 
 
 @functools.lru_cache(_MAX_CACHED_PLANS)
 def decode_plan(text: str) -> snapshot.ClassPlan | None:
-    """Returns the class of work in a header; None if it is malformed."""
+    """Returns the class of work in a header value; None if malformed."""
     try:
         fields = json.loads(text)
     except ValueError:
@@ -38,6 +39,7 @@
 
 
 def _list_field_types() -> tuple[tuple[type, ...], ...]:
+    """Returns the JSON types that each field of a class of work may have."""
     types_by_name: dict[str, tuple[type, ...]] = {
         "str": (str,),
         "bool": (bool,),
--- a/tests/requests/calls/test_metadata.py
+++ b/tests/requests/calls/test_metadata.py
@@ -1,4 +1,4 @@
-"""Tests of the call metadata that daemons send to each other."""
+"""Tests of the encoding of call metadata between daemons."""
 
 from __future__ import annotations
 
--- a/tests/requests/calls/test_outcomes.py
+++ b/tests/requests/calls/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of the resources that an outcome holds and releases."""
+"""Tests of the release of the resources of an outcome."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _Response:
-    """Stands in for an answer and supports weak references."""
+    """A fake answer that supports weak references."""
 
 
 def _build_answered(response: Any) -> outcomes.Answered:
@@ -34,9 +34,9 @@
     def test_released_answer_needs_no_garbage_collector(self) -> None:
         """Released calls are freed without pauses for garbage collection.
 
-        The release callbacks of an answer refer to the answer. If they were
-        kept, each call would be a reference cycle, and collecting a few
-        thousand of them at once stops all calls for 15 to 30 ms.
+        The release callbacks of an outcome refer to the outcome. If it kept
+        them, each call would be a reference cycle, and collecting a few
+        thousand of these at once pauses all calls for 15 to 30 ms.
         """
         gc.disable()
         self.addCleanup(gc.enable)
--- a/tests/requests/calls/test_routing.py
+++ b/tests/requests/calls/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routes by host and path prefix."""
+"""Tests of the lookup of host routes by path prefix in a snapshot."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 _SEGMENT = strategies.sampled_from(["a", "b", "ab", ""])
 _PATH = strategies.lists(_SEGMENT, max_size=4).map(
-    lambda found: "/" + "/".join(found)
+    lambda segments: "/" + "/".join(segments)
 )
 
 
@@ -31,26 +31,37 @@
     def test_the_longest_prefix_matches(
         self, prefixes: list[str], path: str
     ) -> None:
-        """The index gives the same result as a search through all routes."""
+        """The index gives the same result as a search through all routes.
+
+        Otherwise a request could go to the service of a shorter prefix.
+        """
         prefixes.sort(key=len, reverse=True)
         routes = tuple(
             _build_route(f"r{number}", prefix)
             for number, prefix in enumerate(prefixes)
         )
-        running = snapshot.Snapshot(1, {}, {}, hosts={"desk.example": routes})
+        route_snapshot = snapshot.Snapshot(
+            1, {}, {}, hosts={"desk.example": routes}
+        )
         expected = next(
             (route for route in routes if path.startswith(route.prefix)), None
         )
-        found = running.find_host_route("desk.example", path)
+        found = route_snapshot.find_host_route("desk.example", path)
         self.assertEqual(found, expected)
-        self.assertIsNone(running.find_host_route("elsewhere", path))
+        self.assertIsNone(route_snapshot.find_host_route("elsewhere", path))
 
     def test_lookup_does_not_search_all_routes(self) -> None:
-        """Hundreds of further routes do not make a lookup more expensive."""
+        """The cost of a lookup does not grow with the number of routes.
+
+        The index has one entry for each length of prefix, and all prefixes
+        have the same length here.
+        """
         routes = tuple(
             _build_route(f"r{number}", f"/p{number:03}/")
             for number in range(360)
         )
-        running = snapshot.Snapshot(1, {}, {}, hosts={"desk.example": routes})
-        lengths, _ = running._prefixes["desk.example"]
+        route_snapshot = snapshot.Snapshot(
+            1, {}, {}, hosts={"desk.example": routes}
+        )
+        lengths, _ = route_snapshot._prefixes["desk.example"]
         self.assertEqual(lengths, (6,))
