--- a/merlintrestle/requests/crashing/strikes.py
+++ b/merlintrestle/requests/crashing/strikes.py
@@ -1,4 +1,4 @@
-"""Strikes against requests in flight when backend servers crashed."""
+"""Strikes against requests in flight at crashes of backend servers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# How long the fleet remembers a strike.
+# Time after its crash for which a strike counts.
 STRIKE_LIFETIME_S = 600.0
-# Crashes after which a request is blocked for a short time, and those after
-# which it is blocked until its strikes expire.
-SHORT_BLOCK_CRASHES = 2
-LONG_BLOCK_CRASHES = 3
+# Number of crashes from which a request is blocked for a short time, and number
+# from which it is blocked until its strikes expire.
+MIN_CRASHES_FOR_SHORT_BLOCK = 2
+MIN_CRASHES_FOR_LONG_BLOCK = 3
+# Time after the last crash for which a short block lasts.
 SHORT_BLOCK_S = 10.0
-_MAX_REQUESTS = 10_000
+_MAX_TRACKED_REQUESTS = 10_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,9 +28,10 @@
     """A strike against one request.
 
     Attributes:
-        expires_at: When it expires, in seconds since 1970.
-        confirmed: True if the request was a suspect when the crash occurred.
-        cleared: True if the request has run since without a crash.
+        expires_at: Time at which the strike expires, in seconds since 1970.
+        confirmed: True if the request was already a suspect when the crash
+            occurred.
+        cleared: True if the request has since run without a crash.
     """
 
     expires_at: float
@@ -43,35 +45,43 @@
     def __init__(self, get_time: Callable[[], float] = time.time):
         """Sets the clock, in seconds since 1970."""
         self._get_time = get_time
-        self._requests: collections.OrderedDict[bytes, dict[str, _Strike]] = (
-            collections.OrderedDict()
-        )
+        self._strikes_by_request: collections.OrderedDict[
+            bytes, dict[str, _Strike]
+        ] = collections.OrderedDict()
 
     def __bool__(self) -> bool:
-        return bool(self._requests)
+        return bool(self._strikes_by_request)
 
     def add(self, strike: control_pb2.Strike) -> None:
-        """Adds a strike; a known one has no effect.
+        """Adds a strike; a strike that is already known has no effect.
 
         The expiry time that a peer states is limited to the lifetime of a
-        strike: a peer with a wrong clock would otherwise block a request for
-        good.
+        strike. Otherwise a peer with a wrong clock could block a request
+        permanently.
         """
         now = self._get_time()
         expires_at = min(strike.until_ms / 1000, now + STRIKE_LIFETIME_S)
         if expires_at <= now:
             return
-        crashes = self._requests.setdefault(strike.request_digest, {})
-        crashes.setdefault(
+        strikes_by_crash_id = self._strikes_by_request.setdefault(
+            strike.request_digest, {}
+        )
+        strikes_by_crash_id.setdefault(
             strike.crash_id, _Strike(expires_at, strike.confirmed)
         )
-        if len(self._requests) > _MAX_REQUESTS:
-            self._requests.popitem(last=False)
+        if len(self._strikes_by_request) > _MAX_TRACKED_REQUESTS:
+            self._strikes_by_request.popitem(last=False)
 
     def build(
         self, digest: bytes, crash_id: str, confirmed: bool
     ) -> control_pb2.Strike:
-        """Builds a strike whose lifetime begins now."""
+        """Builds a strike whose lifetime begins now.
+
+        Args:
+            digest: Digest of the request.
+            crash_id: Id of the crash, for all requests in flight at it.
+            confirmed: True if the request was already a suspect.
+        """
         expires_at = self._get_time() + STRIKE_LIFETIME_S
         return control_pb2.Strike(
             request_digest=digest,
@@ -81,46 +91,54 @@
         )
 
     def count(self, digest: bytes) -> int:
-        """Returns the number of crashes that count against a request."""
+        """Returns the number of strikes of a request that still count."""
         return len(self._find_active(digest))
 
     def get_blocked_s(self, digest: bytes) -> float:
-        """Returns for how many seconds a request is blocked; 0 if it is not.
+        """Returns the seconds for which a request is blocked; 0 if it is not.
 
-        Strikes of crashes with several requests in flight never block by
-        themselves: when many backend servers crash together, a frequent
-        request is in flight on many of them. The first block is short because
+        A request is blocked only if at least one strike is confirmed, i.e. the
+        request was already a suspect. When many backend servers crash together,
+        a frequent request is in flight on many of them, so any number of
+        unconfirmed strikes does not block it. The first block is short because
         a request that was retried during such a series of crashes may have
         been the only suspect twice.
         """
         strikes = self._find_active(digest)
         confirmed = any(strike.confirmed for strike in strikes)
-        if not confirmed or len(strikes) < SHORT_BLOCK_CRASHES:
+        if not confirmed or len(strikes) < MIN_CRASHES_FOR_SHORT_BLOCK:
             return 0.0
         expires_at = max(strike.expires_at for strike in strikes)
-        if len(strikes) < LONG_BLOCK_CRASHES:
+        if len(strikes) < MIN_CRASHES_FOR_LONG_BLOCK:
+            # The last crash was `STRIKE_LIFETIME_S` before its strike expires.
             expires_at += SHORT_BLOCK_S - STRIKE_LIFETIME_S
         return max(0.0, expires_at - self._get_time())
 
     def clear(self, digest: bytes) -> None:
         """Clears the strikes against a request that ran without a crash.
 
-        They are kept as cleared, because peers may send them again.
+        The strikes are kept and marked as cleared, so that they are not added
+        again when peers send them again.
         """
-        for strike in self._requests.get(digest, {}).values():
+        for strike in self._strikes_by_request.get(digest, {}).values():
             strike.cleared = True
 
     def _find_active(self, digest: bytes) -> list[_Strike]:
-        crashes = self._requests.get(digest)
-        if crashes is None:
+        """Returns the strikes that count; removes those that have expired."""
+        strikes_by_crash_id = self._strikes_by_request.get(digest)
+        if strikes_by_crash_id is None:
             return []
         now = self._get_time()
         for crash_id in [
             known_id
-            for known_id, strike in crashes.items()
+            for known_id, strike in strikes_by_crash_id.items()
             if strike.expires_at <= now
         ]:
-            del crashes[crash_id]
-        if not crashes:
-            del self._requests[digest]
-        return [strike for strike in crashes.values() if not strike.cleared]
+            del strikes_by_crash_id[crash_id]
+        if not strikes_by_crash_id:
+            del self._strikes_by_request[digest]
+        return [
+            strike
+            for strike in strikes_by_crash_id.values()
+            if not strike.cleared
+        ]
--- a/tests/requests/crashing/test_crashes.py
+++ b/tests/requests/crashing/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash every backend server that runs them."""
+"""Tests of requests that crash each backend server that runs them."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from tests.requests import builders
 
 
-class ContainmentTest(unittest.IsolatedAsyncioTestCase):
-    """Four backend servers and a request that crashes each one it runs on."""
+class CrashingRequestTest(unittest.IsolatedAsyncioTestCase):
+    """Tests requests that crash the backend servers of one or more daemons."""
 
     def setUp(self) -> None:
         self.nodes: list[builders.Node] = []
-        self.crashed: list[int] = []
-        self.begun = asyncio.Event()
-        self.waited = 0
+        self.crashed_node_numbers: list[int] = []
+        self.slow_request_started = asyncio.Event()
+        self.slow_request_count = 0
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         """Crashes on "/poison"; never answers the first request for "/slow"."""
         if request.path == "/poison":
             for number, node in enumerate(self.nodes):
                 if request.protocol in node.backend.connections:
-                    self.crashed.append(number)
+                    self.crashed_node_numbers.append(number)
                     node.crash()
-        if request.path == "/slow" and not self.waited:
-            self.waited += 1
-            self.begun.set()
+        if request.path == "/slow" and not self.slow_request_count:
+            self.slow_request_count += 1
+            self.slow_request_started.set()
             await asyncio.Event().wait()
         return web.Response(body=b"well")
 
@@ -52,19 +52,19 @@
             await client.get(self.nodes[0].url + "/poison")
             for node in self.nodes * 2:
                 answer = await client.get(node.url + "/poison")
-            self.assertEqual(len(self.crashed), 2)
+            self.assertEqual(len(self.crashed_node_numbers), 2)
             self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
             self.assertEqual(answer.headers["Retry-After"], "10")
             for node in self.nodes:
                 answer = await client.get(node.url + "/other")
                 self.assertEqual(await answer.read(), b"well")
 
-    async def test_concurrent_request_is_not_blamed(self) -> None:
-        """A request in flight at another one's crash is answered every time.
+    async def test_concurrent_request_is_not_blocked(self) -> None:
+        """A harmless request is answered even if it is in flight at a crash.
 
-        A harmless request is in flight where the other one crashes the backend
-        server, and both are retried. If both ran on one backend server again,
-        the harmless one would have strikes of two crashes as well.
+        Another request crashes the backend server, and both are retried. If
+        both ran on the same backend server again, the harmless request would
+        also get the strikes of two crashes.
         """
         async with (
             builders.run_nodes(4, handler=self.serve) as self.nodes,
@@ -73,26 +73,28 @@
             slow = asyncio.ensure_future(
                 client.get(self.nodes[0].url + "/slow")
             )
-            await self.begun.wait()
+            await self.slow_request_started.wait()
             for _ in range(3):
                 await client.get(self.nodes[0].url + "/poison")
             answer = await slow
             self.assertEqual(await answer.read(), b"well")
-            self.assertEqual(len(self.crashed), 2)
+            self.assertEqual(len(self.crashed_node_numbers), 2)
             for node in self.nodes:
                 answer = await client.get(node.url + "/slow")
                 self.assertEqual(await answer.read(), b"well")
 
     async def test_broken_connection_is_no_crash(self) -> None:
-        """A closed connection of a live backend server adds no strike."""
+        """A connection that a running backend server closes adds no strike."""
 
-        async def hang_up(request: web.BaseRequest) -> web.StreamResponse:
+        async def abort_connection(
+            request: web.BaseRequest,
+        ) -> web.StreamResponse:
             assert request.transport is not None
             request.transport.abort()
             return web.Response()
 
         async with (
-            builders.run_nodes(1, handler=hang_up) as (node,),
+            builders.run_nodes(1, handler=abort_connection) as (node,),
             builders.open_client() as client,
         ):
             for _ in range(3):
@@ -101,6 +103,7 @@
             self.assertFalse(node.proxy.crashes.strikes)
 
     async def test_crashed_backend_server_is_used_again(self) -> None:
+        """A backend server that was restarted gets calls again."""
         async with (
             builders.run_nodes(1, handler=self.serve) as self.nodes,
             builders.open_client() as client,
@@ -118,81 +121,91 @@
             self.assertEqual(answer.status, 200)
 
 
-class BlameTest(unittest.IsolatedAsyncioTestCase):
-    """Which requests get a strike at a crash."""
+class StrikeAssignmentTest(unittest.IsolatedAsyncioTestCase):
+    """Tests which requests get a strike at a crash.
+
+    Two calls are in flight: one crashes the backend server, one is harmless.
+    """
 
     def setUp(self) -> None:
-        self.crashes = crashes.CrashTracker(backend.LocalBackend())
-        self.culprit = builders.build_call(body=b"poison")
-        self.innocent = builders.build_call(body=b"slow")
+        self.tracker = crashes.CrashTracker(backend.LocalBackend())
+        self.crashing_call = builders.build_call(body=b"poison")
+        self.harmless_call = builders.build_call(body=b"slow")
 
     def crash(self) -> None:
-        """Crashes the backend server while both requests are in flight."""
-        self.crashes.begin(self.culprit)
-        self.crashes.begin(self.innocent)
-        self.crashes.record_crash()
-        self.crashes.end(self.culprit, False)
-        self.crashes.end(self.innocent, False)
+        """Simulates a crash while both calls are in flight."""
+        self.tracker.begin(self.crashing_call)
+        self.tracker.begin(self.harmless_call)
+        self.tracker.record_crash()
+        self.tracker.end(self.crashing_call, False)
+        self.tracker.end(self.harmless_call, False)
 
     def count(self) -> tuple[int, int]:
-        """Returns the strikes against the culprit and the innocent request."""
-        recorded = self.crashes.strikes
+        """Returns the numbers of strikes of the crashing and harmless call."""
+        recorded = self.tracker.strikes
         return (
-            recorded.count(self.culprit.get_request_digest()),
-            recorded.count(self.innocent.get_request_digest()),
+            recorded.count(self.crashing_call.get_request_digest()),
+            recorded.count(self.harmless_call.get_request_digest()),
         )
 
     async def test_all_get_a_strike_at_first(self) -> None:
+        """At the first crash, any request in flight may be the cause."""
         self.crash()
         self.assertEqual(self.count(), (1, 1))
 
     async def test_only_the_suspect_gets_a_strike(self) -> None:
+        """A request that was answered since its strike is not a suspect."""
         self.crash()
-        self.crashes.end(self.innocent, True)
+        self.tracker.end(self.harmless_call, True)
         self.crash()
         self.assertEqual(self.count(), (2, 0))
-        self.assertIsInstance(self.crashes.check(self.culprit), outcomes.NotRun)
-        self.assertIsNone(self.crashes.check(self.innocent))
+        self.assertIsInstance(
+            self.tracker.check(self.crashing_call), outcomes.NotRun
+        )
+        self.assertIsNone(self.tracker.check(self.harmless_call))
 
     async def test_one_suspect_at_a_time(self) -> None:
+        """Two suspects in flight at a crash would both get a strike."""
         self.crash()
-        release = await self.crashes.acquire_suspect_slot(self.culprit)
-        waiting = asyncio.create_task(
-            self.crashes.acquire_suspect_slot(self.innocent)
+        release = await self.tracker.acquire_suspect_slot(self.crashing_call)
+        waiting_task = asyncio.create_task(
+            self.tracker.acquire_suspect_slot(self.harmless_call)
         )
         await asyncio.sleep(0)
-        self.assertFalse(waiting.done())
+        self.assertFalse(waiting_task.done())
         assert callable(release)
         release()
-        self.assertTrue(callable(await waiting))
+        self.assertTrue(callable(await waiting_task))
 
     async def test_late_disconnect_is_the_same_crash(self) -> None:
-        """Each request gets one strike, though its connection breaks later.
+        """A connection that breaks late does not cause a second strike.
 
         A connection that breaks after the crash was detected must not count as
         a second crash, which would block the requests in flight at once.
         """
-        local_backend = self.crashes._backend
+        local_backend = self.tracker._backend
+        # With 12 slots; nothing listens at this address.
         local_backend.announce("kassa", "127.0.0.1:1", 12)
-        self.crashes.begin(self.culprit)
-        self.crashes.begin(self.innocent)
-        for call in (self.culprit, self.innocent):
-            self.crashes.record_disconnect()
-            assert self.crashes._check_task is not None
-            await self.crashes._check_task
-            self.crashes.end(call, False)
+        self.tracker.begin(self.crashing_call)
+        self.tracker.begin(self.harmless_call)
+        for call in (self.crashing_call, self.harmless_call):
+            self.tracker.record_disconnect()
+            assert self.tracker._probe_task is not None
+            await self.tracker._probe_task
+            self.tracker.end(call, False)
         self.assertEqual(self.count(), (1, 1))
 
     async def test_retried_request_is_a_suspect_before_strikes_arrive(
         self,
     ) -> None:
-        self.culprit.suspect = True
+        """The daemon of the caller marks the retry as a suspect."""
+        self.crashing_call.suspect = True
         self.crash()
         self.assertEqual(self.count(), (1, 0))
 
 
 class StrikesTest(unittest.TestCase):
-    """How long strikes count, and what they block."""
+    """Tests how long strikes count and which requests they block."""
 
     def setUp(self) -> None:
         self.now = 1000.0
@@ -204,6 +217,7 @@
         self.strikes.add(strike)
 
     def test_short_block_then_long_block_then_expiry(self) -> None:
+        """Two crashes block for 10 s, and three until the strikes expire."""
         self.strike("1", confirmed=False)
         self.assertEqual(self.strikes.get_blocked_s(b"digest"), 0.0)
         self.strike("2")
@@ -217,26 +231,29 @@
         self.assertFalse(self.strikes)
 
     def test_series_of_crashes_blocks_nothing(self) -> None:
-        """A frequent request is not blocked by the crashes of many servers.
+        """A frequent request is not blocked by crashes of many backend servers.
 
-        Among others, it is in flight on each backend server that crashes.
+        It is one of the requests in flight on each of these backend servers.
         """
         for number in range(5):
             self.strike(str(number), confirmed=False)
         self.assertEqual(self.strikes.get_blocked_s(b"digest"), 0.0)
 
     def test_one_crash_counts_once(self) -> None:
+        """A strike that several peers send counts once."""
         self.strike("1")
         self.strike("1")
         self.assertEqual(self.strikes.count(b"digest"), 1)
 
     def test_cleared_strike_does_not_come_back(self) -> None:
+        """A cleared strike does not count when a peer sends it again."""
         self.strike("1")
         self.strikes.clear(b"digest")
         self.strike("1")
         self.assertEqual(self.strikes.count(b"digest"), 0)
 
     def test_wrong_clock_does_not_block_forever(self) -> None:
+        """The lifetime of strikes from a peer with a wrong clock is limited."""
         for crash_id in ("1", "2", "3"):
             strike = control_pb2.Strike(
                 request_digest=b"digest",
