--- a/merlintrestle/requests/unrepeatable/at_most_once.py
+++ b/merlintrestle/requests/unrepeatable/at_most_once.py
@@ -18,17 +18,17 @@
     from merlintrestle.requests.load import admission as admissions
 
 _MAX_CLAIM_ATTEMPTS = 4
-# How much longer than its caller the daemon waits for a claimed call, so that
-# the answer is available when the caller retries.
-GRACE_S = 30.0
+# Time after the caller's deadline for which the daemon still waits for the
+# answer of a claimed call, so that a retry of the caller gets that answer.
+ANSWER_GRACE_S = 30.0
 
 
 class AtMostOnceRunner:
-    """Runs calls under claims.
+    """Runs each call under a claim, so that it runs at most once.
 
     Attributes:
-        tasks: Claimed calls that are running, and claims that are being
-            released; they outlive their callers.
+        tasks: Tasks that run claimed calls or release claims. They continue
+            when the caller disconnects.
     """
 
     def __init__(
@@ -37,19 +37,29 @@
         admission: admissions.Admission,
         forward: Callable[[calls.Call], Awaitable[outcomes.Outcome]],
     ):
-        """Sets the dependencies; `forward` sends a call to the backend."""
+        """Sets the dependencies.
+
+        Args:
+            claims: Claims of this daemon.
+            admission: Admission control of the local backend server.
+            forward: Sends a call to the local backend server.
+        """
         self.tasks: set[asyncio.Task[Any]] = set()
         self._claims = claims
         self._admission = admission
         self._forward = forward
 
     def close(self) -> None:
-        """Cancels running calls; their outcomes stay unknown."""
+        """Cancels running calls, whose outcomes then stay unknown."""
         for task in self.tasks:
             task.cancel()
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
-        """Runs a call, or returns the outcome of an earlier attempt at it."""
+        """Runs a call, or returns the outcome of an earlier attempt.
+
+        If the claim of an earlier attempt is released or deleted, it is
+        replaced by a new claim.
+        """
         claims = self._claims
         claim_key = claims.build_key(call)
         record = claims.ledger.find_answered(claim_key)
@@ -57,28 +67,28 @@
             record is not None
             and record.request_digest == call.get_request_digest()
         ):
-            return record.answer or _build_ran()
+            return record.answer or _build_ran_without_answer()
         revision = 0
         for _ in range(_MAX_CLAIM_ATTEMPTS):
             refusal = await self._admission.acquire(call)
             if refusal is not None:
                 return refusal
             try:
-                claim = await claims.acquire(call, claim_key, revision)
+                result = await claims.acquire(call, claim_key, revision)
             except BaseException:
                 self._admission.release(call)
                 raise
-            if isinstance(claim, claims_.HeldClaim):
-                return await self._run_claimed(call, claim)
+            if isinstance(result, claims_.HeldClaim):
+                return await self._run_claimed(call, result)
             self._admission.release(call)
-            if isinstance(claim, (outcomes.NotRun, outcomes.Unknown)):
-                return claim
-            resolved: object = claim
-            if isinstance(claim, claims_.ForeignClaim):
-                resolved = await claims.resolve(claim, claim_key, call)
-            if not isinstance(resolved, claims_.ReleasedClaim):
+            if isinstance(result, (outcomes.NotRun, outcomes.Unknown)):
+                return result
+            resolved: object = result
+            if isinstance(result, claims_.ExistingClaim):
+                resolved = await claims.resolve(result, claim_key, call)
+            if not isinstance(resolved, claims_.ReplaceableClaim):
                 return resolved  # type: ignore[return-value]
-            revision = resolved.revision
+            revision = resolved.expected_revision
         return outcomes.Unknown(
             "other sendings of this request are in the way", 503, 1.0
         )
@@ -86,10 +96,11 @@
     async def _run_claimed(
         self, call: calls.Call, held: claims_.HeldClaim
     ) -> outcomes.Outcome:
-        """Runs a call in a separate task, which its caller cannot cancel.
+        """Runs a call in a separate task, which the caller cannot cancel.
 
         A caller that disconnects and retries must get the answer. If the call
-        were cancelled halfway, the payout would stay "unknown" forever.
+        were cancelled when the caller disconnects, its outcome would stay
+        unknown forever.
         """
         task = asyncio.create_task(self._forward_claimed(call, held))
         self._track(task)
@@ -113,7 +124,7 @@
             outcome = await self._claims.check(held, call)
             if outcome is None:
                 extended_call = dataclasses.replace(
-                    call, deadline=call.deadline + GRACE_S
+                    call, deadline=call.deadline + ANSWER_GRACE_S
                 )
                 outcome = await self._forward(extended_call)
             if isinstance(outcome, outcomes.Answered):
@@ -124,7 +135,8 @@
             release()
             if isinstance(outcome, outcomes.NotRun):
                 ledger.end(held.record, request_pb2.RELEASED)
-                # A task, so that the caller does not wait for the store again.
+                # Deleted in a task, so that the caller does not wait for a
+                # second request to the store.
                 self._track(asyncio.create_task(self._claims.release(held)))
             elif isinstance(outcome, outcomes.Ran):
                 ledger.end(held.record, request_pb2.ANSWERED)
@@ -133,7 +145,8 @@
             release()
             raise
         finally:
-            # In every other case, the call may have run.
+            # Has no effect if the record was ended above. Otherwise the call
+            # may have run.
             ledger.end(held.record, request_pb2.LOST)
 
     def _track(self, task: asyncio.Task[Any]) -> None:
@@ -141,6 +154,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def _build_release(self, call: calls.Call) -> Callable[[], None]:
+        """Returns a callback that releases the slot of a call once."""
         released = False
 
         def release() -> None:
@@ -152,5 +166,6 @@
         return release
 
 
-def _build_ran() -> outcomes.Ran:
+def _build_ran_without_answer() -> outcomes.Ran:
+    """Returns the outcome of a call that ran and whose answer is not stored."""
     return outcomes.Ran("it ran before; its answer was not kept", 409)
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -1,4 +1,4 @@
-"""Claims in the store, under which a request runs at most once."""
+"""Claims in the store, which make a request run at most once."""
 
 from __future__ import annotations
 
@@ -24,12 +24,14 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.store import client
 
-# Longest wait for the store before the request is refused as not run.
+# Longest wait for the store before a request is refused with "not run".
 STORE_TIMEOUT_S = 1.0
 _STORE_RETRY_AFTER_S = 2.0
-# A claim written longer ago than this is read again before it is used.
-_MAX_UNCHECKED_AGE_S = 5.0
+# A claim that was written longer ago is read again from the store before the
+# call is forwarded. Usually the claim is younger, which saves that read.
+_RECHECK_AGE_S = 5.0
 _RETRY_AFTER_S = 1.0
+# Time for which a holder may delay its reply until the request has ended.
 _RECALL_WAIT_S = 1.0
 _NOT_ENDED = outcomes.Unknown(
     "an earlier sending has not ended", 504, _RETRY_AFTER_S
@@ -40,12 +42,12 @@
 
 
 class Owner(NamedTuple):
-    """The daemon that makes claims.
+    """The local daemon as stated in its claims, whose holder it is.
 
     Attributes:
         member_id: Member id of the daemon.
-        address: IP address on which it answers recalls.
-        control_port: Port on which it answers recalls.
+        address: IP address at which the daemon answers recalls.
+        control_port: Port at which the daemon answers recalls.
     """
 
     member_id: str
@@ -55,12 +57,13 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldClaim:
-    """A claim of this daemon, which alone may run the request.
+    """A claim that this daemon made, so that no other one may run the request.
 
     Attributes:
-        record: Its record in the ledger.
+        record: Record of the claim in the ledger.
         revision: Revision of the claim in the store.
-        written_at: When its write was requested, in seconds since boot.
+        written_at: Time at which the write of the claim was requested, in
+            seconds since boot.
     """
 
     record: ledgers.Record
@@ -69,12 +72,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ForeignClaim:
-    """A claim of another attempt.
+class ExistingClaim:
+    """The claim of an earlier attempt, made by this daemon or another one.
 
     Attributes:
         claim: The claim.
-        revision: Its revision in the store.
+        revision: Revision of the claim in the store.
     """
 
     claim: request_pb2.Claim
@@ -82,38 +85,48 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReleasedClaim:
-    """A claim whose attempt did not run and never will; it may be replaced.
+class ReplaceableClaim:
+    """A claim that may be replaced by a new one.
+
+    The attempt that made the claim did not run and never will, or the claim
+    was deleted.
 
     Attributes:
-        revision: Revision that the claim must still have; 0 if it is deleted.
+        expected_revision: Revision that the store must still have when the new
+            claim is written; 0 if there is no claim.
     """
 
-    revision: int
+    expected_revision: int
 
 
 class Recaller(Protocol):
-    """Asks the daemon that holds a claim what became of it."""
+    """Recalls claims, i.e. queries their holders for their state."""
 
     async def recall(
         self, claim: request_pb2.Claim, claim_key: str, wait_s: float
     ) -> request_pb2.RecallReply | None:
-        """Returns what became of a claim; None if its holder is gone.
+        """Returns the state of a claim; None if its holder is gone.
 
-        Waits for a silent holder until the wait is cancelled.
+        If the holder does not reply, this waits until it is cancelled.
+
+        Args:
+            claim: The claim.
+            claim_key: Key of the claim in the store.
+            wait_s: Seconds for which the holder may delay its reply until the
+                request has ended.
         """
 
 
 class Claims:
-    """Makes claims, and resolves those of other attempts.
+    """Makes claims, and resolves the claims of earlier attempts.
 
     Attributes:
-        ledger: Records of the claims of this daemon.
+        ledger: Records of the claims that this daemon made.
     """
 
     def __init__(
         self,
-        owner: Callable[[], Owner],
+        get_owner: Callable[[], Owner],
         store: interfaces.Store,
         lease: leases.ClaimLease,
         recaller: Recaller,
@@ -124,16 +137,17 @@
         """Sets the dependencies.
 
         Args:
-            owner: Returns the daemon in whose name claims are made.
+            get_owner: Returns the local daemon, which becomes the holder of
+                new claims.
             store: Store of the claims.
             lease: Lease under which claims are written.
-            recaller: Asks other holders of claims.
+            recaller: Recalls the claims of other daemons.
             prefix: Prefix of the keys of claims.
-            get_time: Clock of deadlines, in seconds.
-            get_boot_time: Clock of the age of claims, in seconds since boot.
+            get_time: Clock for deadlines, in seconds.
+            get_boot_time: Clock for the age of claims, in seconds since boot.
         """
         self.ledger = ledgers.Ledger()
-        self._owner = owner
+        self._get_owner = get_owner
         self._store = store
         self._lease = lease
         self._recaller = recaller
@@ -151,19 +165,30 @@
         self, call: calls.Call, claim_key: str, expected_revision: int
     ) -> (
         HeldClaim
-        | ForeignClaim
-        | ReleasedClaim
+        | ExistingClaim
+        | ReplaceableClaim
         | outcomes.NotRun
         | outcomes.Unknown
     ):
-        """Claims a key that is new, or whose last claim was released.
+        """Claims a key that has no claim, or whose claim may be replaced.
 
         The claim is recorded in the ledger before it is written to the store,
-        so that a recall never finds a claim of this daemon without a record.
+        so that there is a record of each claim that can be recalled.
+
+        Args:
+            call: The call that is to run under the claim.
+            claim_key: Key of the claim in the store.
+            expected_revision: Revision of the claim to replace; 0 if there is
+                none.
+
+        Returns:
+            `HeldClaim` if the key is claimed, `ExistingClaim` if there is
+            another claim, or `ReplaceableClaim` if the claim to replace was
+            deleted; an outcome if the call must not run.
         """
         if self._get_time() >= call.refuse_by:
             return outcomes.TOO_LATE
-        owner = self._owner()
+        owner = self._get_owner()
         digest = call.get_request_digest()
         record = self.ledger.open(claim_key, secrets.token_hex(8), digest)
         claim = request_pb2.Claim(
@@ -179,7 +204,7 @@
             async with asyncio.timeout(self._compute_store_timeout(call)):
                 entry = await self._write(claim_key, claim, expected_revision)
         except (errors.StoreError, TimeoutError):
-            # The write may still take effect later. This does no harm: nothing
+            # The write may still take effect later. This is harmless: no call
             # runs under this claim any more, and recalls are answered with
             # RELEASED.
             self.ledger.end(record, request_pb2.RELEASED)
@@ -192,30 +217,32 @@
             raise
         if not entry.revision:
             self.ledger.end(record, request_pb2.RELEASED)
-            return ReleasedClaim(0)
+            return ReplaceableClaim(0)
         stored = _decode_claim(entry.value)
         if stored is not None and stored.claim_id == record.claim_id:
             return HeldClaim(record, entry.revision, written_at)
         self.ledger.end(record, request_pb2.RELEASED)
         if stored is None:
             return outcomes.Unknown("the claim of the key cannot be read")
-        return ForeignClaim(stored, entry.revision)
+        return ExistingClaim(stored, entry.revision)
 
     async def check(
         self, held: HeldClaim, call: calls.Call
     ) -> outcomes.NotRun | None:
-        """Returns why a claimed call must no longer be forwarded.
+        """Returns a refusal if a claimed call must not be forwarded any more.
 
-        A daemon cannot tell that it was paused after its write. Its caller
-        got "unknown" long ago, and after a day the claim has expired and a
-        request with the same key may have run elsewhere.
+        The daemon may have been suspended since it wrote the claim, without
+        noticing it. The caller may then have given up, and after a day the
+        claim has expired and a request with the same key may have run
+        elsewhere. Therefore, no call is forwarded after its deadline or if its
+        claim may have expired, and a claim that is not new is read again.
         """
         if self._get_time() >= call.refuse_by:
             return outcomes.TOO_LATE
         age_s = self._get_boot_time() - held.written_at
         if age_s > leases.MAX_CLAIM_AGE_S:
             return outcomes.NotRun("the claim may have expired")
-        if age_s < _MAX_UNCHECKED_AGE_S:
+        if age_s < _RECHECK_AGE_S:
             return None
         try:
             async with asyncio.timeout(self._compute_store_timeout(call)):
@@ -231,10 +258,15 @@
         return min(STORE_TIMEOUT_S, call.refuse_by - self._get_time())
 
     async def resolve(
-        self, foreign: ForeignClaim, claim_key: str, call: calls.Call
-    ) -> ReleasedClaim | outcomes.Failure | outcomes.Replayed:
-        """Returns what became of another attempt at the same request."""
-        claim = foreign.claim
+        self, existing: ExistingClaim, claim_key: str, call: calls.Call
+    ) -> ReplaceableClaim | outcomes.Failure | outcomes.Replayed:
+        """Returns the outcome of the attempt that made an existing claim.
+
+        Returns:
+            `ReplaceableClaim` if the attempt did not run and never will;
+            otherwise the outcome for the caller.
+        """
+        claim = existing.claim
         if claim.request_digest != call.get_request_digest():
             return _refuse_reused_key(call)
         wait_s = 0.0
@@ -242,8 +274,8 @@
             remaining_s = call.deadline - self._get_time()
             if remaining_s <= 0:
                 return _NOT_ENDED
-            # Recalls wait for a short time only, so that the death of the
-            # holder is noticed soon.
+            # Each recall waits for a short time only, so that the failure of
+            # the holder is noticed soon. The first one does not wait.
             recall_wait_s = min(wait_s, remaining_s)
             try:
                 async with asyncio.timeout(remaining_s):
@@ -253,14 +285,15 @@
             if reply is None:
                 return _HOLDER_GONE
             if reply.state != request_pb2.RUNNING:
-                return _interpret_reply(reply, foreign)
+                return _interpret_reply(reply, existing)
             wait_s = _RECALL_WAIT_S
 
     async def release(self, held: HeldClaim) -> None:
         """Deletes the claim of a request that did not run.
 
-        If this fails, the claim stays and its holder answers recalls with
-        RELEASED; the outcome is "unknown" only if the holder is gone by then.
+        If this fails, the claim remains in the store, and this daemon answers
+        recalls of it with RELEASED. The outcome of a retry is "unknown" only if
+        this daemon is gone by then.
         """
         try:
             async with asyncio.timeout(STORE_TIMEOUT_S):
@@ -271,12 +304,17 @@
     async def answer_recall(
         self, claim_id: str, wait_s: float
     ) -> request_pb2.RecallReply:
-        """Returns what became of a local claim, waiting for it to end."""
+        """Returns the state of a claim that this daemon made.
+
+        Args:
+            claim_id: Id of the claim.
+            wait_s: Seconds to wait for the request to end.
+        """
         record = self.ledger.find(claim_id)
         if record is not None and wait_s > 0:
             try:
                 async with asyncio.timeout(wait_s):
-                    await record.ended.wait()
+                    await record.ended_event.wait()
             except TimeoutError:
                 pass
         return ledgers.build_reply(record)
@@ -292,26 +330,29 @@
             )
             return reply.entry
         except errors.StoreUnknownOutcomeError as error:
-            # The reply was lost, but the write may have succeeded: read it.
+            # The reply was lost, but the write may have succeeded, so the
+            # claim is read.
             entry = await self._store.get(claim_key)
             if entry is None:
                 self._lease.discard(lease_id)
-                raise errors.StoreUnavailableError("no claim yet") from error
+                raise errors.StoreUnavailableError("no claim found") from error
             return entry
 
     async def _recall(
         self, claim: request_pb2.Claim, claim_key: str, wait_s: float
     ) -> request_pb2.RecallReply | None:
-        if claim.member_id == self._owner().member_id:
+        if claim.member_id == self._get_owner().member_id:
             return await self.answer_recall(claim.claim_id, wait_s)
         return await self._recaller.recall(claim, claim_key, wait_s)
 
 
 def _refuse_reused_key(call: calls.Call) -> outcomes.NotRun | outcomes.Unknown:
-    """Refuses a key that was used for another request.
+    """Refuses an Idempotency-Key that was used for another request.
 
-    A long body counts by its stated length. The same payout, sent once with a
-    length and once in chunks, therefore looks like two, and may have run.
+    Of a body that is not buffered, the request digest includes only the stated
+    length. The same request, sent first with a length and then in chunks,
+    therefore has two digests. For such a body, a mismatch does not prove that
+    the request has not run, so the outcome is unknown.
     """
     reason = "the Idempotency-Key was used for another request"
     if call.body.buffered is None:
@@ -327,16 +368,16 @@
 
 
 def read_answer(reply: request_pb2.RecallReply) -> outcomes.Replayed:
-    """Returns the answer in the reply to a recall."""
+    """Returns the stored answer in the reply to a recall."""
     pairs = tuple((header.name, header.value) for header in reply.headers)
     return outcomes.Replayed(reply.status, pairs, reply.body)
 
 
 def _interpret_reply(
-    reply: request_pb2.RecallReply, foreign: ForeignClaim
-) -> ReleasedClaim | outcomes.Failure | outcomes.Replayed:
+    reply: request_pb2.RecallReply, existing: ExistingClaim
+) -> ReplaceableClaim | outcomes.Failure | outcomes.Replayed:
     if reply.state == request_pb2.RELEASED:
-        return ReleasedClaim(foreign.revision)
+        return ReplaceableClaim(existing.revision)
     if reply.state == request_pb2.ANSWERED:
         if reply.body_kept:
             return read_answer(reply)
--- a/merlintrestle/requests/unrepeatable/ledger.py
+++ b/merlintrestle/requests/unrepeatable/ledger.py
@@ -14,26 +14,28 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# About 450 bytes each, without the answer. A recall of an evicted claim gets
-# LOST.
-MAX_RECORDS = 20_000
-# Memory that a header takes besides its text.
+# Records of ended claims that are kept, of about 450 bytes each without the
+# answer. A recall of an evicted record is answered with LOST, i.e. its outcome
+# is unknown.
+MAX_ENDED_RECORDS = 20_000
+# Memory used by a stored header in addition to its text.
 _HEADER_OVERHEAD_BYTES = 150
-# Answers that are kept for callers that retry.
-MAX_KEPT_BYTES = 8 * 1024 * 1024
+# Total size of the answers that are stored for callers that retry.
+MAX_STORED_BYTES = 8 * 1024 * 1024
 
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """The record of one claim of this daemon.
+    """The record of one claim that this daemon made.
 
     Attributes:
         claim_key: Key of the claim in the store.
-        claim_id: Id of this attempt.
+        claim_id: Id of the claim, which differs for each attempt.
         request_digest: Digest of the request.
         state: State of the claim.
-        answer: Answer of the backend server; None if it is too large to keep.
-        ended: Set once the state is final.
+        answer: Stored answer of the backend server; None if there is none, if
+            it was too large to store or if it was evicted.
+        ended_event: Set once the state is final.
     """
 
     claim_key: str
@@ -41,27 +43,40 @@
     request_digest: bytes
     state: request_pb2.ClaimState = request_pb2.RUNNING
     answer: outcomes.Replayed | None = None
-    ended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    ended_event: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
 
 class Ledger:
-    """Records of local claims; the oldest that have ended are evicted first."""
+    """Records of the claims that this daemon made.
+
+    The records that ended first are evicted first; claims that have not ended
+    are never evicted.
+    """
 
     def __init__(
         self,
-        max_records: int = MAX_RECORDS,
-        max_kept_bytes: int = MAX_KEPT_BYTES,
+        max_ended_records: int = MAX_ENDED_RECORDS,
+        max_stored_bytes: int = MAX_STORED_BYTES,
     ):
-        """Sets the limits."""
-        self._max_records = max_records
-        self._max_kept_bytes = max_kept_bytes
-        self._kept_bytes = 0
-        self._ended_event = asyncio.Event()
-        self._ended_event.set()
+        """Sets the limits.
+
+        Args:
+            max_ended_records: Number of records of ended claims to keep.
+            max_stored_bytes: Total size of the stored answers, in bytes.
+        """
+        self._max_ended_records = max_ended_records
+        self._max_stored_bytes = max_stored_bytes
+        self._stored_bytes = 0
+        self._shared_ended_event = asyncio.Event()
+        self._shared_ended_event.set()
         self._records: dict[str, Record] = {}
-        self._by_key: dict[str, Record] = {}
-        self._ended: collections.deque[Record] = collections.deque()
-        self._with_answer: collections.deque[Record] = collections.deque()
+        self._answered_by_claim_key: dict[str, Record] = {}
+        self._ended_records: collections.deque[Record] = collections.deque()
+        self._records_with_answer: collections.deque[Record] = (
+            collections.deque()
+        )
 
     def open(self, claim_key: str, claim_id: str, digest: bytes) -> Record:
         """Adds a record for a claim that is about to be written."""
@@ -70,12 +85,18 @@
         return record
 
     def find(self, claim_id: str) -> Record | None:
-        """Returns the record of an attempt; None if it was evicted."""
+        """Returns the record of a claim; None if unknown or evicted."""
         return self._records.get(claim_id)
 
     def find_answered(self, claim_key: str) -> Record | None:
-        """Returns the record of a request that ran here; None if unknown."""
-        return self._by_key.get(claim_key)
+        """Returns the record of a claim key in state ANSWERED.
+
+        Its request was run by the local backend server.
+
+        Returns:
+            None if there is no such record or if it was evicted.
+        """
+        return self._answered_by_claim_key.get(claim_key)
 
     def end(
         self,
@@ -83,43 +104,44 @@
         state: request_pb2.ClaimState,
         answer: outcomes.Replayed | None = None,
     ) -> None:
-        """Sets the final state of a claim; a second call has no effect."""
-        if record.ended.is_set():
+        """Sets the final state of a claim; further calls have no effect."""
+        if record.ended_event.is_set():
             return
         record.state = state
-        record.ended.set()
-        # All ended records share one event: an event is most of their size.
-        record.ended = self._ended_event
+        record.ended_event.set()
+        # All ended records share one event, because a separate event would
+        # take up most of the memory of a record.
+        record.ended_event = self._shared_ended_event
         if state == request_pb2.ANSWERED:
-            self._by_key[record.claim_key] = record
-        self._ended.append(record)
+            self._answered_by_claim_key[record.claim_key] = record
+        self._ended_records.append(record)
         if answer is not None:
             record.answer = answer
-            self._with_answer.append(record)
-            self._kept_bytes += _estimate_bytes(answer)
+            self._records_with_answer.append(record)
+            self._stored_bytes += _estimate_bytes(answer)
         self._evict()
 
     def _evict(self) -> None:
-        while self._kept_bytes > self._max_kept_bytes:
-            record = self._with_answer.popleft()
+        while self._stored_bytes > self._max_stored_bytes:
+            record = self._records_with_answer.popleft()
             self._drop_answer(record)
-        while len(self._ended) > self._max_records:
-            record = self._ended.popleft()
+        while len(self._ended_records) > self._max_ended_records:
+            record = self._ended_records.popleft()
             del self._records[record.claim_id]
-            if self._by_key.get(record.claim_key) is record:
-                del self._by_key[record.claim_key]
+            if self._answered_by_claim_key.get(record.claim_key) is record:
+                del self._answered_by_claim_key[record.claim_key]
             if record.answer is not None:
-                self._with_answer.remove(record)
+                self._records_with_answer.remove(record)
                 self._drop_answer(record)
 
     def _drop_answer(self, record: Record) -> None:
         assert record.answer is not None
-        self._kept_bytes -= _estimate_bytes(record.answer)
+        self._stored_bytes -= _estimate_bytes(record.answer)
         record.answer = None
 
 
 def _estimate_bytes(answer: outcomes.Replayed) -> int:
-    """Returns the approximate size of a kept answer in bytes."""
+    """Returns the approximate memory used by a stored answer, in bytes."""
     size_bytes = len(answer.body)
     for name, value in answer.headers:
         size_bytes += len(name) + len(value) + _HEADER_OVERHEAD_BYTES
@@ -127,7 +149,11 @@
 
 
 def copy_answer(answered: outcomes.Answered) -> outcomes.Replayed | None:
-    """Returns a copy of an answer to keep; None if it is too large."""
+    """Returns a copy of an answer to store.
+
+    Returns:
+        None if the answer is passed on in chunks, because it is too large.
+    """
     if answered.body is None:
         return None
     response = answered.response
@@ -138,7 +164,11 @@
 
 
 def build_reply(record: Record | None) -> request_pb2.RecallReply:
-    """Returns the reply to a recall; the record is None if unknown."""
+    """Returns the reply to a recall.
+
+    Args:
+        record: Record of the claim; None if unknown or evicted.
+    """
     if record is None:
         return request_pb2.RecallReply(state=request_pb2.LOST)
     answer = record.answer
--- a/tests/requests/unrepeatable/holders.py
+++ b/tests/requests/unrepeatable/holders.py
@@ -1,4 +1,4 @@
-"""Simulated daemons that hold claims, for tests of recalls."""
+"""Simulated holders of claims for tests of recalls."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class Holder(request_pb2_grpc.RequestsServicer):
-    """A daemon that holds a claim.
+    """The daemon that holds a claim.
 
     Attributes:
         received: Set once a recall has been received.
-        may_answer: Recalls are answered once this is set.
+        may_answer: Set by the test to let recalls be answered.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,11 @@
 
 @contextlib.asynccontextmanager
 async def run_holder() -> AsyncIterator[tuple[Holder, request_pb2.Claim]]:
-    """Runs a holder; yields it and a claim that it holds."""
+    """Runs a holder.
+
+    Yields:
+        The holder and its claim.
+    """
     holder = Holder()
     server = grpc.aio.server()
     request_pb2_grpc.add_RequestsServicer_to_server(holder, server)
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Tests that work which may not be repeated runs at most once."""
+"""Tests that calls which may not be repeated run at most once."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AtMostOnceTest(unittest.IsolatedAsyncioTestCase):
-    """Payouts through two daemons that share a store, with single failures."""
+    """Payouts through one or two daemons with one store; single failures."""
 
     def setUp(self) -> None:
         self.started = asyncio.Event()
@@ -27,7 +27,7 @@
         self.runs = 0
 
     async def pay(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Books a payout; answers once the test sets `may_answer`."""
+        """Counts a payout as run; answers once the test sets `may_answer`."""
         await request.read()
         self.runs += 1
         self.started.set()
@@ -38,8 +38,8 @@
         """The caller gets the answer of the first run; nothing runs twice.
 
         The caller disconnects while the payout runs at the first daemon, and
-        retries at the second one, which finds the claim of the first daemon
-        and asks it for the answer.
+        retries at the second one, which finds the claim and requests the answer
+        from its holder, the first daemon.
         """
         async with (
             builders.run_nodes(2, True, handler=self.pay) as (first, second),
@@ -62,8 +62,8 @@
     async def test_holder_is_gone(self) -> None:
         """The caller gets "unknown"; nothing runs twice.
 
-        The daemon that forwarded the payout dies before it has an answer.
-        Whether the payout ran cannot be known, so it must not run again.
+        The daemon that forwarded the payout fails before it has an answer. It
+        is unknown whether the payout ran, so it must not run again.
         """
         async with (
             builders.run_nodes(2, True, handler=self.pay) as (first, second),
@@ -98,7 +98,10 @@
             self.assertEqual(await answer.read(), b"paid")
 
     async def test_answer_of_the_store_is_lost(self) -> None:
-        """The caller gets its answer, as the claim is read from the store."""
+        """The caller gets its answer, because the claim is read again.
+
+        The store writes the claim, but its reply is lost.
+        """
         store = fakes.Store()
         store.faults = [fakes.Fault.NONE, fakes.Fault.AFTER]
         self.may_answer.set()
@@ -113,8 +116,8 @@
     async def test_answer_that_comes_too_late_is_kept(self) -> None:
         """The caller gets "unknown", retries and gets the answer.
 
-        The payout takes longer than the caller's deadline. The daemon
-        continues to wait for the answer, so that the retry gets it.
+        The payout ends after the caller's deadline. The daemon continues to
+        wait for the answer, so that the retry gets it.
         """
         async with (
             builders.run_nodes(1, handler=self.pay) as (node,),
@@ -158,7 +161,7 @@
                     node.url + "/payouts",
                     headers={headers.IDEMPOTENCY_KEY: f"{number}"},
                 )
-        # One further write for the lease of the hour.
+        # One further write for the lease.
         self.assertEqual(store.writes, 10 + 1)
 
     async def test_key_of_another_request(self) -> None:
@@ -194,11 +197,10 @@
         self.assertEqual(self.runs, 0)
 
     async def test_store_that_lost_its_leases(self) -> None:
-        """A payout runs when it is retried at once, not only an hour later.
+        """After one refusal, payouts run at once and not up to an hour later.
 
-        The store no longer knows the lease under which the daemon writes its
-        claims, as can happen when a store is restored, and refuses each claim
-        under it.
+        The store does not know the lease of the daemon any more, as can happen
+        when a store is restored, and refuses each claim under that lease.
         """
         self.may_answer.set()
         async with (
@@ -217,10 +219,10 @@
             self.assertEqual(statuses, [200, 503, 200])
 
     async def test_claim_that_cannot_be_read(self) -> None:
-        """The caller gets "unknown"; the daemon leaves no record open.
+        """The caller gets "unknown", and the record of the new claim is ended.
 
-        The value under the key is not a valid claim, so there is no holder to
-        ask whether the payout ran.
+        The value under the key is not a valid claim, so there is no holder that
+        could state whether the payout ran.
         """
         async with (
             builders.run_nodes(1, handler=self.pay) as (node,),
@@ -235,15 +237,17 @@
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
             self.assertEqual(answer.status, 502)
             records = claims.ledger._records.values()
-            self.assertTrue(all(record.ended.is_set() for record in records))
+            self.assertTrue(
+                all(record.ended_event.is_set() for record in records)
+            )
         self.assertEqual(self.runs, 0)
 
     async def test_long_payout_sent_in_another_form(self) -> None:
         """The caller gets "unknown", not "not run".
 
-        The payout ran, and is sent again in chunks where it had a length
-        before. Its long body cannot be compared. If the caller got "not run",
-        it would use a new key, and pay twice.
+        The payout is first sent with a length and runs, and is then sent again
+        in chunks. Its long body is not buffered and cannot be compared. If the
+        caller got "not run", it would use a new key and pay twice.
         """
         self.may_answer.set()
         body = bytes(100_000)
@@ -268,8 +272,8 @@
         """The retry gets the answer of the first attempt.
 
         Both send the same chunks, first one by one and then all at once, so
-        that the daemon finds the whole body when it reads the retry. The
-        retry must still count as the same request.
+        that the whole body of the retry has arrived when the daemon reads it.
+        The retry must still be recognised as the same request.
         """
         self.may_answer.set()
         may_send = asyncio.Event()
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_inquiries.py
@@ -1,4 +1,4 @@
-"""Tests of recalls whose holder is slow, silent or gone."""
+"""Tests of retried recalls to holders that are slow, silent or gone."""
 
 from __future__ import annotations
 
@@ -22,23 +22,27 @@
 
     from merlintrestle.schema import request_pb2
 
-_MAX_SILENCE_S = 0.1
+_REPLY_MARGIN_S = 0.1
 
 
 class RetryingRecallerTest(unittest.IsolatedAsyncioTestCase):
-    """Recalls that one daemon sends to another through a relay."""
+    """Recalls of a claim whose holder is reached through a relay."""
 
     def setUp(self) -> None:
         self.client = recall.RecallClient()
         self.recaller = inquiries.RetryingRecaller(self.client)
-        patch = mock.patch.object(recall, "_MAX_SILENCE_S", _MAX_SILENCE_S)
+        patch = mock.patch.object(recall, "_REPLY_MARGIN_S", _REPLY_MARGIN_S)
         self.enterContext(patch)
 
     @contextlib.asynccontextmanager
     async def run_holder(
         self,
     ) -> AsyncIterator[tuple[holders.Holder, relays.Relay, request_pb2.Claim]]:
-        """Runs a holder behind a relay; yields both, and a claim it holds."""
+        """Runs a holder behind a relay.
+
+        Yields:
+            The holder, the relay and a claim that the holder has.
+        """
         async with (
             asyncio.timeout(builders.GUARD_S),
             holders.run_holder() as (holder, claim),
@@ -53,21 +57,21 @@
                 await relay.close()
 
     async def recall(self, claim: request_pb2.Claim) -> bool:
-        """Returns whether the holder answered."""
+        """Returns whether the holder replied to the recall of a claim."""
         reply = await self.recaller.recall(claim, "claims/a", 0)
         return reply is not None
 
     async def test_slow_holder_gets_time_to_answer(self) -> None:
-        """A slow holder is not ignored because each recall times out."""
+        """The reply of a slow holder is used, although recalls are retried."""
         async with self.run_holder() as (holder, _, claim):
-            recalling = asyncio.create_task(self.recall(claim))
-            await asyncio.sleep(8 * _MAX_SILENCE_S)
-            self.assertFalse(recalling.done())
+            recall_task = asyncio.create_task(self.recall(claim))
+            await asyncio.sleep(8 * _REPLY_MARGIN_S)
+            self.assertFalse(recall_task.done())
             holder.may_answer.set()
-            self.assertTrue(await recalling)
+            self.assertTrue(await recall_task)
 
     async def test_silent_connection_to_a_holder(self) -> None:
-        """A pooled connection that went silent does not make payouts fail."""
+        """Payouts do not fail because a pooled connection went silent."""
         async with self.run_holder() as (holder, relay, claim):
             holder.may_answer.set()
             self.assertTrue(await self.recall(claim))
@@ -75,38 +79,42 @@
             self.assertTrue(await self.recall(claim))
 
     async def test_connection_that_breaks(self) -> None:
-        """A connection that is reset does not make payouts fail."""
+        """Payouts do not fail because a connection is reset."""
         async with self.run_holder() as (holder, relay, claim):
-            recalling = asyncio.create_task(self.recall(claim))
+            recall_task = asyncio.create_task(self.recall(claim))
             await holder.received.wait()
             relay.reset_connections()
             holder.may_answer.set()
-            self.assertTrue(await recalling)
+            self.assertTrue(await recall_task)
 
     async def test_holder_that_is_gone(self) -> None:
-        """Nothing waits for a holder whose process has ended."""
+        """A recall ends at once if the process of the holder has ended."""
         async with self.run_holder() as (holder, relay, claim):
-            recalling = asyncio.create_task(self.recall(claim))
+            recall_task = asyncio.create_task(self.recall(claim))
             await holder.received.wait()
             await relay.close()
-            self.assertFalse(await recalling)
+            self.assertFalse(await recall_task)
 
     async def test_slow_holder_gets_few_recalls(self) -> None:
-        """A slow holder is not flooded with recalls."""
+        """A slow holder is not overloaded: the intervals of recalls grow."""
         async with self.run_holder() as (holder, _, claim):
             with builders.watch_method(
-                recall.RecallClient, "ask"
-            ) as mocked_ask:
-                recalling = asyncio.create_task(self.recall(claim))
-                await asyncio.sleep(16 * _MAX_SILENCE_S)
-                recalling.cancel()
-            self.assertLessEqual(mocked_ask.call_count, 5)
+                recall.RecallClient, "send_recall"
+            ) as mocked_send_recall:
+                recall_task = asyncio.create_task(self.recall(claim))
+                await asyncio.sleep(16 * _REPLY_MARGIN_S)
+                recall_task.cancel()
+            self.assertLessEqual(mocked_send_recall.call_count, 5)
             self.assertTrue(holder.received.is_set())
 
 
 class SilentHolderTest(unittest.IsolatedAsyncioTestCase):
     async def test_holder_silent_for_the_time_of_a_call(self) -> None:
-        """A payout does not run again because its holder is silent."""
+        """A payout does not run again because its holder is silent.
+
+        The caller gets "unknown" at its deadline. A later retry gets the
+        answer of the first run.
+        """
         may_answer = asyncio.Event()
         started = asyncio.Event()
         runs: list[str] = []
@@ -129,14 +137,14 @@
             await started.wait()
             abandoned.cancel()
 
-            async def answer_never(*arguments: object) -> None:
+            async def never_answer(*arguments: object) -> None:
                 del arguments
                 await asyncio.Event().wait()
 
             claims = first.proxy.recalls._claims
             with (
-                mock.patch.object(recall, "_MAX_SILENCE_S", _MAX_SILENCE_S),
-                mock.patch.object(claims, "answer_recall", answer_never),
+                mock.patch.object(recall, "_REPLY_MARGIN_S", _REPLY_MARGIN_S),
+                mock.patch.object(claims, "answer_recall", never_answer),
             ):
                 sent_headers[headers.DEADLINE] = "900"
                 answer = await client.post(
--- a/tests/requests/unrepeatable/test_late_holder.py
+++ b/tests/requests/unrepeatable/test_late_holder.py
@@ -1,4 +1,4 @@
-"""Tests of holders of claims that answer recalls late."""
+"""Tests of replies to recalls that arrive after the reply margin."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.requests import builders
 
 _KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
-_MAX_SILENCE_S = 0.2
+_REPLY_MARGIN_S = 0.2
 
 
 class LateHolderTest(unittest.IsolatedAsyncioTestCase):
     async def test_holder_that_answers_late_is_not_gone(self) -> None:
-        """A payout does not fail because the holder of its claim is slow."""
+        """A reply after the margin counts: the payout is not "unknown"."""
         started = asyncio.Event()
         may_answer = asyncio.Event()
         runs: list[str] = []
@@ -45,12 +45,12 @@
 
             async def answer_late(*arguments: Any) -> Any:
                 reply = await answer_recall(*arguments)
-                await asyncio.sleep(2 * _MAX_SILENCE_S)
+                await asyncio.sleep(2 * _REPLY_MARGIN_S)
                 may_answer.set()
                 return reply
 
             with (
-                mock.patch.object(recall, "_MAX_SILENCE_S", _MAX_SILENCE_S),
+                mock.patch.object(recall, "_REPLY_MARGIN_S", _REPLY_MARGIN_S),
                 mock.patch.object(
                     recalls._claims, "answer_recall", answer_late
                 ),
--- a/tests/requests/unrepeatable/test_recall.py
+++ b/tests/requests/unrepeatable/test_recall.py
@@ -15,29 +15,31 @@
 
 class RecallClientTest(unittest.IsolatedAsyncioTestCase):
     async def test_more_holders_than_channels(self) -> None:
-        """Both callers get their answers, though only one channel is pooled.
+        """Both callers get their replies, although only one channel is pooled.
 
-        The second recall needs a channel while the first one is waiting. If
-        the channel of the first one were closed to make room, gRPC would end
-        the first caller's task as if it had been cancelled, and that caller
-        would get no answer.
+        The second recall needs a channel while the first one is waiting. If the
+        first channel were closed to stay within the limit, gRPC would end the
+        first caller's task as if it had been cancelled, and that caller would
+        get no reply.
         """
         client = recall.RecallClient()
         with mock.patch.object(recall, "_MAX_CHANNELS", 1):
             async with (
                 asyncio.timeout(builders.GUARD_S),
-                holders.run_holder() as (first, first_claim),
-                holders.run_holder() as (second, second_claim),
+                holders.run_holder() as (first_holder, first_claim),
+                holders.run_holder() as (second_holder, second_claim),
             ):
-                recalling = asyncio.create_task(
-                    client.recall(first_claim, "claims/a", 60)
+                first_recall = asyncio.create_task(
+                    client.send_recall_with_timeout(first_claim, "claims/a", 60)
+                )
+                await first_holder.received.wait()
+                second_holder.may_answer.set()
+                reply = await client.send_recall_with_timeout(
+                    second_claim, "claims/b", 60
                 )
-                await first.received.wait()
-                second.may_answer.set()
-                reply = await client.recall(second_claim, "claims/b", 60)
                 assert reply is not None
-                first.may_answer.set()
-                reply = await recalling
+                first_holder.may_answer.set()
+                reply = await first_recall
                 assert reply is not None
                 self.assertEqual(reply.state, request_pb2.RELEASED)
                 self.assertLessEqual(len(client._channels), 1)
@@ -46,12 +48,13 @@
     async def test_connection_that_went_silent(self) -> None:
         """The second recall after a connection went silent is answered.
 
-        The connection to the holder went silent while idle, and new ones work.
-        If it stayed in use, every payout of that holder would be "unknown"
-        until the operating system closes the connection after minutes.
+        The pooled connection to the holder went silent while idle, but new
+        connections work. If it remained in use, every payout of that holder
+        would be "unknown" until the operating system closes the connection
+        after several minutes.
         """
         client = recall.RecallClient()
-        with mock.patch.object(recall, "_MAX_SILENCE_S", 0.3):
+        with mock.patch.object(recall, "_REPLY_MARGIN_S", 0.3):
             async with (
                 asyncio.timeout(builders.GUARD_S),
                 holders.run_holder() as (holder, claim),
@@ -60,10 +63,16 @@
                 relay = relays.Relay(claim.control_port)
                 await relay.start()
                 claim.control_port = relay.port
-                replies = [await client.recall(claim, "claims/a", 60)]
+                replies = [
+                    await client.send_recall_with_timeout(claim, "claims/a", 60)
+                ]
                 relay.silence()
-                replies.append(await client.recall(claim, "claims/a", 0))
-                replies.append(await client.recall(claim, "claims/a", 60))
+                replies.append(
+                    await client.send_recall_with_timeout(claim, "claims/a", 0)
+                )
+                replies.append(
+                    await client.send_recall_with_timeout(claim, "claims/a", 60)
+                )
                 answered = [reply is not None for reply in replies]
                 self.assertEqual(answered, [True, False, True])
                 await client.close()
