--- a/merlintrestle/requests/calls/call.py
+++ b/merlintrestle/requests/calls/call.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 
 if TYPE_CHECKING:
     import multidict
@@ -68,7 +68,7 @@
         origin: Service of the instance at which the request began; empty if
             unknown.
         route: Name of the host route; empty if the call was routed otherwise.
-        story: Decision log of the call.
+        decision_log: Decision log of the call.
     """
 
     service: str
@@ -91,8 +91,8 @@
     request_id: str = ""
     origin: str = ""
     route: str = ""
-    story: stories.Story = dataclasses.field(
-        default_factory=lambda: stories.Story("")
+    decision_log: decision_logs.DecisionLog = dataclasses.field(
+        default_factory=lambda: decision_logs.DecisionLog("")
     )
     _request_digest: bytes = b""
 
--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -8,7 +8,7 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.calls import plans
 from merlintrestle.requests.calls import routing
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import headers
 
@@ -161,7 +161,7 @@
         request_id=metadata.request_id,
         origin=metadata.origin,
         route=match.route,
-        story=stories.Story(metadata.request_id),
+        decision_log=decision_logs.DecisionLog(metadata.request_id),
     )
 
 
--- a/merlintrestle/requests/crashing/crashes.py
+++ b/merlintrestle/requests/crashing/crashes.py
@@ -130,7 +130,7 @@
 
     async def _probe_backend(self) -> None:
         try:
-            await self._backend.check()
+            await self._backend.check_reachable()
         finally:
             self._probe_task = None
             self._in_flight_at_disconnect = []
--- a/tests/requests/crashing/test_crashes.py
+++ b/tests/requests/crashing/test_crashes.py
@@ -116,7 +116,7 @@
                 node.proxy.backend.build_record().state, control_pb2.DOWN
             )
             await node.backend.start("127.0.0.1", node.backend.port)
-            self.assertTrue(await node.proxy.backend.check())
+            self.assertTrue(await node.proxy.backend.check_reachable())
             answer = await client.get(node.url + "/x")
             self.assertEqual(answer.status, 200)
 
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -87,7 +87,7 @@
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
             builders.open_client() as client,
         ):
-            store.fault = fakes.Fault.BEFORE
+            store.fault = fakes.Fault.REQUEST_LOST
             answer = await client.post(node.url + "/payouts", headers=_KEY)
             self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
             self.assertIn("Retry-After", answer.headers)
@@ -103,7 +103,7 @@
         The store writes the claim, but its reply is lost.
         """
         store = fakes.Store()
-        store.faults = [fakes.Fault.NONE, fakes.Fault.AFTER]
+        store.faults = [fakes.Fault.NONE, fakes.Fault.REPLY_LOST]
         self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_inquiries.py
@@ -44,7 +44,7 @@
             The holder, the relay and a claim that the holder has.
         """
         async with (
-            asyncio.timeout(builders.GUARD_S),
+            asyncio.timeout(builders.TEST_TIMEOUT_S),
             holders.run_holder() as (holder, claim),
         ):
             relay = relays.Relay(claim.control_port)
@@ -98,7 +98,7 @@
     async def test_slow_holder_gets_few_recalls(self) -> None:
         """A slow holder is not overloaded: the intervals of recalls grow."""
         async with self.run_holder() as (holder, _, claim):
-            with builders.watch_method(
+            with builders.spy_on_method(
                 recall.RecallClient, "send_recall"
             ) as mocked_send_recall:
                 recall_task = asyncio.create_task(self.recall(claim))
--- a/tests/requests/unrepeatable/test_recall.py
+++ b/tests/requests/unrepeatable/test_recall.py
@@ -25,7 +25,7 @@
         client = recall.RecallClient()
         with mock.patch.object(recall, "_MAX_CHANNELS", 1):
             async with (
-                asyncio.timeout(builders.GUARD_S),
+                asyncio.timeout(builders.TEST_TIMEOUT_S),
                 holders.run_holder() as (first_holder, first_claim),
                 holders.run_holder() as (second_holder, second_claim),
             ):
@@ -56,7 +56,7 @@
         client = recall.RecallClient()
         with mock.patch.object(recall, "_REPLY_MARGIN_S", 0.3):
             async with (
-                asyncio.timeout(builders.GUARD_S),
+                asyncio.timeout(builders.TEST_TIMEOUT_S),
                 holders.run_holder() as (holder, claim),
             ):
                 holder.may_answer.set()
