--- a/merlintrestle/requests/serving/attempt_runner.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Execution of one attempt of a call at one upstream."""
+"""Execution of single attempts, each of which sends a call to one upstream."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 class _AttemptRecorder:
-    """Records what one attempt shows about its upstream.
+    """Records the result of one attempt in the observation of its upstream.
 
     Attributes:
-        began: Time at which it began, in seconds.
+        started_at: Time at which the attempt started, in seconds.
     """
 
     __slots__ = (
@@ -46,7 +46,7 @@
         "_get_time",
         "_observation",
         "_work_s",
-        "began",
+        "started_at",
     )
 
     def __init__(
@@ -58,29 +58,34 @@
         """Counts the attempt as in flight.
 
         Args:
-            observation: What this daemon knows about the upstream.
-            work_s: Expected work of the call, in seconds.
-            get_time: Returns the time, in seconds.
+            observation: What this daemon has observed of the upstream.
+            work_s: Expected work time of the call, in seconds.
+            get_time: Returns the monotonic time, in seconds.
         """
         self._observation = observation
         self._work_s = work_s
         self._get_time = get_time
-        # Whether a failure was recorded while the attempt was in flight: it
-        # counts only once.
+        # Whether a doubt was recorded as a failure while the attempt was in
+        # flight. An outcome that is a failure too must not count again.
         self._failure_recorded = False
-        self.began = get_time()
-        observation.begin(self.began, work_s)
+        self.started_at = get_time()
+        observation.begin(self.started_at, work_s)
 
     def record_doubt(self, doubt: doubts.Doubt) -> None:
-        """Records that the answer may not come."""
+        """Records a doubt as a failure of the upstream, once per attempt.
+
+        A doubt that concerns the connection only is not recorded.
+        """
         if doubt.concerns_connection_only or self._failure_recorded:
             return
         self._failure_recorded = True
         self._observation.record_doubt(self._get_time())
 
     def record_cancellation(self) -> None:
-        """Records that nobody waits for the answer any more."""
+        """Records that the attempt was cancelled before it was answered."""
         self._observation.record_cancellation(self._work_s)
+        # A cancellation alone shows nothing about the upstream. After a doubt
+        # it also lowers the success rate, which `record_doubt` does not.
         if self._failure_recorded:
             self._observation.record_result(False)
         self._observation.end()
@@ -89,11 +94,17 @@
         """Records the outcome of the attempt."""
         failed = isinstance(outcome, (outcomes.Ran, outcomes.Unknown))
         if failed and self._failure_recorded:
+            # The doubt has already counted as the failure of this attempt. This
+            # only updates the success rate and the counts of calls in flight.
             self.record_cancellation()
             return
         observation = self._observation
         observations.record(
-            outcome, observation, self._get_time(), self.began, self._work_s
+            outcome,
+            observation,
+            self._get_time(),
+            self.started_at,
+            self._work_s,
         )
         if isinstance(outcome, outcomes.Answered):
             outcome.add_release_callback(observation.end)
@@ -102,7 +113,7 @@
 
 
 class AttemptRunner:
-    """Sends calls to the upstreams that were picked for them."""
+    """Sends each attempt to the upstream that was picked for it."""
 
     def __init__(
         self,
@@ -119,14 +130,14 @@
         Args:
             get_member_id: Returns the member id of this daemon.
             table: The upstreams of each service.
-            picker: Holds the observations of the upstreams.
+            picker: Keeps the observations of the upstreams.
             local_runner: Runs calls on the local backend server.
             forwarder: Sends calls to other daemons.
-            get_time: Returns the time, in seconds.
+            get_time: Returns the monotonic time, in seconds.
             round_trip: Round-trip time to other daemons.
         """
         self._round_trip = round_trip
-        self._get_member_id = get_member_id
+        self._get_local_id = get_member_id
         self._table = table
         self._picker = picker
         self._local_runner = local_runner
@@ -139,39 +150,44 @@
         call: calls.Call,
         attempts: attempts_.Attempts,
     ) -> outcomes.Outcome:
-        """Sends a call to an upstream and logs the result in its story.
+        """Runs an attempt and adds its outcome to the decision log of the call.
 
         Args:
-            attempt: The upstream, and how to send the call there.
+            attempt: The attempt.
             call: The call.
-            attempts: Receives reports that the attempt is in doubt.
+            attempts: The attempts of the call; notified of doubts about this
+                attempt.
         """
         recorder = _AttemptRecorder(
             self._picker.get_observation(attempt.upstream.member_id),
             call.plan.work_s,
             self._get_time,
         )
-        report = functools.partial(_report_doubt, attempt, recorder, attempts)
-        outcome = await self._run_recorded(attempt, call, recorder, report)
+        report_doubt = functools.partial(
+            _report_doubt, attempt, recorder, attempts
+        )
+        outcome = await self._run_and_record(
+            attempt, call, recorder, report_doubt
+        )
         call.story.add(
             "tried",
             upstream=attempt.upstream.member_id,
-            took_ms=round((self._get_time() - recorder.began) * 1000),
+            took_ms=round((self._get_time() - recorder.started_at) * 1000),
             left_ms=call.get_remaining_ms(),
             **stories.describe(outcome),
         )
         return outcome
 
-    async def _run_recorded(
+    async def _run_and_record(
         self,
         attempt: attempts_.Attempt,
         call: calls.Call,
         recorder: _AttemptRecorder,
-        report: Callable[[doubts.Doubt], None],
+        report_doubt: Callable[[doubts.Doubt], None],
     ) -> outcomes.Outcome:
-        timer = self._schedule_late_report(call, report)
+        timer = self._schedule_hedge_timer(call, report_doubt)
         try:
-            outcome = await self._run(attempt, call, report)
+            outcome = await self._send(attempt, call, report_doubt)
         except BaseException:
             recorder.record_cancellation()
             raise
@@ -181,35 +197,37 @@
         recorder.record_outcome(outcome)
         return outcome
 
-    async def _run(
+    async def _send(
         self,
         attempt: attempts_.Attempt,
         call: calls.Call,
-        report: Callable[[doubts.Doubt], None],
+        report_doubt: Callable[[doubts.Doubt], None],
     ) -> outcomes.Outcome:
-        if attempt.upstream.member_id == self._get_member_id():
+        if attempt.upstream.member_id == self._get_local_id():
             if attempt.wait is not call.wait:
+                # A copy, as a concurrent attempt may use another wait.
                 call = dataclasses.replace(call, wait=attempt.wait)
             return await self._local_runner.run(call)
-        return await self._send_to_peer(attempt, call, report)
+        return await self._send_to_peer(attempt, call, report_doubt)
 
-    def _schedule_late_report(
+    def _schedule_hedge_timer(
         self,
         call: calls.Call,
-        report: Callable[[doubts.Doubt], None],
+        report_doubt: Callable[[doubts.Doubt], None],
     ) -> asyncio.TimerHandle | None:
-        """Schedules a report for a first attempt that takes too long.
+        """Schedules a report that a first attempt takes too long.
 
         Returns:
-            The timer; None if no other attempt could follow.
+            The timer; None if there is no other upstream or no time for a
+            hedge, or if the attempt is a retry.
         """
         if not self._has_alternatives(call):
             return None
-        report_at = retries.compute_hedge_time(call, self._get_time())
-        if report_at >= call.deadline:
+        hedge_at = retries.compute_hedge_time(call, self._get_time())
+        if hedge_at >= call.deadline:
             return None
         loop = asyncio.get_running_loop()
-        return loop.call_at(report_at, report, doubts.Doubt.LATE)
+        return loop.call_at(hedge_at, report_doubt, doubts.Doubt.LATE)
 
     def _has_alternatives(self, call: calls.Call) -> bool:
         return len(self._table.get_upstreams(call.service)) > 1
@@ -218,16 +236,16 @@
         self,
         attempt: attempts_.Attempt,
         call: calls.Call,
-        report: Callable[[doubts.Doubt], None],
+        report_doubt: Callable[[doubts.Doubt], None],
     ) -> outcomes.Outcome:
         upstream = attempt.upstream
-        began = self._get_time()
+        started_at = self._get_time()
         outcome = await self._forwarder.send_to_peer(
             f"{upstream.address}:{upstream.peer_port}",
             f"/{call.service}{call.target}",
             call,
             self._build_headers(attempt, call),
-            report,
+            report_doubt,
             attempt.new_connection,
         )
         if not isinstance(outcome, outcomes.Answered):
@@ -235,28 +253,33 @@
         encoded_load = outcome.response.headers.get(headers.LOAD)
         load = loads.decode_load(encoded_load) if encoded_load else None
         if load is not None:
-            self._record_load(upstream, load, began)
+            self._record_load(upstream, load, started_at)
         if headers.OUTCOME in outcome.response.headers:
             return outcomes.read_failure(outcome)
         return outcome
 
     def _record_load(
-        self, upstream: tables.Upstream, load: loads.Load, began: float
+        self, upstream: tables.Upstream, load: loads.Load, started_at: float
     ) -> None:
-        """Records the load that a daemon reported with its answer."""
+        """Records the load that a daemon reported, and the round-trip time."""
         now = self._get_time()
         self._picker.get_observation(upstream.member_id).record_load(now, load)
         if load.server_time_s is not None:
-            self._round_trip.record(max(0.0, now - began - load.server_time_s))
+            self._round_trip.record(
+                max(0.0, now - started_at - load.server_time_s)
+            )
 
     def _build_headers(
         self, attempt: attempts_.Attempt, call: calls.Call
     ) -> multidict.CIMultiDict[str]:
         now = asyncio.get_running_loop().time()
         remaining_s = call.deadline - now
+        # The latency deadline counts from the start of the caller's first
+        # attempt.
         waited_s = now - (call.latency_deadline - call.plan.latency_s)
-        # If this daemon can send the call to another upstream, the other daemon
-        # must not send it again itself: together they would run it 3 times.
+        # If this daemon may retry the call, the receiving daemon must not send
+        # it to its backend server again, nor may nested calls be retried.
+        # Otherwise retries multiply: the call could run 3 times.
         may_retry = self._has_alternatives(call) and call.plan.repeatable
         call_metadata = parsing.CallMetadata(
             max(1, math.ceil(remaining_s * 1000)),
@@ -282,6 +305,6 @@
     attempts: attempts_.Attempts,
     doubt: doubts.Doubt,
 ) -> None:
-    """Reports that an attempt is in doubt to its recorder and its call."""
+    """Reports a doubt about an attempt to its recorder and to its call."""
     recorder.record_doubt(doubt)
     attempts.report_doubt(attempt, doubt)
--- a/merlintrestle/requests/serving/attempts.py
+++ b/merlintrestle/requests/serving/attempts.py
@@ -24,10 +24,10 @@
 
     Attributes:
         upstream: The upstream.
-        new_connection: Whether it must use a new connection, as the connection
-            of an earlier attempt at the same upstream is silent.
-        wait: How long it may wait for a slot there.
-        doubts: Reasons found so far why its answer may not come.
+        new_connection: True if the attempt must use a new connection, as the
+            connection of an earlier attempt at the same upstream is in doubt.
+        wait: How long the call may wait for a slot at the upstream.
+        doubts: Reasons found so far why the answer may not arrive in time.
     """
 
     upstream: tables.Upstream
@@ -37,16 +37,16 @@
 
     @property
     def in_doubt(self) -> bool:
-        """True once its answer may not come."""
+        """True once there is a reason why the answer may not arrive in time."""
         return bool(self.doubts)
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended.
+    """Event: an attempt has ended.
 
     Attributes:
         attempt: The attempt.
-        outcome: Its outcome.
+        outcome: Outcome of the attempt.
     """
 
     attempt: Attempt
@@ -54,12 +54,12 @@
 
 
 class AttemptInDoubt(NamedTuple):
-    """An attempt is still in flight, but its answer may not come.
+    """Event: the answer of an attempt in flight may not arrive in time.
 
     Attributes:
         attempt: The attempt.
-        doubt: Why its answer may not come.
-        repeated: True if this doubt was reported for it before.
+        doubt: Why the answer may not arrive in time.
+        repeated: True if this doubt about the attempt was reported before.
     """
 
     attempt: Attempt
@@ -68,13 +68,17 @@
 
 
 class Attempts:
-    """Runs the attempts of a call concurrently until the call has its outcome.
+    """Runs the attempts of one call concurrently until the call has an outcome.
 
-    Most calls need only one attempt, so the first one runs in the task of the
-    call itself: a separate task would cost every call two more iterations of
-    the event loop. Once the first attempt is in doubt, the supervisor, which
-    decides on further attempts, runs in a task of its own. It interrupts the
-    first attempt when the call has its outcome.
+    The supervisor is a coroutine that handles the events of the attempts,
+    decides on further attempts, and returns the outcome of the call.
+
+    Most calls need only one attempt, so the first attempt runs in the task of
+    the call: a separate task would cost every call two more iterations of the
+    event loop. If the first attempt ends without a doubt, the supervisor runs
+    in the task of the call as well. Once the first attempt is in doubt, the
+    supervisor runs in a separate task. It interrupts the first attempt when the
+    call has an outcome.
     """
 
     def __init__(self) -> None:
@@ -84,8 +88,8 @@
         self._doubts: collections.deque[AttemptInDoubt] = collections.deque()
         self._wakeup: asyncio.Future[None] | None = None
         self._first_attempt: _FirstAttempt | None = None
-        self._supervisor: asyncio.Task[outcomes.Outcome] | None = None
-        self._returned = False
+        self._supervisor_task: asyncio.Task[outcomes.Outcome] | None = None
+        self._outcome_returned = False
 
     @property
     def count(self) -> int:
@@ -94,7 +98,7 @@
 
     @property
     def all_in_doubt(self) -> bool:
-        """True if each attempt in flight is in doubt."""
+        """True if each attempt in flight is in doubt, or none is in flight."""
         return all(attempt.in_doubt for attempt in self._running.values())
 
     async def run(
@@ -103,19 +107,23 @@
         send: Coroutine[Any, Any, outcomes.Outcome],
         supervise: Callable[[], Coroutine[Any, Any, outcomes.Outcome]],
     ) -> outcomes.Outcome:
-        """Runs the first attempt, and further ones as needed.
+        """Runs the first attempt, and further attempts as needed.
 
         Args:
             attempt: The first attempt.
-            send: Sends the call to its upstream.
-            supervise: Decides on further attempts by the events that
-                `wait_for_event` returns; returns the outcome of the call.
+            send: Sends the call to the upstream of the first attempt.
+            supervise: Creates the supervisor, which handles the events that
+                `wait_for_event` returns, starts further attempts by `start`,
+                and returns the outcome of the call.
+
+        Returns:
+            The outcome of the call.
 
         Raises:
             bodies.BodyError: The caller's body is incomplete.
         """
         outcome = await self._run(attempt, send, supervise)
-        self._returned = True
+        self._outcome_returned = True
         return outcome
 
     def start(
@@ -127,20 +135,20 @@
         task.add_done_callback(self._record_end)
 
     def report_doubt(self, attempt: Attempt, doubt: doubts_.Doubt) -> None:
-        """Reports that the answer of an attempt may not come."""
+        """Reports that the answer of an attempt may not arrive in time."""
         self._doubts.append(
             AttemptInDoubt(attempt, doubt, doubt in attempt.doubts)
         )
         attempt.doubts.add(doubt)
-        if self._first_attempt is not None and self._supervisor is None:
-            self._supervisor = asyncio.create_task(
+        if self._first_attempt is not None and self._supervisor_task is None:
+            self._supervisor_task = asyncio.create_task(
                 self._first_attempt.supervise()
             )
-            self._supervisor.add_done_callback(self._interrupt_first)
-        self._wake()
+            self._supervisor_task.add_done_callback(self._interrupt_first)
+        self._wake_supervisor()
 
     async def wait_for_event(self) -> AttemptEnded | AttemptInDoubt:
-        """Waits for the next event; ended attempts come before doubts.
+        """Waits for the next event; returns ended attempts before doubts.
 
         Raises:
             bodies.BodyError: The caller's body is incomplete.
@@ -158,15 +166,15 @@
             await self._wakeup
 
     def close(self) -> None:
-        """Cancels the attempts in flight, and drops their answers.
+        """Cancels the attempts in flight and releases their answers.
 
-        Nobody needs their work any more: the caller has its answer or has
-        disconnected. The answer that was returned is kept, as the rest of a
-        long one is still to come.
+        Their results are not needed: the caller has its answer or has
+        disconnected. The answer that `run` returned is not released, as its
+        body may still be streamed to the caller.
         """
-        if self._supervisor is not None and not self._returned:
-            self._supervisor.add_done_callback(outcomes.release_unused)
-            self._supervisor.cancel()
+        if self._supervisor_task is not None and not self._outcome_returned:
+            self._supervisor_task.add_done_callback(outcomes.release_unused)
+            self._supervisor_task.cancel()
         for future in self._running:
             future.remove_done_callback(self._record_end)
             future.add_done_callback(outcomes.release_unused)
@@ -184,17 +192,17 @@
         try:
             first.outcome.set_result(await send)
         except asyncio.CancelledError:
-            if self._supervisor is None or not first.clear_interruption():
+            if self._supervisor_task is None or not first.clear_interruption():
                 raise
-            return await self._supervisor
+            return await self._supervisor_task
         finally:
             self._first_attempt = None
         self._record_end(first.outcome)
-        return await (self._supervisor or supervise())
+        return await (self._supervisor_task or supervise())
 
     def _record_end(self, future: asyncio.Future[outcomes.Outcome]) -> None:
         self._ended.append(future)
-        self._wake()
+        self._wake_supervisor()
 
     def _interrupt_first(
         self, supervisor: asyncio.Task[outcomes.Outcome]
@@ -203,17 +211,17 @@
         if self._first_attempt is not None:
             self._first_attempt.interrupt()
 
-    def _wake(self) -> None:
+    def _wake_supervisor(self) -> None:
         if self._wakeup is not None and not self._wakeup.done():
             self._wakeup.set_result(None)
 
 
 class _FirstAttempt:
-    """The first attempt of a call while the task of the call awaits it.
+    """The first attempt of a call, which runs in the task of the call.
 
     Attributes:
-        outcome: Its outcome, once it has ended.
-        supervise: Decides on further attempts.
+        outcome: Outcome of the attempt, set when the attempt has ended.
+        supervise: Creates the supervisor of the attempts.
     """
 
     __slots__ = (
@@ -237,16 +245,16 @@
         self._interrupted = False
 
     def interrupt(self) -> None:
-        """Cancels the wait for the attempt, as the call has its outcome."""
+        """Cancels the attempt, as the call has an outcome."""
         self._interrupted = True
         self._task.cancel()
 
     def clear_interruption(self) -> bool:
-        """Undoes the cancellation by `interrupt`, if there was one.
+        """Undoes the cancellation by `interrupt`, if it was called.
 
         Returns:
-            True if nothing else has cancelled the task; False if `interrupt`
-            was not called, or if the caller has disconnected as well.
+            True if only `interrupt` has cancelled the task; False if it was not
+            called, or if the caller has disconnected as well.
         """
         if not self._interrupted:
             return False
