--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -26,7 +26,7 @@
 
 
 class CallerHandler:
-    """Answers callers by sending their calls to upstreams."""
+    """Handles the requests of callers by sending their calls to upstreams."""
 
     def __init__(
         self,
@@ -44,8 +44,9 @@
             dialect: The dialect of the callers.
             dispatcher: Sends calls to upstreams.
             statistics: Counts the outcomes of the calls of each class.
-            latencies: Records how long callers waited.
+            latencies: Records how long callers waited for answers.
             is_busy: Returns whether the local backend server runs a call.
+                Requests may be nested in a call only while it does.
         """
         self._is_busy = is_busy
         self._state = state
@@ -64,85 +65,91 @@
         )
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        began = self._get_time()
-        running = self._state.get_running(
+        started_at = self._get_time()
+        active_snapshot = self._state.get_active_snapshot(
             dialects.may_be_nested(self._dialect, request, self._is_busy())
         )
-        if isinstance(running, outcomes.NotRun):
-            return self._refuse(running, request)
-        match = dialects.match_caller(self._dialect, running, request)
+        if isinstance(active_snapshot, outcomes.NotRun):
+            return self._refuse(active_snapshot, request)
+        match = dialects.match_caller(self._dialect, active_snapshot, request)
         if isinstance(match, outcomes.NotRun):
             return self._refuse(match, request)
         self._state.begin_call()
         try:
-            metadata = self._read_metadata(request, match, began)
-            call = await parsing.read_call(request, match, metadata, began)
+            metadata = self._read_metadata(request, match, started_at)
+            call = await parsing.read_call(request, match, metadata, started_at)
             if isinstance(call, outcomes.NotRun):
                 return self._refuse(call, request)
             call.story.add(
                 "routed",
-                version=running.version,
+                version=active_snapshot.version,
                 service=match.service,
                 work=match.plan.name,
-                left_ms=round((call.deadline - began) * 1000),
+                left_ms=round((call.deadline - started_at) * 1000),
                 limit=_get_timeout_source(call, metadata),
                 waited_ms=metadata.waited_ms,
             )
-            return await self._serve(request, call, began, metadata)
+            return await self._serve(request, call, started_at, metadata)
         finally:
             self._state.end_call()
 
     def _read_metadata(
-        self, request: web.BaseRequest, match: routing.Match, began: float
+        self, request: web.BaseRequest, match: routing.Match, started_at: float
     ) -> parsing.CallMetadata:
         """Returns the metadata of a request, with the time waited so far.
 
-        A caller that retries with the same deadline does not state when its
-        first request came. The time waited is then computed from its earlier
-        request, which was refused here.
+        In some dialects a retry states the deadline of the first request, but
+        not when that was sent. Such a retry is matched by route, path, query
+        and deadline to an earlier request that failed at this daemon.
         """
         metadata = dialects.read_metadata(self._dialect, request)
         if metadata.timeout_ms is None or not metadata.retries_keep_deadline:
             return metadata
         first_request_at = self._refused_callers.pop(
-            (match.route, request.raw_path), began + metadata.timeout_ms / 1000
+            (match.route, request.raw_path),
+            started_at + metadata.timeout_ms / 1000,
         )
         if first_request_at is None:
             return metadata
         return metadata._replace(
-            waited_ms=round((began - first_request_at) * 1000)
+            waited_ms=round((started_at - first_request_at) * 1000)
         )
 
-    def _remember_refused_caller(
+    def _remember_failed_request(
         self,
         request: web.BaseRequest,
         call: calls.Call,
-        began: float,
+        started_at: float,
         metadata: parsing.CallMetadata,
     ) -> None:
-        """Remembers a caller that got no answer, as it may retry."""
+        """Remembers a request that its caller may retry.
+
+        Does nothing unless a retry would state the same deadline.
+        """
         if metadata.timeout_ms is None or not metadata.retries_keep_deadline:
             return
         self._refused_callers.add(
             (call.route, request.raw_path),
-            began + metadata.timeout_ms / 1000,
-            began - metadata.waited_ms / 1000,
+            started_at + metadata.timeout_ms / 1000,
+            started_at - metadata.waited_ms / 1000,
         )
 
     async def _serve(
         self,
         request: web.BaseRequest,
         call: calls.Call,
-        began: float,
+        started_at: float,
         metadata: parsing.CallMetadata,
     ) -> web.StreamResponse:
         try:
             outcome = await responses.catch_body_error(
                 self._dispatcher.run(call)
             )
-            duration_s = self._get_time() - began
+            duration_s = self._get_time() - started_at
             if not isinstance(outcome, outcomes.Answered):
-                self._remember_refused_caller(request, call, began, metadata)
+                self._remember_failed_request(
+                    request, call, started_at, metadata
+                )
             try:
                 response = await responses.respond(
                     request, outcome, self._dialect
@@ -153,9 +160,9 @@
                     call.plan, call.service, outcome, duration_s
                 )
         except BaseException as error:
-            stories.end_cut(call.story, error, self._get_time() - began)
+            stories.end_cut(call.story, error, self._get_time() - started_at)
             raise
-        stories.end_story(call.story, outcome, self._get_time() - began)
+        stories.end_story(call.story, outcome, self._get_time() - started_at)
         return response
 
     def _refuse(
--- a/merlintrestle/requests/serving/local_runner.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -32,7 +32,8 @@
 
     Attributes:
         at_most_once: Runs the calls that must not be repeated.
-        repeats: Counts the running calls and those of them that are repeats.
+        repeats: Counts the calls that run at the backend server, and the
+            repeats among them.
     """
 
     def __init__(
@@ -69,7 +70,11 @@
         )
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
-        """Admits a call and forwards it, or refuses it."""
+        """Admits a call and forwards it to the backend server, or refuses it.
+
+        A call that may crash the backend server also needs the suspect slot,
+        so that only one such call runs at a time.
+        """
         if not self._observer.may_run():
             return _OTHER_VERSION_ACTIVE
         release_suspect_slot = await self._crashes.acquire_suspect_slot(call)
@@ -109,8 +114,9 @@
         return outcome
 
     async def _forward(self, call: calls.Call) -> outcomes.Outcome:
-        # Not the time of the event loop, which is taken once per iteration: a
-        # daemon that is frozen and resumes within one would miss the pause.
+        # Not the time of the event loop, as uvloop caches it for each
+        # iteration. If the process is suspended during an iteration, the cached
+        # time is stale, and a call would be forwarded after its deadline.
         if time.monotonic() >= call.refuse_by:
             return outcomes.TOO_LATE
         refusal = self._crashes.check(call)
@@ -118,7 +124,7 @@
             return refusal
         self._crashes.begin(call)
         repeat = self.repeats.begin(call)
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             outcome = await self._forwarder.send_to_backend(
                 self._backend, call, self._dialect
@@ -131,7 +137,9 @@
         self._track_crashes(call, outcome)
         if not isinstance(outcome, outcomes.NotRun):
             self._observer.record_answer(
-                call.plan.name, _is_failure(outcome), time.monotonic() - began
+                call.plan.name,
+                _is_failure(outcome),
+                time.monotonic() - started_at,
             )
         if isinstance(outcome, outcomes.Answered):
             outcome.add_release_callback(lambda: self.repeats.end(repeat))
@@ -149,7 +157,7 @@
     def _track_crashes(
         self, call: calls.Call, outcome: outcomes.Outcome
     ) -> None:
-        """Passes the end of a call, and a possible crash, to the tracker."""
+        """Notifies the crash tracker of the end of a call or a likely crash."""
         crashes = self._crashes
         if isinstance(outcome, outcomes.Answered):
             outcome.add_release_callback(
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -27,9 +27,12 @@
     from merlintrestle.requests.serving import local_runner as local_runners
     from merlintrestle.requests.serving import serving_state as serving_states
 
-# Maximum bytes of answers that are buffered here for the link; the rest stays
-# in the backend server. The smallest instances have some 200 MB of memory.
-_MAX_BUFFERED_BYTES = 8 * 1024 * 1024
+# Maximum reserved bytes of the outgoing link with which the slot of a call is
+# released as soon as its answer is read from the backend server. With more, it
+# is released only after the answer is sent, so that further answers stay in the
+# backend server. This limits the memory for answers that wait for the link: the
+# smallest instances have some 200 MB.
+_MAX_READ_AHEAD_BYTES = 8 * 1024 * 1024
 
 # Status codes of answers without a body, and of successful answers.
 _BODILESS_STATUSES = (204, 304)
@@ -40,7 +43,7 @@
 
 
 class PeerHandler:
-    """Answers other daemons by running calls on the local backend server."""
+    """Handles calls of other daemons, which run on the local backend server."""
 
     def __init__(
         self,
@@ -85,10 +88,10 @@
     async def _answer(
         self, request: web.BaseRequest, call_id: str
     ) -> web.StreamResponse:
-        began = self._get_time()
-        running = self._state.get_running()
-        if isinstance(running, outcomes.NotRun):
-            return outcomes.render(running)
+        started_at = self._get_time()
+        active_snapshot = self._state.get_active_snapshot()
+        if isinstance(active_snapshot, outcomes.NotRun):
+            return outcomes.render(active_snapshot)
         match = parsing.match_peer(request)
         if isinstance(match, outcomes.NotRun):
             return outcomes.render(match)
@@ -100,7 +103,9 @@
         progress = self._registry.add(call_id)
         self._state.begin_call()
         try:
-            call = await parsing.read_call(request, match, call_metadata, began)
+            call = await parsing.read_call(
+                request, match, call_metadata, started_at
+            )
             if isinstance(call, outcomes.NotRun):
                 return outcomes.render(call)
             call.story.add(
@@ -108,7 +113,9 @@
                 left_ms=call_metadata.timeout_ms,
                 way_back_ms=call_metadata.return_trip_ms,
             )
-            return await self._serve(request, call, began, progress, call_id)
+            return await self._serve(
+                request, call, started_at, progress, call_id
+            )
         finally:
             self._state.end_call()
             self._registry.mark_ended(call_id)
@@ -117,18 +124,20 @@
         self,
         request: web.BaseRequest,
         call: calls.Call,
-        began: float,
+        started_at: float,
         progress: probes.AnswerProgress,
         call_id: str,
     ) -> web.StreamResponse:
         transfer = self._link.admit(call)
         if isinstance(transfer, outcomes.NotRun):
-            stories.end_story(call.story, transfer, self._get_time() - began)
+            stories.end_story(
+                call.story, transfer, self._get_time() - started_at
+            )
             return await responses.respond(
                 request,
                 transfer,
                 _NATIVE_DIALECT,
-                extra_headers=self._build_answer_headers(call_id, began),
+                extra_headers=self._build_answer_headers(call_id, started_at),
             )
         try:
             outcome = await self._run(call, transfer, request.method)
@@ -137,45 +146,50 @@
                 outcome,
                 _NATIVE_DIALECT,
                 progress,
-                self._build_answer_headers(call_id, began),
+                self._build_answer_headers(call_id, started_at),
                 functools.partial(self._transfers.send, transfer=transfer),
             )
         except BaseException as error:
-            stories.end_cut(call.story, error, self._get_time() - began)
+            stories.end_cut(call.story, error, self._get_time() - started_at)
             raise
         finally:
-            # The reservation of bytes that are still unsent ends once they are
-            # sent.
+            # If bytes are still queued, the transfer sender ends the
+            # reservation once they are sent.
             if not transfer.unsent:
                 transfer.end()
-        stories.end_story(call.story, outcome, self._get_time() - began)
+        stories.end_story(call.story, outcome, self._get_time() - started_at)
         return response
 
     async def _run(
         self, call: calls.Call, transfer: reservations.Transfer, method: str
     ) -> outcomes.Outcome:
-        """Runs a call; its slot is released once its answer is read.
+        """Runs a call, and releases its slot once its answer is read.
 
-        A slot that is held until the answer is sent would keep other calls
-        waiting while the answer waits for the link, although the backend
-        server is done with the call.
+        If the slot were occupied until the answer is sent, other calls would
+        have to wait while the answer waits for the link, although the backend
+        server has finished the call.
         """
         outcome = await responses.catch_body_error(self._local_runner.run(call))
         if not isinstance(outcome, outcomes.Answered):
             return outcome
-        response, held = outcome.response, outcome.body
-        _record_answer(outcome, transfer, method)
-        if held is None and self._link.reserved_bytes <= _MAX_BUFFERED_BYTES:
-            response.content.on_eof(functools.partial(_release_soon, outcome))
+        response, buffered_body = outcome.response, outcome.body
+        _record_answer_size(outcome, transfer, method)
+        if (
+            buffered_body is None
+            and self._link.reserved_bytes <= _MAX_READ_AHEAD_BYTES
+        ):
+            response.content.on_eof(
+                functools.partial(_schedule_release, outcome)
+            )
         return outcome
 
     def _build_answer_headers(
-        self, call_id: str, began: float
+        self, call_id: str, started_at: float
     ) -> tuple[tuple[str, str], ...]:
-        """Returns headers with the id of the call and the current load."""
+        """Returns headers with the call id and the load of this daemon."""
         load = self._admission.get_load()._replace(
             link_backlog_s=self._link.get_backlog_s(),
-            server_time_s=self._get_time() - began,
+            server_time_s=self._get_time() - started_at,
         )
         return (
             (headers.CALL_ID, call_id),
@@ -183,20 +197,22 @@
         )
 
 
-def _record_answer(
+def _record_answer_size(
     answered: outcomes.Answered, transfer: reservations.Transfer, method: str
 ) -> None:
-    """Records the size of an answer, as far as its head states it.
+    """Records the size of an answer in its transfer, if it is known.
 
-    Errors and answers without a body are not typical of the answers of their
-    class of work. Counted as typical, a burst of them would lower the expected
-    size, and more downloads would be admitted than the link can carry.
+    Errors and answers without a body are not typical of their class of work. If
+    they counted as typical, a burst of them would lower the expected size, and
+    more downloads would be admitted than the link can carry.
     """
-    response, held = answered.response, answered.body
+    response, buffered_body = answered.response, answered.body
     if method == "HEAD" or response.status in _BODILESS_STATUSES:
         transfer.set_size(0, typical=False)
         return
-    size = response.content_length if held is None else len(held)
+    size = (
+        response.content_length if buffered_body is None else len(buffered_body)
+    )
     typical = response.status in _SUCCESS_STATUSES
     if size is None:
         transfer.record_head(typical)
@@ -204,9 +220,11 @@
         transfer.set_size(size, typical)
 
 
-def _release_soon(answered: outcomes.Answered) -> None:
-    """Releases what a call holds in the next iteration of the event loop.
+def _schedule_release(answered: outcomes.Answered) -> None:
+    """Schedules the release of an answer for the next event loop iteration.
 
-    When the end of the answer is seen, its connection is still being read.
+    This is called at the end of the answer while the data received on its
+    connection is still being parsed. The connection must not be released before
+    the parsing has ended.
     """
     asyncio.get_running_loop().call_soon(answered.release)
--- a/merlintrestle/requests/serving/responses.py
+++ b/merlintrestle/requests/serving/responses.py
@@ -22,9 +22,9 @@
 ) -> web.StreamResponse:
     """Closes the connection after this answer if the condition is true.
 
-    A daemon that is about to stop does so: a connection that is cut at the end
-    of the drain may just have carried another request, and its caller could
-    not know whether that ran.
+    A daemon that is about to stop closes connections in this way. If they were
+    closed only at the end of the drain, another request could have just been
+    sent over one of them, and its caller could not know whether that was run.
     """
     if condition:
         response.force_close()
@@ -34,7 +34,7 @@
 async def catch_body_error(
     outcome: Awaitable[outcomes.Outcome],
 ) -> outcomes.Outcome:
-    """Returns the outcome of a call, also for an incomplete request body."""
+    """Returns the outcome of a call, or `Unknown` for an incomplete body."""
     try:
         return await outcome
     except bodies.BodyError as error:
@@ -54,11 +54,11 @@
     Args:
         request: The request.
         outcome: The outcome of its call.
-        dialect: The dialect of its sender.
-        progress: Counts the bytes that are relayed of a long answer.
-        extra_headers: Headers to add.
-        send_body: Sends the body of a long answer; None: each chunk is sent as
-            it arrives.
+        dialect: The dialect of the sender of the request.
+        progress: Counts the relayed bytes of a streamed answer.
+        extra_headers: Headers to add to the answer.
+        send_body: Sends the body of a streamed answer; None: each chunk is sent
+            as it arrives.
     """
     if isinstance(outcome, outcomes.Answered):
         return await _relay(
@@ -70,7 +70,7 @@
         response = dialects.render(dialect, outcome, request)
     response.headers.extend(extra_headers)
     if not request.content.is_eof():
-        # The unread rest of the body must not be parsed as the next request.
+        # The unread part of the body must not be parsed as the next request.
         response.force_close()
     return response
 
--- a/merlintrestle/requests/serving/serving_state.py
+++ b/merlintrestle/requests/serving/serving_state.py
@@ -1,4 +1,4 @@
-"""Serving state of a daemon: requests in flight, drain and keep-alive."""
+"""Serving state of a daemon, with its calls in flight and drain flags."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         """Initializes the state.
 
         Args:
-            holder: Holds the running configuration version.
+            holder: Holds the active configuration.
         """
         self.in_flight = 0
         self.caller_keep_alive_disabled = False
@@ -38,25 +38,25 @@
         self._idle = asyncio.Event()
         self._idle.set()
 
-    def get_running(
+    def get_active_snapshot(
         self, nested: bool = False
     ) -> snapshot.Snapshot | outcomes.NotRun:
-        """Returns the running version, or a refusal.
+        """Returns the snapshot of the active configuration, or a refusal.
 
         Args:
-            nested: Whether the request may be made on behalf of a request that
-                is in flight here. It is served during a drain too: refusing it
+            nested: True if the request may be nested in a request in flight at
+                this daemon. It is served during a drain too, as its refusal
                 would make the request in flight fail.
         """
         if self.draining and not nested:
             return outcomes.NotRun("this daemon is stopping", elsewhere=True)
-        running = self._holder.running
-        if running is None:
+        active_snapshot = self._holder.running
+        if active_snapshot is None:
             return outcomes.NotRun(
                 f"this daemon is closed: {self._holder.closed_reason}",
                 elsewhere=True,
             )
-        return running
+        return active_snapshot
 
     def begin_call(self) -> None:
         """Counts a call as in flight."""
