--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -1,8 +1,9 @@
 """Dispatch of calls to upstreams, with retries and hedged attempts.
 
-An attempt that may be running somewhere is abandoned only on proof: an answer,
-a refusal, a broken connection, or the deadline of the call. Any other sign that
-its answer may not come is only a reason for a hedge at another upstream.
+An attempt in flight ends only by an answer, a refusal, a broken connection or
+the deadline of the call, or because the call has its final answer from another
+attempt or has lost its caller. Any other sign that the answer may not arrive in
+time is only a reason for a hedge, as the call may still be running.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
     """Sends calls to upstreams of their service.
 
     Attributes:
-        startup_wait: Delays calls while a new daemon learns of upstreams.
+        startup_wait: Delays calls while a new daemon discovers upstreams.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
             picker: Picks upstreams.
             local_runner: Runs calls on the local backend server.
             forwarder: Sends calls to other daemons.
-            get_time: Returns the time, in seconds.
+            get_time: Returns the monotonic time, in seconds.
             budgets: The retry budgets of the services.
             subsets: Selects the upstreams that an attempt may use.
         """
@@ -79,13 +80,15 @@
         self.startup_wait = startup.StartupWait(table, get_time)
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
-        """Returns the answer of an upstream, or the failure of the call.
+        """Runs a call and returns its outcome.
 
-        The first final answer wins, and the other attempts are cancelled. All
-        attempts are cancelled if the caller disconnects.
+        The first final answer is returned, and the other attempts are
+        cancelled. All attempts are cancelled if the caller disconnects.
         """
         budget = self._budgets.get(call.service)
         budget.record_call()
+        # The call may be nested in a repeat at the local backend server, and so
+        # be a repeat itself. The probability of that is charged.
         budget.charge(self._local_runner.repeats.get_ratio())
         if not await self.startup_wait.wait(call):
             return self._refuse(call)
@@ -99,18 +102,18 @@
             attempts.close()
 
     async def _run(self, state: retry_states.RetryState) -> outcomes.Outcome:
-        first = self._choose_attempt(state)
-        if first is None:
+        first_attempt = self._prepare_next_attempt(state)
+        if first_attempt is None:
             return self._refuse(state.call)
         attempts = state.attempts
-        send = self._attempt_runner.run(first, state.call, attempts)
+        send = self._attempt_runner.run(first_attempt, state.call, attempts)
         supervise = functools.partial(self._supervise, state)
-        return await attempts.run(first, send, supervise)
+        return await attempts.run(first_attempt, send, supervise)
 
     async def _supervise(
         self, state: retry_states.RetryState
     ) -> outcomes.Outcome:
-        """Handles the events of its attempts until the call has an outcome."""
+        """Handles events of the attempts until the call has an outcome."""
         while True:
             event = await state.attempts.wait_for_event()
             if isinstance(event, attempts_.AttemptInDoubt):
@@ -123,7 +126,11 @@
     def _handle_end(
         self, event: attempts_.AttemptEnded, state: retry_states.RetryState
     ) -> outcomes.Outcome | None:
-        """Returns the outcome of the call; None while attempts are pending."""
+        """Handles the end of an attempt.
+
+        Returns:
+            The outcome of the call; None if attempts are in flight.
+        """
         outcome = event.outcome
         state.record(outcome)
         if isinstance(outcome, outcomes.NotRun) and outcome.unqueued:
@@ -137,7 +144,7 @@
         if self._retry(outcome, state):
             return None
         if state.attempts.count:
-            state.discard_answer()
+            state.replace_shed_answer()
             return None
         if not isinstance(outcome, outcomes.Answered):
             state.call.story.add(
@@ -152,42 +159,49 @@
     def _retry(
         self, outcome: outcomes.Outcome, state: retry_states.RetryState
     ) -> bool:
-        """Sends a call to another upstream after a failure, if that is safe."""
+        """Retries a call at another upstream, if that is safe and allowed.
+
+        Returns:
+            Whether a further attempt was started.
+        """
         call = state.call
         upstream_count = len(self._table.get_upstreams(call.service))
         if (
-            not state.may_attempt_another(upstream_count)
+            not state.may_attempt_another_upstream(upstream_count)
             or not call.body.replayable
         ):
             return False
         retry = retries.classify(outcome, call)
         if retry is retries.Retry.NO:
             return False
-        if retry is retries.Retry.BUDGETED and not state.try_spend():
+        if retry is retries.Retry.BUDGETED and not state.try_charge_retry():
             return False
         if isinstance(outcome, (outcomes.Ran, outcomes.Unknown)):
             call.suspect |= outcome.broken
-        state.discard_answer()
-        return self._start_another(state)
+        state.replace_shed_answer()
+        return self._start_at_another_upstream(state)
 
     def _continue_polling(self, state: retry_states.RetryState) -> bool:
         """Polls one more upstream for a free slot, or queues the call.
 
         The call is queued at the polled upstream with the shortest wait. All
-        polled upstreams count as one refusal: if that one refuses the call as
-        well, other upstreams that are as good would do so too.
+        polled upstreams count as one refusal: if the upstream with the shortest
+        wait refuses the call as well, the others would also refuse it.
+
+        Returns:
+            Whether a further attempt was started.
         """
         call = state.call
-        if not state.may_attempt() or not call.body.replayable:
+        if not state.may_attempt_again() or not call.body.replayable:
             return False
         upstream_count = len(self._table.get_upstreams(call.service))
         if (
             not state.polls.is_complete(upstream_count)
-            and state.may_attempt_another(upstream_count)
-            and self._start_another(state)
+            and state.may_attempt_another_upstream(upstream_count)
+            and self._start_at_another_upstream(state)
         ):
             return True
-        state.refusal_count += 1
+        state.overload_refusal_count += 1
         best = state.polls.take_best()
         call.story.add("all full", waits_at=best.member_id)
         self._start(attempts_.Attempt(best), state)
@@ -196,7 +210,7 @@
     def _handle_doubt(
         self, event: attempts_.AttemptInDoubt, state: retry_states.RetryState
     ) -> None:
-        """Hedges a call whose attempt is in doubt, if that is safe."""
+        """Hedges a call whose attempt is in doubt, if safe and allowed."""
         call = state.call
         attempt, doubt, repeated = event
         if not repeated:
@@ -206,11 +220,11 @@
                 why=doubt.name.lower(),
             )
         upstream_count = len(self._table.get_upstreams(call.service))
-        has_alternatives = state.may_attempt_another(upstream_count)
+        has_alternatives = state.may_attempt_another_upstream(upstream_count)
         if (
             (has_alternatives or doubt.concerns_connection_only)
             and state.may_hedge()
-            and state.try_spend()
+            and state.try_charge_retry()
         ):
             self._hedge(event, has_alternatives, state)
 
@@ -220,13 +234,13 @@
         has_alternatives: bool,
         state: retry_states.RetryState,
     ) -> None:
-        """Sends a call a second time; the retry budget is already charged.
+        """Starts a hedge, for which the retry budget was already charged.
 
         There is no third attempt, so another upstream is preferred even if only
-        the connection is in doubt: if the same upstream turned out to be slow,
-        the call would wait there until its deadline.
+        the connection is in doubt: if the same upstream were slow, the call
+        would wait there until its deadline.
         """
-        if has_alternatives and self._start_another(state):
+        if has_alternatives and self._start_at_another_upstream(state):
             return
         if event.doubt.concerns_connection_only:
             attempt = attempts_.Attempt(
@@ -234,17 +248,23 @@
             )
             self._start(attempt, state)
 
-    def _start_another(self, state: retry_states.RetryState) -> bool:
-        """Sends a call to a further upstream; returns False if none is left."""
-        attempt = self._choose_attempt(state)
+    def _start_at_another_upstream(
+        self, state: retry_states.RetryState
+    ) -> bool:
+        """Starts an attempt at another upstream; False if there is none."""
+        attempt = self._prepare_next_attempt(state)
         if attempt is not None:
             self._start(attempt, state)
         return attempt is not None
 
-    def _choose_attempt(
+    def _prepare_next_attempt(
         self, state: retry_states.RetryState
     ) -> attempts_.Attempt | None:
-        """Returns an attempt at a further upstream; None if none is left."""
+        """Picks another upstream, logs the pick and builds an attempt at it.
+
+        Returns:
+            The attempt; None if there is no other upstream.
+        """
         call = state.call
         subset = self._subsets.choose(
             call.service, self._table.get_upstreams(call.service)
@@ -261,10 +281,12 @@
         state.upstream_ids.add(upstream.member_id)
         details = self._picker.get_details(upstream, len(upstreams))
         call.story.add_later("picked", details.describe)
-        # A body that is streamed can be sent to one upstream only, so its call
-        # waits there without polling others.
         wait = calls.Wait.NORMAL
         round_trip_s = self._round_trip.get()
+        # A call may poll several upstreams for a free slot, with a short wait
+        # or none at each, before it is queued at one of them. A streamed body
+        # can be sent to one upstream only, so its call waits there normally, as
+        # does a call for which polling would take too long.
         if call.body.buffered is not None and polls.is_worthwhile(
             round_trip_s, call.plan.latency_s
         ):
@@ -293,7 +315,10 @@
 
 
 def _is_final(outcome: outcomes.Outcome) -> bool:
-    """Returns whether an outcome is returned without waiting for others."""
+    """Returns whether an outcome is final: it ends the other attempts.
+
+    A 503 answer is not final, as another upstream may have capacity.
+    """
     if isinstance(outcome, outcomes.Answered):
         return outcome.response.status != outcomes.SHEDDING_STATUS
     return isinstance(outcome, outcomes.Replayed)
--- a/merlintrestle/requests/serving/retry_state.py
+++ b/merlintrestle/requests/serving/retry_state.py
@@ -1,4 +1,4 @@
-"""Retry state of a call, and whether another attempt may be made."""
+"""Retry state of a call, which determines whether it may be sent again."""
 
 from __future__ import annotations
 
@@ -16,30 +16,31 @@
     from merlintrestle.requests.load import round_trips
     from merlintrestle.requests.serving import attempts as attempts_
 
-# Maximum upstreams to which one call is sent. Each attempt after the first one
-# is either free (the call did not run) or paid from the retry budget.
+# Maximum number of upstreams to which one call is sent. Each attempt after the
+# first is either free (the call did not run) or charged to the retry budget.
 _MAX_UPSTREAMS = 5
-# Maximum daemons that refuse a call for lack of capacity before it is refused.
-# If the two best ones have none, the service is at capacity; asking all of them
-# would spend processor time on refusals just when there is none to spare.
-_MAX_REFUSALS = 2
+# Number of refusals for lack of capacity after which a call is refused. If the
+# two best upstreams have no capacity, the service is overloaded. Asking all of
+# them would spend processor time on refusals when it is scarcest.
+_MAX_OVERLOAD_REFUSALS = 2
 
 
 @dataclasses.dataclass(slots=True)
 class RetryState:
-    """The attempts of a call so far, and what limits further ones.
+    """The attempts of a call so far, and the limits of further attempts.
 
     Attributes:
         call: The call.
-        budget: The retry budget of its service.
-        attempts: Its attempts in flight.
-        upstream_ids: Ids of the upstreams to which it was sent.
-        reached_count: Number of its ended attempts that reached a backend
-            server.
-        refusal_count: Number of upstreams that lacked capacity for it.
-        outcome: Its combined outcome so far; None: no attempt has ended.
+        budget: The retry budget of the service of the call.
+        attempts: The attempts in flight.
+        upstream_ids: Member ids of the upstreams to which the call was sent.
+        reached_count: Number of ended attempts that reached a backend server.
+        overload_refusal_count: Number of refusals for lack of capacity. All
+            upstreams of a completed poll count as one refusal.
+        outcome: Combined outcome of the ended attempts; None: no attempt has
+            ended.
         round_trip: Round-trip time to other daemons.
-        polls: Upstreams that were polled for a free slot for it.
+        polls: Full upstreams that were polled for a free slot.
     """
 
     call: calls.Call
@@ -48,7 +49,7 @@
     round_trip: round_trips.RoundTripTime
     upstream_ids: set[str] = dataclasses.field(default_factory=set)
     reached_count: int = 0
-    refusal_count: int = 0
+    overload_refusal_count: int = 0
     outcome: outcomes.Outcome | None = None
     polls: polls_.Polls = dataclasses.field(default_factory=polls_.Polls)
 
@@ -56,28 +57,28 @@
         """Records the outcome of an attempt."""
         self.outcome = retries.combine(self.outcome, latest)
         self.reached_count += _has_reached_backend(latest)
-        self.refusal_count += _is_refusal(latest)
+        self.overload_refusal_count += _is_overload_refusal(latest)
 
-    def may_attempt_another(self, upstream_count: int) -> bool:
-        """Returns whether the call may be sent to another upstream.
+    def may_attempt_another_upstream(self, upstream_count: int) -> bool:
+        """Returns whether the call may be sent to an upstream not tried yet.
 
         Args:
-            upstream_count: Number of upstreams of its service.
+            upstream_count: Number of upstreams of the service.
         """
         return (
             len(self.upstream_ids) < min(_MAX_UPSTREAMS, upstream_count)
-            and self.may_attempt()
+            and self.may_attempt_again()
         )
 
-    def may_attempt(self) -> bool:
-        """Returns whether the call may be sent again, to any upstream.
+    def may_attempt_again(self) -> bool:
+        """Returns whether the call may be sent again.
 
-        Attempts in flight count as runs, as they may have reached a backend
-        server already.
+        The upstream may be one to which the call was sent before. Attempts in
+        flight count as runs, as they may have reached a backend server already.
         """
         return (
-            self.refusal_count < _MAX_REFUSALS
-            and self._may_run_again()
+            self.overload_refusal_count < _MAX_OVERLOAD_REFUSALS
+            and self._is_below_max_attempts()
             and self.attempts.all_in_doubt
             and self._has_time()
         )
@@ -85,48 +86,64 @@
     def may_hedge(self) -> bool:
         """Returns whether the call may be sent during an attempt in flight."""
         call = self.call
+        # A retry only needs a body that is still replayable. A hedge needs a
+        # buffered body, as the attempt in flight may begin to consume a
+        # streamed one at any time.
         return (
             call.plan.repeatable
             and call.body.buffered is not None
-            and self._may_run_again()
+            and self._is_below_max_attempts()
             and self.attempts.all_in_doubt
             and self._has_time()
         )
 
-    def try_spend(self) -> bool:
-        """Pays for a further attempt; returns False if there must be none.
+    def try_charge_retry(self) -> bool:
+        """Charges a retry or hedge to the budget; marks the call as a repeat.
 
-        A call that was sent twice is not sent a third time, unless backend
-        servers have refused it each time: then it has not run at all, and
-        nothing was called on its behalf.
+        A call is charged for one further attempt only, and for none if a call
+        that it is nested in may be retried. Retries after refusals by backend
+        servers are not limited in this way: the call has not run at all, so no
+        nested calls were made for it.
+
+        Returns:
+            False if the call must not be sent again.
         """
-        already_retried = self.call.attempt and not self._was_always_refused()
+        already_retried = (
+            self.call.attempt and not self._are_all_attempts_refused()
+        )
         if already_retried or not self.budget.try_spend():
             return False
         self.call.attempt += 1
         self.call.repeat = True
         return True
 
-    def discard_answer(self) -> None:
-        """Drops an answer, as another attempt may get a better one."""
+    def replace_shed_answer(self) -> None:
+        """Releases a 503 answer and keeps its failure as the outcome.
+
+        Another attempt may get a better answer. Other outcomes are kept.
+        """
         if isinstance(self.outcome, outcomes.Answered):
             self.outcome.release()
             self.outcome = outcomes.Ran(
                 "the backend server is shedding load", 503, 1.0
             )
 
-    def _was_always_refused(self) -> bool:
-        """Returns whether all attempts from this daemon were refused."""
+    def _are_all_attempts_refused(self) -> bool:
+        """Returns whether all attempts by this daemon were refused.
+
+        Returns False if this daemon has not charged a retry yet: a positive
+        `call.attempt` was then set by a call that this one is nested in.
+        """
         refused = isinstance(self.outcome, outcomes.NotRun)
         return self.call.repeat and refused and not self.attempts.count
 
-    def _may_run_again(self) -> bool:
-        """Returns whether one more run keeps to `max_attempts` of the class.
+    def _is_below_max_attempts(self) -> bool:
+        """Returns whether `max_attempts` of the class allows another run.
 
         An attempt that the peer has not seen counts as a run: its packets may
-        be late or be retransmitted by the operating system, and they cannot be
-        recalled. When it was not counted and not paid for, calls ran twice
-        although packets were merely late.
+        be late or be retransmitted by the operating system, and cannot be
+        withdrawn. If it were neither counted nor charged, a call whose packets
+        are merely late would run twice.
         """
         limit = self.call.plan.max_attempts
         return not limit or self.reached_count + self.attempts.count < limit
@@ -144,7 +161,7 @@
     return not isinstance(outcome, outcomes.NotRun) or outcome.reached
 
 
-def _is_refusal(outcome: outcomes.Outcome) -> bool:
+def _is_overload_refusal(outcome: outcomes.Outcome) -> bool:
     """Returns whether a daemon had no free slot and no place in its queue."""
     return (
         isinstance(outcome, outcomes.NotRun)
--- a/tests/requests/serving/test_retry_state.py
+++ b/tests/requests/serving/test_retry_state.py
@@ -36,7 +36,7 @@
         """Records an outcome; returns whether another attempt is paid for."""
         self.state.record(outcome)
         retry = retries.classify(outcome, self.call)
-        return retry is retries.Retry.BUDGETED and self.state.try_spend()
+        return retry is retries.Retry.BUDGETED and self.state.try_charge_retry()
 
     def test_call_refused_by_two_backend_servers_is_sent_again(self) -> None:
         """Guards against calls that are given up after two refusals.
