--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -1,4 +1,4 @@
-"""Proxy of a daemon, which serves callers and other daemons."""
+"""Proxy of a daemon, which handles requests of callers and other daemons."""
 
 from __future__ import annotations
 
@@ -42,37 +42,43 @@
 events = event_logs.EventLog("requests")
 
 _NATIVE_DIALECT = dialects.NativeDialect()
-# Bounds on calls that are sent again to the local backend server, as a fraction
-# of the bounds on retries, to which they add: few of these calls reach it
-# twice, as their first connection was already gone.
+# A call is resent to the local backend server if the kept-alive connection over
+# which it was sent turns out to be closed. Resends have budgets of their own,
+# whose bounds are this fraction of the bounds on retries and add to them. A
+# small fraction is enough, as few resent calls reach the backend server twice:
+# the connection was usually closed before the first send.
 _RESEND_FRACTION = 0.2
-# Intervals between checks of the local backend server, in seconds.
+# Interval between checks of a reachable backend server, in seconds.
 _CHECK_INTERVAL_S = 1.0
+# Interval between checks of an unreachable backend server, in seconds.
 _DOWN_CHECK_INTERVAL_S = 0.2
-# Interval between measurements of the bytes that wait for the link and of the
-# lateness of the event loop, in seconds: short enough to see a full buffer, too
-# long to cost anything.
-_TRAFFIC_INTERVAL_S = 0.5
+# Interval between samples of the send buffers and of the lag of the event loop,
+# in seconds. It is short enough to detect a full buffer, and long enough to
+# take hardly any processor time.
+_SAMPLE_INTERVAL_S = 0.5
 
 
 class Proxy(mode.Service):
-    """Serves callers and the other daemons.
+    """Handles the requests of callers and of other daemons.
 
     Attributes:
         backend: The local backend server.
         statistics: Counts the outcomes of the calls of each class.
         latencies: Records how long callers waited, and why they were refused.
-        traffic: Reports the bytes sent over the link, and those that waited.
+        traffic: Reports the bytes sent over the link, the bytes in the send
+            buffers and the lag of the event loop.
         caller_port: Bound port for callers, once open.
         peer_port: Bound port for other daemons, once started.
         defer_caller_port: If True, `start` does not open the port for callers;
             `open_caller_port` does. Set it before `start`.
-        control_port: Port on which this daemon answers recalls; set it before
-            `start` where the setting is 0.
+        control_port: Port of the control server of this daemon. If the setting
+            is 0, assign the bound port before `start`.
         crashes: Receives the strikes of other daemons (`crashes.strikes.add`)
             and sends those of this daemon (`crashes.send_strike`).
         observer: Records answers of the local backend server in a roll-out.
-        recalls: gRPC servicer to be added to the control server.
+        recalls: gRPC servicer to be added to the control server. It answers
+            recalls: queries of other daemons about the claims of this daemon
+            on calls that must not be repeated.
     """
 
     def __init__(
@@ -88,11 +94,11 @@
 
         Args:
             settings: Settings of the daemon.
-            holder: Holds the running configuration version.
+            holder: Holds the active configuration.
             table: The upstreams of each service.
             store: Stores claims.
             dialect: The dialect of callers and of the backend server.
-            tracker: The roll-outs; None: there are none.
+            tracker: Tracks roll-outs; None: there are no roll-outs.
         """
         super().__init__()
         tracker = tracker or trackers.RolloutTracker(table.get_upstreams)
@@ -165,13 +171,13 @@
     def set_retry_bounds(
         self, ratio: float, slack: float, window_s: float
     ) -> None:
-        """Sets the bounds on the retries of the whole fleet.
+        """Sets the bounds on retries, which apply to the whole fleet.
 
         See `budgets.Budgets.set_bounds` for the meaning of 0.
 
         Args:
-            ratio: Retries for each call of a service.
-            slack: Retries besides these in one window.
+            ratio: Allowed retries for each call of a service.
+            slack: Additional retries that are allowed in one window.
             window_s: Length of the window, in seconds.
         """
         self._budgets.set_bounds(ratio, slack, window_s)
@@ -206,7 +212,7 @@
             self._peer_handler.handle, traffics.peers
         )
         self.traffic = traffic.TrafficReport(
-            traffics, self._link, self._count_unsent_bytes, loop.time
+            traffics, self._link, self._get_send_buffer_bytes, loop.time
         )
         await self._peer_server.start(address, self._settings.peer_port)
         self.peer_port = self._peer_server.port
@@ -221,7 +227,7 @@
         self.caller_port = self._caller_server.port
 
     async def on_stop(self) -> None:
-        """Closes all connections; call `drain` first to finish the calls."""
+        """Closes all connections; call `drain` first to complete the calls."""
         await self._caller_server.close()
         await self._peer_server.close()
         self._peer_handler.close()
@@ -230,18 +236,19 @@
         await self._recall_client.close()
 
     def disable_caller_keep_alive(self) -> None:
-        """Closes each caller's connection with its next answer.
+        """Closes each connection of a caller after its next answer.
 
-        Callers then connect to another daemon; those that still come are
-        served. Other daemons continue to send calls for the local backend
-        server, which may outlive this process and is reachable only through it.
+        Callers then connect to another daemon; requests that still arrive here
+        are served. Connections of other daemons stay open: they still send
+        calls to the local backend server, which they can reach only through
+        this daemon and which may continue after this process has ended.
         """
         self._state.caller_keep_alive_disabled = True
 
     def disable_keep_alive(self) -> None:
-        """Closes connections of callers and daemons with the next answer.
+        """Closes each connection of a caller or daemon after its next answer.
 
-        Requests that still come are served.
+        Requests that still arrive are served.
         """
         self.disable_caller_keep_alive()
         self._state.peer_keep_alive_disabled = True
@@ -253,7 +260,7 @@
             timeout_s: Maximum wait, in seconds.
 
         Returns:
-            True if no work is in flight any more, False after a timeout.
+            True if all work has ended, False after a timeout.
         """
         self.disable_keep_alive()
         self.backend.drain()
@@ -272,7 +279,7 @@
         """Waits until neither calls nor claimed calls are in flight.
 
         Claimed calls continue after their callers have disconnected, and the
-        backend server may still make calls for them through this daemon.
+        backend server may still make nested calls for them through this daemon.
         """
         tasks = self._local_runner.at_most_once.tasks
         while self.in_flight or tasks:
@@ -283,8 +290,9 @@
     @mode.Service.task
     async def _check_backend(self) -> None:
         while not self.should_stop:
-            # A backend server that sends heartbeats announces its restart
-            # itself, with a new id; a check would only use one of its slots.
+            # A backend server with an instance id sends heartbeats and
+            # announces a restart by a new id. A check would only occupy one of
+            # its slots.
             reachable = (
                 bool(self.backend.instance_id) or await self.backend.check()
             )
@@ -296,14 +304,14 @@
     async def _watch_traffic(self) -> None:
         loop = asyncio.get_running_loop()
         while not self.should_stop:
-            expected_at = loop.time() + _TRAFFIC_INTERVAL_S
-            await self.sleep(_TRAFFIC_INTERVAL_S)
+            expected_at = loop.time() + _SAMPLE_INTERVAL_S
+            await self.sleep(_SAMPLE_INTERVAL_S)
             self.traffic.look(max(0.0, loop.time() - expected_at))
 
-    def _count_unsent_bytes(self) -> int:
-        """Returns the bytes of answers that wait to be sent on both ports."""
+    def _get_send_buffer_bytes(self) -> int:
+        """Returns the bytes of answers in the send buffers of both ports."""
         servers = (self._caller_server, self._peer_server)
-        return sum(listener.get_held_back() for listener in servers)
+        return sum(port_server.get_held_back() for port_server in servers)
 
     @property
     def in_flight(self) -> int:
@@ -312,7 +320,7 @@
 
     @property
     def has_claimed_calls(self) -> bool:
-        """True while claimed calls run, even if their callers have left."""
+        """True while claimed calls run, even without their callers."""
         return bool(self._local_runner.at_most_once.tasks)
 
     def get_class_statuses(self) -> list[control_pb2.ClassStatus]:
