--- a/tests/requests/serving/test_concurrent_attempts.py
+++ b/tests/requests/serving/test_concurrent_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of concurrent attempts, one of which fails."""
+"""Tests of a failed hedge while the first attempt is still running."""
 
 from __future__ import annotations
 
@@ -17,29 +17,35 @@
     async def test_failure_of_a_hedge_does_not_end_the_first_attempt(
         self,
     ) -> None:
-        """Guards against a timely answer lost to a broken second attempt."""
-        proceed = asyncio.Event()
-        served: list[str] = []
-
-        async def work(request: web.BaseRequest) -> web.StreamResponse:
-            served.append(request.raw_path)
-            if len(served) == 1:
-                await proceed.wait()
+        """Guards against a timely answer that is lost as its hedge fails.
+
+        The backend server of the hedge breaks the connection. The first attempt
+        is answered shortly afterwards.
+        """
+        first_may_answer = asyncio.Event()
+        served_paths: list[str] = []
+
+        async def handle(request: web.BaseRequest) -> web.StreamResponse:
+            served_paths.append(request.raw_path)
+            if len(served_paths) == 1:
+                await first_may_answer.wait()
                 return web.Response(body=b"whole")
-            asyncio.get_running_loop().call_later(0.1, proceed.set)
+            asyncio.get_running_loop().call_later(0.1, first_may_answer.set)
             assert request.transport is not None
             request.transport.abort()
             return web.Response()
 
-        running = builders.build_snapshot(
+        active_snapshot = builders.build_snapshot(
             {"/": builders.build_plan(latency_s=_LATENCY_S, work_s=0.001)}
         )
-        async with relays.run_relayed_nodes(work, count=3, running=running) as (
+        async with relays.run_relayed_nodes(
+            handle, count=3, running=active_snapshot
+        ) as (
             nodes,
             _,
             client,
         ):
             answer = await client.get(nodes[0].url + "/x")
             body = await answer.read()
-        self.assertEqual(len(served), 2)
+        self.assertEqual(len(served_paths), 2)
         self.assertEqual((answer.status, body), (200, b"whole"))
--- a/tests/requests/serving/test_retry_state.py
+++ b/tests/requests/serving/test_retry_state.py
@@ -1,4 +1,4 @@
-"""Tests of whether a call may be sent again, by its outcomes so far."""
+"""Tests of retry decisions, which depend on the outcomes of a call so far."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 _REFUSED_BY_BACKEND = outcomes.NotRun(
     "shed", elsewhere=True, overloaded=True, reached=True
 )
-_CONNECTION_BROKE = outcomes.Unknown("the connection broke", broken=True)
+_BROKEN_CONNECTION = outcomes.Unknown("the connection broke", broken=True)
 
 
 class RetryStateTest(unittest.TestCase):
-    """A call and a budget of five retries."""
+    """A call of a service whose budget allows five retries."""
 
     def setUp(self) -> None:
         self.budget = budgets.Budget(
@@ -32,38 +32,40 @@
             self.call, self.budget, attempts.Attempts(), self.round_trip
         )
 
-    def send_again(self, outcome: outcomes.Outcome) -> bool:
-        """Records an outcome; returns whether another attempt is paid for."""
+    def try_retry(self, outcome: outcomes.Outcome) -> bool:
+        """Records an outcome; returns whether a retry was charged for it."""
         self.state.record(outcome)
         retry = retries.classify(outcome, self.call)
         return retry is retries.Retry.BUDGETED and self.state.try_charge_retry()
 
-    def test_call_refused_by_two_backend_servers_is_sent_again(self) -> None:
-        """Guards against calls that are given up after two refusals.
+    def test_call_refused_by_two_backend_servers_is_retried(self) -> None:
+        """Guards against calls that fail after two refusals.
 
-        Half of the backend servers of a service shed load. If a nested call
-        failed after two refusals, the call that makes it and has already held
-        its slot for a second would fail as well.
+        It happens if half of the backend servers of a service shed load. If a
+        nested call then failed after two refusals, so would its outer call,
+        although that has already occupied its slot for a second.
         """
-        self.assertTrue(self.send_again(_REFUSED_BY_BACKEND))
-        self.assertTrue(self.send_again(_REFUSED_BY_BACKEND))
+        self.assertTrue(self.try_retry(_REFUSED_BY_BACKEND))
+        self.assertTrue(self.try_retry(_REFUSED_BY_BACKEND))
         self.assertEqual(self.budget.balance, 3.0)
 
-    def test_call_that_may_have_run_is_sent_once_more_at_most(self) -> None:
-        self.assertTrue(self.send_again(_CONNECTION_BROKE))
-        self.assertFalse(self.send_again(_REFUSED_BY_BACKEND))
+    def test_call_that_may_have_run_is_retried_only_once(self) -> None:
+        """Guards against a third run of a call that may have run twice."""
+        self.assertTrue(self.try_retry(_BROKEN_CONNECTION))
+        self.assertFalse(self.try_retry(_REFUSED_BY_BACKEND))
 
-    def test_call_below_one_that_may_be_retried_is_not(self) -> None:
+    def test_nested_call_is_not_retried_if_outer_call_may_be(self) -> None:
         """Guards against retries at every level of nested calls.
 
-        With N levels that each retry, the lowest call would run 2**N times.
-        Here a daemon above may retry, so this one must not.
+        If each of N levels retried, the lowest call would run 2**N times. The
+        daemon of the outer call may retry, so this daemon must not.
         """
         self.call.attempt = 1
-        self.assertFalse(self.send_again(_REFUSED_BY_BACKEND))
+        self.assertFalse(self.try_retry(_REFUSED_BY_BACKEND))
 
-    def test_used_up_budget_ends_retries(self) -> None:
-        paid_count = sum(
-            self.send_again(_REFUSED_BY_BACKEND) for _ in range(10)
+    def test_exhausted_budget_ends_retries(self) -> None:
+        """Guards against retries that are not limited by the budget."""
+        retry_count = sum(
+            self.try_retry(_REFUSED_BY_BACKEND) for _ in range(10)
         )
-        self.assertEqual(paid_count, 5)
+        self.assertEqual(retry_count, 5)
