--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -1,4 +1,4 @@
-"""Tests that calls without a sign of life are not abandoned without proof."""
+"""Tests of hedges for calls whose upstream or connection is silent."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 if TYPE_CHECKING:
     from merlintrestle.documents import snapshot
 
-# An attempt that is not cancelled ends by itself only after the timeout of the
-# test.
-_LONG_DEADLINE = builders.build_snapshot(
+# Configuration with deadlines after the timeout of the tests, so that a test
+# times out if it waits for the cancellation of an attempt in vain.
+_LONG_DEADLINES = builders.build_snapshot(
     {"/": builders.build_plan(deadline_s=6 * builders.GUARD_S)}
 )
 
 
 class DoubtTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon probes the peer about its call and gets no answer."""
+    """Calls at peers that do not answer probes about them."""
 
     def setUp(self) -> None:
-        self.proceed = asyncio.Event()
-        self.first_received = False
+        self.may_answer = asyncio.Event()
+        self.first_call_received = False
         self.started = asyncio.Semaphore(0)
         self.cancelled = asyncio.Semaphore(0)
         self.probed = asyncio.Semaphore(0)
@@ -40,42 +40,45 @@
             self, probes.ProbeResult(False), self.probed.release
         )
 
-    async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers once the test allows it."""
         self.started.release()
         await request.read()
         try:
-            await self.proceed.wait()
+            await self.may_answer.wait()
         except asyncio.CancelledError:
             self.cancelled.release()
             raise
         return web.Response(body=b"whole")
 
-    async def wait_first(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Lets the first call wait, and answers the others."""
-        first, self.first_received = not self.first_received, True
-        return await self.wait(request) if first else web.Response(body=b"2nd")
+    async def handle_first_slowly(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
+        """Handles the first call like `handle`; answers others at once."""
+        is_first, self.first_call_received = not self.first_call_received, True
+        return (
+            await self.handle(request)
+            if is_first
+            else web.Response(body=b"2nd")
+        )
 
     async def wait_for_probes(self, count: int) -> None:
-        """Waits until as many further probes went without an answer."""
+        """Waits for `count` more probes that are not answered."""
         for _ in range(count):
             await self.probed.acquire()
 
-    async def test_call_is_run_while_no_probe_is_answered(self) -> None:
-        """The caller gets the backend server's answer, not a 504 of a daemon.
-
-        The daemon of the caller is stopping while a call of it runs at the
-        backend server of another daemon. The link is full, so no probe about
-        the call is answered in time, and nothing else arrives from there. There
-        is no other upstream. The silence proves nothing: the call still runs,
-        and its answer comes long before the deadline.
+    async def test_running_call_is_not_abandoned_without_answered_probes(
+        self,
+    ) -> None:
+        """Guards against a 504 for a call that still runs at a silent peer.
 
-        Two calls were lost this way in one day. Both were at daemons whose
-        incoming links were full (five of 88 were) while their processors were
-        idle, and both were answered with 504 some 0.5 s after their backend
-        servers had started them.
+        The incoming link of the peer is full, although its processor may be
+        idle, so that no probe is answered in time and nothing else arrives from
+        the peer. Callers got a 504 some 0.5 s after the backend server had
+        started their calls. There is no other upstream, and the daemon of the
+        caller is stopping. The answer arrives long before the deadline.
         """
-        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.handle) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.started.acquire()
             nodes[0].proxy.disable_caller_keep_alive()
@@ -84,55 +87,59 @@
                 await asyncio.wait(
                     (call, probing), return_when=asyncio.FIRST_COMPLETED
                 )
-            self.proceed.set()
+            self.may_answer.set()
             answer = await call
             self.assertEqual(answer.status, 200)
             self.assertEqual(await answer.read(), b"whole")
             self.assertEqual(len(nodes[1].served), 1)
 
-    async def test_long_answer_of_a_call_that_was_in_doubt_is_whole(
+    async def test_long_answer_after_a_doubt_is_complete(
         self,
     ) -> None:
-        """Guards against long answers that are cut at the end of a doubt."""
-        long = b"x" * 4 * bodies.MAX_BUFFERED_BYTES
+        """Guards against a long answer that is truncated after a doubt.
+
+        The supervisor runs in a separate task then, and must not release the
+        answer while its body is streamed to the caller.
+        """
+        long_body = b"x" * 4 * bodies.MAX_BUFFERED_BYTES
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
-            await self.wait(request)
-            return web.Response(body=long)
+            await self.handle(request)
+            return web.Response(body=long_body)
 
         async with relays.run_relayed_nodes(answer) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.started.acquire()
             await self.wait_for_probes(2)
-            self.proceed.set()
-            self.assertEqual(await (await call).read(), long)
+            self.may_answer.set()
+            self.assertEqual(await (await call).read(), long_body)
 
-    async def test_story_shows_a_silent_peer_once(self) -> None:
-        """Guards against stories of slow calls that are hard to read.
+    async def test_log_shows_a_silent_peer_once(self) -> None:
+        """Guards against decision logs of slow calls that are hard to read.
 
-        No probe is answered. If each one were logged as a doubt of its own,
-        the other decisions would be hidden among them.
+        No probe is answered. If a doubt were logged for each of them, they
+        would hide the other decisions.
         """
-        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.handle) as (nodes, _, client):
             with builders.watch_method(stories.Story, "add") as add:
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
                 await self.wait_for_probes(4)
-                self.proceed.set()
+                self.may_answer.set()
                 self.assertEqual((await call).status, 200)
         events = [node.args[1] for node in add.call_args_list]
         self.assertEqual(events.count("in doubt"), 1)
 
-    async def test_second_answer_wins_and_the_first_attempt_is_cancelled(
+    async def test_answer_to_a_hedge_cancels_the_first_attempt(
         self,
     ) -> None:
-        """The caller gets the second upstream's answer; the first one stops.
+        """Guards against work on a call that was answered elsewhere.
 
-        The first upstream has the call and is silent. A hedge goes to another
-        upstream, which answers. The work of the first one is not needed any
-        more: its connection is closed.
+        The first upstream runs the call and is silent. A hedge is sent to
+        another upstream, which answers. The connection to the first upstream is
+        closed, as its work is not needed any more.
         """
         async with relays.run_relayed_nodes(
-            self.wait_first, 3, running=_LONG_DEADLINE
+            self.handle_first_slowly, 3, running=_LONG_DEADLINES
         ) as (
             nodes,
             _,
@@ -143,26 +150,26 @@
             await self.cancelled.acquire()
         self.assertEqual(sum(len(node.served) for node in nodes), 2)
 
-    async def test_first_answer_wins_and_the_second_attempt_is_cancelled(
+    async def test_answer_to_the_first_attempt_cancels_the_hedge(
         self,
     ) -> None:
-        """The caller gets the first upstream's answer; the second one stops.
+        """Guards against the loss of the first answer after a hedge.
 
-        The first upstream was slow and not dead: it answers while the second
-        one still runs the call.
+        The first upstream was only slow: it answers while the second upstream
+        still runs the call. The connection to the second upstream is closed.
         """
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
-            if not self.first_received:
-                self.first_received = True
+            if not self.first_call_received:
+                self.first_call_received = True
                 self.started.release()
-                await first.wait()
+                await first_may_answer.wait()
                 return web.Response(body=b"1st")
-            return await self.wait(request)
+            return await self.handle(request)
 
-        first = asyncio.Event()
+        first_may_answer = asyncio.Event()
         async with relays.run_relayed_nodes(
-            answer, 3, running=_LONG_DEADLINE
+            answer, 3, running=_LONG_DEADLINES
         ) as (
             nodes,
             _,
@@ -171,70 +178,84 @@
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             for _ in range(2):
                 await self.started.acquire()
-            first.set()
+            first_may_answer.set()
             self.assertEqual(await (await call).read(), b"1st")
             await self.cancelled.acquire()
         self.assertEqual(sum(len(node.served) for node in nodes), 2)
 
-    async def test_refusal_of_the_second_does_not_end_the_first(self) -> None:
-        """The caller gets the first upstream's answer.
+    async def test_refusal_of_a_hedge_does_not_end_the_first_attempt(
+        self,
+    ) -> None:
+        """Guards against a running call that is reported as not run.
 
-        Its attempt is in doubt, and the other upstream refuses the call as not
-        run. That holds for the second attempt only; the first one still runs.
+        The first attempt is in doubt, and the upstream of the hedge refuses the
+        call as not run. This is the outcome of the hedge only: the first
+        upstream still runs the call.
         """
-        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
-            slow, closed = nodes[0].table.upstreams["kassa"]
-            closed = closed._replace(suspect=True)
-            nodes[0].table.upstreams["kassa"] = (slow, closed)
+        async with relays.run_relayed_nodes(self.handle, 3) as (
+            nodes,
+            _,
+            client,
+        ):
+            slow, refusing = nodes[0].table.upstreams["kassa"]
+            refusing = refusing._replace(suspect=True)
+            nodes[0].table.upstreams["kassa"] = (slow, refusing)
             nodes[2].holder.running = None
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.started.acquire()
             while (
                 not nodes[0]
-                .picker.get_observation(closed.member_id)
+                .picker.get_observation(refusing.member_id)
                 .backoff_until
             ):
                 await asyncio.sleep(0)
-            self.proceed.set()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
         self.assertEqual([len(node.served) for node in nodes], [0, 1, 0])
 
-    async def test_second_attempt_keeps_to_max_attempts(self) -> None:
-        """The caller gets its answer; only one upstream runs the call.
+    async def test_no_hedge_beyond_max_attempts(self) -> None:
+        """Guards against a second run of a call whose class allows one.
 
-        Its class of work allows one attempt. The first attempt counts although
-        it is in doubt.
+        The first attempt counts although it is in doubt.
         """
         plan = builders.build_plan(max_attempts=1)
         async with relays.run_relayed_nodes(
-            self.wait, 3, running=builders.build_snapshot({"/": plan})
+            self.handle, 3, running=builders.build_snapshot({"/": plan})
         ) as (nodes, _, client):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.wait_for_probes(3)
-            self.proceed.set()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
         self.assertEqual(sum(len(node.served) for node in nodes), 1)
 
-    async def test_second_attempt_is_paid_from_the_budget(self) -> None:
-        """The caller gets its answer; the service sees the call once.
+    async def test_no_hedge_without_budget(self) -> None:
+        """Guards against hedges that are not limited by the retry budget.
 
-        No upstream answers probes, and the retry budget is used up.
+        No upstream answers probes, and the retry budget is exhausted.
         """
-        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.handle, 3) as (
+            nodes,
+            _,
+            client,
+        ):
             nodes[0].use_up_budget()
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.wait_for_probes(3)
-            self.proceed.set()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
         self.assertEqual(sum(len(node.served) for node in nodes), 1)
 
     async def test_upload_is_not_hedged(self) -> None:
-        """The caller gets its answer; its upload goes to one upstream only.
+        """Guards against a hedge that lacks the beginning of the body.
 
-        A body that is streamed cannot be sent a second time.
+        A streamed body cannot be sent a second time.
         """
         body = bytes(100_000)
-        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.handle, 3) as (
+            nodes,
+            _,
+            client,
+        ):
             call = asyncio.create_task(
                 client.put(nodes[0].url + "/x", data=body)
             )
@@ -244,14 +265,14 @@
                 for peer in nodes
             ]
             self.assertEqual(sum(attempt_counts), 1)
-            self.proceed.set()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
         self.assertEqual(sum(len(node.served) for node in nodes), 1)
 
-    async def test_caller_that_leaves_ends_both_attempts(self) -> None:
-        """Two upstreams run a call whose caller leaves; both stop."""
+    async def test_disconnect_cancels_both_attempts(self) -> None:
+        """Guards against slots that are occupied by calls without a caller."""
         async with relays.run_relayed_nodes(
-            self.wait, 3, running=_LONG_DEADLINE
+            self.handle, 3, running=_LONG_DEADLINES
         ) as (
             nodes,
             _,
@@ -264,12 +285,16 @@
             for _ in range(2):
                 await self.cancelled.acquire()
 
-    async def test_deadline_ends_a_call(self) -> None:
-        """The caller gets "unknown" at its deadline, and not later.
+    async def test_deadline_ends_both_attempts(self) -> None:
+        """Guards against calls that continue after their deadline.
 
-        Two upstreams have the call and neither answers.
+        Two upstreams run the call, and neither answers. Both are cancelled.
         """
-        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.handle, 3) as (
+            nodes,
+            _,
+            client,
+        ):
             answer = await client.get(
                 nodes[0].url + "/x", headers={headers.DEADLINE: "300"}
             )
@@ -281,36 +306,39 @@
 
 
 class ConnectionDoubtTest(unittest.IsolatedAsyncioTestCase):
-    """A peer answers probes, and its connection is in doubt."""
+    """Calls at peers that answer probes, over connections in doubt."""
 
     def setUp(self) -> None:
-        self.proceed = asyncio.Event()
-        self.first: int | None = None
+        self.may_answer = asyncio.Event()
+        self.first_port: int | None = None
         self.probed = asyncio.Event()
         builders.hasten_doubt(self)
 
-    async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers once the test allows it."""
-        await self.proceed.wait()
+        await self.may_answer.wait()
         return web.Response(body=b"whole")
 
-    async def answer_second(
+    async def hang_at_first_upstream(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Answers, except at the backend server that is called first."""
+        # Each backend server listens on a port of its own.
         assert request.transport is not None
         port = request.transport.get_extra_info("sockname")[1]
-        if self.first is None:
-            self.first = port
-        if port == self.first:
+        if self.first_port is None:
+            self.first_port = port
+        if port == self.first_port:
             await asyncio.Event().wait()
         return web.Response(body=b"2nd")
 
-    async def check_slow_upstream(self, view: probes.ProbeResult) -> None:
-        """The caller gets the other upstream's answer."""
-        builders.answer_questions(self, view, self.probed.set)
+    async def check_hedge_elsewhere(
+        self, probe_result: probes.ProbeResult
+    ) -> None:
+        """Checks that the caller gets the answer of the other upstream."""
+        builders.answer_questions(self, probe_result, self.probed.set)
         async with relays.run_relayed_nodes(
-            self.answer_second, 3, running=_LONG_DEADLINE
+            self.hang_at_first_upstream, 3, running=_LONG_DEADLINES
         ) as (
             nodes,
             _,
@@ -320,22 +348,24 @@
             self.assertEqual(await answer.read(), b"2nd")
         self.assertEqual(sum(len(node.served) for node in nodes), 2)
 
-    async def test_call_that_arrives_late_at_a_slow_upstream(self) -> None:
-        """The caller gets the other upstream's answer, not a 504.
+    async def test_hedge_if_a_call_arrives_late_at_a_slow_upstream(
+        self,
+    ) -> None:
+        """Guards against a 504 although another upstream could answer.
 
-        The upstream answers that it has not seen the call, which arrives right
-        after; its backend server is slow. If the call were sent to the same
-        upstream again, it could not be sent to the other one any more.
+        The upstream answers that it has not seen the call, which arrives just
+        afterwards, and its backend server is slow. If the hedge were sent to
+        the same upstream, none could be sent to the other upstream.
         """
-        await self.check_slow_upstream(probes.ProbeResult(True))
+        await self.check_hedge_elsewhere(probes.ProbeResult(True))
 
-    async def test_missing_answer_of_a_slow_upstream(self) -> None:
-        """The caller gets the other upstream's answer, not a 504.
+    async def test_hedge_if_the_answer_of_a_slow_upstream_is_lost(self) -> None:
+        """Guards against a 504 although another upstream could answer.
 
         The answer of the first upstream is lost, and its backend server would
         be slow in a second run as well.
         """
-        await self.check_slow_upstream(probes.ProbeResult(True, ended=True))
+        await self.check_hedge_elsewhere(probes.ProbeResult(True, ended=True))
 
     async def check_single_run(
         self, plan: snapshot.ClassPlan, has_budget: bool
@@ -344,8 +374,10 @@
         builders.answer_questions(
             self, probes.ProbeResult(True), self.probed.set
         )
-        running = builders.build_snapshot({"/": plan})
-        async with relays.run_relayed_nodes(self.wait, running=running) as (
+        active_snapshot = builders.build_snapshot({"/": plan})
+        async with relays.run_relayed_nodes(
+            self.handle, running=active_snapshot
+        ) as (
             nodes,
             _,
             client,
@@ -358,34 +390,34 @@
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
                 while not handle_doubt.called:
                     await asyncio.sleep(0)
-                self.proceed.set()
+                self.may_answer.set()
                 self.assertEqual(await (await call).read(), b"whole")
         self.assertEqual(len(nodes[1].served), 1)
 
-    async def test_late_packets_cost_no_run_without_budget(self) -> None:
-        """The caller gets its answer; the service sees the call once.
+    async def test_no_hedge_for_late_packets_without_budget(self) -> None:
+        """Guards against hedges that double the load of a slow link.
 
         Packets are late, and the upstream answers that it has not seen the
-        call. If it were sent again at once, it would run twice; without regard
-        to the used-up budget, all calls over such a link would.
+        call. If the exhausted budget were ignored, each call over such a link
+        would be sent twice and run twice.
         """
         await self.check_single_run(builders.build_plan(), has_budget=False)
 
-    async def test_late_packets_cost_no_attempt(self) -> None:
-        """The caller gets its answer; only the one allowed attempt is made."""
+    async def test_no_hedge_for_late_packets_beyond_max_attempts(self) -> None:
+        """Guards against a second run of a call whose class allows one."""
         plan = builders.build_plan(max_attempts=1)
         await self.check_single_run(plan, has_budget=True)
 
-    async def test_doubt_without_another_upstream_costs_no_budget(self) -> None:
-        """The retry budget is kept for calls that can use it.
+    async def test_budget_is_not_charged_without_another_upstream(self) -> None:
+        """Guards against a budget that is spent without a hedge.
 
-        A call is in doubt as its peer is silent, and there is no other
-        upstream: nothing is sent, and nothing is paid.
+        A call is in doubt as its peer is silent, but there is no other upstream
+        to which a hedge could be sent.
         """
         builders.answer_questions(
             self, probes.ProbeResult(False), self.probed.set
         )
-        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.handle) as (nodes, _, client):
             budget = nodes[0].budget
             balance_before = budget.balance
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
@@ -393,5 +425,5 @@
                 self.probed.clear()
                 await self.probed.wait()
             self.assertGreaterEqual(budget.balance, balance_before)
-            self.proceed.set()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
