--- a/tests/requests/serving/test_drain.py
+++ b/tests/requests/serving/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of planned stops of daemons and of backend servers."""
+"""Tests of drains of daemons and of backend servers."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 
 
 class DrainTest(unittest.IsolatedAsyncioTestCase):
-    """Calls in flight continue; new ones are refused as not run."""
+    """Calls in flight continue; new calls are refused as not run."""
 
     def setUp(self) -> None:
         self.started = asyncio.Event()
-        self.proceed = asyncio.Event()
+        self.may_answer = asyncio.Event()
         self.urls: list[str] = []
 
-    async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers once the test allows it."""
         self.started.set()
-        await self.proceed.wait()
+        await self.may_answer.wait()
         return web.Response(body=b"whole")
 
-    async def nest(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Waits, and then makes a nested call through its daemon."""
+    async def handle_with_nested_call(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
+        """Waits like `handle`, then makes a nested call through its daemon."""
         if request.path == "/check":
             return web.Response(body=b"sealed")
-        await self.wait(request)
+        await self.handle(request)
         nested_headers = {
             name: request.headers[name] for name in _NESTED_CALL_HEADERS
         }
@@ -45,13 +47,16 @@
         ):
             return web.Response(body=await answer.read())
 
-    async def test_payout_whose_caller_left(self) -> None:
-        """The daemon waits for a payout although its caller has disconnected.
+    async def test_drain_waits_for_payouts_of_disconnected_callers(
+        self,
+    ) -> None:
+        """Guards against payouts that are aborted by a drain.
 
-        The caller will retry; a payout that is cut short would be "unknown".
+        The caller has disconnected and will retry. If the payout were aborted,
+        its outcome would be unknown.
         """
         async with (
-            builders.run_nodes(1, handler=self.wait) as (node,),
+            builders.run_nodes(1, handler=self.handle) as (node,),
             builders.open_client() as client,
         ):
             call = asyncio.create_task(
@@ -67,17 +72,19 @@
             draining = asyncio.create_task(node.proxy.drain(60))
             await asyncio.sleep(0)
             self.assertFalse(draining.done())
-            self.proceed.set()
+            self.may_answer.set()
             self.assertTrue(await draining)
 
-    async def test_call_of_a_request_in_flight(self) -> None:
-        """The caller gets its complete answer although the daemon drains.
+    async def test_nested_call_during_a_drain_is_served(self) -> None:
+        """Guards against calls that fail as their nested calls are refused.
 
-        The backend server makes a nested call for it through the draining
-        daemon. If that were refused as new work, the call in flight would fail.
+        The backend server makes a nested call through the draining daemon. If
+        that were refused as new work, the call in flight would fail.
         """
         async with (
-            builders.run_nodes(2, handler=self.nest) as nodes,
+            builders.run_nodes(
+                2, handler=self.handle_with_nested_call
+            ) as nodes,
             builders.open_client() as client,
         ):
             self.urls.append(nodes[0].url)
@@ -85,14 +92,15 @@
             await self.started.wait()
             draining = asyncio.create_task(nodes[0].proxy.drain(60))
             await asyncio.sleep(0)
-            self.proceed.set()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"sealed")
             self.assertTrue(await draining)
         self.assertEqual(nodes[1].served, [("GET", "/check")])
 
-    async def test_backend_server_that_leaves(self) -> None:
+    async def test_backend_server_that_announces_its_drain(self) -> None:
+        """Guards against new calls to a backend server that is stopping."""
         async with (
-            builders.run_nodes(1, handler=self.wait) as (node,),
+            builders.run_nodes(1, handler=self.handle) as (node,),
             builders.open_client() as client,
         ):
             call = asyncio.create_task(client.get(node.url + "/x"))
@@ -105,12 +113,12 @@
             )
             refused = await client.get(node.url + "/x")
             self.assertEqual(refused.headers[headers.OUTCOME], "not-run")
-            self.proceed.set()
+            self.may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
         self.assertEqual(len(node.served), 1)
 
-    async def test_draining_daemon_takes_no_work_for_others(self) -> None:
-        """Guards against drains that never end while callers keep coming."""
+    async def test_draining_daemon_refuses_new_calls(self) -> None:
+        """Guards against drains that never end as new calls arrive."""
         async with (
             builders.run_nodes(2) as nodes,
             builders.open_client() as client,
@@ -122,60 +130,61 @@
             answer = await client.get(nodes[1].url + "/x")
             self.assertEqual(answer.status, 200)
 
-    async def test_announcement_does_not_end_the_drain(self) -> None:
+    async def test_announcement_does_not_end_a_drain(self) -> None:
+        """Guards against new work after a heartbeat of the backend server."""
         async with builders.run_nodes(1) as (node,):
             backend = node.proxy.backend
             await node.proxy.drain(1)
             backend.announce("kassa", backend.address, 12, control_pb2.READY)
             self.assertEqual(backend.state, control_pb2.DRAINING)
 
-    async def test_timeout_of_the_drain(self) -> None:
+    async def test_drain_timeout(self) -> None:
+        """Guards against a drain that never ends as a call is stuck."""
         async with (
-            builders.run_nodes(1, handler=self.wait) as (node,),
+            builders.run_nodes(1, handler=self.handle) as (node,),
             builders.open_client() as client,
         ):
             call = asyncio.create_task(client.get(node.url + "/x"))
             await self.started.wait()
             self.assertFalse(await node.proxy.drain(0.01))
-            self.proceed.set()
+            self.may_answer.set()
             await call
 
-    async def test_caller_that_reads_slowly(self) -> None:
-        """A slow caller gets its whole bundle although the daemon stops.
+    async def test_drain_flushes_answers_to_slow_callers(self) -> None:
+        """Guards against downloads of slow callers that a stop truncates.
 
         The daemon has received the last bytes from the backend server, but has
-        not yet passed all of them to the operating system, as the connection of
-        the caller is slow. Bytes that a process still holds when it ends are
-        lost, and the bundle would be truncated.
+        not yet written all of them to the socket, as the connection of the
+        caller is slow. Bytes in the buffers of a process that ends are lost.
         """
         async with builders.run_nodes(1) as (node,):
-            bundle = builders.Bundle(node)
-            node.use_handler(bundle.send)
-            reader, writer = await bundle.ask()
-            await bundle.wait_until_held_back()
+            download = builders.Bundle(node)
+            node.use_handler(download.send)
+            reader, writer = await download.ask()
+            await download.wait_until_held_back()
             draining = asyncio.create_task(node.proxy.drain(60))
             await asyncio.sleep(0)
             reading = asyncio.create_task(reader.read())
             self.assertTrue(await draining)
             for transport in node.list_transports():
-                # Like the end of the process.
+                # Drops the buffered bytes, as the end of the process would.
                 transport.abort()
             received = await reading
             writer.close()
-        # The bundle consists of zero bytes; nothing else that is sent does.
-        self.assertEqual(received.count(0), bundle.length)
+        # The download consists of zero bytes, which occur nowhere else.
+        self.assertEqual(received.count(0), download.length)
         self.assertTrue(received.endswith(b"\r\n0\r\n\r\n"))
 
-    async def test_nested_call_of_a_payout_without_caller(self) -> None:
-        """A nested call gets its complete answer although its payout has ended.
+    async def test_drain_waits_for_nested_calls_of_ended_payouts(self) -> None:
+        """Guards against nested calls that are cut off after their payout.
 
         The caller of the payout has disconnected, and the backend server ends
-        the payout before the nested call, which uses the same daemon.
+        the payout before its nested call through the same daemon has ended.
         """
 
         async def pay(request: web.BaseRequest) -> web.StreamResponse:
             if request.path == "/check":
-                return await self.wait(request)
+                return await self.handle(request)
             nested_headers = {
                 name: request.headers[name] for name in _NESTED_CALL_HEADERS
             }
@@ -193,7 +202,7 @@
             builders.open_client() as client,
         ):
             self.urls.append(node.url)
-            claims = node.proxy._local_runner.at_most_once.tasks
+            claimed_calls = node.proxy._local_runner.at_most_once.tasks
             call = asyncio.create_task(
                 client.post(
                     node.url + "/payouts",
@@ -208,25 +217,24 @@
             await asyncio.sleep(0)
             payout_may_end.set()
             await self.started.wait()
-            while claims:
+            while claimed_calls:
                 await asyncio.sleep(0)
             await asyncio.sleep(0)
             self.assertFalse(draining.done())
-            self.proceed.set()
+            self.may_answer.set()
             answer = await nested[0]
             self.assertEqual(await answer.read(), b"whole")
             self.assertTrue(await draining)
 
     async def test_connections_are_closed_after_their_answers(self) -> None:
-        """Callers send their next request to a daemon that is not stopping.
+        """Guards against requests that are sent just before the daemon stops.
 
-        The daemon drains while a caller waits on a kept connection. If the
-        connection stayed open after the answer, it would be cut at the end of
-        the drain, possibly just after the caller has sent a payout over it,
-        whose outcome would be unknown.
+        If a connection stayed open after its answer, it would be closed at the
+        end of the drain, possibly just after the caller has sent a payout over
+        it, the outcome of which would be unknown.
         """
         async with (
-            builders.run_nodes(1, handler=self.wait) as (node,),
+            builders.run_nodes(1, handler=self.handle) as (node,),
             builders.open_client() as client,
         ):
             call = asyncio.create_task(client.get(node.url + "/x"))
@@ -235,7 +243,7 @@
             await asyncio.sleep(0)
             refused = await client.get(node.url + "/x")
             self.assertEqual(refused.headers["Connection"], "close")
-            self.proceed.set()
+            self.may_answer.set()
             answer = await call
             self.assertEqual(answer.headers["Connection"], "close")
             self.assertEqual(await answer.read(), b"whole")
--- a/tests/requests/serving/test_path.py
+++ b/tests/requests/serving/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of ordinary requests through one and through two daemons."""
+"""Tests of the forwarding of requests through one daemon and through two."""
 
 from __future__ import annotations
 
@@ -14,10 +14,15 @@
 from tests.requests import builders
 
 
-class PathTest(unittest.IsolatedAsyncioTestCase):
-    """Requests reach a backend server and their answers come back."""
+class ForwardingTest(unittest.IsolatedAsyncioTestCase):
+    """Requests to kassa, the service of the backend servers in these tests.
 
-    async def test_local_backend(self) -> None:
+    A call to a remote backend server is tested by removing the backend server
+    of the local node, the first of the upstreams, from the table.
+    """
+
+    async def test_call_to_the_local_backend_server(self) -> None:
+        """Guards against requests or answers that are changed on the way."""
         async with builders.run_nodes(1) as (node,):
             async with builders.open_client() as client:
                 answer = await client.post(node.url + "/x?y=1", data=b"in")
@@ -25,17 +30,20 @@
             self.assertEqual(answer.headers["X-Backend"], "yes")
             self.assertEqual(node.served, [("POST", "/x?y=1")])
 
-    async def test_remote_backend(self) -> None:
-        async with builders.run_nodes(2) as (near, far):
-            near.proxy.backend.announce("kassa", "127.0.0.1:1", 0)
-            upstreams = near.table.upstreams
+    async def test_call_to_a_remote_backend_server(self) -> None:
+        """Guards against requests or answers changed between two daemons."""
+        async with builders.run_nodes(2) as (local_node, remote_node):
+            # No slot, and a port on which nothing listens.
+            local_node.proxy.backend.announce("kassa", "127.0.0.1:1", 0)
+            upstreams = local_node.table.upstreams
             upstreams["kassa"] = upstreams["kassa"][1:]
             async with builders.open_client() as client:
-                answer = await client.post(near.url + "/x", data=b"in")
+                answer = await client.post(local_node.url + "/x", data=b"in")
                 self.assertEqual(await answer.read(), b"ok:in")
-            self.assertEqual(far.served, [("POST", "/x")])
+            self.assertEqual(remote_node.served, [("POST", "/x")])
 
     async def test_large_bodies_in_both_directions(self) -> None:
+        """Guards against bodies that are corrupted as they are streamed."""
         content = os.urandom(3_000_000)
 
         async def echo(request: web.BaseRequest) -> web.StreamResponse:
@@ -55,11 +63,11 @@
             )
             self.assertEqual(await answer.read(), content)
 
-    async def test_caller_that_waits_before_it_sends_its_body(self) -> None:
-        """The caller gets "100 Continue", and then its answer.
+    async def test_caller_that_waits_for_100_continue(self) -> None:
+        """Guards against callers that wait for "100 Continue" in vain.
 
-        It sends its headers with "Expect: 100-continue" and waits. Without that
-        response it would wait until the daemon refuses its body as incomplete.
+        Without that response a caller that sends "Expect: 100-continue" would
+        wait until the daemon refuses its body as incomplete.
         """
         async with builders.run_nodes(1) as (node,):
             reader, writer = await asyncio.open_connection(
@@ -79,14 +87,13 @@
         self.assertTrue(answer.endswith(b"ok:in"))
 
     async def test_truncated_answer_does_not_look_complete(self) -> None:
-        """The caller gets an error, never half an answer that looks complete.
+        """Guards against half an answer that looks complete.
 
         The backend server sends a part of a chunked body and is then killed.
-        If the daemon ended the chunked body cleanly, half of it would look
-        complete.
+        The daemon must not send the final chunk to the caller.
         """
 
-        async def cut(request: web.BaseRequest) -> web.StreamResponse:
+        async def send_half(request: web.BaseRequest) -> web.StreamResponse:
             answer = web.StreamResponse()
             await answer.prepare(request)
             await answer.write(b"half")
@@ -95,21 +102,23 @@
             return answer
 
         async with (
-            builders.run_nodes(1, handler=cut) as (node,),
+            builders.run_nodes(1, handler=send_half) as (node,),
             builders.open_client() as client,
         ):
             answer = await builders.fetch(client, node.url + "/x")
             self.assertIsNone(answer)
 
-    async def test_caller_that_leaves_ends_the_work(self) -> None:
-        """A disconnect reaches the backend server through two daemons.
+    async def test_disconnect_cancels_the_call_at_the_backend_server(
+        self,
+    ) -> None:
+        """Guards against slots that are occupied by calls without a caller.
 
-        If the call went on without its caller, it would hold a slot in vain.
+        The disconnect has to reach the backend server through two daemons.
         """
         started = asyncio.Event()
         ended = asyncio.Event()
 
-        async def wait(request: web.BaseRequest) -> web.StreamResponse:
+        async def handle(request: web.BaseRequest) -> web.StreamResponse:
             started.set()
             try:
                 await asyncio.Event().wait()
@@ -117,19 +126,25 @@
                 ended.set()
             return web.Response()
 
-        async with builders.run_nodes(2, handler=wait) as (near, far):
-            upstreams = near.table.upstreams
+        async with builders.run_nodes(2, handler=handle) as (
+            local_node,
+            remote_node,
+        ):
+            upstreams = local_node.table.upstreams
             upstreams["kassa"] = upstreams["kassa"][1:]
             async with builders.open_client() as client:
-                call = asyncio.create_task(client.get(near.url + "/x"))
+                call = asyncio.create_task(client.get(local_node.url + "/x"))
                 await started.wait()
                 call.cancel()
                 await ended.wait()
-            while near.proxy.in_flight or far.proxy.in_flight:
+            while local_node.proxy.in_flight or remote_node.proxy.in_flight:
                 await asyncio.sleep(0)
 
     async def test_deadline_is_propagated(self) -> None:
-        """Backend servers get the remaining time of the first caller."""
+        """Guards against work that continues after the caller's deadline.
+
+        Backend servers get the remaining time of the call as a header.
+        """
         remaining_ms: list[int] = []
 
         async def record_deadline(
@@ -138,23 +153,30 @@
             remaining_ms.append(int(request.headers[headers.DEADLINE]))
             return web.Response()
 
-        async with builders.run_nodes(2, handler=record_deadline) as (near, _):
-            upstreams = near.table.upstreams
+        async with builders.run_nodes(2, handler=record_deadline) as (
+            local_node,
+            _,
+        ):
+            upstreams = local_node.table.upstreams
             upstreams["kassa"] = upstreams["kassa"][1:]
             async with builders.open_client() as client:
                 for sent_headers in ({}, {headers.DEADLINE: "700"}):
-                    await client.get(near.url + "/x", headers=sent_headers)
-        # The class allows 5 s.
+                    await client.get(
+                        local_node.url + "/x", headers=sent_headers
+                    )
+        # The class of work has a deadline of 5 s.
         self.assertLessEqual(remaining_ms[0], 5000)
         self.assertGreater(remaining_ms[0], 700)
         self.assertLessEqual(remaining_ms[1], 700)
 
-    async def test_killed_daemon_shows_no_half_answer(self) -> None:
-        """An HTTP/1.0 caller gets a reset, not an answer that looks complete.
+    async def test_answer_of_a_killed_daemon_does_not_look_complete(
+        self,
+    ) -> None:
+        """Guards against half an answer that looks complete over HTTP/1.0.
 
-        For such a caller only the close of the connection marks the end of an
-        answer without a length. The daemon is killed during the answer, and the
-        operating system closes its connections.
+        There only the close of the connection marks the end of an answer
+        without a length. The daemon is killed during the answer, and the
+        operating system closes its connections. They must be reset instead.
         """
         started = asyncio.Event()
 
@@ -175,7 +197,8 @@
             async with asyncio.timeout(builders.GUARD_S):
                 await reader.readuntil(b"half")
                 for transport in node.list_transports():
-                    # Closes without action of the daemon, like a kill.
+                    # Closes the socket without any action of the daemon, as
+                    # a kill would.
                     transport.abort()
                 with self.assertRaises(ConnectionResetError):
                     await reader.read()
@@ -184,7 +207,7 @@
     async def test_complete_answer_to_an_http_1_0_caller(self) -> None:
         """Guards against connections that are reset after a complete answer.
 
-        The reset is only meant to mark the answer of a killed daemon.
+        A reset must only mark a truncated answer of a killed daemon.
         """
         content = os.urandom(3_000_000)
 
@@ -205,7 +228,13 @@
             writer.close()
         self.assertTrue(answer.endswith(b"\r\n\r\n" + content))
 
-    async def test_closed_daemon_refuses_as_not_run(self) -> None:
+    async def test_daemon_without_configuration_refuses_as_not_run(
+        self,
+    ) -> None:
+        """Guards against calls served by rules that may be out of date.
+
+        The daemon has no active configuration, as it knows no minimum version.
+        """
         async with (
             builders.run_nodes(1) as (node,),
             builders.open_client() as client,
@@ -220,6 +249,7 @@
             self.assertEqual(node.served, [])
 
     async def test_unknown_service_and_class(self) -> None:
+        """Guards against forwarding of requests that match no class of work."""
         async with (
             builders.run_nodes(1) as (node,),
             builders.open_client() as client,
@@ -231,7 +261,8 @@
                 self.assertIn(answer.status, (400, 404))
             self.assertEqual(node.served, [])
 
-    async def test_no_backend_server_announced(self) -> None:
+    async def test_service_without_upstreams(self) -> None:
+        """Guards against an error that does not state that nothing ran."""
         node = builders.Node()
         async with node, builders.open_client() as client:
             await node.start()
@@ -240,16 +271,17 @@
             self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
 
     async def test_drain_waits_for_the_answer_in_flight(self) -> None:
+        """Guards against answers that are cut off by a drain."""
         started = asyncio.Event()
-        proceed = asyncio.Event()
+        may_answer = asyncio.Event()
 
-        async def wait(request: web.BaseRequest) -> web.StreamResponse:
+        async def handle(request: web.BaseRequest) -> web.StreamResponse:
             started.set()
-            await proceed.wait()
+            await may_answer.wait()
             return web.Response(body=b"whole")
 
         async with (
-            builders.run_nodes(1, handler=wait) as (node,),
+            builders.run_nodes(1, handler=handle) as (node,),
             builders.open_client() as client,
         ):
             call = asyncio.ensure_future(client.get(node.url + "/x"))
@@ -259,15 +291,15 @@
             refused = await client.get(node.url + "/x")
             self.assertEqual(refused.headers[headers.OUTCOME], "not-run")
             self.assertFalse(drain.done())
-            proceed.set()
+            may_answer.set()
             self.assertEqual(await (await call).read(), b"whole")
             self.assertTrue(await drain)
 
-    async def test_stop_cuts_calls_still_in_flight(self) -> None:
-        """A daemon stops although a call is still in flight after the drain.
+    async def test_stop_aborts_calls_still_in_flight(self) -> None:
+        """Guards against a stop that waits for a call after the drain.
 
-        Otherwise the platform would kill it in the end, and its leases and
-        member records would be left behind.
+        The platform would kill the daemon in the end, and its leases and member
+        records would not be removed.
         """
         started = asyncio.Event()
 
