--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -1,4 +1,4 @@
-"""Tests of at-most-once execution under any sequence of faults."""
+"""Tests of at-most-once execution under arbitrary sequences of faults."""
 
 from __future__ import annotations
 
@@ -15,7 +15,18 @@
 from tests.requests import interleaving
 
 _DAEMON = strategies.integers(0, 2)
-# Kind of an action, its weight, and the values of its detail.
+# Kinds of actions, each with its weight and the values of its argument. Each
+# action also has the number of a daemon, which some kinds do not use. The kinds
+# are, with their arguments:
+#   send: a caller sends a payout to the daemon; 1 or 0 for the key "a" or "b"
+#   release: a waiting step of the daemon continues; the index of the step
+#   crash: the daemon is replaced by one without state
+#   freeze: the daemon is suspended, or resumed if it is suspended
+#   fault: a later store request fails; index in _FAULTS
+#   late: the store executes the writes that were delayed by `Fault.LATE`
+#   fate: result of a later request at a backend server; index in
+#       _BACKEND_RESULTS
+#   wait: time passes; seconds
 _ACTION_KINDS: list[tuple[str, int, list[int]]] = [
     ("send", 4, [1, 1, 1, 0]),
     ("release", 8, [0, 0, 1, 2]),
@@ -28,17 +39,21 @@
 ]
 _ACTION = strategies.sampled_from(
     [
-        (kind, detail)
-        for kind, weight, details in _ACTION_KINDS
+        # Each kind has as many entries for each unit of its weight, regardless
+        # of the number of its arguments.
+        (kind, argument)
+        for kind, weight, arguments in _ACTION_KINDS
         for _ in range(weight)
-        for detail in details * (12 // len(details))
+        for argument in arguments * (12 // len(arguments))
     ]
 ).flatmap(
-    lambda choice: strategies.tuples(
-        strategies.just(choice[0]), _DAEMON, strategies.just(choice[1])
+    lambda kind_and_argument: strategies.tuples(
+        strategies.just(kind_and_argument[0]),
+        _DAEMON,
+        strategies.just(kind_and_argument[1]),
     )
 )
-_FATES = ("answered", "refused", "broken")
+_BACKEND_RESULTS = ("answered", "refused", "broken")
 _FAULTS = list(fakes.Fault)
 # Minimum time for which a claim is kept, in seconds.
 _MIN_CLAIM_LIFETIME_S = 23 * 3600
@@ -47,25 +62,32 @@
 async def simulate(
     actions: list[tuple[str, int, int]],
 ) -> interleaving.World:
-    """Simulates actions on three daemons, then lets all calls end."""
+    """Simulates actions on three daemons, then lets all calls end.
+
+    Args:
+        actions: Kind, daemon number and argument of each action.
+
+    Returns:
+        The final state of the simulation.
+    """
     world = interleaving.World()
-    for kind, number, detail in actions:
+    for kind, number, argument in actions:
         if kind == "send":
-            world.send(number, "a" if detail else "b")
+            world.send(number, "a" if argument else "b")
         elif kind == "release":
-            world.release(number, detail)
+            world.release(number, argument)
         elif kind == "crash":
             world.crash(number)
         elif kind == "freeze":
             world.daemons[number].frozen ^= True
         elif kind == "fault":
-            world.store.faults.append(_FAULTS[detail])
+            world.store.faults.append(_FAULTS[argument])
         elif kind == "late":
             world.store.deliver_late()
         elif kind == "fate":
-            world.fates.append(_FATES[detail])
+            world.fates.append(_BACKEND_RESULTS[argument])
         else:
-            world.store.now += detail
+            world.store.now += argument
         await world.settle()
     await world.finish()
     await world.close()
@@ -73,35 +95,41 @@
 
 
 class InterleavingTest(unittest.TestCase):
-    """Lost answers, resends, crashes, pauses, late writes, expired leases."""
+    """Payouts that are sent several times, during faults of store and daemons.
+
+    The faults are lost answers and late writes of the store, expired leases,
+    and crashes and pauses of daemons. A payout must run at most once while its
+    claim is valid. A caller may be told that its payout did not run only if
+    that is true.
+    """
 
     @hypothesis.settings(max_examples=400, deadline=None)
     @hypothesis.given(strategies.lists(_ACTION, max_size=60))
-    def test_at_most_once_and_honest(
+    def test_runs_at_most_once_and_reports_not_run_only_if_true(
         self, actions: list[tuple[str, int, int]]
     ) -> None:
         world = asyncio.run(simulate(actions))
         for key in ("a", "b"):
-            times = sorted(run.at for run in world.runs if run.key == key)
-            for earlier, later in zip(times, times[1:], strict=False):
+            run_times = sorted(run.at for run in world.runs if run.key == key)
+            for earlier, later in zip(run_times, run_times[1:], strict=False):
                 self.assertGreater(later - earlier, _MIN_CLAIM_LIFETIME_S)
-        ran = {run.sending for run in world.runs}
-        for sending, (_, outcome) in world.results.items():
+        run_numbers = {run.sending for run in world.runs}
+        for number, (_, outcome) in world.results.items():
             if isinstance(outcome, outcomes.NotRun):
-                self.assertNotIn(sending, ran)
+                self.assertNotIn(number, run_numbers)
 
-    def test_every_sending_ends(self) -> None:
+    def test_every_request_gets_an_outcome(self) -> None:
         actions = [("send", number, 1) for number in (0, 1, 2, 0)]
         world = asyncio.run(simulate(actions))
         self.assertEqual(len(world.runs), 1)
         self.assertEqual(len(world.results), 4)
 
     def test_released_claim_is_taken_over(self) -> None:
-        """The second sending runs, as the first one provably did not.
+        """Guards against payouts that never run after a late write of a claim.
 
-        The first daemon gives up because the store is slow, and its write takes
-        effect afterwards. In reply to a recall it states that it will never run
-        the request.
+        The first daemon gives up its request as the store is slow, and its
+        claim is written afterwards. In reply to a recall by the second daemon
+        it confirms that it will never run the payout.
         """
         world = asyncio.run(
             simulate(
@@ -120,13 +148,13 @@
         self.assertIsInstance(world.results[0][1], outcomes.NotRun)
         self.assertEqual([run.sending for run in world.runs], [1])
 
-    def test_read_after_a_lost_answer_is_stale(self) -> None:
-        """The second sending runs, the first never does.
+    def test_stale_read_after_a_lost_answer(self) -> None:
+        """Guards against a payout that runs twice, or never, by a stale read.
 
         The claim of the first daemon is written, but the answer of the store is
-        lost. The daemon reads the claim to resolve it, but gets the state from
-        before the write, which shows no claim. It gives up its claim, and says
-        so when the second daemon recalls it.
+        lost. The daemon reads the claim to learn whether it was written, and
+        gets the state from before the write. It releases the claim, and
+        confirms this in reply to a recall by the second daemon.
         """
         world = asyncio.run(
             simulate(
@@ -144,27 +172,29 @@
         self.assertIsInstance(world.results[0][1], outcomes.NotRun)
         self.assertEqual([run.sending for run in world.runs], [1])
 
-    def test_holder_is_silent_or_has_forgotten(self) -> None:
-        """The second caller gets "unknown"; nothing runs twice.
+    def test_claim_owner_is_frozen_or_replaced(self) -> None:
+        """Guards against a second run of a payout whose outcome is lost.
 
-        The first daemon freezes, or is replaced, while its backend server runs
-        the payout. Nobody knows then whether it ran.
+        The first daemon is suspended or replaced while its backend server runs
+        the payout. No daemon knows then whether it ran, so the second caller
+        gets "unknown".
         """
-        first_sending = [("send", 0, 1), *[("release", 0, 0)] * 3]
-        second_sending = [("send", 1, 1), *[("release", 1, 0)] * 4]
+        first_request = [("send", 0, 1), *[("release", 0, 0)] * 3]
+        second_request = [("send", 1, 1), *[("release", 1, 0)] * 4]
         for fault in ("freeze", "crash"):
             world = asyncio.run(
-                simulate([*first_sending, (fault, 0, 0), *second_sending])
+                simulate([*first_request, (fault, 0, 0), *second_request])
             )
             self.assertIsInstance(world.results[1][1], outcomes.Unknown)
             self.assertEqual([run.sending for run in world.runs], [0])
 
 
-class ThawTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon that was frozen after its claim checks before it forwards.
+class ClaimCheckAfterPauseTest(unittest.IsolatedAsyncioTestCase):
+    """Checks of a claim after its daemon was suspended before forwarding.
 
-    In the meantime its caller got "unknown", or its claim has expired and the
-    same payout has run elsewhere. Each check alone suffices for its case.
+    They guard against a second run of a payout. During the pause the caller may
+    have got "unknown" at its deadline and retried, or the claim may have
+    expired and the payout may have run elsewhere. Each check is tested alone.
     """
 
     async def asyncSetUp(self) -> None:
@@ -175,34 +205,40 @@
             self.claims.acquire(self.call, "claims/1", 0)
         )
         await self.world.finish()
-        held = await acquiring
-        assert isinstance(held, claims.HeldClaim)
-        self.held = held
+        held_claim = await acquiring
+        assert isinstance(held_claim, claims.HeldClaim)
+        self.held_claim = held_claim
 
     async def check(self) -> outcomes.NotRun | None:
-        checking = asyncio.create_task(self.claims.check(self.held, self.call))
+        """Returns why the call must not be forwarded; None if it may be."""
+        checking = asyncio.create_task(
+            self.claims.check(self.held_claim, self.call)
+        )
         await self.world.finish()
         return await checking
 
-    async def test_nothing_happened(self) -> None:
+    async def test_valid_claim_passes(self) -> None:
+        # After a minute the claim is read from the store again.
         self.world.store.now += 60
         self.assertIsNone(await self.check())
 
-    async def test_deadline_has_passed(self) -> None:
+    async def test_passed_deadline_is_refused(self) -> None:
         self.call.deadline = 1.0
         self.world.store.now += 2
         refusal = await self.check()
         assert refusal is not None
         self.assertIn("deadline", refusal.reason)
 
-    async def test_claim_is_gone(self) -> None:
-        await self.world.store.delete("claims/1", self.held.revision)
+    async def test_deleted_claim_is_refused(self) -> None:
+        await self.world.store.delete("claims/1", self.held_claim.revision)
         self.world.store.now += 60
         refusal = await self.check()
         assert refusal is not None
         self.assertIn("not there", refusal.reason)
 
-    async def test_claim_may_expire_any_moment(self) -> None:
+    async def test_expiring_claim_is_refused(self) -> None:
+        # Claims are kept for at least 23 h, and may be deleted at any time
+        # after that.
         self.world.store.now += 23.5 * 3600
         refusal = await self.check()
         assert refusal is not None
