--- a/tests/requests/serving/test_bad_input.py
+++ b/tests/requests/serving/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Tests that malformed requests of callers get an error and go no further."""
+"""Tests of malformed, incomplete and stalled HTTP exchanges."""
 
 from __future__ import annotations
 
@@ -58,10 +58,13 @@
 
 
 class BadInputTest(unittest.IsolatedAsyncioTestCase):
-    """Raw bytes are sent to the caller port."""
+    """Raw bytes that are sent to the caller port or by a backend server."""
 
-    async def exchange(self, port: int, sent: bytes) -> bytes:
-        """Sends bytes, closes the sending side, and returns all received."""
+    async def send_and_receive(self, port: int, sent: bytes) -> bytes:
+        """Sends bytes, and returns all received bytes.
+
+        The sending side is closed after the JSON body of an error.
+        """
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(sent)
         try:
@@ -73,17 +76,24 @@
             writer.transport.abort()
 
     async def test_malformed_requests(self) -> None:
+        """Guards against malformed requests that are forwarded.
+
+        Backend servers may parse them differently from the daemon, for example
+        as two requests. Each must get exactly one answer.
+        """
         async with builders.run_nodes(1) as (node,):
             for name, sent in _MALFORMED.items():
                 with self.subTest(name):
-                    answer = await self.exchange(node.proxy.caller_port, sent)
+                    answer = await self.send_and_receive(
+                        node.proxy.caller_port, sent
+                    )
                     self.assertRegex(answer, rb"^HTTP/1.[01] (400|404) ")
                     self.assertIn(b"Merlintrestle-Outcome: not-run", answer)
                     self.assertEqual(answer.count(b"HTTP/1."), 1)
             self.assertEqual(node.served, [])
 
     async def test_incomplete_small_body(self) -> None:
-        """No part of an incomplete small body reaches the backend server."""
+        """Guards against forwarding of a payout whose body is incomplete."""
         async with builders.run_nodes(1) as (node,):
             for head in (b"Content-Length: 10", b"Transfer-Encoding: chunked"):
                 _, writer = await asyncio.open_connection(
@@ -101,15 +111,15 @@
             self.assertEqual(node.served, [])
 
     async def test_malformed_chunks(self) -> None:
-        """The caller gets an error at once, not only near its deadline.
+        """Guards against callers that get an error only near their deadline.
 
-        The headers are valid, so the call is in flight when its body turns
-        out to be malformed. The library reports that only after the call, and
-        the call would wait for the rest of the body until its deadline.
+        The headers are valid, so the call is in flight when its body turns out
+        to be malformed. The HTTP library reports that only after the call, and
+        the call would wait for the remaining body until its deadline.
         """
         plans = {"/": builders.build_plan(deadline_s=600.0)}
-        running = builders.build_snapshot(plans)
-        async with builders.run_nodes(1, running=running) as (node,):
+        active_snapshot = builders.build_snapshot(plans)
+        async with builders.run_nodes(1, running=active_snapshot) as (node,):
             for first_bytes in (b"", b"2\r\nab\r\n"):
                 reader, writer = await asyncio.open_connection(
                     "127.0.0.1", node.proxy.caller_port
@@ -127,11 +137,11 @@
                 writer.close()
 
     async def test_incomplete_large_body(self) -> None:
-        """The backend server sees a broken request, not a complete short one.
+        """Guards against half an upload that is stored as a complete one.
 
-        The beginning of the body is forwarded before it breaks off. If the
-        request were ended cleanly, half an upload would be stored as a complete
-        one.
+        The beginning of the body was forwarded before the caller disconnects or
+        sends a malformed chunk. The request to the backend server must be
+        aborted then, and not ended normally.
         """
         seen: asyncio.Queue[str] = asyncio.Queue()
 
@@ -151,7 +161,7 @@
             asyncio.timeout(builders.GUARD_S),
             builders.run_nodes(1, handler=read) as (node,),
         ):
-            for head, sent, rest in (
+            for head, sent, malformed_bytes in (
                 (b"Content-Length: 200000", b"x" * 100_000, b""),
                 (b"Transfer-Encoding: chunked", b"5\r\nhello\r\n", b""),
                 (
@@ -171,15 +181,15 @@
                     + sent
                 )
                 self.assertEqual(await seen.get(), "begun")
-                if rest:
-                    writer.write(rest)
+                if malformed_bytes:
+                    writer.write(malformed_bytes)
                 else:
                     writer.close()
                 self.assertEqual(await seen.get(), "broken")
                 writer.close()
 
     async def test_expect_100_continue(self) -> None:
-        """A caller that expects "100 Continue" gets it before it sends."""
+        """Guards against callers that wait for "100 Continue" in vain."""
         async with builders.run_nodes(1) as (node,):
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", node.proxy.caller_port
@@ -196,8 +206,11 @@
         self.assertTrue(interim.startswith(b"HTTP/1.1 100 "))
         self.assertTrue(answer.startswith(b"HTTP/1.1 200 "))
 
-    async def test_slow_sender(self) -> None:
-        """The caller is refused; it takes no slot of the backend server."""
+    async def test_stalled_request_body(self) -> None:
+        """Guards against slots occupied by callers that stop sending.
+
+        The caller is refused before its call gets a slot.
+        """
         plans = {"/": builders.build_plan(deadline_s=60.0)}
         with mock.patch.object(bodies, "STALL_TIMEOUT_S", 0.02):
             async with (
@@ -219,12 +232,13 @@
             self.assertIn(b"Merlintrestle-Outcome: not-run", answer)
             self.assertEqual(node.served, [])
 
-    async def test_caller_that_does_not_read(self) -> None:
-        """The connection of the caller is closed, and its slot is released.
+    async def test_caller_that_stops_reading(self) -> None:
+        """Guards against slots that are occupied by callers that stop reading.
 
-        The caller requests a bundle and then reads nothing; its host may be
-        gone. The daemon waits to write, and the slot would be held forever: as
-        many such callers as there are slots would block the backend server.
+        The caller requests a download and then reads nothing, for example as
+        its host has failed. If the daemon waited for it without a limit, the
+        slot would be occupied forever, and as many such callers as there are
+        slots would block the backend server. It closes the connection instead.
         """
 
         async def send(request: web.BaseRequest) -> web.StreamResponse:
@@ -249,7 +263,7 @@
                 writer.close()
 
     async def test_headers_that_never_end(self) -> None:
-        """Guards against connections that hold their buffers forever."""
+        """Guards against connections whose buffers are never freed."""
         with mock.patch.object(server, "FIRST_REQUEST_TIMEOUT_S", 0.02):
             async with builders.run_nodes(1) as (node,):
                 reader, writer = await asyncio.open_connection(
@@ -257,13 +271,14 @@
                 )
                 writer.write(b"GET /kassa/x HTTP/1.1\r\nHost: a\r\n")
                 async with asyncio.timeout(builders.GUARD_S):
-                    # It is reset if the daemon has not read all the headers.
+                    # The connection is reset if the daemon has not read all of
+                    # the headers.
                     with contextlib.suppress(ConnectionResetError):
                         self.assertEqual(await reader.read(), b"")
                 writer.close()
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
-        """Each request gets its own answer, in the order of sending."""
+        """Guards against pipelined requests whose answers are mixed up."""
 
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             return web.Response(text=f"<{request.path}>")
@@ -284,12 +299,13 @@
         self.assertNotIn(-1, positions)
         self.assertEqual(positions, sorted(positions))
 
-    async def test_answers_without_a_clear_end(self) -> None:
-        """The caller gets "ran", never half an answer that looks complete.
+    async def test_answers_whose_end_is_not_marked(self) -> None:
+        """Guards against half an answer that looks complete.
 
         The backend server marks the end of its answer only by closing the
-        connection, so that a truncated answer looks complete. A transfer
-        encoding whose last coding is not chunked marks no end either.
+        connection, so that a truncated answer would look complete. A transfer
+        encoding whose last coding is not chunked does not mark the end either.
+        The caller gets the outcome "ran" instead of such an answer.
         """
         sent = b""
 
@@ -305,8 +321,8 @@
             builders.run_nodes(1) as (node,),
             builders.open_client() as client,
         ):
-            plain = await asyncio.start_server(serve, "127.0.0.1", 0)
-            port = plain.sockets[0].getsockname()[1]
+            raw_server = await asyncio.start_server(serve, "127.0.0.1", 0)
+            port = raw_server.sockets[0].getsockname()[1]
             node.proxy.backend.announce("kassa", f"127.0.0.1:{port}", 12)
             for coding in (b"", b"identity", b"gzip", b"chunked, gzip"):
                 if coding:
@@ -316,10 +332,14 @@
                     self.assertEqual(answer.status, 502)
                     outcome = answer.headers["Merlintrestle-Outcome"]
                     self.assertEqual(outcome, "ran")
-            plain.close()
+            raw_server.close()
 
     async def test_internal_headers_from_outside_are_ignored(self) -> None:
-        """Callers can't choose a class, nor backend servers an outcome."""
+        """Guards against internal headers that are set from outside.
+
+        A caller could choose its class of work, and a backend server could
+        choose the outcome.
+        """
         seen: dict[str, str] = {}
 
         async def record_headers(
--- a/tests/requests/serving/test_smuggling.py
+++ b/tests/requests/serving/test_smuggling.py
@@ -1,4 +1,4 @@
-"""Tests of requests that try to smuggle another one past a daemon."""
+"""Tests of request smuggling, by which requests evade the rules of a daemon."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class SmugglingTest(unittest.IsolatedAsyncioTestCase):
-    """Raw requests that no well-behaved client sends."""
+    """Raw requests that only faulty or malicious clients send."""
 
     async def exchange(
         self, node: builders.Node, target: str, *lines: bytes
     ) -> bytes:
-        """Sends a POST without a body; returns the complete answer."""
+        """Sends a POST request without a body; returns the complete answer."""
         head = f"POST {target} HTTP/1.1\r\nHost: a\r\n".encode()
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", node.proxy.caller_port
@@ -38,9 +38,9 @@
     async def test_escaped_slash_after_the_service(self) -> None:
         """The caller is refused; nothing reaches the backend server.
 
-        "/kassa%2Flookup/payouts" decodes to a path in the class of lookups,
-        which may be repeated. The path after the first plain slash is that of a
-        payout, which the backend server would run without a claim.
+        "/kassa%2Flookup/payouts" decodes to a path of the class of lookups,
+        which may be repeated. But the path after the first unescaped slash is
+        that of a payout, which the backend server would run without a claim.
         """
         async with builders.run_nodes(1) as (node,):
             for target in ("/kassa%2Flookup/payouts/1", "/kassa%2Fx"):
@@ -60,19 +60,20 @@
                 self.assert_refused(answer, 400)
             self.assertEqual(node.served, [])
 
-    async def test_key_named_in_the_connection_header(self) -> None:
-        """The payout runs once.
+    async def test_idempotency_key_named_in_the_connection_header(self) -> None:
+        """Guards against a payout that runs twice.
 
-        Its caller names the key in "Connection", so that it could be removed
-        on the way. The first upstream breaks the connection after its backend
-        server ran the payout. The caller's daemon, which knows the key, retries
-        at the next upstream, which would run the payout without a claim.
+        Its caller names the idempotency key in "Connection", so that the header
+        could be removed between daemons. The first upstream breaks the
+        connection after its backend server has run the payout. The caller's
+        daemon, which knows the key, retries at the next upstream, which would
+        run the payout without a claim.
         """
-        runs = 0
+        run_count = 0
 
         async def pay(request: web.BaseRequest) -> web.StreamResponse:
-            nonlocal runs
-            runs += 1
+            nonlocal run_count
+            run_count += 1
             assert request.transport is not None
             request.transport.abort()
             return web.Response()
@@ -81,24 +82,25 @@
         plans["/payouts"] = plans["/payouts"]._replace(key_required=False)
         running = builders.build_snapshot(plans)
         async with builders.run_nodes(3, handler=pay, running=running) as nodes:
-            first = nodes[0]
-            first.table.upstreams["kassa"] = tuple(
+            caller_node = nodes[0]
+            caller_node.table.upstreams["kassa"] = tuple(
                 node.build_upstream() for node in nodes[1:]
             )
             await self.exchange(
-                first,
+                caller_node,
                 "/kassa/payouts/1",
                 b"Idempotency-Key: k",
                 b"Connection: idempotency-key",
             )
-        self.assertEqual(runs, 1)
+        self.assertEqual(run_count, 1)
 
-    async def test_key_that_is_not_ascii(self) -> None:
-        """The caller is refused instead of getting "unknown".
+    async def test_idempotency_key_that_is_not_ascii(self) -> None:
+        """Guards against two payouts that are treated as the same payout.
 
-        A byte that is not ASCII is lost between daemons: two payouts whose
-        keys differ only in it would be treated as one, and the second seller
-        would get the answer of the first one.
+        Bytes that are not ASCII are lost between daemons. If keys with such
+        bytes were accepted, two payouts whose keys differ only in them would be
+        treated as the same, and the second seller would get the answer to the
+        first one. The caller is refused as not run instead of as unknown.
         """
         async with builders.run_nodes(1) as (node,):
             for key in (b"k\xe9", b"k\xc3\xa9"):
@@ -109,22 +111,26 @@
             self.assertEqual(node.served, [])
 
     async def test_body_whose_length_is_not_forwarded(self) -> None:
-        """The backend server gets one request, with its complete body.
+        """Guards against a body that is parsed as another request.
 
         A caller can name Content-Length in "Connection", so that it is not
-        forwarded, and a chunked body has none. If the request were forwarded
-        without either, its body would be parsed as the next request on the
-        connection.
+        forwarded, and a chunked request has no such header. If the request were
+        forwarded with neither header, the backend server would parse its body
+        as the next request on the connection.
         """
         smuggled = b"GET /payouts HTTP/1.1\r\nHost: a\r\n\r\n"
-        long_body = smuggled + bytes(bodies.MAX_BUFFERED_BYTES)
+        streamed_body = smuggled + bytes(bodies.MAX_BUFFERED_BYTES)
         for target in ("/kassa/x", "/kassa/payouts/1"):
-            for body in (smuggled, long_body):
+            for body in (smuggled, streamed_body):
                 with self.subTest(target, length=len(body)):
-                    await self.send_unusual(target, body)
+                    await self.check_body_framing(target, body)
 
-    async def send_unusual(self, target: str, body: bytes) -> None:
-        """Sends a body with its length hidden, and again as one chunk."""
+    async def check_body_framing(self, target: str, body: bytes) -> None:
+        """Checks that the backend server gets a body of a request completely.
+
+        The body is sent with Content-Length named in "Connection", and then as
+        one chunk.
+        """
         bodies_received: list[bytes] = []
 
         async def serve(request: web.BaseRequest) -> web.StreamResponse:
