--- a/tests/requests/serving/test_deadlines.py
+++ b/tests/requests/serving/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Tests that running calls end at their deadlines, and not before."""
+"""Tests of the end of running calls at their deadlines."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from tests.requests import builders
 from tests.requests import relays
 
-_SHORT = builders.build_snapshot(builders.build_short_plans())
+_SHORT_DEADLINES = builders.build_snapshot(builders.build_short_plans())
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
-    """The backend server of another daemon runs a call."""
+    """A call that runs at the backend server of another daemon."""
 
     def setUp(self) -> None:
         self.cancelled_at: asyncio.Future[float] | None = None
 
-    async def work(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers quick calls, and runs others until they are cancelled."""
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answers "/quick" at once; runs other calls until cancelled."""
         if request.raw_path == "/quick":
             return web.Response(body=b"whole")
         loop = asyncio.get_running_loop()
@@ -36,28 +36,30 @@
             raise
         return web.Response()
 
-    async def test_call_keeps_its_deadline_after_a_full_link(
+    async def test_reserved_return_time_does_not_shorten_running_calls(
         self,
     ) -> None:
-        """Guards against calls cut short by the time of a return trip.
+        """Guards against running calls that are cancelled too early.
 
-        The link was full before, so the reserved return trip is long.
+        A part of the remaining time is reserved for the return trip of a
+        refusal. It is long here, as the link was full just before, but a call
+        that is running may use it.
         """
         loop = asyncio.get_running_loop()
         self.cancelled_at = loop.create_future()
         async with relays.run_nodes_after_full_link(
-            self.work, running=_SHORT
+            self.handle, running=_SHORT_DEADLINES
         ) as (nodes, client):
-            began = loop.time()
+            started_at = loop.time()
             answer = await client.get(nodes[0].url + "/slow")
             self.assertEqual(answer.status, 504)
-            ended = await self.cancelled_at
-        self.assertGreaterEqual(ended - began, builders.SHORT_S)
+            cancelled_at = await self.cancelled_at
+        self.assertGreaterEqual(cancelled_at - started_at, builders.SHORT_S)
 
-    async def test_story_shows_which_timeout_ended_a_call_and_when(
+    async def test_log_shows_which_timeout_ended_a_call_and_when(
         self,
     ) -> None:
-        """Guards against calls that end early but look late in the logs."""
+        """Guards against logs in which calls that end too early look late."""
         loop = asyncio.get_running_loop()
         self.cancelled_at = loop.create_future()
         fields_by_event: dict[str, dict[str, Any]] = {}
@@ -68,14 +70,18 @@
             fields_by_event.setdefault(event, fields)
 
         patch = mock.patch.object(stories.Story, "add", record_event)
-        async with relays.run_relayed_nodes(self.work, running=_SHORT) as (
+        async with relays.run_relayed_nodes(
+            self.handle, running=_SHORT_DEADLINES
+        ) as (
             nodes,
             _,
             client,
         ):
-            sent = {headers.DEADLINE: "500"}
+            deadline_header = {headers.DEADLINE: "500"}
             with patch:
-                await client.get(nodes[0].url + "/slow", headers=sent)
+                await client.get(
+                    nodes[0].url + "/slow", headers=deadline_header
+                )
         self.assertEqual(fields_by_event["routed"]["limit"], "caller")
         self.assertLessEqual(fields_by_event["tried"]["left_ms"], 0)
         self.assertLessEqual(fields_by_event["given up"]["left_ms"], 0)
--- a/tests/requests/serving/test_remaining_time.py
+++ b/tests/requests/serving/test_remaining_time.py
@@ -1,4 +1,4 @@
-"""Tests that work and answers may use all of the time until the deadline."""
+"""Tests of calls that need all of the time until their deadline."""
 
 from __future__ import annotations
 
@@ -17,68 +17,79 @@
 from tests.requests import builders
 from tests.requests import relays
 
-# Headers state deadlines in whole milliseconds.
+# Rounding of deadlines in headers, which state whole milliseconds.
 _ROUNDING_S = 0.001
-_SHORT = builders.build_snapshot(builders.build_short_plans())
+_SHORT_DEADLINES = builders.build_snapshot(builders.build_short_plans())
 _ARCHIVE = b"a" * 8_000_000
 
 
 class RemainingTimeTest(unittest.IsolatedAsyncioTestCase):
-    """A backend server that stops work at the deadline that it gets."""
+    """Calls of classes of work with a short deadline."""
 
     async def test_backend_server_gets_all_of_the_remaining_time(self) -> None:
-        """Guards against work that its backend server ends too early."""
+        """Guards against work that ends early as its stated deadline is early.
+
+        The time reserved for the return trip of a refusal must not be
+        subtracted from the deadline that the backend server gets.
+        """
         loop = asyncio.get_running_loop()
-        ends: list[float] = []
+        deadlines: list[float] = []
 
         async def record_deadline(
             request: web.BaseRequest,
         ) -> web.StreamResponse:
             remaining_s = int(request.headers[headers.DEADLINE]) / 1000
-            ends.append(loop.time() + remaining_s)
+            deadlines.append(loop.time() + remaining_s)
             return web.Response()
 
         async with relays.run_nodes_after_full_link(
-            record_deadline, running=_SHORT
+            record_deadline, running=_SHORT_DEADLINES
         ) as (
             nodes,
             client,
         ):
             for method, path in (("GET", "/x"), ("POST", "/payouts/1")):
                 with self.subTest(path=path):
-                    began = loop.time()
+                    started_at = loop.time()
                     await client.request(method, nodes[0].url + path)
                     self.assertGreaterEqual(
-                        ends[-1], began + builders.SHORT_S - _ROUNDING_S
+                        deadlines[-1],
+                        started_at + builders.SHORT_S - _ROUNDING_S,
                     )
 
-    async def test_claimed_payout_is_waited_for_until_the_deadline(
+    async def test_claimed_payout_may_run_until_the_deadline(
         self,
     ) -> None:
         """Guards against claimed work reported "still running" too early."""
         loop = asyncio.get_running_loop()
 
-        async def work(request: web.BaseRequest) -> web.StreamResponse:
+        async def handle(request: web.BaseRequest) -> web.StreamResponse:
             if request.raw_path != "/quick":
                 await asyncio.sleep(1.5 * builders.SHORT_S)
             return web.Response()
 
-        async with relays.run_nodes_after_full_link(work, running=_SHORT) as (
+        async with relays.run_nodes_after_full_link(
+            handle, running=_SHORT_DEADLINES
+        ) as (
             nodes,
             client,
         ):
-            began = loop.time()
+            started_at = loop.time()
             answer = await client.post(
                 nodes[0].url + "/payouts/1",
                 headers={headers.IDEMPOTENCY_KEY: "k"},
             )
-            self.assertGreaterEqual(loop.time() - began, builders.SHORT_S)
+            self.assertGreaterEqual(loop.time() - started_at, builders.SHORT_S)
         self.assertEqual(answer.status, 504)
 
-    async def test_answer_that_arrives_while_the_event_loop_is_blocked(
+    async def test_answer_received_while_the_event_loop_is_blocked(
         self,
     ) -> None:
-        """Guards against complete answers that are dropped as late."""
+        """Guards against complete answers that are discarded as late.
+
+        The answer arrives before the deadline, but the daemon sees it only
+        afterwards.
+        """
 
         async def answer_and_block(
             request: web.BaseRequest,
@@ -92,9 +103,9 @@
             return answer
 
         async with (
-            builders.run_nodes(1, handler=answer_and_block, running=_SHORT) as (
-                node,
-            ),
+            builders.run_nodes(
+                1, handler=answer_and_block, running=_SHORT_DEADLINES
+            ) as (node,),
             builders.open_client() as client,
         ):
             answer = await client.get(node.url + "/x")
@@ -103,18 +114,22 @@
             )
 
 
-class SlowCallerTest(unittest.IsolatedAsyncioTestCase):
-    """A caller reads a long answer from another daemon, with a pause."""
+class SlowReaderTest(unittest.IsolatedAsyncioTestCase):
+    """A caller that pauses while it reads a long answer of another daemon."""
+
+    async def test_slow_reader_is_not_taken_for_a_silent_peer(self) -> None:
+        """Guards against truncated answers to callers that read slowly.
 
-    async def test_pause_of_a_caller_is_no_silence_of_the_peer(self) -> None:
-        """Guards against answers cut while the caller's daemon doesn't read."""
+        While a caller does not read, its daemon stops reading from the peer.
+        It must not take that for a silent connection.
+        """
         probed = asyncio.Semaphore(0)
         ask = probes.ask
 
         async def count_probe(*arguments: Any) -> probes.ProbeResult:
-            view = await ask(*arguments)
+            result = await ask(*arguments)
             probed.release()
-            return view
+            return result
 
         async def send(request: web.BaseRequest) -> web.StreamResponse:
             answer = web.StreamResponse()
@@ -150,11 +165,15 @@
     node: builders.Node,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Requests an archive over a connection with a small receive buffer."""
-    sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    sock.setblocking(False)
+    receiving_socket = socket.socket()
+    receiving_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+    receiving_socket.setblocking(False)
     loop = asyncio.get_running_loop()
-    await loop.sock_connect(sock, ("127.0.0.1", node.proxy.caller_port))
-    reader, writer = await asyncio.open_connection(sock=sock, limit=65536)
+    await loop.sock_connect(
+        receiving_socket, ("127.0.0.1", node.proxy.caller_port)
+    )
+    reader, writer = await asyncio.open_connection(
+        sock=receiving_socket, limit=65536
+    )
     writer.write(b"GET /kassa/archive HTTP/1.1\r\nHost: a\r\n\r\n")
     return reader, writer
--- a/tests/requests/serving/test_sessions.py
+++ b/tests/requests/serving/test_sessions.py
@@ -1,4 +1,4 @@
-"""Tests of whole sessions against golden files in tests/roots/requests."""
+"""Tests that compare session logs with golden files in tests/roots/requests."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.requests import builders
 from tests.requests import sessions
 
-_KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
-_HALF = b"x" * 100_000
+_KEY_HEADERS = {headers.IDEMPOTENCY_KEY: "ticket-7"}
+_HALF_ARCHIVE = b"x" * 100_000
 
 
 class SessionsTest(unittest.IsolatedAsyncioTestCase):
-    """Each test runs a session and compares its log with the golden file."""
+    """Each test logs what callers and backend servers see in a session."""
 
     def setUp(self) -> None:
         self.session = sessions.Session()
@@ -24,7 +24,7 @@
         self.proceed = asyncio.Event()
 
     async def pay(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Books a payout and answers once the test allows it."""
+        """Receives a payout, and answers once the test allows it."""
         self.session.see(request)
         self.started.set()
         await self.proceed.wait()
@@ -36,12 +36,12 @@
         """Sends half an archive, and the rest once the test allows it."""
         self.session.see(request)
         answer = web.StreamResponse()
-        answer.content_length = 2 * len(_HALF)
+        answer.content_length = 2 * len(_HALF_ARCHIVE)
         await answer.prepare(request)
-        await answer.write(_HALF)
+        await answer.write(_HALF_ARCHIVE)
         self.started.set()
         await self.proceed.wait()
-        await answer.write(_HALF)
+        await answer.write(_HALF_ARCHIVE)
         return answer
 
     async def crash_on_poison(
@@ -56,20 +56,28 @@
         return web.Response(text="well")
 
     async def test_payout_whose_answer_is_lost(self) -> None:
-        """The caller gets the answer of the only run when it retries."""
+        """Guards against a payout that runs again as its answer was lost.
+
+        The caller gets the answer of the only run when it retries, at first
+        during the run. At the last retry the daemon that ran it is stopped.
+        """
         session = self.session
         async with (
             builders.run_nodes(2, True, handler=self.pay) as session.nodes,
             builders.open_client() as client,
         ):
             first_call = asyncio.create_task(
-                session.call(client, 1, "POST", "/payouts", headers=_KEY)
+                session.call(
+                    client, 1, "POST", "/payouts", headers=_KEY_HEADERS
+                )
             )
             await self.started.wait()
             first_call.cancel()
             session.say("caller loses its connection")
             retry = asyncio.create_task(
-                session.call(client, 2, "POST", "/payouts", headers=_KEY)
+                session.call(
+                    client, 2, "POST", "/payouts", headers=_KEY_HEADERS
+                )
             )
             await asyncio.sleep(0)
             session.say("backend server 1 answers")
@@ -77,24 +85,29 @@
             await retry
             await session.nodes[0].control.stop(0)
             session.say("daemon 1 dies")
-            await session.call(client, 2, "POST", "/payouts", headers=_KEY)
+            await session.call(
+                client, 2, "POST", "/payouts", headers=_KEY_HEADERS
+            )
         session.compare(self, "payout")
 
     async def test_drain_during_a_download(self) -> None:
-        """The download is complete; meanwhile new work is refused at once."""
+        """Guards against downloads that are truncated by a drain.
+
+        New work is refused during the drain without delay.
+        """
         session = self.session
         async with (
             builders.run_nodes(2, handler=self.send_archive) as session.nodes,
             builders.open_client() as client,
         ):
-            first, second = session.nodes
-            first.proxy.backend.slots = 0
+            first_node, second_node = session.nodes
+            first_node.proxy.backend.slots = 0
             session.say("daemon 1 sends all work to daemon 2")
             path = "/archive/7"
-            async with client.get(first.url + path) as answer:
+            async with client.get(first_node.url + path) as answer:
                 await self.started.wait()
                 session.say("caller has the beginning of the archive")
-                draining = asyncio.create_task(second.proxy.drain(60))
+                draining = asyncio.create_task(second_node.proxy.drain(60))
                 await asyncio.sleep(0)
                 session.say("daemon 2 drains")
                 await session.call(client, 2, "GET", path)
@@ -108,7 +121,10 @@
         session.compare(self, "drain")
 
     async def test_crash_causing_request(self) -> None:
-        """Two of four backend servers crash; the other two go on serving."""
+        """Guards against a request that crashes all backend servers.
+
+        It crashes two of four; the other two continue to serve requests.
+        """
         session = self.session
         async with (
             builders.run_nodes(
@@ -117,8 +133,8 @@
             builders.open_client() as client,
         ):
             # Each daemon calls its local backend server, then the next one.
-            for position, node in enumerate(session.nodes):
-                next_node = session.nodes[(position + 1) % 4]
+            for index, node in enumerate(session.nodes):
+                next_node = session.nodes[(index + 1) % 4]
                 node.table.upstreams["kassa"] = (
                     node.build_upstream(),
                     next_node.build_upstream(),
