--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -21,9 +21,9 @@
 from merlintrestle.requests.reports import traffic
 from merlintrestle.requests.serving import callers
 from merlintrestle.requests.serving import dispatch
-from merlintrestle.requests.serving import local_runner
+from merlintrestle.requests.serving import local_runner as local_runners
 from merlintrestle.requests.serving import peers
-from merlintrestle.requests.serving import serving_state
+from merlintrestle.requests.serving import serving_state as serving_states
 from merlintrestle.requests.transport import forwarding
 from merlintrestle.requests.transport import server
 from merlintrestle.requests.unrepeatable import claims as claims_
@@ -109,7 +109,7 @@
         self.latencies = latencies.Latencies()
         self.defer_caller_port = False
         self._settings = settings
-        self._state = serving_state.ServingState(holder)
+        self._state = serving_states.ServingState(holder)
         self._budgets = budgets.Budgets(table.count_usable)
         self._resend_budgets = budgets.Budgets(table.count_usable)
         self.set_retry_bounds(
@@ -143,7 +143,7 @@
             self._get_member_id,
             lambda: admission.in_flight,
         )
-        self._local_runner = local_runner.LocalRunner(
+        self._local_runner = local_runners.LocalRunner(
             self.backend,
             admission,
             self._forwarder,
--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -99,8 +99,7 @@
 
     The faults are lost answers and late writes of the store, expired leases,
     and crashes and pauses of daemons. A payout must run at most once while its
-    claim is valid. A caller may be told that its payout did not run only if
-    that is true.
+    claim is valid. A caller may get "not run" only if its payout has not run.
     """
 
     @hypothesis.settings(max_examples=400, deadline=None)
--- a/tests/requests/serving/test_retry_state.py
+++ b/tests/requests/serving/test_retry_state.py
@@ -8,8 +8,8 @@
 from merlintrestle.requests.load import budgets
 from merlintrestle.requests.load import retries
 from merlintrestle.requests.load import round_trips
-from merlintrestle.requests.serving import attempts
-from merlintrestle.requests.serving import retry_state
+from merlintrestle.requests.serving import attempts as attempts_
+from merlintrestle.requests.serving import retry_state as retry_states
 from tests.requests import builders
 from tests.requests import fakes
 
@@ -28,8 +28,8 @@
         )
         self.call = builders.build_call(plan=builders.build_plan())
         self.round_trip = round_trips.RoundTripTime(fakes.Clock().get_time)
-        self.state = retry_state.RetryState(
-            self.call, self.budget, attempts.Attempts(), self.round_trip
+        self.state = retry_states.RetryState(
+            self.call, self.budget, attempts_.Attempts(), self.round_trip
         )
 
     def try_retry(self, outcome: outcomes.Outcome) -> bool:
