--- a/merlintrestle/requests/serving/attempt_runner.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -16,7 +16,7 @@
 from merlintrestle.requests.load import loads
 from merlintrestle.requests.load import observations
 from merlintrestle.requests.load import retries
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.transport import headers
 
 if TYPE_CHECKING:
@@ -169,12 +169,12 @@
         outcome = await self._run_and_record(
             attempt, call, recorder, report_doubt
         )
-        call.story.add(
+        call.decision_log.add(
             "tried",
             upstream=attempt.upstream.member_id,
             took_ms=round((self._get_time() - recorder.started_at) * 1000),
             left_ms=call.get_remaining_ms(),
-            **stories.describe(outcome),
+            **decision_logs.build_outcome_fields(outcome),
         )
         return outcome
 
--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -9,7 +9,7 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.load import refused_callers
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.serving import responses
 
 if TYPE_CHECKING:
@@ -80,7 +80,7 @@
             call = await parsing.read_call(request, match, metadata, started_at)
             if isinstance(call, outcomes.NotRun):
                 return self._refuse(call, request)
-            call.story.add(
+            call.decision_log.add(
                 "routed",
                 version=active_snapshot.version,
                 service=match.service,
@@ -155,14 +155,18 @@
                     request, outcome, self._dialect
                 )
             finally:
-                self._statistics.note(call.plan, outcome, duration_s)
-                self._latencies.note(
+                self._statistics.record(call.plan, outcome, duration_s)
+                self._latencies.record(
                     call.plan, call.service, outcome, duration_s
                 )
         except BaseException as error:
-            stories.end_cut(call.story, error, self._get_time() - started_at)
+            decision_logs.write_cancellation(
+                call.decision_log, error, self._get_time() - started_at
+            )
             raise
-        stories.end_story(call.story, outcome, self._get_time() - started_at)
+        decision_logs.write_outcome(
+            call.decision_log, outcome, self._get_time() - started_at
+        )
         return response
 
     def _refuse(
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -147,7 +147,7 @@
             state.replace_shed_answer()
             return None
         if not isinstance(outcome, outcomes.Answered):
-            state.call.story.add(
+            state.call.decision_log.add(
                 "given up",
                 tries=len(state.upstream_ids),
                 reached=state.reached_count,
@@ -203,7 +203,7 @@
             return True
         state.overload_refusal_count += 1
         best = state.polls.take_best()
-        call.story.add("all full", waits_at=best.member_id)
+        call.decision_log.add("all full", waits_at=best.member_id)
         self._start(attempts_.Attempt(best), state)
         return True
 
@@ -214,7 +214,7 @@
         call = state.call
         attempt, doubt, repeated = event
         if not repeated:
-            call.story.add(
+            call.decision_log.add(
                 "in doubt",
                 upstream=attempt.upstream.member_id,
                 why=doubt.name.lower(),
@@ -277,10 +277,10 @@
             return None
         if state.upstream_ids:
             balance = round(state.budget.balance, 1)
-            call.story.add("sent again", budget=balance)
+            call.decision_log.add("sent again", budget=balance)
         state.upstream_ids.add(upstream.member_id)
         details = self._picker.get_details(upstream, len(upstreams))
-        call.story.add_later("picked", details.describe)
+        call.decision_log.add_lazy("picked", details.describe)
         wait = calls.Wait.NORMAL
         round_trip_s = self._round_trip.get()
         # A call may poll several upstreams for a free slot, with a short wait
--- a/merlintrestle/requests/serving/local_runner.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -75,7 +75,7 @@
         A call that may crash the backend server also needs the suspect slot,
         so that only one such call runs at a time.
         """
-        if not self._observer.may_run():
+        if not self._observer.may_serve():
             return _OTHER_VERSION_ACTIVE
         release_suspect_slot = await self._crashes.acquire_suspect_slot(call)
         if isinstance(release_suspect_slot, outcomes.NotRun):
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -13,7 +13,7 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.calls import parsing
 from merlintrestle.requests.load import loads
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.serving import responses
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import probes
@@ -108,7 +108,7 @@
             )
             if isinstance(call, outcomes.NotRun):
                 return outcomes.render(call)
-            call.story.add(
+            call.decision_log.add(
                 "passed on",
                 left_ms=call_metadata.timeout_ms,
                 way_back_ms=call_metadata.return_trip_ms,
@@ -130,8 +130,8 @@
     ) -> web.StreamResponse:
         transfer = self._link.admit(call)
         if isinstance(transfer, outcomes.NotRun):
-            stories.end_story(
-                call.story, transfer, self._get_time() - started_at
+            decision_logs.write_outcome(
+                call.decision_log, transfer, self._get_time() - started_at
             )
             return await responses.respond(
                 request,
@@ -150,14 +150,18 @@
                 functools.partial(self._transfers.send, transfer=transfer),
             )
         except BaseException as error:
-            stories.end_cut(call.story, error, self._get_time() - started_at)
+            decision_logs.write_cancellation(
+                call.decision_log, error, self._get_time() - started_at
+            )
             raise
         finally:
             # If bytes are still queued, the transfer sender ends the
             # reservation once they are sent.
             if not transfer.unsent:
                 transfer.end()
-        stories.end_story(call.story, outcome, self._get_time() - started_at)
+        decision_logs.write_outcome(
+            call.decision_log, outcome, self._get_time() - started_at
+        )
         return response
 
     async def _run(
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -84,7 +84,7 @@
     def __init__(
         self,
         settings: settings_pb2.DaemonSettings,
-        holder: interfaces.Holder,
+        holder: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
         store: interfaces.Store,
         dialect: object = _NATIVE_DIALECT,
@@ -294,7 +294,8 @@
             # announces a restart by a new id. A check would only occupy one of
             # its slots.
             reachable = (
-                bool(self.backend.instance_id) or await self.backend.check()
+                bool(self.backend.instance_id)
+                or await self.backend.check_reachable()
             )
             await self.sleep(
                 _CHECK_INTERVAL_S if reachable else _DOWN_CHECK_INTERVAL_S
@@ -306,7 +307,7 @@
         while not self.should_stop:
             expected_at = loop.time() + _SAMPLE_INTERVAL_S
             await self.sleep(_SAMPLE_INTERVAL_S)
-            self.traffic.look(max(0.0, loop.time() - expected_at))
+            self.traffic.update(max(0.0, loop.time() - expected_at))
 
     def _get_send_buffer_bytes(self) -> int:
         """Returns the bytes of answers in the send buffers of both ports."""
--- a/merlintrestle/requests/serving/serving_state.py
+++ b/merlintrestle/requests/serving/serving_state.py
@@ -24,7 +24,7 @@
         draining: True once new work is refused.
     """
 
-    def __init__(self, holder: interfaces.Holder):
+    def __init__(self, holder: interfaces.ActiveVersion):
         """Initializes the state.
 
         Args:
--- a/tests/requests/serving/test_bad_input.py
+++ b/tests/requests/serving/test_bad_input.py
@@ -68,7 +68,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(sent)
         try:
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 answer = await reader.readuntil(b"}")
                 writer.write_eof()
                 return answer + await reader.read()
@@ -131,7 +131,7 @@
                 while not node.proxy.in_flight:
                     await asyncio.sleep(0)
                 writer.write(b"no size\r\n")
-                async with asyncio.timeout(builders.GUARD_S):
+                async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                     answer = await reader.readuntil(b"}")
                 self.assertRegex(answer, b"^HTTP/1.1 400 ")
                 writer.close()
@@ -158,7 +158,7 @@
             return web.Response()
 
         async with (
-            asyncio.timeout(builders.GUARD_S),
+            asyncio.timeout(builders.TEST_TIMEOUT_S),
             builders.run_nodes(1, handler=read) as (node,),
         ):
             for head, sent, malformed_bytes in (
@@ -198,7 +198,7 @@
                 b"POST /kassa/x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n"
                 b"Expect: 100-continue\r\n\r\n"
             )
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 interim = await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"in")
                 answer = await reader.readuntil(b"ok:in")
@@ -217,7 +217,7 @@
                 builders.run_nodes(
                     1, running=builders.build_snapshot(plans)
                 ) as (node,),
-                asyncio.timeout(builders.GUARD_S),
+                asyncio.timeout(builders.TEST_TIMEOUT_S),
             ):
                 reader, writer = await asyncio.open_connection(
                     "127.0.0.1", node.proxy.caller_port
@@ -250,7 +250,7 @@
         with mock.patch.object(bodies, "STALL_TIMEOUT_S", 0.1):
             async with (
                 builders.run_nodes(1, handler=send) as (node,),
-                asyncio.timeout(builders.GUARD_S),
+                asyncio.timeout(builders.TEST_TIMEOUT_S),
             ):
                 reader, writer = await asyncio.open_connection(
                     "127.0.0.1", node.proxy.caller_port, limit=1024
@@ -270,7 +270,7 @@
                     "127.0.0.1", node.proxy.caller_port
                 )
                 writer.write(b"GET /kassa/x HTTP/1.1\r\nHost: a\r\n")
-                async with asyncio.timeout(builders.GUARD_S):
+                async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                     # The connection is reset if the daemon has not read all of
                     # the headers.
                     with contextlib.suppress(ConnectionResetError):
--- a/tests/requests/serving/test_deadlines.py
+++ b/tests/requests/serving/test_deadlines.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.transport import headers
 from tests.requests import builders
 from tests.requests import relays
@@ -30,7 +30,7 @@
         loop = asyncio.get_running_loop()
         assert self.cancelled_at is not None
         try:
-            await asyncio.sleep(builders.GUARD_S)
+            await asyncio.sleep(builders.TEST_TIMEOUT_S)
         except asyncio.CancelledError:
             self.cancelled_at.set_result(loop.time())
             raise
@@ -54,7 +54,9 @@
             answer = await client.get(nodes[0].url + "/slow")
             self.assertEqual(answer.status, 504)
             cancelled_at = await self.cancelled_at
-        self.assertGreaterEqual(cancelled_at - started_at, builders.SHORT_S)
+        self.assertGreaterEqual(
+            cancelled_at - started_at, builders.SHORT_DEADLINE_S
+        )
 
     async def test_log_shows_which_timeout_ended_a_call_and_when(
         self,
@@ -65,11 +67,13 @@
         fields_by_event: dict[str, dict[str, Any]] = {}
 
         def record_event(
-            story: stories.Story, event: str, **fields: Any
+            story: decision_logs.DecisionLog, event: str, **fields: Any
         ) -> None:
             fields_by_event.setdefault(event, fields)
 
-        patch = mock.patch.object(stories.Story, "add", record_event)
+        patch = mock.patch.object(
+            decision_logs.DecisionLog, "add", record_event
+        )
         async with relays.run_relayed_nodes(
             self.handle, running=_SHORT_DEADLINES
         ) as (
--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from merlintrestle.requests.reports import stories
+from merlintrestle.requests.reports import decision_logs
 from merlintrestle.requests.serving import dispatch
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import headers
@@ -22,7 +22,7 @@
 # Configuration with deadlines after the timeout of the tests, so that a test
 # times out if it waits for the cancellation of an attempt in vain.
 _LONG_DEADLINES = builders.build_snapshot(
-    {"/": builders.build_plan(deadline_s=6 * builders.GUARD_S)}
+    {"/": builders.build_plan(deadline_s=6 * builders.TEST_TIMEOUT_S)}
 )
 
 
@@ -35,8 +35,8 @@
         self.started = asyncio.Semaphore(0)
         self.cancelled = asyncio.Semaphore(0)
         self.probed = asyncio.Semaphore(0)
-        builders.hasten_doubt(self)
-        builders.answer_questions(
+        builders.shorten_probe_delays(self)
+        builders.fake_probes(
             self, probes.ProbeResult(False), self.probed.release
         )
 
@@ -121,7 +121,9 @@
         would hide the other decisions.
         """
         async with relays.run_relayed_nodes(self.handle) as (nodes, _, client):
-            with builders.watch_method(stories.Story, "add") as add:
+            with builders.spy_on_method(
+                decision_logs.DecisionLog, "add"
+            ) as add:
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
                 await self.wait_for_probes(4)
                 self.may_answer.set()
@@ -238,7 +240,7 @@
             _,
             client,
         ):
-            nodes[0].use_up_budget()
+            nodes[0].exhaust_budget()
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.wait_for_probes(3)
             self.may_answer.set()
@@ -312,7 +314,7 @@
         self.may_answer = asyncio.Event()
         self.first_port: int | None = None
         self.probed = asyncio.Event()
-        builders.hasten_doubt(self)
+        builders.shorten_probe_delays(self)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers once the test allows it."""
@@ -336,7 +338,7 @@
         self, probe_result: probes.ProbeResult
     ) -> None:
         """Checks that the caller gets the answer of the other upstream."""
-        builders.answer_questions(self, probe_result, self.probed.set)
+        builders.fake_probes(self, probe_result, self.probed.set)
         async with relays.run_relayed_nodes(
             self.hang_at_first_upstream, 3, running=_LONG_DEADLINES
         ) as (
@@ -371,9 +373,7 @@
         self, plan: snapshot.ClassPlan, has_budget: bool
     ) -> None:
         """Checks that the call runs once and its caller gets the answer."""
-        builders.answer_questions(
-            self, probes.ProbeResult(True), self.probed.set
-        )
+        builders.fake_probes(self, probes.ProbeResult(True), self.probed.set)
         active_snapshot = builders.build_snapshot({"/": plan})
         async with relays.run_relayed_nodes(
             self.handle, running=active_snapshot
@@ -383,8 +383,8 @@
             client,
         ):
             if not has_budget:
-                nodes[0].use_up_budget()
-            with builders.watch_method(
+                nodes[0].exhaust_budget()
+            with builders.spy_on_method(
                 dispatch.Dispatcher, "_handle_doubt"
             ) as handle_doubt:
                 call = asyncio.create_task(client.get(nodes[0].url + "/x"))
@@ -414,9 +414,7 @@
         A call is in doubt as its peer is silent, but there is no other upstream
         to which a hedge could be sent.
         """
-        builders.answer_questions(
-            self, probes.ProbeResult(False), self.probed.set
-        )
+        builders.fake_probes(self, probes.ProbeResult(False), self.probed.set)
         async with relays.run_relayed_nodes(self.handle) as (nodes, _, client):
             budget = nodes[0].budget
             balance_before = budget.balance
--- a/tests/requests/serving/test_drain.py
+++ b/tests/requests/serving/test_drain.py
@@ -158,9 +158,9 @@
         caller is slow. Bytes in the buffers of a process that ends are lost.
         """
         async with builders.run_nodes(1) as (node,):
-            download = builders.Bundle(node)
+            download = builders.SlowDownload(node)
             node.use_handler(download.send)
-            reader, writer = await download.ask()
+            reader, writer = await download.request()
             await download.wait_until_held_back()
             draining = asyncio.create_task(node.proxy.drain(60))
             await asyncio.sleep(0)
--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -73,9 +73,9 @@
     world = interleaving.World()
     for kind, number, argument in actions:
         if kind == "send":
-            world.send(number, "a" if argument else "b")
+            world.send_payout(number, "a" if argument else "b")
         elif kind == "release":
-            world.release(number, argument)
+            world.resume_step(number, argument)
         elif kind == "crash":
             world.crash(number)
         elif kind == "freeze":
@@ -83,12 +83,12 @@
         elif kind == "fault":
             world.store.faults.append(_FAULTS[argument])
         elif kind == "late":
-            world.store.deliver_late()
+            world.store.apply_delayed_writes()
         elif kind == "fate":
-            world.fates.append(_BACKEND_RESULTS[argument])
+            world.backend_results.append(_BACKEND_RESULTS[argument])
         else:
             world.store.now += argument
-        await world.settle()
+        await world.run_until_blocked()
     await world.finish()
     await world.close()
     return world
@@ -112,7 +112,7 @@
             run_times = sorted(run.at for run in world.runs if run.key == key)
             for earlier, later in zip(run_times, run_times[1:], strict=False):
                 self.assertGreater(later - earlier, _MIN_CLAIM_LIFETIME_S)
-        run_numbers = {run.sending for run in world.runs}
+        run_numbers = {run.call_number for run in world.runs}
         for number, (_, outcome) in world.results.items():
             if isinstance(outcome, outcomes.NotRun):
                 self.assertNotIn(number, run_numbers)
@@ -145,7 +145,7 @@
             )
         )
         self.assertIsInstance(world.results[0][1], outcomes.NotRun)
-        self.assertEqual([run.sending for run in world.runs], [1])
+        self.assertEqual([run.call_number for run in world.runs], [1])
 
     def test_stale_read_after_a_lost_answer(self) -> None:
         """Guards against a payout that runs twice, or never, by a stale read.
@@ -169,7 +169,7 @@
             )
         )
         self.assertIsInstance(world.results[0][1], outcomes.NotRun)
-        self.assertEqual([run.sending for run in world.runs], [1])
+        self.assertEqual([run.call_number for run in world.runs], [1])
 
     def test_claim_owner_is_frozen_or_replaced(self) -> None:
         """Guards against a second run of a payout whose outcome is lost.
@@ -185,7 +185,7 @@
                 simulate([*first_request, (fault, 0, 0), *second_request])
             )
             self.assertIsInstance(world.results[1][1], outcomes.Unknown)
-            self.assertEqual([run.sending for run in world.runs], [0])
+            self.assertEqual([run.call_number for run in world.runs], [0])
 
 
 class ClaimCheckAfterPauseTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/requests/serving/test_path.py
+++ b/tests/requests/serving/test_path.py
@@ -77,7 +77,7 @@
                 b"POST /kassa/x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n"
                 b"Expect: 100-continue\r\nConnection: close\r\n\r\n"
             )
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 interim = await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"in")
                 answer = await reader.read()
@@ -194,7 +194,7 @@
             )
             writer.write(b"GET /kassa/x HTTP/1.0\r\nHost: a\r\n\r\n")
             await started.wait()
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 await reader.readuntil(b"half")
                 for transport in node.list_transports():
                     # Closes the socket without any action of the daemon, as
@@ -223,7 +223,7 @@
                 "127.0.0.1", node.proxy.caller_port
             )
             writer.write(b"GET /kassa/x HTTP/1.0\r\nHost: a\r\n\r\n")
-            async with asyncio.timeout(builders.GUARD_S):
+            async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 answer = await reader.read()
             writer.close()
         self.assertTrue(answer.endswith(b"\r\n\r\n" + content))
--- a/tests/requests/serving/test_refusals_in_time.py
+++ b/tests/requests/serving/test_refusals_in_time.py
@@ -22,7 +22,7 @@
     """Store that delays the answer to each write beyond any deadline."""
 
     async def put(self, *arguments: Any) -> Any:
-        await asyncio.sleep(builders.GUARD_S)
+        await asyncio.sleep(builders.TEST_TIMEOUT_S)
         return await super().put(*arguments)
 
 
--- a/tests/requests/serving/test_remaining_time.py
+++ b/tests/requests/serving/test_remaining_time.py
@@ -54,7 +54,7 @@
                     await client.request(method, nodes[0].url + path)
                     self.assertGreaterEqual(
                         deadlines[-1],
-                        started_at + builders.SHORT_S - _ROUNDING_S,
+                        started_at + builders.SHORT_DEADLINE_S - _ROUNDING_S,
                     )
 
     async def test_claimed_payout_may_run_until_the_deadline(
@@ -65,7 +65,7 @@
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             if request.raw_path != "/quick":
-                await asyncio.sleep(1.5 * builders.SHORT_S)
+                await asyncio.sleep(1.5 * builders.SHORT_DEADLINE_S)
             return web.Response()
 
         async with relays.run_nodes_after_full_link(
@@ -79,7 +79,9 @@
                 nodes[0].url + "/payouts/1",
                 headers={headers.IDEMPOTENCY_KEY: "k"},
             )
-            self.assertGreaterEqual(loop.time() - started_at, builders.SHORT_S)
+            self.assertGreaterEqual(
+                loop.time() - started_at, builders.SHORT_DEADLINE_S
+            )
         self.assertEqual(answer.status, 504)
 
     async def test_answer_received_while_the_event_loop_is_blocked(
@@ -144,7 +146,7 @@
         ):
             async with relays.run_relayed_nodes(send) as (nodes, _, _client):
                 reader, writer = await _request_archive(nodes[0])
-                async with asyncio.timeout(builders.GUARD_S):
+                async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                     for _ in range(2):
                         await probed.acquire()
                     try:
@@ -158,7 +160,7 @@
 
 def _block_event_loop() -> None:
     """Blocks the event loop until the deadline of the call has passed."""
-    time.sleep(builders.SHORT_S)
+    time.sleep(builders.SHORT_DEADLINE_S)
 
 
 async def _request_archive(
--- a/tests/requests/serving/test_sessions.py
+++ b/tests/requests/serving/test_sessions.py
@@ -25,7 +25,7 @@
 
     async def pay(self, request: web.BaseRequest) -> web.StreamResponse:
         """Receives a payout, and answers once the test allows it."""
-        self.session.see(request)
+        self.session.record_request(request)
         self.started.set()
         await self.proceed.wait()
         return web.Response(text="booked, ticket 7")
@@ -34,7 +34,7 @@
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Sends half an archive, and the rest once the test allows it."""
-        self.session.see(request)
+        self.session.record_request(request)
         answer = web.StreamResponse()
         answer.content_length = 2 * len(_HALF_ARCHIVE)
         await answer.prepare(request)
@@ -48,10 +48,10 @@
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
         """Crashes on "/poison" and answers all other requests."""
-        self.session.see(request)
+        self.session.record_request(request)
         if request.path == "/poison":
-            number = self.session.find(request)
-            self.session.say(f"backend server {number} crashes")
+            number = self.session.find_backend(request)
+            self.session.add_line(f"backend server {number} crashes")
             self.session.nodes[number - 1].crash()
         return web.Response(text="well")
 
@@ -73,18 +73,18 @@
             )
             await self.started.wait()
             first_call.cancel()
-            session.say("caller loses its connection")
+            session.add_line("caller loses its connection")
             retry = asyncio.create_task(
                 session.call(
                     client, 2, "POST", "/payouts", headers=_KEY_HEADERS
                 )
             )
             await asyncio.sleep(0)
-            session.say("backend server 1 answers")
+            session.add_line("backend server 1 answers")
             self.proceed.set()
             await retry
             await session.nodes[0].control.stop(0)
-            session.say("daemon 1 dies")
+            session.add_line("daemon 1 dies")
             await session.call(
                 client, 2, "POST", "/payouts", headers=_KEY_HEADERS
             )
@@ -102,22 +102,22 @@
         ):
             first_node, second_node = session.nodes
             first_node.proxy.backend.slots = 0
-            session.say("daemon 1 sends all work to daemon 2")
+            session.add_line("daemon 1 sends all work to daemon 2")
             path = "/archive/7"
             async with client.get(first_node.url + path) as answer:
                 await self.started.wait()
-                session.say("caller has the beginning of the archive")
+                session.add_line("caller has the beginning of the archive")
                 draining = asyncio.create_task(second_node.proxy.drain(60))
                 await asyncio.sleep(0)
-                session.say("daemon 2 drains")
+                session.add_line("daemon 2 drains")
                 await session.call(client, 2, "GET", path)
                 await session.call(client, 1, "GET", path)
                 self.assertFalse(draining.done())
                 self.proceed.set()
                 body = await answer.read()
-            session.say(f"caller has {len(body)} bytes of the archive")
+            session.add_line(f"caller has {len(body)} bytes of the archive")
             self.assertTrue(await draining)
-            session.say("daemon 2 has nothing in flight")
+            session.add_line("daemon 2 has nothing in flight")
         session.compare(self, "drain")
 
     async def test_crash_causing_request(self) -> None:
--- a/tests/requests/serving/test_smuggling.py
+++ b/tests/requests/serving/test_smuggling.py
@@ -26,7 +26,7 @@
         for line in (*lines, *last_lines):
             head += line + b"\r\n"
         writer.write(head + b"\r\n")
-        async with asyncio.timeout(builders.GUARD_S):
+        async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             answer = await reader.read()
         writer.close()
         return answer
@@ -154,7 +154,7 @@
                 for line in (*lines, b"Idempotency-Key: " + key):
                     head += line + b"\r\n"
                 writer.write(head + b"\r\n" + sent)
-                async with asyncio.timeout(builders.GUARD_S):
+                async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                     answer = await reader.readuntil(b"\r\n")
                 writer.close()
                 self.assertEqual(answer, b"HTTP/1.1 200 OK\r\n")
