--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -1,4 +1,4 @@
-"""The backend server beside this daemon, as it announced itself."""
+"""State of the local backend server, as announced by it."""
 
 from __future__ import annotations
 
@@ -14,27 +14,29 @@
 
 events = event_logs.EventLog("requests")
 
-_CONNECT_S = 0.5
-# An upstream that became ready gets a share of work that rises for so long.
+_CONNECT_TIMEOUT_S = 0.5
+# Time in which the share of calls of an upstream rises to its full value after
+# it became ready.
 WARMUP_S = 10.0
 
 
 class LocalBackend:
-    """What is known about the own backend server.
+    """The local backend server.
 
     Attributes:
-        service: Service it serves; empty before it announced itself.
+        service: Service it serves; empty before its first announcement.
         address: Its "ip:port".
-        slots: Calls it runs at once.
-        version: Version of its software; empty: it gave none.
-        warm_at: Monotonic time until which it is slow after its start, in s.
-        instance_id: Id of its process; empty: it gave none.
-        state: As announced, or DOWN where it refuses connections.
-        born_ms: When its process started, in ms since 1970; 0: not stated.
-        ready_since_ms: When it became ready, in ms since 1970.
-        reachable: False once it refused a connection, until it takes one.
-        on_change: Called after every change of what `build_record` gives.
-        on_down: Called when it turns out to refuse connections.
+        slots: Number of calls it runs at once.
+        version: Version of its software; empty if not announced.
+        warm_at: Monotonic time until which it is slow after its start, in
+            seconds.
+        instance_id: Id of its process; empty if not announced.
+        state: State as announced, or DOWN while it refuses connections.
+        born_ms: Start of its process, in ms since 1970; 0 if not announced.
+        ready_since_ms: Time at which it became ready, in ms since 1970.
+        reachable: False after it refused a connection, until it accepts one.
+        on_change: Called after every change of the value of `build_record`.
+        on_down: Called when it is found to refuse connections.
         on_restart: Called with its address when another process announces
             itself.
     """
@@ -53,9 +55,9 @@
         self.on_change: Callable[[], None] = _ignore
         self.on_down: Callable[[], None] = _ignore
         self.on_restart: Callable[[str], None] = _ignore_restart
-        self._announced = control_pb2.BACKEND_STATE_UNSPECIFIED
+        self._announced_state = control_pb2.BACKEND_STATE_UNSPECIFIED
         self._draining = False
-        self._cold_s = WARMUP_S
+        self._remaining_warmup_s = WARMUP_S
 
     def announce(
         self,
@@ -68,26 +70,27 @@
         born_ms: int = 0,
         version: str = "",
     ) -> None:
-        """Takes over what the backend server says about itself.
+        """Applies an announcement of the backend server.
 
         Args:
             service: Service it serves.
             address: Its "ip:port".
-            slots: Calls it runs at once.
-            state: Whether it takes new work.
-            instance_id: Id of its process; empty: it gave none.
-            cold_s: Seconds for which it will still be slow after its start.
-                A daemon that restarts beside a warm backend server would
-                otherwise take it for a cold one.
-            born_ms: When its process started, in ms since 1970; 0: not stated.
-            version: Version of its software; empty: it gave none.
+            slots: Number of calls it runs at once.
+            state: Whether it accepts new calls.
+            instance_id: Id of its process; empty if not announced.
+            cold_s: Time for which it will still be slow after its start, in
+                seconds. Without it, a daemon that restarts would treat a warm
+                backend server as a cold one.
+            born_ms: Start of its process, in ms since 1970; 0 if not announced.
+            version: Version of its software; empty if not announced.
         """
         before = self.build_record()
-        self._cold_s = min(cold_s, WARMUP_S)
-        self.warm_at = time.monotonic() + self._cold_s
-        if self._is_another(instance_id, born_ms):
-            # What is known is of the process before: that it is warm, and
-            # connections that nobody answers on any more.
+        self._remaining_warmup_s = min(cold_s, WARMUP_S)
+        self.warm_at = time.monotonic() + self._remaining_warmup_s
+        if self._is_other_process(instance_id, born_ms):
+            # The state and the open connections belong to the previous process:
+            # the new one is not warm, and nobody answers on these connections
+            # any more.
             self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
             self.on_restart(self.address)
         self.instance_id = instance_id
@@ -97,32 +100,35 @@
         self.address = address
         self.slots = slots
         self.reachable = True
-        self._announced = control_pb2.DRAINING if self._draining else state
-        self._set_state(self._announced)
-        self._tell_change(before)
+        self._announced_state = (
+            control_pb2.DRAINING if self._draining else state
+        )
+        self._set_state(self._announced_state)
+        self._report_change(before)
 
     def retire(self) -> None:
-        """Takes no new work until another process announces itself."""
+        """Accepts no new calls until another process announces itself."""
         before = self.build_record()
-        self._announced = control_pb2.DRAINING
+        self._announced_state = control_pb2.DRAINING
         if self.state == control_pb2.READY:
             self._set_state(control_pb2.DRAINING)
-        self._tell_change(before)
+        self._report_change(before)
 
     def drain(self) -> None:
-        """Takes no new work from now on, whatever it announces."""
+        """Accepts no new calls from now on, whatever state is announced."""
         before = self.build_record()
         self._draining = True
-        self._announced = control_pb2.DRAINING
+        self._announced_state = control_pb2.DRAINING
         if self.state == control_pb2.READY:
             self._set_state(control_pb2.DRAINING)
-        self._tell_change(before)
+        self._report_change(before)
 
     async def check_reachable(self) -> bool:
-        """Finds out whether it takes connections; returns `reachable`.
+        """Checks whether it accepts connections, and returns `reachable`.
 
-        Only a refusal counts: it shows that no process listens. A connection
-        that does not come about in time may as well be a full backlog.
+        Only a refused connection marks it unreachable, as it shows that no
+        process listens. A connection attempt that times out may also be due to
+        a full backlog.
         """
         if not self.address:
             return self.reachable
@@ -131,14 +137,16 @@
             return self.reachable
         before = self.build_record()
         self.reachable = reachable
-        self._set_state(self._announced if reachable else control_pb2.DOWN)
+        self._set_state(
+            self._announced_state if reachable else control_pb2.DOWN
+        )
         if not reachable:
             self.on_down()
-        self._tell_change(before)
+        self._report_change(before)
         return reachable
 
     def build_record(self) -> control_pb2.Backend:
-        """Returns what the other daemons are told."""
+        """Returns the record that is sent to the other daemons."""
         return control_pb2.Backend(
             service=self.service,
             slots=self.slots,
@@ -147,8 +155,8 @@
             version=self.version,
         )
 
-    def _is_another(self, instance_id: str, born_ms: int) -> bool:
-        """Returns whether another process than the one known speaks."""
+    def _is_other_process(self, instance_id: str, born_ms: int) -> bool:
+        """Returns whether an announcement comes from another process."""
         if not self.instance_id:
             return False
         restarted = 0 < self.born_ms < born_ms
@@ -156,11 +164,11 @@
 
     def _set_state(self, state: control_pb2.BackendState) -> None:
         if state == control_pb2.READY and self.state != control_pb2.READY:
-            warm_s = WARMUP_S - self._cold_s
+            warm_s = WARMUP_S - self._remaining_warmup_s
             self.ready_since_ms = int((time.time() - warm_s) * 1000)
         self.state = state
 
-    def _tell_change(self, before: control_pb2.Backend) -> None:
+    def _report_change(self, before: control_pb2.Backend) -> None:
         if self.build_record() == before:
             return
         events.note(
@@ -176,10 +184,10 @@
 
 
 async def _try_connection(address: str) -> bool | None:
-    """Returns whether a connection came about; None: it is not known."""
+    """Returns whether a connection is accepted; None if that is unknown."""
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(_CONNECT_S):
+        async with asyncio.timeout(_CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return False
--- a/merlintrestle/requests/interfaces.py
+++ b/merlintrestle/requests/interfaces.py
@@ -1,4 +1,4 @@
-"""What the data path needs of the other parts of a daemon."""
+"""Interfaces of the other parts of a daemon that the data path uses."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class ActiveVersion(Protocol):
-    """Holds the configuration version that runs.
+    """The configuration version that the daemon applies to requests.
 
     Attributes:
-        running: The version that runs; None while the daemon is closed.
-        closed_reason: Why it is closed.
+        running: The version in use; None while the daemon is closed.
+        closed_reason: Why the daemon is closed.
     """
 
     running: snapshot.Snapshot | None
@@ -24,36 +24,47 @@
 
 
 class MemberTable(Protocol):
-    """Knows the upstreams of each service."""
+    """The members of the mesh, with the upstreams of each service."""
 
     def get_upstreams(self, service: str) -> tuple[table.Upstream, ...]:
-        """Returns the upstreams of a service; the same tuple until changed."""
+        """Returns the upstreams of a service.
+
+        It returns the same tuple until the upstreams change.
+        """
 
     def count_usable(self) -> int:
-        """Returns the number of daemons that are not gone."""
+        """Returns the number of daemons that are still members."""
 
 
 class Observer(Protocol):
-    """Hears what the own backend server answers while versions change."""
+    """Observes the answers of the local backend server during a roll-out."""
 
     def may_serve(self) -> bool:
-        """Returns whether the own backend server is to get calls."""
+        """Returns whether the local backend server may serve calls."""
+
+    def record_answer(
+        self, class_name: str, failed: bool, duration_s: float
+    ) -> None:
+        """Records a finished call.
 
-    def record_answer(self, name: str, failed: bool, took_s: float) -> None:
-        """Takes in an answer: its class, whether it failed, its seconds."""
+        Args:
+            class_name: Class of work of the call.
+            failed: Whether the call failed.
+            duration_s: Duration of the call, in seconds.
+        """
 
 
 class SubsetSelector(Protocol):
-    """Chooses the upstreams of a send while versions change."""
+    """Selects the upstreams of each attempt during a roll-out."""
 
     def choose(
         self, service: str, upstreams: tuple[table.Upstream, ...]
     ) -> subsets.Subset:
-        """Returns where the next send of a call may go."""
+        """Returns the subset that the next attempt of a call may use."""
 
 
 class Store(Protocol):
-    """What claims use of `store.client.StoreClient`."""
+    """The methods of `store.client.StoreClient` that claims use."""
 
     async def get(self, key: str) -> client.Entry | None:
         """Reads one key."""
@@ -67,4 +78,4 @@
         """Deletes a key if it still has the expected revision."""
 
     async def grant_lease(self, seconds: int) -> int:
-        """Opens a lease."""
+        """Opens a lease and returns its id."""
--- a/merlintrestle/requests/reports/__init__.py
+++ b/merlintrestle/requests/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What is told of requests: statistics, latencies, stories."""
+"""Reports on calls: statistics, latencies, traffic and decision logs."""
--- a/merlintrestle/requests/reports/decision_logs.py
+++ b/merlintrestle/requests/reports/decision_logs.py
@@ -1,9 +1,9 @@
-"""Stories: the decisions about one request, logged when its end is known.
+"""Decision logs of calls, written once their outcome is known.
 
-What became of a request decides whether its decisions are worth their lines.
-They are kept in memory until then, and those of a request that failed, was
-refused or was sent again are written whole, with the times at which they were
-made. Of requests that went well one line is written now and then.
+The outcome of a call determines how much is logged about it, so its decisions
+are kept in memory until then. If a call failed, was refused or was retried, all
+its decisions are written, with the times at which they were made. For
+successful calls a single line is written, at a limited rate.
 """
 
 from __future__ import annotations
@@ -19,77 +19,100 @@
 from merlintrestle import events as event_logs
 from merlintrestle.requests.calls import outcomes
 
-# Stories of failed requests written per second: with some 8 lines of 250 bytes
-# each, 20 KB/s at most.
-STORIES_PER_S = 10.0
-# Lines per second about requests that went well.
-GOOD_PER_S = 1.0
+# Maximum rate of complete decision logs. With some 8 lines of 250 bytes each,
+# they take at most 20 KB/s.
+MAX_COMPLETE_LOGS_PER_S = 10.0
+# Maximum rate of lines about successful calls.
+MAX_SUCCESS_LINES_PER_S = 1.0
 
 _Fields = dict[str, Any] | Callable[[], dict[str, Any]]
 
 events = event_logs.EventLog("requests")
-_left_out = prometheus_client.Counter(
+_left_out_counter = prometheus_client.Counter(
     "merlintrestle_stories_left_out",
     "Requests whose decisions were not logged, to keep to the rate.",
     ("end",),
 )
-_bad = event_logs.Bucket(time.monotonic(), STORIES_PER_S)
-_good = event_logs.Bucket(time.monotonic(), GOOD_PER_S, burst=GOOD_PER_S)
+_complete_log_bucket = event_logs.Bucket(
+    time.monotonic(), MAX_COMPLETE_LOGS_PER_S
+)
+_success_bucket = event_logs.Bucket(
+    time.monotonic(), MAX_SUCCESS_LINES_PER_S, burst=MAX_SUCCESS_LINES_PER_S
+)
 
 
 class DecisionLog:
-    """The decisions about one request at one daemon."""
+    """Decisions that one daemon made about a call.
+
+    Attributes:
+        request_id: Id of the request, the same at each daemon on its path.
+    """
 
-    __slots__ = ("_lines", "request_id")
+    __slots__ = ("_decisions", "request_id")
 
     def __init__(self, request_id: str):
-        """Sets the id, the same at each daemon on the way."""
+        """Initializes an empty log.
+
+        Args:
+            request_id: Id of the request.
+        """
         self.request_id = request_id
-        self._lines: list[tuple[float, str, _Fields]] = []
+        self._decisions: list[tuple[float, str, _Fields]] = []
 
     def add(self, event: str, **fields: Any) -> None:
-        """Notes a decision, what decided it and how old that was."""
-        self._lines.append((time.time(), event, fields))
+        """Adds a decision.
+
+        Args:
+            event: The decision.
+            **fields: The values that it was based on, and their age.
+        """
+        self._decisions.append((time.time(), event, fields))
 
     def add_lazy(
         self, event: str, describe: Callable[[], dict[str, Any]]
     ) -> None:
-        """Notes a decision whose fields are made only if they are written.
+        """Adds a decision whose fields are built only if they are written.
 
         Args:
-            event: What was decided.
-            describe: Returns the fields, of values as they are now.
+            event: The decision.
+            describe: Returns the fields. It must return the values as of now,
+                although it is called later.
         """
-        self._lines.append((time.time(), event, describe))
+        self._decisions.append((time.time(), event, describe))
 
     @property
-    def is_long(self) -> bool:
-        """True if the request was sent more than once or had to wait."""
-        return any(event in _REMARKABLE for _, event, _ in self._lines)
+    def has_retry_decision(self) -> bool:
+        """True if the call was retried, or further retries were given up."""
+        return any(event in _RETRY_DECISIONS for _, event, _ in self._decisions)
 
-    def end(self, end: str, good: bool, **fields: Any) -> None:
-        """Writes the story if its end and the rate of stories allow.
+    def write(self, end: str, successful: bool, **fields: Any) -> None:
+        """Writes the log if the outcome of the call and the rate allow it.
 
         Args:
-            end: What became of the request.
-            good: Whether nobody will ask why.
-            fields: What the caller got.
+            end: Event by which the call ended.
+            successful: Whether the call succeeded, so that nobody will ask for
+                its decisions.
+            **fields: What the caller got.
         """
-        worth_telling = not good or self.is_long
-        bucket = _bad if worth_telling else _good
+        complete = not successful or self.has_retry_decision
+        bucket = _complete_log_bucket if complete else _success_bucket
         if not bucket.take(time.monotonic()):
-            _get_left_out(end).inc()
+            _get_left_out_counter(end).inc()
             return
-        if worth_telling:
-            for at, event, line in self._lines:
-                described = line() if callable(line) else line
-                self._write(event, described, at)
+        if complete:
+            for at, event, decision_fields in self._decisions:
+                described = (
+                    decision_fields()
+                    if callable(decision_fields)
+                    else decision_fields
+                )
+                self._write_line(event, described, at)
         if bucket.left_out:
             fields["left_out"] = bucket.left_out
             bucket.left_out = 0
-        self._write(end, fields, None)
+        self._write_line(end, fields, None)
 
-    def _write(
+    def _write_line(
         self, event: str, fields: dict[str, Any], at: float | None
     ) -> None:
         events.write_unbounded(
@@ -98,20 +121,29 @@
 
 
 @functools.cache
-def _get_left_out(end: str) -> prometheus_client.Counter:
-    """Returns the counter of one end; the library looks it up under a lock."""
-    return _left_out.labels(end)
+def _get_left_out_counter(end: str) -> prometheus_client.Counter:
+    """Returns the counter of one end event.
 
+    It is cached, as the library looks it up under a lock.
+    """
+    return _left_out_counter.labels(end)
 
-# Decisions that make the story of a request that went well worth its lines.
-_REMARKABLE = frozenset(("sent again", "given up"))
+
+# If one of these was made about a successful call, its complete log is written.
+_RETRY_DECISIONS = frozenset(("sent again", "given up"))
 
 
 def write_cancellation(
-    story: DecisionLog, error: BaseException, elapsed_s: float
+    decision_log: DecisionLog, error: BaseException, elapsed_s: float
 ) -> None:
-    """Ends the story of a request whose sender left or was cut off."""
-    story.end(
+    """Writes the log of a call whose caller or daemon disconnected.
+
+    Args:
+        decision_log: The decision log of the call.
+        error: The exception that ended the call.
+        elapsed_s: Time from the start of the call, in seconds.
+    """
+    decision_log.write(
         "cut",
         False,
         cause=type(error).__name__,
@@ -120,24 +152,32 @@
 
 
 def write_outcome(
-    story: DecisionLog,
+    decision_log: DecisionLog,
     outcome: outcomes.Outcome,
     elapsed_s: float,
 ) -> None:
-    """Ends the story of a request that got its final answer."""
+    """Writes the log of a call that got its final answer.
+
+    Args:
+        decision_log: The decision log of the call.
+        outcome: The outcome of the call.
+        elapsed_s: Time from the start of the call, in seconds.
+    """
     elapsed_ms = round(elapsed_s * 1000)
     if isinstance(outcome, outcomes.Answered):
         status = outcome.response.status
-        good = (
+        successful = (
             status < outcomes.MIN_SERVER_ERROR_STATUS and not outcome.truncated
         )
         end = "answer cut" if outcome.truncated else "answered"
-        story.end(end, good, status=status, elapsed_ms=elapsed_ms)
+        decision_log.write(
+            end, successful, status=status, elapsed_ms=elapsed_ms
+        )
         return
     if isinstance(outcome, outcomes.Replayed):
-        story.end("answered again", True, status=outcome.status)
+        decision_log.write("answered again", True, status=outcome.status)
         return
-    story.end(
+    decision_log.write(
         outcomes.FAILURE_NAMES[type(outcome)],
         False,
         status=outcome.status,
@@ -148,7 +188,7 @@
 
 
 def build_outcome_fields(outcome: outcomes.Outcome) -> dict[str, Any]:
-    """Returns what one try at an upstream came to, as fields of a line."""
+    """Returns the outcome of one attempt as fields of a log line."""
     if isinstance(outcome, outcomes.Answered):
         return {"outcome": "answered", "status": outcome.response.status}
     if isinstance(outcome, outcomes.Replayed):
--- a/merlintrestle/requests/reports/latencies.py
+++ b/merlintrestle/requests/reports/latencies.py
@@ -1,4 +1,4 @@
-"""Latencies and reasons: how long callers waited, and why they were refused."""
+"""Metrics of the latencies of calls and the reasons of their failures."""
 
 from __future__ import annotations
 
@@ -16,20 +16,25 @@
 
     from merlintrestle.documents import snapshot
 
-# Upper bounds in seconds: close together around the latency targets that are
-# usual for calls with a person waiting, 0.1 to 0.5 s.
-BOUNDS_S = (
+# Upper bounds of the histogram buckets, in seconds. They are close together
+# around the usual latency targets of calls for which a person waits, 0.1 to
+# 0.5 s.
+BUCKET_BOUNDS_S = (
     0.01, 0.025, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5,
     0.75, 1.0, 1.5, 2.5, 5.0, 10.0,
 )  # fmt: skip
-# Label values of one kind; what comes beyond them is counted together.
-MAX_VALUES = 100
+# Maximum number of histograms, and of failure reasons. Calls beyond it are
+# counted together.
+MAX_LABEL_SETS = 100
 _OTHER = "other"
-_SERVER_ERROR = 500
+_MIN_SERVER_ERROR_STATUS = 500
 
 
 class Latencies:
-    """A collector of histograms by class of work, and of reasons."""
+    """Collects latency histograms by class of work, and failures by reason.
+
+    It is a collector for `prometheus_client`.
+    """
 
     def __init__(self) -> None:
         self._histograms: dict[tuple[str, str, str], _Histogram] = {}
@@ -44,20 +49,27 @@
         outcome: outcomes.Outcome,
         latency_s: float,
     ) -> None:
-        """Counts a call that ended."""
-        name = _name_outcome(outcome)
-        key = (service, plan.name, name)
+        """Records a finished call.
+
+        Args:
+            plan: Class of work of the call.
+            service: Service that was called.
+            outcome: Outcome of the call.
+            latency_s: Time until its outcome, in seconds.
+        """
+        outcome_name = _get_outcome_name(outcome)
+        key = (service, plan.name, outcome_name)
         histogram = self._histograms.get(key)
         if histogram is None:
-            histogram = self._add(key)
+            histogram = self._add_histogram(key)
         histogram.observe(latency_s)
         if isinstance(
             outcome, (outcomes.NotRun, outcomes.Ran, outcomes.Unknown)
         ):
-            self._count_reason(service, name, outcome.reason)
+            self._count_reason(service, outcome_name, outcome.reason)
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yields the histograms and the counts of reasons."""
+        """Yields the latency histograms and the failure counts by reason."""
         latencies = metrics_core.HistogramMetricFamily(
             "merlintrestle_request_seconds",
             "Time until the outcome of a caller's call.",
@@ -70,45 +82,55 @@
             "Calls without an ordinary answer, by reason.",
             labels=("service", "outcome", "reason"),
         )
-        for reason, count in self._reasons.items():
-            reasons.add_metric(reason, count)
+        for reason_key, count in self._reasons.items():
+            reasons.add_metric(reason_key, count)
         yield latencies
         yield reasons
 
-    def _add(self, key: tuple[str, str, str]) -> _Histogram:
-        if len(self._histograms) >= MAX_VALUES:
+    def _add_histogram(self, key: tuple[str, str, str]) -> _Histogram:
+        if len(self._histograms) >= MAX_LABEL_SETS:
             key = (_OTHER, _OTHER, key[2])
         return self._histograms.setdefault(key, _Histogram())
 
-    def _count_reason(self, service: str, name: str, reason: str) -> None:
-        key = (service, name, reason)
-        if key not in self._reasons and len(self._reasons) >= MAX_VALUES:
-            key = (_OTHER, name, _OTHER)
+    def _count_reason(
+        self, service: str, outcome_name: str, reason: str
+    ) -> None:
+        key = (service, outcome_name, reason)
+        if key not in self._reasons and len(self._reasons) >= MAX_LABEL_SETS:
+            key = (_OTHER, outcome_name, _OTHER)
         self._reasons[key] += 1
 
 
 class _Histogram:
-    """Counts by bucket; plain numbers, as each call is counted."""
+    """A histogram of plain numbers, which are cheap to update on each call.
+
+    Attributes:
+        sum_s: Sum of all latencies, in seconds.
+    """
 
     __slots__ = ("_counts", "sum_s")
 
     def __init__(self) -> None:
         self.sum_s = 0.0
-        self._counts = [0] * (len(BOUNDS_S) + 1)
+        self._counts = [0] * (len(BUCKET_BOUNDS_S) + 1)
 
-    def observe(self, seconds: float) -> None:
-        self.sum_s += seconds
-        self._counts[bisect.bisect_left(BOUNDS_S, seconds)] += 1
+    def observe(self, latency_s: float) -> None:
+        self.sum_s += latency_s
+        self._counts[bisect.bisect_left(BUCKET_BOUNDS_S, latency_s)] += 1
 
     def list_buckets(self) -> list[tuple[str, float]]:
-        names = [*map(str, BOUNDS_S), "+Inf"]
+        bounds = [*map(str, BUCKET_BOUNDS_S), "+Inf"]
         sums = itertools.accumulate(self._counts)
-        return [(n, float(count)) for n, count in zip(names, sums, strict=True)]
+        return [
+            (bound, float(count))
+            for bound, count in zip(bounds, sums, strict=True)
+        ]
 
 
-def _name_outcome(outcome: outcomes.Outcome) -> str:
+def _get_outcome_name(outcome: outcomes.Outcome) -> str:
+    """Returns the value of the label `outcome`."""
     if isinstance(outcome, outcomes.Answered):
-        failed = outcome.response.status >= _SERVER_ERROR
+        failed = outcome.response.status >= _MIN_SERVER_ERROR_STATUS
         return "failed" if failed or outcome.truncated else "answered"
     if isinstance(outcome, outcomes.Replayed):
         return "answered"
--- a/merlintrestle/requests/reports/statistics.py
+++ b/merlintrestle/requests/reports/statistics.py
@@ -1,4 +1,4 @@
-"""Statistics: what became of the calls of each class, lately."""
+"""Counts of the outcomes of calls by class of work."""
 
 from __future__ import annotations
 
@@ -17,22 +17,23 @@
 
     from merlintrestle.documents import snapshot
 
+# Length of the sliding window, in seconds. It is divided into buckets.
 WINDOW_S = 60.0
-_PARTS = 12
-_PART_S = WINDOW_S / _PARTS
-_SERVER_ERROR = 500
+_BUCKET_COUNT = 12
+_BUCKET_S = WINDOW_S / _BUCKET_COUNT
+_MIN_SERVER_ERROR_STATUS = 500
 
 
 class Counts:
-    """Calls of one class of work.
+    """Number of calls of one class of work, by outcome.
 
     Attributes:
-        calls: All that ended.
-        answered: Answered whole and without a server error.
-        within_latency: Those of them whose answer came in time.
-        refused: Refused as not run.
-        failed: Ran and failed.
-        unknown: May have run.
+        calls: All finished calls.
+        answered: Calls with a complete answer that is not a server error.
+        within_latency: Answered calls that met their latency target.
+        refused: Calls that were refused and did not run.
+        failed: Calls that ran and failed.
+        unknown: Calls that may have run.
     """
 
     __slots__ = (
@@ -53,26 +54,32 @@
         self.unknown = 0
 
 
+# Organisation, service and class of work.
 _Key = tuple[str, str, str]
 
 
 class Statistics:
-    """Counts calls by class of work over a sliding window, and in all.
+    """Counts calls by class of work, over a sliding window and since the start.
 
-    It is a collector for `prometheus_client`: what is counted per call are
-    plain numbers, and metrics are made of them when they are asked for.
+    It is a collector for `prometheus_client`. Each call updates plain numbers
+    only; metrics are built from them when they are collected.
     """
 
     def __init__(self, get_time: Callable[[], float]):
-        """Sets the clock, in seconds."""
+        """Initializes the counts.
+
+        Args:
+            get_time: Returns the time in seconds.
+        """
         self._get_time = get_time
-        self._parts: collections.deque[tuple[int, dict[_Key, Counts]]] = (
-            collections.deque(maxlen=_PARTS)
+        self._buckets: collections.deque[tuple[int, dict[_Key, Counts]]] = (
+            collections.deque(maxlen=_BUCKET_COUNT)
         )
-        self._part: dict[_Key, Counts] = {}
-        self._part_ends_at = 0.0
-        # Of the parts that are over; those of the running one are added when
-        # metrics are asked for, so that a call is counted in one place.
+        self._bucket: dict[_Key, Counts] = {}
+        self._bucket_ends_at = 0.0
+        # Totals of all buckets before the current one. The counts of the
+        # current bucket are added when metrics are collected, so that each call
+        # updates one place only.
         self._totals: dict[_Key, Counts] = {}
 
     def record(
@@ -81,31 +88,31 @@
         outcome: outcomes.Outcome,
         latency_s: float,
     ) -> None:
-        """Counts a call that ended.
+        """Records a finished call.
 
         Args:
-            plan: Its class of work.
-            outcome: What became of it.
+            plan: Class of work of the call.
+            outcome: Outcome of the call.
             latency_s: Time until its outcome, in seconds.
         """
         now = self._get_time()
-        if now >= self._part_ends_at:
-            self._begin_part(now)
+        if now >= self._bucket_ends_at:
+            self._begin_bucket(now)
         key = (plan.organisation, plan.service, plan.name)
-        counts = self._part.get(key)
+        counts = self._bucket.get(key)
         if counts is None:
-            counts = self._part[key] = Counts()
+            counts = self._bucket[key] = Counts()
         counts.calls += 1
-        count(outcome, counts, latency_s <= plan.latency_s)
+        count_outcome(outcome, counts, latency_s <= plan.latency_s)
 
     def get_statuses(self) -> list[control_pb2.ClassStatus]:
-        """Returns the calls of each class over the window."""
-        first = int(self._get_time() / _PART_S) - _PARTS
+        """Returns the counts of each class over the sliding window."""
+        last_expired = int(self._get_time() / _BUCKET_S) - _BUCKET_COUNT
         statuses: dict[_Key, control_pb2.ClassStatus] = {}
-        for number, part in self._parts:
-            if number <= first:
+        for number, bucket in self._buckets:
+            if number <= last_expired:
                 continue
-            for key, counts in part.items():
+            for key, counts in bucket.items():
                 status = statuses.get(key)
                 if status is None:
                     status = statuses[key] = control_pb2.ClassStatus(
@@ -114,93 +121,105 @@
                         name=key[2],
                         window_s=WINDOW_S,
                     )
-                _add(status, counts)
+                _add_counts(status, counts)
         return list(statuses.values())
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yields the metrics of all calls since the start."""
-        family = metrics_core.CounterMetricFamily(
+        """Yields the counts of all calls since the start."""
+        by_outcome = metrics_core.CounterMetricFamily(
             "merlintrestle_requests",
             "Calls from callers by class of work and outcome.",
             labels=("organisation", "service", "class", "outcome"),
         )
-        in_time = metrics_core.CounterMetricFamily(
+        within_latency = metrics_core.CounterMetricFamily(
             "merlintrestle_requests_within_latency",
             "Calls answered within the latency of their target.",
             labels=("organisation", "service", "class"),
         )
-        for key, counts in self._sum_up().items():
+        for key, counts in self._compute_totals().items():
             for outcome in ("answered", "refused", "failed", "unknown"):
-                family.add_metric((*key, outcome), getattr(counts, outcome))
-            in_time.add_metric(key, counts.within_latency)
-        yield family
-        yield in_time
-
-    def _begin_part(self, now: float) -> None:
-        self._totals = self._sum_up()
-        number = int(now / _PART_S)
-        self._part = {}
-        self._part_ends_at = (number + 1) * _PART_S
-        self._parts.append((number, self._part))
-
-    def _sum_up(self) -> dict[_Key, Counts]:
+                by_outcome.add_metric((*key, outcome), getattr(counts, outcome))
+            within_latency.add_metric(key, counts.within_latency)
+        yield by_outcome
+        yield within_latency
+
+    def _begin_bucket(self, now: float) -> None:
+        self._totals = self._compute_totals()
+        number = int(now / _BUCKET_S)
+        self._bucket = {}
+        self._bucket_ends_at = (number + 1) * _BUCKET_S
+        self._buckets.append((number, self._bucket))
+
+    def _compute_totals(self) -> dict[_Key, Counts]:
         """Returns the counts of all calls since the start."""
         totals: dict[_Key, Counts] = {}
-        for counted in (self._totals, self._part):
-            for key, counts in counted.items():
-                _add(totals.setdefault(key, Counts()), counts)
+        for counts_by_key in (self._totals, self._bucket):
+            for key, counts in counts_by_key.items():
+                _add_counts(totals.setdefault(key, Counts()), counts)
         return totals
 
 
 @generics.remember_choices
 @functools.singledispatch
-def count(outcome: object, counts: Counts, in_time: bool) -> None:
-    """Adds an outcome to the counts of its class."""
+def count_outcome(
+    outcome: object, counts: Counts, within_latency: bool
+) -> None:
+    """Adds the outcome of a call to the counts of its class.
+
+    Args:
+        outcome: Outcome of the call.
+        counts: Counts of its class.
+        within_latency: Whether the call met the latency target of its class.
+    """
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
-@count.register
+@count_outcome.register
 def _count_answered(
-    outcome: outcomes.Answered, counts: Counts, in_time: bool
+    outcome: outcomes.Answered, counts: Counts, within_latency: bool
 ) -> None:
-    if outcome.truncated or outcome.response.status >= _SERVER_ERROR:
+    if outcome.truncated or outcome.response.status >= _MIN_SERVER_ERROR_STATUS:
         counts.failed += 1
         return
     counts.answered += 1
-    counts.within_latency += in_time
+    counts.within_latency += within_latency
 
 
-@count.register
+@count_outcome.register
 def _count_replayed(
-    outcome: outcomes.Replayed, counts: Counts, in_time: bool
+    outcome: outcomes.Replayed, counts: Counts, within_latency: bool
 ) -> None:
     counts.answered += 1
-    counts.within_latency += in_time
+    counts.within_latency += within_latency
 
 
-@count.register
+@count_outcome.register
 def _count_not_run(
-    outcome: outcomes.NotRun, counts: Counts, in_time: bool
+    outcome: outcomes.NotRun, counts: Counts, within_latency: bool
 ) -> None:
     counts.refused += 1
 
 
-@count.register
-def _count_ran(outcome: outcomes.Ran, counts: Counts, in_time: bool) -> None:
+@count_outcome.register
+def _count_ran(
+    outcome: outcomes.Ran, counts: Counts, within_latency: bool
+) -> None:
     counts.failed += 1
 
 
-@count.register
+@count_outcome.register
 def _count_unknown(
-    outcome: outcomes.Unknown, counts: Counts, in_time: bool
+    outcome: outcomes.Unknown, counts: Counts, within_latency: bool
 ) -> None:
     counts.unknown += 1
 
 
-def _add(status: control_pb2.ClassStatus | Counts, counts: Counts) -> None:
-    status.calls += counts.calls
-    status.answered += counts.answered
-    status.within_latency += counts.within_latency
-    status.refused += counts.refused
-    status.failed += counts.failed
-    status.unknown += counts.unknown
+def _add_counts(
+    total: control_pb2.ClassStatus | Counts, counts: Counts
+) -> None:
+    total.calls += counts.calls
+    total.answered += counts.answered
+    total.within_latency += counts.within_latency
+    total.refused += counts.refused
+    total.failed += counts.failed
+    total.unknown += counts.unknown
--- a/merlintrestle/requests/reports/traffic.py
+++ b/merlintrestle/requests/reports/traffic.py
@@ -1,8 +1,9 @@
-"""Traffic: what goes over this instance's link, and what waits for it.
+"""Report on the traffic of the data path and on what delays it.
 
-A full link and a short processor look alike to callers: answers come late.
-They differ here: behind a full link bytes wait while the event loop is on
-time; on a short processor the event loop is late and no bytes wait.
+A full link and an overloaded processor look the same to callers: answers are
+late. The report tells them apart: if the link is full, bytes wait while the
+event loop is on time; if the processor is overloaded, the event loop is late
+and no bytes wait.
 """
 
 from __future__ import annotations
@@ -21,20 +22,20 @@
 
 events = event_logs.EventLog("requests")
 
-# Least time between two log lines of a daemon, in seconds.
-_LINE_S = 5.0
-# Lateness of the event loop that is worth a line, in seconds: a tenth of it
+# Minimum time between two log lines, in seconds.
+_LOG_INTERVAL_S = 5.0
+# Minimum lateness of the event loop that is logged, in seconds. A tenth of it
 # is usual where the operating system shares a processor.
-_LATE_S = 0.1
+_MIN_LOGGED_LATENESS_S = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """Bytes over the connections to one kind of other end, since the start.
+    """Bytes transferred since the start over one kind of connection.
 
     Attributes:
-        received: Bytes that came.
-        sent: Bytes handed to the connections, headers included.
+        received: Bytes received.
+        sent: Bytes written to the connections, including headers.
     """
 
     received: int = 0
@@ -42,12 +43,13 @@
 
 
 class Traffics(NamedTuple):
-    """The traffic of a daemon's data path by its other ends.
+    """The traffic of a daemon's data path by kind of connection.
 
     Attributes:
-        callers: Those on the port for callers.
-        peers: Other daemons, on the peer port and as its client.
-        backend: The own backend server.
+        callers: Connections on the port for callers.
+        peers: Connections with other daemons: those that they open to the peer
+            port, and those that the local daemon opens to them.
+        backend: Connections to the local backend server.
     """
 
     callers: Traffic
@@ -56,15 +58,15 @@
 
 
 def build_traffics() -> Traffics:
-    """Returns counts that begin at zero."""
+    """Returns byte counters that start at zero."""
     return Traffics(Traffic(), Traffic(), Traffic())
 
 
 class TrafficReport:
-    """Tells of bytes, of the link and of the event loop.
+    """Reports the bytes transferred, the link rate and the event loop lateness.
 
-    It is a collector for `prometheus_client`, and writes a line every few
-    seconds while something waits.
+    It is a collector for `prometheus_client`. While bytes wait or the event
+    loop is late, it also writes a log line every few seconds.
     """
 
     def __init__(
@@ -74,60 +76,65 @@
         get_held_back: Callable[[], int],
         get_time: Callable[[], float],
     ):
-        """Sets what is told.
+        """Initializes the report.
 
         Args:
-            traffics: The bytes.
+            traffics: The byte counters.
             link: The outgoing link to other daemons.
-            get_held_back: Returns the bytes in write buffers of both ports.
-            get_time: The clock, in seconds.
+            get_held_back: Returns the number of bytes in the write buffers of
+                both ports.
+            get_time: Returns the time in seconds.
         """
         self._traffics = traffics
         self._link = link
         self._get_held_back = get_held_back
         self._get_time = get_time
-        self._before = _copy(traffics)
-        self._looked_at = get_time()
-        self._told_at = self._looked_at
+        self._previous_traffics = _copy(traffics)
+        self._created_at = get_time()
+        self._interval_began_at = self._created_at
         self._lateness_s = 0.0
-        self._most_lateness_s = 0.0
-        self._most_waiting = 0
+        self._max_lateness_s = 0.0
+        self._max_waiting_bytes = 0
 
     def update(self, lateness_s: float) -> None:
-        """Looks once; called at intervals by the event loop.
+        """Updates the report; to be called regularly by the event loop.
 
         Args:
-            lateness_s: How much later than wanted it is called, in seconds.
+            lateness_s: Delay of this call against its schedule, in seconds.
         """
         self._lateness_s = lateness_s
-        self._most_lateness_s = max(self._most_lateness_s, lateness_s)
-        waiting = self._get_held_back() + self._link.reserved_bytes
-        self._most_waiting = max(self._most_waiting, waiting)
+        self._max_lateness_s = max(self._max_lateness_s, lateness_s)
+        waiting_bytes = self._get_held_back() + self._link.reserved_bytes
+        self._max_waiting_bytes = max(self._max_waiting_bytes, waiting_bytes)
         now = self._get_time()
-        if now - self._told_at < _LINE_S:
+        if now - self._interval_began_at < _LOG_INTERVAL_S:
             return
-        if self._most_waiting or self._most_lateness_s >= _LATE_S:
-            self._tell(now)
-        self._told_at = now
-        self._before = _copy(self._traffics)
-        self._most_lateness_s = 0.0
-        self._most_waiting = 0
+        if (
+            self._max_waiting_bytes
+            or self._max_lateness_s >= _MIN_LOGGED_LATENESS_S
+        ):
+            self._write_line(now)
+        self._interval_began_at = now
+        self._previous_traffics = _copy(self._traffics)
+        self._max_lateness_s = 0.0
+        self._max_waiting_bytes = 0
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yields the metrics."""
-        moved = metrics_core.CounterMetricFamily(
+        """Yields the byte counts and the gauges."""
+        byte_counts = metrics_core.CounterMetricFamily(
             "merlintrestle_bytes",
             "Bytes of the data path by other end and direction.",
             labels=("with", "direction"),
         )
-        for name, one in self._traffics._asdict().items():
-            moved.add_metric((name, "in"), one.received)
-            moved.add_metric((name, "out"), one.sent)
-        yield moved
-        for name, text, value in self._list_gauges():
-            yield metrics_core.GaugeMetricFamily(name, text, value=value)
+        for name, traffic in self._traffics._asdict().items():
+            byte_counts.add_metric((name, "in"), traffic.received)
+            byte_counts.add_metric((name, "out"), traffic.sent)
+        yield byte_counts
+        for name, help_text, value in self._list_gauges():
+            yield metrics_core.GaugeMetricFamily(name, help_text, value=value)
 
     def _list_gauges(self) -> tuple[tuple[str, str, float], ...]:
+        """Returns the name, help text and value of each gauge."""
         link = self._link
         return (
             (
@@ -152,30 +159,30 @@
             ),
         )
 
-    def _tell(self, now: float) -> None:
-        length_s = now - self._told_at
+    def _write_line(self, now: float) -> None:
+        interval_s = now - self._interval_began_at
         rates = {
-            f"{name}_{direction}_kb_s": round(count / length_s / 1000, 1)
-            for name, one, before in zip(
+            f"{name}_{direction}_kb_s": round(count / interval_s / 1000, 1)
+            for name, traffic, previous in zip(
                 self._traffics._fields,
                 self._traffics,
-                self._before,
+                self._previous_traffics,
                 strict=True,
             )
             for direction, count in (
-                ("in", one.received - before.received),
-                ("out", one.sent - before.sent),
+                ("in", traffic.received - previous.received),
+                ("out", traffic.sent - previous.sent),
             )
         }
         events.note(
             "bytes waited",
-            waiting=self._most_waiting,
+            waiting=self._max_waiting_bytes,
             link_kb_s=round(self._link.rate / 1000, 1),
             unsent=self._link.unsent,
-            loop_late_ms=round(self._most_lateness_s * 1000),
+            loop_late_ms=round(self._max_lateness_s * 1000),
             **rates,
         )
 
 
 def _copy(traffics: Traffics) -> Traffics:
-    return Traffics(*(dataclasses.replace(one) for one in traffics))
+    return Traffics(*(dataclasses.replace(traffic) for traffic in traffics))
--- a/tests/requests/reports/test_latencies.py
+++ b/tests/requests/reports/test_latencies.py
@@ -41,7 +41,7 @@
         Reasons name services, and a long day has many of them; what comes
         beyond the bound is counted together.
         """
-        with mock.patch.object(latencies, "MAX_VALUES", 2):
+        with mock.patch.object(latencies, "MAX_LABEL_SETS", 2):
             for number in range(9):
                 refusal = outcomes.NotRun(f"reason {number}")
                 self.latencies.record(self.plan, "kassa", refusal, 0.06)
