--- a/tests/requests/reports/test_latencies.py
+++ b/tests/requests/reports/test_latencies.py
@@ -1,4 +1,4 @@
-"""Tests of latency histograms and reasons."""
+"""Tests of the metrics of latencies and failure reasons."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self.plan = builders.build_plan()
 
     def render(self) -> str:
-        """Returns the metrics as text."""
+        """Returns the metrics in the text format of Prometheus."""
         registry = prometheus_client.CollectorRegistry()
         registry.register(self.latencies)
         return prometheus_client.generate_latest(registry).decode()
@@ -36,10 +36,10 @@
         self.assertIn('le="0.075",outcome="refused",service="kassa"} 1.0', text)
 
     def test_label_values_are_bounded(self):
-        """A daemon's memory does not grow with what callers come up with.
+        """The memory of a daemon does not grow with the input of callers.
 
-        Reasons name services, and a long day has many of them; what comes
-        beyond the bound is counted together.
+        Reasons contain names of services, so there can be many of them in a
+        day. Reasons beyond the maximum are counted together.
         """
         with mock.patch.object(latencies, "MAX_LABEL_SETS", 2):
             for number in range(9):
--- a/tests/requests/reports/test_traffic.py
+++ b/tests/requests/reports/test_traffic.py
@@ -1,4 +1,4 @@
-"""What tells a full link from a short processor."""
+"""Tests of the reports that tell a full link from an overloaded processor."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
             self.clock.get_time,
         )
 
-    def look(self, seconds: float, lateness_s: float = 0.0) -> None:
-        """Looks twice a second for a time."""
-        for _ in range(round(seconds * 2)):
+    def update(self, duration_s: float, lateness_s: float = 0.0) -> None:
+        """Updates the report twice a second during a time."""
+        for _ in range(round(duration_s * 2)):
             self.clock.now += 0.5
             self.report.update(lateness_s)
 
     def read_gauges(self) -> dict[str, float]:
-        """Returns the metrics that have one value each."""
+        """Returns the metrics that have a single value."""
         return {
             family.name: family.samples[0].value
             for family in self.report.collect()
@@ -37,45 +37,45 @@
         }
 
     def test_full_link(self) -> None:
-        """Bytes wait, the event loop is on time: one line for some seconds.
+        """If bytes wait while the event loop is on time, one line is written.
 
-        A buffer that was full in between counts, though it is empty when the
-        line is due.
+        A write buffer that was full in between counts as well, even if it is
+        empty when the line is written.
         """
         self.traffics.peers.sent += 2_000_000
         self.held_back = 70_000
-        self.look(1.0)
+        self.update(1.0)
         self.held_back = 0
         with self.assertLogs("merlintrestle.requests") as logs:
-            self.look(9.0)
+            self.update(9.0)
         self.assertEqual(len(logs.records), 1)
         fields = vars(logs.records[0])["fields"]
         self.assertEqual(fields["waiting"], 70_000)
         self.assertEqual(fields["peers_out_kb_s"], 400.0)
         self.assertEqual(fields["loop_late_ms"], 0)
 
-    def test_short_processor(self) -> None:
-        """No bytes wait, the event loop is late."""
+    def test_overloaded_processor(self) -> None:
+        """No bytes wait while the event loop is late."""
         with self.assertLogs("merlintrestle.requests") as logs:
-            self.look(5.0, lateness_s=0.3)
+            self.update(5.0, lateness_s=0.3)
         fields = vars(logs.records[0])["fields"]
         self.assertEqual(fields["waiting"], 0)
         self.assertEqual(fields["loop_late_ms"], 300)
 
     def test_nothing_waits(self) -> None:
-        """Whatever goes over the link, no line is written."""
+        """No line is written, however many bytes are transferred."""
         self.traffics.callers.sent += 9_000_000
         with self.assertNoLogs("merlintrestle.requests"):
-            self.look(20.0, lateness_s=0.01)
+            self.update(20.0, lateness_s=0.01)
 
     def test_metrics(self) -> None:
         self.traffics.backend.received += 5
         self.held_back = 3
-        self.look(0.5, lateness_s=0.2)
-        moved = next(iter(self.report.collect()))
+        self.update(0.5, lateness_s=0.2)
+        byte_counts = next(iter(self.report.collect()))
         counts = {
             (sample.labels["with"], sample.labels["direction"]): sample.value
-            for sample in moved.samples
+            for sample in byte_counts.samples
         }
         self.assertEqual(len(counts), 6)
         self.assertEqual(counts["backend", "in"], 5)
@@ -87,8 +87,8 @@
 
 
 class CountedBytesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_bytes_by_other_end(self) -> None:
-        """A call by way of another daemon shows at each of its ends."""
+    async def test_bytes_by_kind_of_connection(self) -> None:
+        """A call through another daemon is counted on each connection."""
         async with builders.run_nodes(2) as (first, second):
             first.table.upstreams["kassa"] = (second.build_upstream(),)
             async with builders.open_client() as client:
