--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the data path."""
+"""Builders of test data and daemons for the data path."""
 
 from __future__ import annotations
 
@@ -34,12 +34,17 @@
     from merlintrestle.requests.load import picking
 
 TEST_TIMEOUT_S = 10.0
-# Time of a short call, in seconds.
+# Time from the start of a call to its deadline in `build_short_plans`.
 SHORT_DEADLINE_S = 1.0
 
 
 def build_plan(name: str = "lookup", **fields: Any) -> snapshot.ClassPlan:
-    """Builds a class of work of kassa; repeatable and small."""
+    """Builds a repeatable class of work of kassa with small answers.
+
+    Args:
+        name: Name of the class.
+        **fields: Fields of the plan that differ from the default.
+    """
     plan = snapshot.ClassPlan(
         organisation="zaanoever",
         service="kassa",
@@ -59,7 +64,7 @@
 
 
 def build_plans() -> dict[str, snapshot.ClassPlan]:
-    """Builds the classes of work of kassa by the prefix they match."""
+    """Builds the classes of work of kassa, by path prefix."""
     return {
         "/payouts": build_plan(
             "payout", repeatable=False, key_required=True, importance=5
@@ -70,7 +75,7 @@
 
 
 def build_short_plans() -> dict[str, snapshot.ClassPlan]:
-    """Builds classes of work that are over after `SHORT_S`."""
+    """Builds classes of work with the deadline `SHORT_DEADLINE_S`."""
     return {
         "/payouts": build_plan(
             "payout", repeatable=False, deadline_s=SHORT_DEADLINE_S
@@ -82,7 +87,13 @@
 def build_snapshot(
     plans: dict[str, snapshot.ClassPlan] | None = None, version: int = 1
 ) -> snapshot.Snapshot:
-    """Builds a version with the service kassa."""
+    """Builds a configuration version with the service kassa.
+
+    Args:
+        plans: Classes of work by path prefix; by default those of
+            `build_plans`.
+        version: Number of the version.
+    """
     plans = plans or build_plans()
     routes: dict[str, list[snapshot.Route]] = {}
     for prefix in sorted(plans, key=len, reverse=True):
@@ -95,13 +106,21 @@
         owner="zaanoever",
         calls=(),
         classes=tuple(plans.values()),
-        routes={name: tuple(found) for name, found in routes.items()},
+        routes={
+            organisation: tuple(organisation_routes)
+            for organisation, organisation_routes in routes.items()
+        },
     )
     return snapshot.Snapshot(version, {}, {"kassa": service})
 
 
 def build_upstream(number: int, **fields: Any) -> table.Upstream:
-    """Builds an upstream with 12 slots that has long been ready."""
+    """Builds an upstream with 12 slots that became ready long ago.
+
+    Args:
+        number: Last part of its IP address.
+        **fields: Fields of the upstream that differ from the default.
+    """
     upstream = table.Upstream(
         member_id=f"10.0.0.{number}:1",
         address=f"10.0.0.{number}",
@@ -116,13 +135,18 @@
 
 
 class Node(contextlib.AsyncExitStack):
-    """A daemon's proxy with its backend server.
+    """The proxy of a daemon with its backend server.
 
     Attributes:
         proxy: The proxy.
-        holder: Its fake holder.
-        table: Its fake table of members.
-        served: Requests that the backend server saw: method and path.
+        holder: Fake holder of its configuration version.
+        table: Its fake member table.
+        settings: Its settings.
+        store: Its fake store.
+        backend: HTTP server of the backend server.
+        control: gRPC server that answers recalls.
+        served: Method and path of each request that the backend server
+            received.
     """
 
     def __init__(
@@ -133,6 +157,15 @@
         slots: int = 12,
         store: Any = None,
     ):
+        """Initializes a node; `start` starts it.
+
+        Args:
+            handler: Handler of the backend server; by default it echoes bodies.
+            running: The configuration version; by default that of
+                `build_snapshot`.
+            slots: Slots of the backend server.
+            store: The store; by default a new fake store.
+        """
         super().__init__()
         self.holder = fakes.Holder(running or build_snapshot())
         self.served: list[tuple[str, str]] = []
@@ -151,7 +184,7 @@
         )
 
     async def start(self) -> Node:
-        """Starts the backend server and the proxy, and announces both."""
+        """Starts the servers, announces the backend server and returns self."""
         self.backend = server.Server(self._serve)
         await self.backend.start("127.0.0.1", 0)
         self.push_async_callback(self.backend.close)
@@ -171,37 +204,37 @@
 
     @property
     def member_id(self) -> str:
-        """Id of the daemon."""
+        """Member id of the daemon."""
         return f"127.0.0.1:{self.proxy.control_port}"
 
     @property
     def url(self) -> str:
-        """Where callers send requests for kassa."""
+        """URL to which callers send requests for kassa."""
         return f"http://127.0.0.1:{self.proxy.caller_port}/kassa"
 
     @property
     def budget(self) -> budgets.Budget:
-        """The budget for further tries of calls of kassa."""
+        """The retry budget of kassa."""
         return self.proxy._budgets.get("kassa")
 
     @property
     def picker(self) -> picking.Picker:
-        """What picks the upstreams."""
+        """The picker of upstreams."""
         return self.proxy._dispatch._picker
 
     def exhaust_budget(self) -> None:
-        """Leaves no budget for further tries."""
+        """Spends the whole retry budget of kassa."""
         budget = self.budget
         while budget.try_spend():
             pass
 
-    def add_upstream(self, other: Node) -> None:
-        """Puts a node into this one's table of members."""
-        known = self.table.upstreams.get("kassa", ())
-        self.table.upstreams["kassa"] = (*known, other.build_upstream())
+    def add_upstream(self, node: Node) -> None:
+        """Adds a node to the member table of this node."""
+        upstreams = self.table.upstreams.get("kassa", ())
+        self.table.upstreams["kassa"] = (*upstreams, node.build_upstream())
 
     def build_upstream(self) -> table.Upstream:
-        """Builds what the others know of this node."""
+        """Builds this node's entry in the member tables of other nodes."""
         return table.Upstream(
             member_id=self.member_id,
             address="127.0.0.1",
@@ -217,11 +250,11 @@
         self,
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
     ) -> None:
-        """Has the backend server answer by another handler."""
+        """Replaces the handler of the backend server."""
         self._handler = handler
 
     def list_transports(self) -> list[asyncio.Transport]:
-        """Returns the connections of callers."""
+        """Returns the transports of the open connections of callers."""
         return [
             connection.transport
             for connection in self.proxy._caller_server.connections
@@ -229,7 +262,7 @@
         ]
 
     def crash(self) -> None:
-        """Ends the backend server as a killed process ends."""
+        """Closes all sockets of the backend server, as if it were killed."""
         listener = self.backend._listener
         assert listener is not None
         listener.close()
@@ -243,13 +276,13 @@
 
 
 class SlowDownload:
-    """A download whose last bytes a slow caller keeps the daemon from sending.
+    """A download whose last bytes remain in the daemon, as the caller is slow.
 
     Attributes:
-        length: Bytes that the backend server sent.
+        length: Number of bytes that the backend server sent.
     """
 
-    _PIECE = bytes(8 * 1024)
+    _CHUNK = bytes(8 * 1024)
 
     def __init__(self, node: Node):
         self.length = 0
@@ -258,7 +291,11 @@
     async def request(
         self,
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Asks for it over a connection that takes little unread."""
+        """Requests the download over a connection with small receive buffers.
+
+        Returns:
+            The reader and the writer of the caller's connection.
+        """
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.setblocking(False)
@@ -273,19 +310,25 @@
         return reader, writer
 
     async def send(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Sends until the daemon cannot pass all of it on at once."""
+        """Sends chunks until some bytes wait in the daemon's write buffer.
+
+        It is the handler of the backend server.
+        """
         answer = web.StreamResponse()
         await answer.prepare(request)
         while not self._get_held_back():
-            await answer.write(self._PIECE)
-            self.length += len(self._PIECE)
+            await answer.write(self._CHUNK)
+            self.length += len(self._CHUNK)
             for _ in range(10):
                 await asyncio.sleep(0)
         await answer.write_eof()
         return answer
 
     async def wait_until_held_back(self) -> None:
-        """Waits until only the slow caller keeps the answer from its end."""
+        """Waits until the call has ended, but part of its answer is unsent.
+
+        The unsent part is in the daemon's write buffer.
+        """
         while self._node.proxy.in_flight or not self.length:
             await asyncio.sleep(0)
         assert self._get_held_back()
@@ -304,14 +347,18 @@
 
 @contextlib.asynccontextmanager
 async def run_nodes(
-    count: int, apart: bool = False, **options: Any
+    count: int, only_local: bool = False, **options: Any
 ) -> AsyncIterator[list[Node]]:
     """Runs several daemons that share a store.
 
     Args:
-        count: How many.
-        apart: Each knows its own backend server alone, not the others'.
+        count: Number of daemons.
+        only_local: Whether each daemon knows only its local backend server
+            rather than all of them.
         **options: Passed to each node.
+
+    Yields:
+        The nodes.
     """
     options.setdefault("store", fakes.Store())
     async with contextlib.AsyncExitStack() as stack:
@@ -321,25 +368,27 @@
             nodes.append(await node.start())
         for node in nodes:
             for other in nodes:
-                if other is node or not apart:
+                if other is node or not only_local:
                     node.add_upstream(other)
-            node.proxy.crashes.send_strike = _tell_all(nodes)
+            node.proxy.crashes.send_strike = _build_strike_sender(nodes)
         yield nodes
 
 
-def _tell_all(
+def _build_strike_sender(
     nodes: list[Node],
 ) -> Callable[[control_pb2.Strike], None]:
-    def tell(strike: control_pb2.Strike) -> None:
+    """Returns a function that sends a strike to all nodes."""
+
+    def send_strike(strike: control_pb2.Strike) -> None:
         for node in nodes:
             node.proxy.crashes.strikes.add(strike)
 
-    return tell
+    return send_strike
 
 
 @contextlib.asynccontextmanager
 async def open_client() -> AsyncIterator[aiohttp.ClientSession]:
-    """Opens an HTTP client, guarded by a generous timeout."""
+    """Opens an HTTP client that is limited by `TEST_TIMEOUT_S`."""
     async with (
         asyncio.timeout(TEST_TIMEOUT_S),
         aiohttp.ClientSession(
@@ -352,7 +401,7 @@
 async def fetch(
     client: aiohttp.ClientSession, url: str, method: str = "GET", **options: Any
 ) -> tuple[int, bytes] | None:
-    """Returns status and body of an answer; None if it came broken."""
+    """Returns the status and body of an answer; None if the request failed."""
     try:
         async with client.request(method, url, **options) as answer:
             return answer.status, await answer.read()
@@ -365,10 +414,21 @@
     deadline: float = float("inf"),
     body: bytes = b"pay",
     plan: snapshot.ClassPlan | None = None,
-    due: float = float("inf"),
-    way_back_s: float = 0.0,
+    latency_deadline: float = float("inf"),
+    return_trip_s: float = 0.0,
 ) -> calls.Call:
-    """Builds a payout as the daemon beside the backend server sees it."""
+    """Builds a call as the daemon of the backend server receives it.
+
+    Args:
+        key: Its idempotency key.
+        deadline: Monotonic time of its deadline, in seconds.
+        body: Its body.
+        plan: Its class of work; by default payouts.
+        latency_deadline: Monotonic time by which its latency target is met, in
+            seconds.
+        return_trip_s: Time that a refusal takes back to the daemon of the
+            caller, in seconds.
+    """
     plan = plan or build_plans()["/payouts"]
     return calls.Call(
         service=plan.service,
@@ -379,8 +439,8 @@
         headers=multidict.CIMultiDict(),
         body=bodies.Body(body, len(body)),
         deadline=deadline,
-        return_trip_s=way_back_s,
-        latency_deadline=due,
+        return_trip_s=return_trip_s,
+        latency_deadline=latency_deadline,
         depth=0,
         attempt=0,
         key=key,
@@ -388,33 +448,42 @@
 
 
 def shorten_probe_delays(
-    case: unittest.TestCase, *waits: str, wait_s: float = 0.02
+    case: unittest.TestCase, *delays: str, wait_s: float = 0.02
 ) -> None:
-    """Has calls be in doubt soon, until the test ends.
+    """Shortens the delays after which silent peers are probed, in this test.
 
     Args:
         case: The test.
-        *waits: Names of the waits; by default the one for the first byte.
-        wait_s: What they last, in seconds.
+        *delays: Names of constants of `watchdogs`; by default the timeout of
+            the first byte.
+        wait_s: Their value during the test, in seconds.
     """
-    for name in waits or ("FIRST_BYTE_TIMEOUT_S",):
+    for name in delays or ("FIRST_BYTE_TIMEOUT_S",):
         case.enterContext(mock.patch.object(watchdogs, name, wait_s))
 
 
 def fake_probes(
-    case: unittest.TestCase, view: probes.ProbeResult, note: Callable[[], Any]
+    case: unittest.TestCase,
+    result: probes.ProbeResult,
+    on_probe: Callable[[], Any],
 ) -> None:
-    """Has each question about a call noted and answered so, in this test."""
+    """Replaces all probes about calls by a fixed result, in this test.
+
+    Args:
+        case: The test.
+        result: The result of each probe.
+        on_probe: Called on each probe.
+    """
 
-    async def ask(*arguments: Any) -> probes.ProbeResult:
-        note()
-        return view
+    async def probe(*arguments: Any) -> probes.ProbeResult:
+        on_probe()
+        return result
 
-    case.enterContext(mock.patch.object(probes, "ask", ask))
+    case.enterContext(mock.patch.object(probes, "ask", probe))
 
 
 def spy_on_method(owner: type, name: str) -> Any:
-    """Returns a patch by which a method's calls are recorded and still run."""
+    """Returns a patch that records the calls of a method and still runs it."""
     return mock.patch.object(
         owner, name, autospec=True, side_effect=getattr(owner, name)
     )
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the data path."""
+"""Fakes of the interfaces that the data path uses."""
 
 from __future__ import annotations
 
@@ -14,22 +14,27 @@
 
 
 class Clock:
-    """Time that passes as the test says.
+    """A clock that is set by the test.
 
     Attributes:
-        now: The time in seconds.
+        now: Current time in seconds.
     """
 
     def __init__(self) -> None:
         self.now = 1000.0
 
     def get_time(self) -> float:
-        """Returns the time."""
+        """Returns the current time in seconds."""
         return self.now
 
 
 class Holder:
-    """Holds one snapshot, or none while closed."""
+    """Holds one configuration version, or none while the daemon is closed.
+
+    Attributes:
+        running: The version; None while the daemon is closed.
+        closed_reason: Why the daemon is closed.
+    """
 
     def __init__(self, running: snapshot.Snapshot | None):
         self.running = running
@@ -37,7 +42,11 @@
 
 
 class Table:
-    """Upstreams by service, set by the test."""
+    """A member table that is set by the test.
+
+    Attributes:
+        upstreams: The upstreams by service.
+    """
 
     def __init__(self) -> None:
         self.upstreams: dict[str, tuple[table.Upstream, ...]] = {}
@@ -52,27 +61,27 @@
 
 
 class Fault(enum.Enum):
-    """What goes wrong with one call of the store."""
+    """Fault of one call of the store."""
 
     NONE = enum.auto()
-    # It never arrives.
+    # The request never arrives.
     REQUEST_LOST = enum.auto()
-    # It takes effect; the answer is lost.
+    # The request takes effect, but its reply is lost.
     REPLY_LOST = enum.auto()
-    # The caller gives up; it takes effect later.
+    # The caller gets an error, and the request takes effect later.
     DELAYED = enum.auto()
-    # A read is answered as if the last write to its key had not been.
+    # A read returns the value from before the last write to its key.
     STALE_READ = enum.auto()
 
 
 class Store:
-    """A store whose calls can fail in every way.
+    """A store in memory whose calls can fail in each way of `Fault`.
 
     Attributes:
-        now: Its clock in seconds; leases end by it.
-        faults: What happens to the next calls; afterwards `fault`.
-        fault: What happens to calls by default.
-        writes: Count of writes that arrived.
+        now: Its clock in seconds, by which leases expire.
+        faults: Faults of the next calls, in this order.
+        fault: Fault of the calls after these.
+        writes: Number of writes that arrived.
     """
 
     def __init__(self) -> None:
@@ -85,14 +94,14 @@
         self._last_lease_id = 0
         self._entry_leases: dict[str, int] = {}
         self._revision = 0
-        self._late: list[tuple[str, bytes, int, int]] = []
-        self._earlier: dict[str, client.Entry | None] = {}
+        self._delayed_writes: list[tuple[str, bytes, int, int]] = []
+        self._previous_entries: dict[str, client.Entry | None] = {}
 
     async def get(self, key: str) -> client.Entry | None:
         """Reads one key."""
         fault = self._take_fault()
         if fault is Fault.STALE_READ:
-            return self._earlier.get(key)
+            return self._previous_entries.get(key)
         if fault is not Fault.NONE:
             raise errors.StoreUnavailableError("no answer")
         return self._read(key)
@@ -104,7 +113,7 @@
         fault = self._take_fault()
         write = (key, value, expected_revision, lease_id)
         if fault is Fault.DELAYED:
-            self._late.append(write)
+            self._delayed_writes.append(write)
         if fault in (Fault.REQUEST_LOST, Fault.DELAYED):
             raise errors.StoreUnknownOutcomeError("no answer")
         reply = self._put(*write)
@@ -121,13 +130,13 @@
         entry = self._read(key)
         if entry is None or entry.revision != expected_revision:
             return False
-        self._earlier[key] = self._entries.pop(key)
+        self._previous_entries[key] = self._entries.pop(key)
         if fault is Fault.REPLY_LOST:
             raise errors.StoreUnknownOutcomeError("no answer")
         return True
 
     async def grant_lease(self, seconds: int) -> int:
-        """Opens a lease."""
+        """Opens a lease and returns its id."""
         if self._take_fault() not in (Fault.NONE, Fault.STALE_READ):
             raise errors.StoreUnknownOutcomeError("no answer")
         self.writes += 1
@@ -137,15 +146,15 @@
         return lease_id
 
     def lose_leases(self) -> None:
-        """Forgets all leases, as a store that was restored may."""
+        """Drops all leases and keys, as a store that was restored may do."""
         self._leases.clear()
         self._entries.clear()
 
     def apply_delayed_writes(self) -> None:
-        """Lets the writes that were under way take effect."""
-        for write in self._late:
+        """Applies the writes with the fault `DELAYED`."""
+        for write in self._delayed_writes:
             self._put(*write)
-        self._late.clear()
+        self._delayed_writes.clear()
 
     def _take_fault(self) -> Fault:
         return self.faults.pop(0) if self.faults else self.fault
@@ -168,7 +177,7 @@
         if entry.revision != expected_revision:
             return client.WriteReply(False, entry)
         self._revision += 1
-        self._earlier[key] = self._entries.get(key)
+        self._previous_entries[key] = self._entries.get(key)
         entry = client.Entry(key, value, self._revision)
         self._entries[key] = entry
         self._entry_leases[key] = lease_id
--- a/tests/requests/interleaving.py
+++ b/tests/requests/interleaving.py
@@ -1,4 +1,4 @@
-"""A driver that decides in which order concurrent steps of daemons happen."""
+"""Simulation of daemons whose concurrent steps run in a chosen order."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.schema import request_pb2
 
-# Turns of the event loop in which everything that can go on does so.
-_TURNS = 30
+# Iterations of the event loop after which all tasks wait for the test.
+_LOOP_ITERATIONS = 30
+# Time from the start of a call to its deadline, in seconds.
 _DEADLINE_S = 10.0
 
 
 class Run(NamedTuple):
-    """One run of a request on a backend server.
+    """One run of a call on a backend server.
 
     Attributes:
-        key: Idempotency-Key of the request.
-        body: Which sending it was.
-        at: Time in seconds.
+        key: Idempotency key of the call.
+        call_number: Number of the call.
+        at: Time of the run, in seconds.
     """
 
     key: str
@@ -36,14 +37,31 @@
 
 
 class Daemon:
-    """Claims of one daemon, with steps that wait for the driver."""
+    """The claims of one daemon, whose steps run when the test resumes them.
+
+    Attributes:
+        frozen: Whether it is frozen: its steps are not resumed, and it does not
+            answer other daemons.
+        dead: Whether it has crashed.
+        world: The simulation to which it belongs.
+        number: Number of the daemon.
+        pending_steps: Futures of the steps that wait to be resumed.
+        claims: Its claims.
+        runner: Runs each payout at most once.
+    """
 
     def __init__(self, world: World, number: int):
+        """Initializes a daemon.
+
+        Args:
+            world: The simulation to which it belongs.
+            number: Number of the daemon.
+        """
         self.frozen = False
         self.dead = False
         self.world = world
         self.number = number
-        self.waiting: list[asyncio.Future[None]] = []
+        self.pending_steps: list[asyncio.Future[None]] = []
         owner = claims.Owner(f"10.0.0.{number}:1", f"10.0.0.{number}", 1)
         self.claims = claims.Claims(
             lambda: owner,
@@ -60,17 +78,26 @@
             self._forward,
         )
 
-    async def step(self) -> None:
-        """Waits until the driver lets this daemon go on."""
+    async def wait_for_resume(self) -> None:
+        """Waits until the test resumes this step of the daemon."""
         future: asyncio.Future[None] = asyncio.Future()
-        self.waiting.append(future)
+        self.pending_steps.append(future)
         await future
 
     async def recall(
         self, claim: request_pb2.Claim, claim_key: str, wait_s: float
     ) -> request_pb2.RecallReply | None:
-        """Asks another daemon, as it is when the driver lets it be asked."""
-        await self.step()
+        """Recalls a claim of another daemon, once the test resumes this step.
+
+        Args:
+            claim: The claim.
+            claim_key: Key of the claim in the store.
+            wait_s: Time that the recall takes, in seconds.
+
+        Returns:
+            The reply; None if the daemon is frozen or has crashed.
+        """
+        await self.wait_for_resume()
         self.world.store.now += wait_s
         holder = self.world.daemons[int(claim.member_id.split(".")[3][0])]
         if holder.frozen or holder.dead:
@@ -78,14 +105,14 @@
         return await holder.claims.answer_recall(claim.claim_id, 0)
 
     async def _forward(self, call: calls.Call) -> outcomes.Outcome:
-        sending = int(call.headers["Sending"])
-        fate = self.world.take_fate()
-        if fate == "refused":
+        call_number = int(call.headers["Call-Number"])
+        backend_result = self.world.take_backend_result()
+        if backend_result == "refused":
             return outcomes.NotRun("could not connect", elsewhere=True)
-        run = Run(call.key, sending, self.world.store.now)
+        run = Run(call.key, call_number, self.world.store.now)
         self.world.runs.append(run)
-        await self.step()
-        if fate == "broken":
+        await self.wait_for_resume()
+        if backend_result == "broken":
             return outcomes.Unknown("the connection broke")
         return outcomes.Ran("stands for an answer that is not kept")
 
@@ -94,7 +121,17 @@
 
 
 class World:
-    """Three daemons, one store, and callers that send payouts."""
+    """Simulation of three daemons, their store, and callers that send payouts.
+
+    Attributes:
+        store: The store that the daemons share.
+        runs: Runs of calls on the backend servers, in order.
+        backend_results: Results of the next requests to backend servers:
+            "answered", "refused" or "broken". Afterwards all are answered.
+        results: Idempotency key and outcome of each finished call, by its
+            number. Calls to daemons that have crashed get no outcome.
+        daemons: The daemons.
+    """
 
     def __init__(self) -> None:
         self.store = fakes.Store()
@@ -104,41 +141,51 @@
         self.daemons = [Daemon(self, number) for number in range(3)]
         self._tasks: list[asyncio.Task[None]] = []
 
-    def take_fate(self) -> str:
-        """Returns what becomes of a request at the backend server."""
+    def take_backend_result(self) -> str:
+        """Returns the result of the next request to a backend server."""
         return (
             self.backend_results.pop(0) if self.backend_results else "answered"
         )
 
     def send_payout(self, number: int, key: str) -> None:
-        """Has a caller send a payout to a daemon."""
+        """Sends a payout from a caller to a daemon.
+
+        Args:
+            number: Number of the daemon.
+            key: Idempotency key of the payout.
+        """
         daemon = self.daemons[number]
-        sending = len(self._tasks)
+        call_number = len(self._tasks)
         call = builders.build_call(key, self.store.now + _DEADLINE_S)
-        call.headers["Sending"] = str(sending)
+        call.headers["Call-Number"] = str(call_number)
         self._tasks.append(
-            asyncio.create_task(self._run(daemon, sending, call))
+            asyncio.create_task(self._run(daemon, call_number, call))
         )
 
     def crash(self, number: int) -> None:
-        """Replaces a daemon by one that knows nothing."""
+        """Replaces a daemon by a new one without its state."""
         self.daemons[number].dead = True
         self.daemons[number] = Daemon(self, number)
 
     def resume_step(self, number: int, index: int) -> None:
-        """Lets one waiting step of a daemon go on."""
+        """Resumes one pending step of a daemon, unless it is frozen.
+
+        Args:
+            number: Number of the daemon.
+            index: Index of the step, modulo the number of pending steps.
+        """
         daemon = self.daemons[number]
-        if daemon.waiting and not daemon.frozen:
-            position = index % len(daemon.waiting)
-            daemon.waiting.pop(position).set_result(None)
+        if daemon.pending_steps and not daemon.frozen:
+            position = index % len(daemon.pending_steps)
+            daemon.pending_steps.pop(position).set_result(None)
 
     async def run_until_blocked(self) -> None:
-        """Lets everything go on that does not wait for the driver."""
-        for _ in range(_TURNS):
+        """Runs all tasks until each of them waits to be resumed."""
+        for _ in range(_LOOP_ITERATIONS):
             await asyncio.sleep(0)
 
     async def finish(self) -> None:
-        """Lets all daemons that live come to an end, without more faults."""
+        """Resumes all daemons until their calls end, without new faults."""
         self.store.faults.clear()
         self.store.apply_delayed_writes()
         for _ in range(200):
@@ -146,11 +193,11 @@
                 daemon.frozen = False
                 self.resume_step(daemon.number, 0)
             await self.run_until_blocked()
-            if not any(daemon.waiting for daemon in self.daemons):
+            if not any(daemon.pending_steps for daemon in self.daemons):
                 break
 
     async def close(self) -> None:
-        """Ends all tasks."""
+        """Cancels all tasks."""
         tasks: list[asyncio.Task[Any]] = [*self._tasks]
         for daemon in self.daemons:
             tasks.extend(daemon.runner.tasks)
@@ -159,14 +206,16 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _run(
-        self, daemon: Daemon, sending: int, call: calls.Call
+        self, daemon: Daemon, call_number: int, call: calls.Call
     ) -> None:
         outcome = await daemon.runner.run(call)
         if not daemon.dead:
-            self.results[sending] = (call.key, outcome)
+            self.results[call_number] = (call.key, outcome)
 
 
 class _AdmitAll:
+    """An admission that accepts all calls."""
+
     async def acquire(self, call: calls.Call) -> None:
         return None
 
@@ -175,14 +224,14 @@
 
 
 class _SteppedStore:
-    """The shared store, each call of which waits for the driver."""
+    """The shared store; the test resumes each call of it."""
 
     def __init__(self, daemon: Daemon):
         self._daemon = daemon
 
     def __getattr__(self, name: str) -> Any:
         async def call(*arguments: Any) -> Any:
-            await self._daemon.step()
+            await self._daemon.wait_for_resume()
             method = getattr(self._daemon.world.store, name)
             return await method(*arguments)
 
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -263,7 +263,7 @@
         call = builders.build_call(
             plan=callers.plan,
             deadline=min(began_at + callers.patience_s, latest_deadline),
-            due=began_at + callers.plan.latency_s,
+            latency_deadline=began_at + callers.plan.latency_s,
         )
         call.request_id = str(next(self._call_numbers))
         return call
--- a/tests/requests/load/simulations.py
+++ b/tests/requests/load/simulations.py
@@ -143,7 +143,7 @@
         return builders.build_call(
             plan=plan,
             deadline=now + _CALL_TIMEOUT_S,
-            due=now + latency_budget_s,
+            latency_deadline=now + latency_budget_s,
         )
 
     async def _make_calls(
@@ -177,7 +177,7 @@
         call = builders.build_call(
             plan=callers.plan,
             deadline=began_at + callers.patience_s,
-            due=began_at + callers.plan.latency_s,
+            latency_deadline=began_at + callers.plan.latency_s,
         )
         refusal = await self._admission.acquire(call)
         if refusal is not None:
--- a/tests/requests/load/slowlinks.py
+++ b/tests/requests/load/slowlinks.py
@@ -161,7 +161,7 @@
         call = builders.build_call(
             plan=plan,
             deadline=began_at + _TIMEOUT_S,
-            due=began_at + plan.latency_s,
+            latency_deadline=began_at + plan.latency_s,
         )
         transfer = self._link.admit(call)
         if isinstance(transfer, outcomes.NotRun):
--- a/tests/requests/load/test_admission.py
+++ b/tests/requests/load/test_admission.py
@@ -90,7 +90,7 @@
         """A call whose answer would arrive too late gets no slot."""
         admission = build_admission()
         call = builders.build_call(
-            plan=_LOOKUP, deadline=self.deadline, way_back_s=60.0
+            plan=_LOOKUP, deadline=self.deadline, return_trip_s=60.0
         )
         refusal = await admission.acquire(call)
         assert refusal is not None
@@ -112,7 +112,7 @@
         call = builders.build_call(
             plan=check,
             deadline=self.deadline,
-            way_back_s=60.0 - 0.9 * hold_s,
+            return_trip_s=60.0 - 0.9 * hold_s,
         )
         waiting_call = asyncio.create_task(admission.acquire(call))
         await asyncio.sleep(0)
--- a/tests/requests/load/test_links.py
+++ b/tests/requests/load/test_links.py
@@ -90,9 +90,9 @@
         now = self.clock.now
         call = builders.build_call(
             plan=plan,
-            due=now + latency_deadline_s,
+            latency_deadline=now + latency_deadline_s,
             deadline=now + timeout_s,
-            way_back_s=return_trip_s,
+            return_trip_s=return_trip_s,
         )
         return self.link.admit(call)
 
--- a/tests/requests/sessions.py
+++ b/tests/requests/sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions, written down and compared with golden files."""
+"""Logs of whole sessions, to compare with golden files."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from tests.requests import builders
 
 _ROOT = pathlib.Path(__file__).parent.parent / "roots" / "requests"
-# Set to write the golden files instead of comparing them.
-_WRITE = "WRITE_GOLDEN_FILES"
-_SHOWN_CHARACTERS = 60
+# Environment variable; if set, the golden files are written.
+_WRITE_VARIABLE = "WRITE_GOLDEN_FILES"
+_MAX_SHOWN_CHARACTERS = 60
 
 
 class Session:
-    """Writes down what callers and backend servers see.
+    """Log of the requests and answers at callers and backend servers.
 
     Attributes:
-        nodes: The daemons, named by their place from 1.
+        nodes: The daemons, numbered from 1 in the log.
     """
 
     def __init__(self) -> None:
@@ -34,18 +34,18 @@
         self._lines: list[str] = []
 
     def add_line(self, line: str) -> None:
-        """Writes down what happens otherwise."""
+        """Adds a line to the log."""
         self._lines.append(line)
 
     def find_backend(self, request: web.BaseRequest) -> int:
-        """Returns the number of the backend server that has a request."""
+        """Returns the number of the backend server that received a request."""
         for number, node in enumerate(self.nodes, 1):
             if request.protocol in node.backend.connections:
                 return number
         raise LookupError("no backend server has this request")
 
     def record_request(self, request: web.BaseRequest) -> None:
-        """Writes down a request that a backend server got."""
+        """Logs a request that a backend server received."""
         self.add_line(
             f"backend server {self.find_backend(request)} gets {request.method}"
             f" {request.raw_path}"
@@ -59,7 +59,15 @@
         path: str,
         **options: Any,
     ) -> None:
-        """Sends a request to a daemon and writes down what comes of it."""
+        """Sends a request to a daemon, and logs the request and its answer.
+
+        Args:
+            client: Client session of the caller.
+            number: Number of the daemon.
+            method: Method of the request.
+            path: Path of the request, without the service.
+            **options: Passed to `aiohttp.ClientSession.request`.
+        """
         self.add_line(f"caller sends {method} {path} to daemon {number}")
         url = self.nodes[number - 1].url + path
         async with client.request(method, url, **options) as answer:
@@ -70,12 +78,17 @@
                 line += f", {name}: {answer.headers[name]}"
         self.add_line(line)
         if headers.OUTCOME not in answer.headers:
-            self.add_line(f"    {body[:_SHOWN_CHARACTERS]}")
+            self.add_line(f"    {body[:_MAX_SHOWN_CHARACTERS]}")
 
     def compare(self, test: unittest.TestCase, name: str) -> None:
-        """Compares the session with its golden file."""
+        """Compares the log with its golden file.
+
+        Args:
+            test: The test, for its assertions.
+            name: Name of the golden file, without its suffix.
+        """
         path = _ROOT / f"{name}.txt"
         text = "\n".join(self._lines) + "\n"
-        if os.environ.get(_WRITE):
+        if os.environ.get(_WRITE_VARIABLE):
             path.write_text(text, encoding="utf-8")
         test.assertEqual(path.read_text(encoding="utf-8"), text)
