--- a/merlintrestle/application.py
+++ b/merlintrestle/application.py
@@ -87,7 +87,7 @@
     gc.disable()
 
 
-def calm_gc() -> None:
+def resume_gc() -> None:
     """Has the garbage collector run rarely, and over new objects alone.
 
     Nearly all garbage of a call is freed by its reference counts. Collections
@@ -109,7 +109,7 @@
         loop.add_signal_handler(number, _receive_signal, stop)
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     await service.start()
-    calm_gc()
+    resume_gc()
     result = await service.wait(stop)
     await service.stop()
     return EXIT_CRASHED if result.stopped else EXIT_OK
--- a/merlintrestle/connectors.py
+++ b/merlintrestle/connectors.py
@@ -10,24 +10,24 @@
 
 # Longest time for one body to arrive, in seconds: one that comes byte by byte
 # holds up no caller for ever. A link of 0.4 MB/s carries 4 MB in it.
-_ARRIVAL_S = 10.0
+_BODY_TIMEOUT_S = 10.0
 
 
-class Silence(NamedTuple):
+class TcpKeepalive(NamedTuple):
     """When a connection that gives no sign is broken by the operating system.
 
     Attributes:
         idle_s: Quiet time before the other end is first asked, in seconds.
-        gap_s: Time between two questions, in seconds.
-        questions: How many of them go without an answer.
-        unacknowledged_ms: Longest time for which what was sent may stay
+        interval_s: Time between two questions, in seconds.
+        probe_count: How many of them go without an answer.
+        user_timeout_ms: Longest time for which what was sent may stay
             unacknowledged, in ms.
     """
 
     idle_s: int
-    gap_s: int
-    questions: int
-    unacknowledged_ms: int
+    interval_s: int
+    probe_count: int
+    user_timeout_ms: int
 
 
 class Connector(aiohttp.TCPConnector):
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, force_close: bool = False, silence: Silence | None = None
+        self, force_close: bool = False, silence: TcpKeepalive | None = None
     ):
         """Sets whether each call has a connection of its own."""
         super().__init__(limit=0, force_close=force_close, use_dns_cache=False)
@@ -67,26 +67,26 @@
                 raise
             raise client_error(req.connection_key, error) from error
         if self._silence is not None:
-            limit_silence(opened[0], self._silence)
+            set_keepalive(opened[0], self._silence)
         return opened
 
 
-def limit_silence(transport: asyncio.BaseTransport, silence: Silence) -> None:
+def set_keepalive(
+    transport: asyncio.BaseTransport, silence: TcpKeepalive
+) -> None:
     """Has the operating system break a connection that gives no sign."""
     opened = transport.get_extra_info("socket")
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_KEEPIDLE, silence.idle_s),
-        (socket.TCP_KEEPINTVL, silence.gap_s),
-        (socket.TCP_KEEPCNT, silence.questions),
+        (socket.TCP_KEEPINTVL, silence.interval_s),
+        (socket.TCP_KEEPCNT, silence.probe_count),
     ):
         opened.setsockopt(socket.IPPROTO_TCP, option, value)
-    limit_unacknowledged(transport, silence.unacknowledged_ms)
+    set_user_timeout(transport, silence.user_timeout_ms)
 
 
-def limit_unacknowledged(
-    transport: asyncio.BaseTransport, limit_ms: int
-) -> None:
+def set_user_timeout(transport: asyncio.BaseTransport, limit_ms: int) -> None:
     """Has the operating system break a connection that takes nothing more."""
     opened = transport.get_extra_info("socket")
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
@@ -103,7 +103,7 @@
         pause_s: Longest wait for the next part, in seconds.
     """
     loop = asyncio.get_running_loop()
-    ends_at = loop.time() + _ARRIVAL_S
+    ends_at = loop.time() + _BODY_TIMEOUT_S
     limit.reschedule(min(loop.time() + pause_s, ends_at))
     parts = []
     async for part in answer.content.iter_any():
--- a/merlintrestle/daemon/heartbeats.py
+++ b/merlintrestle/daemon/heartbeats.py
@@ -8,7 +8,7 @@
     from merlintrestle.schema import control_pb2
 
 # Sequence of what is known of a process before its first heartbeat.
-BEFORE_ALL = -1.0
+INITIAL_SEQUENCE = -1.0
 # Processes of the backend server that are remembered as ended.
 _MAX_ENDED = 64
 
@@ -24,7 +24,7 @@
         state: Whether it takes new work.
         cold_s: Seconds for which it will still be slow after its start.
         sequence: Greater in each later heartbeat of one process.
-        born_ms: When the process started, in ms since 1970; 0: not stated.
+        started_ms: When the process started, in ms since 1970; 0: not stated.
         version: Version of its software; empty: not stated.
     """
 
@@ -35,11 +35,11 @@
     state: control_pb2.BackendState
     cold_s: float
     sequence: float
-    born_ms: int = 0
+    started_ms: int = 0
     version: str = ""
 
 
-class Heartbeats:
+class HeartbeatFilter:
     """Tells news from heartbeats that come late.
 
     A heartbeat may be seconds late. One of a process that has ended since, or
@@ -57,30 +57,30 @@
         """Starts without a backend server."""
         self._instance_id = ""
         self._born_ms = 0
-        self._sequence = BEFORE_ALL
+        self._sequence = INITIAL_SEQUENCE
         # The newest start of each id that has ended, in ms since 1970.
         self._ended: dict[str, int] = {}
 
     @property
-    def heard(self) -> bool:
+    def has_seen_backend(self) -> bool:
         """True once anything was heard of a backend server."""
         return bool(self._instance_id or self._ended)
 
-    def is_news(self, heartbeat: Heartbeat) -> bool:
+    def accept(self, heartbeat: Heartbeat) -> bool:
         """Notes a heartbeat; False if it says nothing any more."""
         ended_ms = self._ended.get(heartbeat.instance_id)
-        if ended_ms is not None and heartbeat.born_ms <= ended_ms:
+        if ended_ms is not None and heartbeat.started_ms <= ended_ms:
             return False
-        if self._is_earlier(heartbeat.born_ms):
+        if self._is_earlier(heartbeat.started_ms):
             return False
-        same = self._is_same(heartbeat.instance_id, heartbeat.born_ms)
+        same = self._is_same(heartbeat.instance_id, heartbeat.started_ms)
         if same and heartbeat.sequence <= self._sequence:
             return False
         if heartbeat.instance_id != self._instance_id:
             self._end(self._instance_id, self._born_ms)
             self._instance_id = heartbeat.instance_id
             self._born_ms = 0
-        self._born_ms = heartbeat.born_ms or self._born_ms
+        self._born_ms = heartbeat.started_ms or self._born_ms
         self._sequence = heartbeat.sequence
         return True
 
--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -45,7 +45,7 @@
 _NOTICE_S = 0.4
 
 
-class Surroundings(NamedTuple):
+class Environment(NamedTuple):
     """What a daemon needs of where it runs.
 
     Attributes:
@@ -53,9 +53,9 @@
         source: Where versions come from.
         dialect: How callers and backend servers speak.
         timing: Intervals of membership and spreading.
-        witnessed: Whether other daemons record each version before it runs,
+        use_witnesses: Whether other daemons record each version before it runs,
             so that this daemon never goes back over a restart.
-        watch_directly: Whether it asks the store before it met a peer.
+        read_before_contact: Whether it asks the store before it met a peer.
         rollout_format: How the store keeps the records of roll-outs.
     """
 
@@ -63,15 +63,15 @@
     source: sources.Source
     dialect: object
     timing: timings.Timing
-    witnessed: bool = True
-    watch_directly: bool = False
+    use_witnesses: bool = True
+    read_before_contact: bool = False
     rollout_format: registers.RecordFormat = registers.DefaultFormat()
 
 
-def build_surroundings(store_address: str) -> Surroundings:
+def build_environment(store_address: str) -> Environment:
     """Returns the product's own store, records and headers."""
     store = client.StoreClient(store_address)
-    return Surroundings(
+    return Environment(
         store,
         sources.StoreSource(store),
         dialects.NativeDialect(),
@@ -90,15 +90,15 @@
     def __init__(
         self,
         settings: settings_pb2.DaemonSettings,
-        surroundings: Surroundings | None = None,
+        surroundings: Environment | None = None,
     ):
         """Keeps the settings; everything opens in `start`."""
         super().__init__()
-        self._surroundings = surroundings or build_surroundings(settings.store)
-        self._heartbeats = heartbeats_lib.Heartbeats()
+        self._surroundings = surroundings or build_environment(settings.store)
+        self._heartbeats = heartbeats_lib.HeartbeatFilter()
         self._settings = settings_pb2.DaemonSettings()
         self._settings.CopyFrom(settings)
-        self._holder = holders.ActiveVersion()
+        self._active_version = holders.ActiveVersion()
         self._store = self._surroundings.store
         self._leaving = False
         self._opened = False
@@ -115,7 +115,7 @@
         self._book = books.RolloutTracker(self._table.get_upstreams)
         self._proxy = proxies.Proxy(
             settings,
-            self._holder,
+            self._active_version,
             self._table,
             self._store,
             self._surroundings.dialect,
@@ -136,40 +136,42 @@
             zone=self._settings.zone,
             region=self._settings.region,
             store=self._settings.store,
-            version=self._holder.version,
+            version=self._active_version.version,
         )
         print(json.dumps(ports), flush=True)
 
     async def start_endpoints(self) -> None:
         """Opens the ports for what is neither a caller nor a daemon."""
         self.registry = metrics.build_registry(
-            self._holder, self._table, self._proxy
+            self._active_version, self._table, self._proxy
         )
         self._admin = admin.AdminServer(
             self._settings.admin_port,
-            self._holder,
+            self._active_version,
             self._announce,
             self.registry,
         )
         await self.add_runtime_dependency(self._admin)
 
-    def set_retries(self, ratio: float, slack: float, window_s: float) -> None:
+    def set_retry_bounds(
+        self, ratio: float, slack: float, window_s: float
+    ) -> None:
         """Bounds the retries of the whole fleet anew; see the settings."""
         self._proxy.set_retry_bounds(ratio, slack, window_s)
 
     def is_ready(self) -> bool:
         """Returns whether callers may be sent to this daemon."""
-        closed = bool(self._holder.closed_reason)
+        closed = bool(self._active_version.closed_reason)
         return self._opened and not self._leaving and not closed
 
     @property
-    def heard_backend(self) -> bool:
+    def has_seen_backend(self) -> bool:
         """True once the backend server said anything."""
-        return self._heartbeats.heard
+        return self._heartbeats.has_seen_backend
 
-    def take_heartbeat(self, heartbeat: heartbeats_lib.Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: heartbeats_lib.Heartbeat) -> None:
         """Takes over what the backend server says, if it is news."""
-        if not self._heartbeats.is_news(heartbeat):
+        if not self._heartbeats.accept(heartbeat):
             return
         self._proxy.backend.announce(
             heartbeat.service,
@@ -178,7 +180,7 @@
             heartbeat.state,
             heartbeat.instance_id,
             heartbeat.cold_s,
-            heartbeat.born_ms,
+            heartbeat.started_ms,
             heartbeat.version,
         )
 
@@ -225,12 +227,12 @@
         )
         self._membership = membership
         distribution = distributions.Distribution(
-            self._holder,
+            self._active_version,
             membership,
             self._surroundings.source,
             self._settings.spread,
-            self._surroundings.witnessed,
-            self._surroundings.watch_directly,
+            self._surroundings.use_witnesses,
+            self._surroundings.read_before_contact,
         )
         servicer = control.ControlServicer(
             membership,
@@ -283,7 +285,7 @@
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(READY_LIMIT_S):
-                while self._holder.closed_reason not in _SETTLED:
+                while self._active_version.closed_reason not in _SETTLED:
                     await asyncio.sleep(_READY_POLL_S)
 
     def _build_member(self) -> control_pb2.Member:
--- a/merlintrestle/daemon/validity.py
+++ b/merlintrestle/daemon/validation.py
@@ -13,7 +13,7 @@
 _MAX_VERSION_CHARACTERS = 200
 
 
-def is_name(value: Any) -> bool:
+def is_service_name(value: Any) -> bool:
     """Returns whether a value is the name of a service."""
     return isinstance(value, str) and _NAME.fullmatch(value) is not None
 
@@ -30,18 +30,18 @@
     return isinstance(value, str) and not config.check_address(value)
 
 
-def is_slots(value: Any) -> bool:
+def is_slot_count(value: Any) -> bool:
     """Returns whether a value is a number of slots."""
     return type(value) is int and 0 < value <= _MAX_SLOTS
 
 
-def is_number(value: Any) -> bool:
+def is_non_negative_number(value: Any) -> bool:
     """Returns whether a value is a number, not negative."""
     if type(value) not in (int, float):
         return False
     return math.isfinite(value) and value >= 0
 
 
-def is_born(value: Any) -> bool:
+def is_start_time(value: Any) -> bool:
     """Returns whether a start in ms since 1970 is one, or left out."""
     return value is None or (type(value) is int and value > 0)
--- a/merlintrestle/events.py
+++ b/merlintrestle/events.py
@@ -25,7 +25,7 @@
 )
 
 
-class Bucket:
+class TokenBucket:
     """Bounds the lines of one event.
 
     Attributes:
@@ -41,7 +41,7 @@
         self._burst = burst
         self._tokens = burst
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Returns whether one more line may be written."""
         earned = (now - self._at) * self._rate
         self._tokens = min(self._burst, self._tokens + earned)
@@ -61,7 +61,7 @@
         self._part = part
         self._rate = rate
         self._logger = logging.getLogger(f"merlintrestle.{part}")
-        self._buckets: dict[str, Bucket] = {}
+        self._buckets: dict[str, TokenBucket] = {}
 
     def note(self, event: str, **fields: Any) -> None:
         """Writes an event at level info."""
@@ -95,8 +95,8 @@
         now = time.monotonic()
         bucket = self._buckets.get(event)
         if bucket is None:
-            bucket = self._buckets[event] = Bucket(now, self._rate)
-        if not bucket.take(now):
+            bucket = self._buckets[event] = TokenBucket(now, self._rate)
+        if not bucket.try_take(now):
             _left_out.labels(event).inc()
             return False
         if bucket.left_out:
--- a/merlintrestle/generics.py
+++ b/merlintrestle/generics.py
@@ -15,7 +15,7 @@
 _T = TypeVar("_T")
 
 
-def remember_choices(
+def cache_dispatch(
     generic: functools._SingleDispatchCallable[_T],
 ) -> functools._SingleDispatchCallable[_T]:
     """Returns a generic function that remembers its choices.
--- a/merlintrestle/platform/endpoints.py
+++ b/merlintrestle/platform/endpoints.py
@@ -12,7 +12,7 @@
 from merlintrestle import errors
 from merlintrestle import events as event_logs
 from merlintrestle.daemon import heartbeats
-from merlintrestle.daemon import validity
+from merlintrestle.daemon import validation
 from merlintrestle.platform import settings as settings_lib
 from merlintrestle.schema import control_pb2
 
@@ -167,14 +167,14 @@
     findings = [
         errors.Finding(name, f"{fields.get(name)!r} is not allowed.")
         for name, fits in (
-            ("service", validity.is_name),
-            ("address", validity.is_address),
-            ("slots", validity.is_slots),
+            ("service", validation.is_service_name),
+            ("address", validation.is_address),
+            ("slots", validation.is_slot_count),
             ("state", _is_state),
-            ("coldRemainingMs", validity.is_number),
-            ("seq", validity.is_number),
-            ("born", validity.is_born),
-            ("version", validity.is_version),
+            ("coldRemainingMs", validation.is_non_negative_number),
+            ("seq", validation.is_non_negative_number),
+            ("born", validation.is_start_time),
+            ("version", validation.is_version),
         )
         if not fits(fields.get(name))
     ]
@@ -205,7 +205,7 @@
     """
     fields = json.loads(body) if body else {}
     born_ms = fields.get("born") if isinstance(fields, dict) else fields
-    if not validity.is_born(born_ms):
+    if not validation.is_start_time(born_ms):
         raise errors.InvalidInputError(
             [errors.Finding("born", f"{born_ms!r} is not allowed.")]
         )
--- a/merlintrestle/platform/health.py
+++ b/merlintrestle/platform/health.py
@@ -65,5 +65,5 @@
         slots=int(slots),
         state=control_pb2.READY,
         cold_s=0.0,
-        sequence=heartbeats.BEFORE_ALL,
+        sequence=heartbeats.INITIAL_SEQUENCE,
     )
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -37,13 +37,13 @@
         store = stores.PlatformStore(str(settings.store))
         super().__init__(
             build_daemon_settings(settings),
-            service.Surroundings(
+            service.Environment(
                 store=store,
                 source=configuration.ConfigurationSource(store),
                 dialect=requests.PlatformDialect(settings.service),
                 timing=timings.QUICK,
-                witnessed=False,
-                watch_directly=True,
+                use_witnesses=False,
+                read_before_contact=True,
                 rollout_format=rollouts.OPERATORS_FORMAT,
             ),
         )
@@ -67,7 +67,7 @@
         }
         events.note("reload", changed=changed)
         self._platform = settings
-        self.set_retries(
+        self.set_retry_bounds(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_s
         )
 
@@ -77,19 +77,19 @@
         self._endpoints = endpoints.Endpoints(
             self._platform,
             self.is_ready,
-            self.take_heartbeat,
+            self.handle_heartbeat,
             self.retire_backend,
             self._knows_service,
             lambda: metrics.render_metrics(self.registry),
         )
         await self.add_runtime_dependency(self._endpoints)
         status = await health.ask_backend(self._platform)
-        if status is not None and not self.heard_backend:
-            self.take_heartbeat(status)
+        if status is not None and not self.has_seen_backend:
+            self.handle_heartbeat(status)
 
     def _knows_service(self, name: str) -> bool:
         """Returns whether the settings or the running version name it."""
-        running = self._holder.running
+        running = self._active_version.running
         known = running is not None and name in running.services
         return known or name == self._platform.service
 
--- a/merlintrestle/platform/settings.py
+++ b/merlintrestle/platform/settings.py
@@ -8,7 +8,7 @@
 
 from merlintrestle import config
 from merlintrestle import errors
-from merlintrestle import readings
+from merlintrestle import settings_reader
 
 PATH_VARIABLE = "MERLINTRESTLE_CONFIG"
 _MS = 1000
@@ -115,35 +115,51 @@
     Raises:
         errors.InvalidInputError: With every finding about it.
     """
-    reader = readings.Reader(_split(text))
-    ports = reader.get("internalPorts", _parse_ports, (0, 0))
+    reader = settings_reader.SettingsReader(_split(text))
+    ports = reader.get_required("internalPorts", _parse_ports, (0, 0))
     settings = Settings(
-        address=reader.get("ip", readings.parse_ip, ""),
-        zone=reader.get("zone", str, ""),
-        region=reader.get("region", str, ""),
-        service=reader.get("service", str, ""),
-        backend=reader.get("app", _parse_address, _NOWHERE),
-        callers=reader.get("listen.outbound", _parse_address, _NOWHERE),
-        peers=reader.get("listen.inbound", _parse_address, _NOWHERE),
-        readiness=reader.get("listen.ready", _parse_address, _NOWHERE),
-        announcements=reader.get("listen.control", _parse_address, _NOWHERE),
+        address=reader.get_required("ip", settings_reader.parse_ip, ""),
+        zone=reader.get_required("zone", str, ""),
+        region=reader.get_required("region", str, ""),
+        service=reader.get_required("service", str, ""),
+        backend=reader.get_required("app", _parse_address, _NOWHERE),
+        callers=reader.get_required(
+            "listen.outbound", _parse_address, _NOWHERE
+        ),
+        peers=reader.get_required("listen.inbound", _parse_address, _NOWHERE),
+        readiness=reader.get_required("listen.ready", _parse_address, _NOWHERE),
+        announcements=reader.get_required(
+            "listen.control", _parse_address, _NOWHERE
+        ),
         first_port=ports[0],
         last_port=ports[1],
-        store=reader.get("platform.address", _parse_address, _NOWHERE),
-        heartbeat_s=reader.get("heartbeatMs", readings.parse_number, 0.0) / _MS,
-        drain_s=reader.get("bounds.drainMs", readings.parse_number, 0.0) / _MS,
-        grace_s=reader.get("bounds.graceS", readings.parse_number, 0.0),
-        retry_ratio=reader.get(
-            "bounds.retryBudgetRatio", readings.parse_number, 0.0
+        store=reader.get_required("platform.address", _parse_address, _NOWHERE),
+        heartbeat_s=reader.get_required(
+            "heartbeatMs", settings_reader.parse_number, 0.0
+        )
+        / _MS,
+        drain_s=reader.get_required(
+            "bounds.drainMs", settings_reader.parse_number, 0.0
+        )
+        / _MS,
+        grace_s=reader.get_required(
+            "bounds.graceS", settings_reader.parse_number, 0.0
+        ),
+        retry_ratio=reader.get_required(
+            "bounds.retryBudgetRatio", settings_reader.parse_number, 0.0
+        ),
+        retry_slack=reader.get_required(
+            "bounds.retrySlack", settings_reader.parse_number, 0.0
+        ),
+        retry_window_s=reader.get_required(
+            "bounds.budgetWindowS", settings_reader.parse_number, 0.0
         ),
-        retry_slack=reader.get("bounds.retrySlack", readings.parse_number, 0.0),
-        retry_window_s=reader.get(
-            "bounds.budgetWindowS", readings.parse_number, 0.0
+        expose_share=reader.get_optional(
+            "bounds.exposeShare", settings_reader.parse_number, 0.0
         ),
-        expose_share=reader.find(
-            "bounds.exposeShare", readings.parse_number, 0.0
+        link_mbps=reader.get_optional(
+            "limits.linkMbps", settings_reader.parse_number, 0.0
         ),
-        link_mbps=reader.find("limits.linkMbps", readings.parse_number, 0.0),
     )
     if reader.findings:
         raise errors.InvalidInputError(reader.findings)
--- a/merlintrestle/platform/store.py
+++ b/merlintrestle/platform/store.py
@@ -40,8 +40,8 @@
 _TIMEOUT_S = 1.0
 # A watch that waits gives no sign of its own for 30 s. Keep-alive probes show
 # a connection that went silent within three seconds instead.
-_SILENCE = connectors.Silence(
-    idle_s=1, gap_s=1, questions=2, unacknowledged_ms=2_000
+_SILENCE = connectors.TcpKeepalive(
+    idle_s=1, interval_s=1, probe_count=2, user_timeout_ms=2_000
 )
 _OK = 200
 _FORBIDDEN = 403
--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -32,7 +32,7 @@
             seconds.
         instance_id: Id of its process; empty if not announced.
         state: State as announced, or DOWN while it refuses connections.
-        born_ms: Start of its process, in ms since 1970; 0 if not announced.
+        started_ms: Start of its process, in ms since 1970; 0 if not announced.
         ready_since_ms: Time at which it became ready, in ms since 1970.
         reachable: False after it refused a connection, until it accepts one.
         on_change: Called after every change of the value of `build_record`.
@@ -48,7 +48,7 @@
         self.version = ""
         self.warm_at = 0.0
         self.instance_id = ""
-        self.born_ms = 0
+        self.started_ms = 0
         self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
         self.ready_since_ms = 0
         self.reachable = True
@@ -94,7 +94,7 @@
             self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
             self.on_restart(self.address)
         self.instance_id = instance_id
-        self.born_ms = born_ms
+        self.started_ms = born_ms
         self.version = version
         self.service = service
         self.address = address
@@ -159,7 +159,7 @@
         """Returns whether an announcement comes from another process."""
         if not self.instance_id:
             return False
-        restarted = 0 < self.born_ms < born_ms
+        restarted = 0 < self.started_ms < born_ms
         return restarted or instance_id != self.instance_id
 
     def _set_state(self, state: control_pb2.BackendState) -> None:
--- a/merlintrestle/requests/calls/dialect.py
+++ b/merlintrestle/requests/calls/dialect.py
@@ -32,7 +32,7 @@
     """Paths that begin with a service name, and `Merlintrestle-` headers."""
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def match_caller(
     dialect: object,
@@ -43,7 +43,7 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def read_metadata(
     dialect: object, request: web.BaseRequest
@@ -52,7 +52,7 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def may_be_nested(
     dialect: object, request: web.BaseRequest, backend_busy: bool
@@ -70,7 +70,7 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def render(
     dialect: object, outcome: outcomes.Failure, request: web.BaseRequest
@@ -79,7 +79,7 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def build_backend_headers(
     dialect: object, call: calls.Call, backend: backends.LocalBackend
@@ -88,7 +88,7 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def is_answer_to(
     dialect: object, answer: answers.Answer, call: calls.Call
@@ -102,7 +102,7 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def check_answer(
     dialect: object, answer: answers.Answer
@@ -117,7 +117,7 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def accepts_unframed_answers(dialect: object) -> bool:
     """Returns whether the end of an answer may be unmarked.
--- a/merlintrestle/requests/calls/outcomes.py
+++ b/merlintrestle/requests/calls/outcomes.py
@@ -165,7 +165,7 @@
         outcome.release()
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def render(outcome: object) -> web.Response:
     """Returns the response that reports an outcome other than `Answered`."""
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -293,7 +293,7 @@
         self.silent_since = now
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def record(
     outcome: object,
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -28,7 +28,7 @@
     BUDGETED = enum.auto()
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def classify(outcome: object, call: calls.Call) -> Retry:
     """Returns whether a call with this outcome may be retried."""
--- a/merlintrestle/readings.py
+++ b/merlintrestle/settings_reader.py
@@ -13,7 +13,7 @@
 _T = TypeVar("_T")
 
 
-class Reader:
+class SettingsReader:
     """Takes values out of the file and collects what is wrong with them.
 
     Attributes:
@@ -25,13 +25,17 @@
         self.findings: list[errors.Finding] = []
         self._values = values
 
-    def get(self, name: str, parse: Callable[[str], _T], lacking: _T) -> _T:
+    def get_required(
+        self, name: str, parse: Callable[[str], _T], lacking: _T
+    ) -> _T:
         """Returns a value; `lacking` where it is not there or malformed."""
         if name not in self._values:
             self.findings.append(errors.Finding(name, "is required."))
-        return self.find(name, parse, lacking)
+        return self.get_optional(name, parse, lacking)
 
-    def find(self, name: str, parse: Callable[[str], _T], lacking: _T) -> _T:
+    def get_optional(
+        self, name: str, parse: Callable[[str], _T], lacking: _T
+    ) -> _T:
         """Returns a value that may be left out."""
         if name not in self._values:
             return lacking
--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -98,7 +98,7 @@
     @property
     def taken(self) -> list[int]:
         """The versions that it took into use, in order."""
-        return [taken.version for taken in self._holder.history]
+        return [taken.version for taken in self._active_version.history]
 
     def set_farewell(self, seconds: float) -> None:
         """Sets for how long callers are still served after a stop began."""
@@ -117,12 +117,12 @@
 
     async def wait_for_version(self, version: int) -> None:
         """Waits until it runs a version."""
-        while self._holder.version != version:
+        while self._active_version.version != version:
             await asyncio.sleep(0.01)
 
     async def wait_until_open(self) -> None:
         """Waits until it serves."""
-        while self._holder.closed_reason:
+        while self._active_version.closed_reason:
             await asyncio.sleep(0.01)
 
     async def wait_for_upstreams(self, count: int) -> None:
--- a/tests/daemon/test_heartbeats.py
+++ b/tests/daemon/test_heartbeats.py
@@ -20,13 +20,13 @@
         state=control_pb2.READY,
         cold_s=0.0,
         sequence=sequence,
-        born_ms=born_ms,
+        started_ms=born_ms,
     )
 
 
 class HeartbeatsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.heard = heartbeats.Heartbeats()
+        self.heard = heartbeats.HeartbeatFilter()
 
     def test_a_restart_under_the_same_id(self) -> None:
         """Callers are served by a backend server that has just restarted.
@@ -35,52 +35,52 @@
         its heartbeats would be dropped until they had caught up: at one in
         1.5 s it would get no work for as long as it had lived before.
         """
-        self.assertTrue(self.heard.is_news(_build("i-1", 400, 1000)))
-        self.assertTrue(self.heard.is_news(_build("i-1", 1, 2000)))
-        self.assertTrue(self.heard.is_news(_build("i-1", 2, 2000)))
+        self.assertTrue(self.heard.accept(_build("i-1", 400, 1000)))
+        self.assertTrue(self.heard.accept(_build("i-1", 1, 2000)))
+        self.assertTrue(self.heard.accept(_build("i-1", 2, 2000)))
 
     def test_a_late_heartbeat_of_the_earlier_life(self) -> None:
-        self.heard.is_news(_build("i-1", 400, 1000))
-        self.heard.is_news(_build("i-1", 1, 2000))
-        self.assertFalse(self.heard.is_news(_build("i-1", 401, 1000)))
+        self.heard.accept(_build("i-1", 400, 1000))
+        self.heard.accept(_build("i-1", 1, 2000))
+        self.assertFalse(self.heard.accept(_build("i-1", 401, 1000)))
 
     def test_a_late_heartbeat_of_another_earlier_process(self) -> None:
         """A process that nobody here heard of started before the newest."""
-        self.heard.is_news(_build("i-2", 1, 2000))
-        self.assertFalse(self.heard.is_news(_build("i-1", 400, 1000)))
-        self.assertFalse(self.heard.is_news(_build("i-2", 1, 2000)))
+        self.heard.accept(_build("i-2", 1, 2000))
+        self.assertFalse(self.heard.accept(_build("i-1", 400, 1000)))
+        self.assertFalse(self.heard.accept(_build("i-2", 1, 2000)))
 
     def test_a_late_leave_of_the_earlier_life(self) -> None:
         """The new process goes on getting work."""
-        self.heard.is_news(_build("i-1", 400, 1000))
-        self.heard.is_news(_build("i-1", 1, 2000))
+        self.heard.accept(_build("i-1", 400, 1000))
+        self.heard.accept(_build("i-1", 1, 2000))
         self.assertFalse(self.heard.retire("i-1", 1000))
-        self.assertTrue(self.heard.is_news(_build("i-1", 2, 2000)))
+        self.assertTrue(self.heard.accept(_build("i-1", 2, 2000)))
 
     def test_an_id_that_left_counts_again_after_a_restart(self) -> None:
-        self.heard.is_news(_build("i-1", 400, 1000))
+        self.heard.accept(_build("i-1", 400, 1000))
         self.assertTrue(self.heard.retire("i-1", 1000))
-        self.assertFalse(self.heard.is_news(_build("i-1", 401, 1000)))
-        self.assertTrue(self.heard.is_news(_build("i-1", 1, 2000)))
+        self.assertFalse(self.heard.accept(_build("i-1", 401, 1000)))
+        self.assertTrue(self.heard.accept(_build("i-1", 1, 2000)))
 
     def test_a_leave_that_does_not_say_of_which_life(self) -> None:
         """It counts for the newest one: no new work may reach a leaver."""
-        self.heard.is_news(_build("i-1", 400, 1000))
+        self.heard.accept(_build("i-1", 400, 1000))
         self.assertTrue(self.heard.retire("i-1"))
-        self.assertFalse(self.heard.is_news(_build("i-1", 401, 1000)))
+        self.assertFalse(self.heard.accept(_build("i-1", 401, 1000)))
 
     def test_a_status_says_nothing_of_the_start(self) -> None:
         """The first heartbeat after it is of the same process."""
-        self.heard.is_news(_build("i-1", heartbeats.BEFORE_ALL))
-        self.assertTrue(self.heard.is_news(_build("i-1", 7, 1000)))
-        self.assertFalse(self.heard.is_news(_build("i-1", 6)))
-        self.assertFalse(self.heard.is_news(_build("i-1", 6, 1000)))
+        self.heard.accept(_build("i-1", heartbeats.INITIAL_SEQUENCE))
+        self.assertTrue(self.heard.accept(_build("i-1", 7, 1000)))
+        self.assertFalse(self.heard.accept(_build("i-1", 6)))
+        self.assertFalse(self.heard.accept(_build("i-1", 6, 1000)))
 
     def test_without_a_start_the_count_alone_decides(self) -> None:
-        self.assertTrue(self.heard.is_news(_build("i-1", 2)))
-        self.assertFalse(self.heard.is_news(_build("i-1", 1)))
-        self.assertTrue(self.heard.is_news(_build("i-2", 1)))
-        self.assertFalse(self.heard.is_news(_build("i-1", 3)))
+        self.assertTrue(self.heard.accept(_build("i-1", 2)))
+        self.assertFalse(self.heard.accept(_build("i-1", 1)))
+        self.assertTrue(self.heard.accept(_build("i-2", 1)))
+        self.assertFalse(self.heard.accept(_build("i-1", 3)))
 
 
 class RestartTest(unittest.TestCase):
--- a/tests/platform/fleets.py
+++ b/tests/platform/fleets.py
@@ -42,7 +42,7 @@
     @property
     def version(self) -> int:
         """The version that runs."""
-        return self._holder.version
+        return self._active_version.version
 
     def count_upstreams(self, name: str) -> int:
         """Returns how many upstreams of a service it knows."""
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -43,12 +43,12 @@
 class HeartbeatTest(unittest.TestCase):
     def test_a_whole_heartbeat(self) -> None:
         found = endpoints.read_heartbeat("i-1", _FIELDS)
-        self.assertEqual(found.born_ms, 1_700_000_000_000)
+        self.assertEqual(found.started_ms, 1_700_000_000_000)
 
     def test_the_start_may_be_left_out(self) -> None:
         fields = {**_FIELDS}
         del fields["born"]
-        self.assertEqual(endpoints.read_heartbeat("i-1", fields).born_ms, 0)
+        self.assertEqual(endpoints.read_heartbeat("i-1", fields).started_ms, 0)
 
     @hypothesis.given(strategies.sampled_from(_READ), _ODD)
     def test_no_field_of_another_kind_is_taken_in(
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -99,7 +99,7 @@
         await self.store.put("a", _LARGE, 0)
         self.standin.faults.pause_s = 0.1
         with (
-            mock.patch.object(connectors, "_ARRIVAL_S", 0.2),
+            mock.patch.object(connectors, "_BODY_TIMEOUT_S", 0.2),
             self.assertRaises(errors.StoreUnavailableError),
         ):
             await asyncio.wait_for(self.store.get("a"), 20)
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -50,7 +50,7 @@
         """
         thresholds = gc.get_threshold()
         try:
-            application.calm_gc()
+            application.resume_gc()
             self.assertGreater(gc.get_freeze_count(), 0)
             cycle: list[object] = []
             cycle.append(cycle)
@@ -71,7 +71,7 @@
         try:
             application.pause_gc()
             self.assertFalse(gc.isenabled())
-            application.calm_gc()
+            application.resume_gc()
             self.assertTrue(gc.isenabled())
         finally:
             gc.enable()
--- a/tests/test_generics.py
+++ b/tests/test_generics.py
@@ -10,7 +10,7 @@
 
 class RememberChoicesTest(unittest.TestCase):
     def setUp(self) -> None:
-        @generics.remember_choices
+        @generics.cache_dispatch
         @functools.singledispatch
         def name(value: object, suffix: str = "") -> str:
             return "any" + suffix
