--- a/merlintrestle/store/__init__.py
+++ b/merlintrestle/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform store: its client and the records kept in it."""
+"""Client of the platform store and the records stored in it."""
--- a/merlintrestle/store/acceptance.py
+++ b/merlintrestle/store/acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance of a configuration version: the compare-and-swap of `head`."""
+"""Acceptance of configuration versions by compare-and-swap of `head`."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-_TRIES = 4
+_MAX_ATTEMPTS = 4
 RETRY_DELAY_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The change is on the chain.
+    """The change was accepted and is on the chain.
 
     Attributes:
-        version: The version that it made.
+        version: The version that the change created.
     """
 
     version: int
@@ -30,10 +30,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Conflict:
-    """Another change made the version; this one is not on the chain.
+    """Another change created the version; this one is not on the chain.
 
     Attributes:
-        head: The head that stands instead.
+        head: The current head.
         revision: Revision of `head`.
     """
 
@@ -43,10 +43,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Undecided:
-    """The store gave no answer; the change may be on the chain or get there.
+    """The store did not answer; the change may be accepted now or later.
 
     Attributes:
-        reason: What the store's client said.
+        reason: Error message of the store's client.
     """
 
     reason: str
@@ -64,19 +64,19 @@
     """Returns the head that a change proposes.
 
     Args:
-        before: The head it is based on.
+        before: The head that the change is based on.
         change_id: Id of the change.
         documents: Digest of each organisation's document.
         snapshot_digest: Digest of the compiled snapshot.
     """
-    earlier = [before.change_id, *before.earlier_change_ids]
+    earlier_ids = [before.change_id, *before.earlier_change_ids]
     return document_pb2.Head(
         version=before.version + 1,
         documents=documents,
         change_id=change_id,
-        earlier_change_ids=[one for one in earlier if one][
-            : records.MAX_EARLIER_IDS
-        ],
+        earlier_change_ids=[
+            earlier_id for earlier_id in earlier_ids if earlier_id
+        ][: records.MAX_EARLIER_IDS],
         snapshot_digest=snapshot_digest,
     )
 
@@ -85,32 +85,32 @@
     store: records.Store,
     head: document_pb2.Head,
     expected_revision: int,
-    pause_s: float = RETRY_DELAY_S,
+    retry_delay_s: float = RETRY_DELAY_S,
 ) -> Outcome:
-    """Proposes a head and says what became of it.
+    """Proposes a head and returns the outcome.
 
     The store's answer can be lost after the write took effect, and a write
-    whose answer is late can take effect after a read. Sending the same write
-    again is the safeguard: it carries the same change id and the same expected
-    revision, so it can take effect once at most, and its answer holds the
-    entry as it stands, which decides the matter.
+    whose answer is late can take effect after a read. The same write is
+    therefore retried: it has the same change id and the same expected
+    revision, so it takes effect at most once, and its answer contains the
+    current entry, which shows the outcome.
 
     Args:
         store: The store.
-        head: What `make_head` returned.
-        expected_revision: Revision of the head it is based on.
-        pause_s: Seconds between two tries.
+        head: The head that `make_head` returned.
+        expected_revision: Revision of the head that the change is based on.
+        retry_delay_s: Delay between two attempts, in seconds.
     """
     value = head.SerializeToString(deterministic=True)
     reason = ""
-    for attempt in range(_TRIES):
+    for attempt in range(_MAX_ATTEMPTS):
         if attempt:
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(retry_delay_s)
         try:
             reply = await store.put(records.HEAD_KEY, value, expected_revision)
             if reply.written:
                 return Accepted(head.version)
-            return await settle_change(
+            return await resolve_change(
                 store,
                 head,
                 records.parse_head(reply.entry),
@@ -121,24 +121,26 @@
     return Undecided(reason)
 
 
-async def settle_change(
+async def resolve_change(
     store: records.Store,
     proposed: document_pb2.Head,
     current: document_pb2.Head,
     revision: int,
 ) -> Outcome:
-    """Says what became of a proposed head that the store no longer takes.
+    """Returns the outcome of a proposed head that the store rejects.
 
     Args:
         store: The store.
         proposed: The head that was proposed.
-        current: The head that stands, on another revision than the expected.
+        current: The current head, whose revision is not the expected one.
         revision: Revision of `current`.
 
     Raises:
         errors.StoreUnavailableError: The chain could not be read.
     """
-    made_by = await records.find_accepted_id(store, current, proposed.version)
-    if made_by == proposed.change_id:
+    accepted_id = await records.find_accepted_id(
+        store, current, proposed.version
+    )
+    if accepted_id == proposed.change_id:
         return Accepted(proposed.version)
     return Conflict(current, revision)
--- a/merlintrestle/store/client.py
+++ b/merlintrestle/store/client.py
@@ -1,4 +1,4 @@
-"""Client of the platform store, the only module that knows its interface."""
+"""Client of the platform store, the only module that uses its interface."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 MAX_VALUE_BYTES = 1_000_000
 _MAX_MESSAGE_BYTES = 8 * 1024 * 1024
-_MAX_RECONNECT_MS = 1000
+_MAX_RECONNECT_BACKOFF_MS = 1000
 
 
 class Entry(NamedTuple):
-    """One key of the store.
+    """A key of the store and its value.
 
     Attributes:
-      key: Its name.
-      value: Its bytes, at most `MAX_VALUE_BYTES`.
-      revision: Revision of its last write; 0 where the key is not there.
+      key: The key.
+      value: The value, at most `MAX_VALUE_BYTES` long.
+      revision: Revision of the last write; 0 if the key does not exist.
     """
 
     key: str
@@ -37,11 +37,11 @@
 
 
 class ReadResult(NamedTuple):
-    """What one read of a key brought.
+    """Result of a read of a key.
 
     Attributes:
-        entry: The entry; None where the key is not there.
-        revision: The store's revision at which that was so.
+        entry: The entry; None if the key does not exist.
+        revision: Revision of the store at which it was read.
     """
 
     entry: Entry | None
@@ -49,11 +49,11 @@
 
 
 class WriteReply(NamedTuple):
-    """What became of a compare-and-swap.
+    """Result of a compare-and-swap.
 
     Attributes:
-      written: True if this call wrote the value.
-      entry: The entry as it stands after the call.
+      written: Whether this call wrote the value.
+      entry: The entry after the call.
     """
 
     written: bool
@@ -65,15 +65,16 @@
 
     Every call has a timeout. A read that fails raises
     `errors.StoreUnavailableError`. A write that fails raises
-    `errors.StoreUnknownOutcomeError`: read the key to learn what became of it.
+    `errors.StoreUnknownOutcomeError`: read the key to find out whether the
+    write took effect.
     """
 
     def __init__(self, address: str, timeout_s: float = 2.0):
-        """Sets the target.
+        """Sets the address of the store.
 
         Args:
-          address: The store's "ip:port".
-          timeout_s: Longest wait for one answer, in seconds.
+          address: Address of the store as "ip:port".
+          timeout_s: Timeout of a call, in seconds.
         """
         self._address = address
         self._timeout_s = timeout_s
@@ -81,14 +82,14 @@
         self._stub: Any = None
 
     async def start(self) -> None:
-        """Opens the channel; the store need not be up."""
+        """Opens the channel; the store need not be reachable."""
         self._channel = grpc.aio.insecure_channel(
             self._address,
             options=[
                 ("grpc.max_receive_message_length", _MAX_MESSAGE_BYTES),
                 ("grpc.max_send_message_length", _MAX_MESSAGE_BYTES),
                 ("grpc.initial_reconnect_backoff_ms", 100),
-                ("grpc.max_reconnect_backoff_ms", _MAX_RECONNECT_MS),
+                ("grpc.max_reconnect_backoff_ms", _MAX_RECONNECT_BACKOFF_MS),
             ],
         )
         self._stub = store_pb2_grpc.StoreStub(self._channel)
@@ -99,9 +100,9 @@
             await self._channel.close()
 
     async def get(self, key: str) -> Entry | None:
-        """Reads one key; None where it is not there."""
+        """Reads a key; None if it does not exist."""
         reply = await self._read(self._stub.Get, store_pb2.GetRequest(key=key))
-        return _entry(reply.entry) if reply.entry.revision else None
+        return _convert_entry(reply.entry) if reply.entry.revision else None
 
     async def put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int = 0
@@ -116,7 +117,7 @@
                 lease_id=lease_id,
             ),
         )
-        return WriteReply(reply.written, _entry(reply.entry))
+        return WriteReply(reply.written, _convert_entry(reply.entry))
 
     async def delete(self, key: str, expected_revision: int) -> bool:
         """Deletes a key if it still has the expected revision."""
@@ -131,12 +132,12 @@
     async def list(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> list[Entry]:
-        """Reads keys with a prefix in order, `limit` at most."""
+        """Reads at most `limit` keys with a prefix, in order."""
         reply = await self._read(
             self._stub.List,
             store_pb2.ListRequest(prefix=prefix, after=after, limit=limit),
         )
-        return [_entry(entry) for entry in reply.entries]
+        return [_convert_entry(entry) for entry in reply.entries]
 
     async def watch(
         self, key: str, after_revision: int
@@ -144,25 +145,26 @@
         """Yields the key's entries newer than a revision until the store fails.
 
         Raises:
-          errors.StoreUnavailableError: The store ended or broke the watch.
+          errors.StoreUnavailableError: The store ended the watch, or the
+              connection broke.
         """
         request = store_pb2.WatchRequest(key=key, after_revision=after_revision)
         try:
             async for entry in self._stub.Watch(request):
-                yield _entry(entry)
+                yield _convert_entry(entry)
         except grpc.aio.AioRpcError as error:
             raise errors.StoreUnavailableError(_describe(error)) from error
         raise errors.StoreUnavailableError("the store ended the watch")
 
     async def grant_lease(self, seconds: int) -> int:
-        """Opens a lease; keys written under it go when it ends."""
+        """Opens a lease; keys written under it are deleted when it ends."""
         reply = await self._write(
             self._stub.GrantLease, store_pb2.GrantLeaseRequest(seconds=seconds)
         )
         return reply.lease_id
 
     async def keep_lease(self, lease_id: int) -> int:
-        """Extends a lease and returns its seconds; 0: it has ended."""
+        """Extends a lease; returns its seconds, or 0 if it has ended."""
         reply = await self._write(
             self._stub.KeepLease, store_pb2.KeepLeaseRequest(lease_id=lease_id)
         )
@@ -178,12 +180,12 @@
         try:
             return await call(request, timeout=self._timeout_s)
         except grpc.aio.AioRpcError as error:
-            # gRPC gives UNAVAILABLE also for a connection that broke after the
+            # gRPC also reports UNAVAILABLE if the connection broke after the
             # request was sent, so no status proves that a write had no effect.
             raise errors.StoreUnknownOutcomeError(_describe(error)) from error
 
 
-def _entry(entry: store_pb2.Entry) -> Entry:
+def _convert_entry(entry: store_pb2.Entry) -> Entry:
     return Entry(entry.key, entry.value, entry.revision)
 
 
--- a/merlintrestle/store/records.py
+++ b/merlintrestle/store/records.py
@@ -1,7 +1,7 @@
-"""Records of the configuration in the store: head, documents, changes.
+"""Records of the configuration in the store: head, documents and changes.
 
 A change is accepted if and only if its id is on the chain that starts at
-`head` (`Head.change_id`, then each `Change.previous_change_id`).
+`head`: `Head.change_id`, followed by each `Change.previous_change_id`.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 HEAD_KEY = "head"
 DOCUMENT_PREFIX = "documents/"
 CHANGE_PREFIX = "changes/"
-# Versions whose change ids stand in `head` itself.
+# Earlier versions whose change ids are stored in `head` itself.
 MAX_EARLIER_IDS = 32
-_PAGE = 200
-_TRIES = 3
+_CHANGES_PER_PAGE = 200
+_MAX_ATTEMPTS = 3
 
-M = TypeVar("M", bound=message.Message)
+MessageT = TypeVar("MessageT", bound=message.Message)
 
 
 class Store(Protocol):
-    """The part of `client.StoreClient` that records need."""
+    """Methods of `client.StoreClient` that records use."""
 
     async def get(self, key: str) -> client.Entry | None:
-        """Reads one key."""
+        """Reads a key."""
 
     async def put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int = 0
     ) -> client.WriteReply:
-        """Writes one key if it has the expected revision."""
+        """Writes a key if it has the expected revision."""
 
     async def list(
         self, prefix: str, after: str = "", limit: int = 1000
@@ -48,7 +48,7 @@
 
 
 async def read_head(store: Store) -> tuple[document_pb2.Head, int]:
-    """Returns the head record and its revision; version 0 where none is.
+    """Returns the head record and its revision; version 0 if there is none.
 
     Raises:
         errors.StoreUnavailableError: The store did not answer.
@@ -61,16 +61,17 @@
 
 
 def parse_head(entry: client.Entry) -> document_pb2.Head:
-    """Returns the head record that an entry of the store holds."""
+    """Returns the head record in an entry of the store."""
     return _parse(entry.key, entry.value, document_pb2.Head())
 
 
 async def read_document(store: Store, digest: bytes) -> document_pb2.Document:
-    """Returns the document that is kept under a digest.
+    """Returns the document that is stored under a digest.
 
     Raises:
         errors.StoreUnavailableError: The store did not answer.
-        errors.CorruptRecordError: It is not there or not what it was.
+        errors.CorruptRecordError: It does not exist or its bytes do not match
+            the digest.
     """
     key = DOCUMENT_PREFIX + digest.hex()
     entry = await store.get(key)
@@ -84,7 +85,7 @@
 async def read_documents(
     store: Store, head: document_pb2.Head
 ) -> dict[str, document_pb2.Document]:
-    """Returns the documents that a head names, by organisation."""
+    """Returns the documents that a head refers to, by organisation."""
     return {
         organisation: await read_document(store, head.documents[organisation])
         for organisation in sorted(head.documents)
@@ -94,11 +95,11 @@
 async def write_document(
     store: Store, document: document_pb2.Document
 ) -> bytes:
-    """Writes a document under its digest, which it returns.
+    """Writes a document under its digest and returns the digest.
 
     Raises:
-        errors.StoreUnknownOutcomeError: No answer came. Harmless: no head
-            names the document yet.
+        errors.StoreUnknownOutcomeError: The store did not answer. This is
+            harmless, as no head refers to the document yet.
     """
     value = document.SerializeToString(deterministic=True)
     digest = hashlib.sha256(value).digest()
@@ -107,10 +108,11 @@
 
 
 async def write_change(store: Store, change: document_pb2.Change) -> None:
-    """Writes the audit record of an attempt, before the attempt.
+    """Writes the audit record of a change before the change is attempted.
 
     Raises:
-        errors.StoreUnknownOutcomeError: No answer came; head is as it was.
+        errors.StoreUnknownOutcomeError: The store did not answer; the head is
+            unchanged.
     """
     value = change.SerializeToString(deterministic=True)
     await _write_once(store, CHANGE_PREFIX + change.change_id, value)
@@ -119,7 +121,7 @@
 async def read_change(
     store: Store, change_id: str
 ) -> document_pb2.Change | None:
-    """Returns the audit record of an attempt; None where it is not there."""
+    """Returns the audit record of a change, accepted or not; None if absent."""
     key = CHANGE_PREFIX + change_id
     entry = await store.get(key)
     if entry is None:
@@ -130,13 +132,13 @@
 async def list_changes(
     store: Store, after: str
 ) -> AsyncIterator[document_pb2.Change]:
-    """Yields the attempts whose ids come after a text, in the ids' order."""
+    """Yields the audit records whose ids sort after a text, ordered by id."""
     position = CHANGE_PREFIX + after
     while True:
-        entries = await store.list(CHANGE_PREFIX, position, _PAGE)
+        entries = await store.list(CHANGE_PREFIX, position, _CHANGES_PER_PAGE)
         for entry in entries:
             yield _parse(entry.key, entry.value, document_pb2.Change())
-        if len(entries) < _PAGE:
+        if len(entries) < _CHANGES_PER_PAGE:
             return
         position = entries[-1].key
 
@@ -144,7 +146,7 @@
 async def walk_chain(
     store: Store, head: document_pb2.Head, limit: int
 ) -> AsyncIterator[document_pb2.Change]:
-    """Yields accepted changes, newest first, `limit` at most."""
+    """Yields at most `limit` accepted changes, newest first."""
     change_id = head.change_id
     for _ in range(limit):
         if not change_id:
@@ -161,18 +163,18 @@
 async def find_accepted_id(
     store: Store, head: document_pb2.Head, version: int
 ) -> str:
-    """Returns the id of the change that made a version; empty: none did.
+    """Returns the id of the change that created a version; "" if none did.
 
-    The ids in `head` answer for recent versions with no further read.
+    The ids of recent versions are in `head` and need no further read.
     """
     ids = [head.change_id, *head.earlier_change_ids]
-    back = head.version - version
-    if back < 0:
+    distance = head.version - version
+    if distance < 0:
         return ""
-    if back < len(ids):
-        return ids[back]
+    if distance < len(ids):
+        return ids[distance]
     change_id = ids[-1]
-    for _ in range(back - len(ids) + 1):
+    for _ in range(distance - len(ids) + 1):
         change = await read_change(store, change_id)
         if change is None:
             raise errors.CorruptRecordError(
@@ -183,12 +185,12 @@
 
 
 async def _write_once(store: Store, key: str, value: bytes) -> None:
-    """Writes a key that never changes; writing it again is harmless."""
-    for attempt in range(_TRIES):
+    """Writes a key that never changes; repeating the write is harmless."""
+    for attempt in range(_MAX_ATTEMPTS):
         try:
             reply = await store.put(key, value, 0)
         except errors.StoreUnknownOutcomeError:
-            if attempt == _TRIES - 1:
+            if attempt == _MAX_ATTEMPTS - 1:
                 raise
             continue
         if reply.written or reply.entry.value == value:
@@ -196,7 +198,7 @@
         raise errors.CorruptRecordError(f"{key} holds another value")
 
 
-def _parse(key: str, value: bytes, target: M) -> M:
+def _parse(key: str, value: bytes, target: MessageT) -> MessageT:
     try:
         target.ParseFromString(value)
     except message.DecodeError as error:
--- a/tests/store/fakes.py
+++ b/tests/store/fakes.py
@@ -1,4 +1,4 @@
-"""A small in-memory store with the methods of `client.StoreClient`."""
+"""Fake in-memory store with the methods of `client.StoreClient`."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class FakeStore:
-    """Keeps keys in memory; faults are set by the test.
+    """Keeps keys in memory; tests inject faults.
 
     Attributes:
-        entries: The keys.
+        entries: The entries by key.
         down: While True, calls fail before they have an effect.
-        lost_answers: Writes of these keys take effect, then their answer is
-            lost; one is taken off per write.
-        late_writes: Writes of these keys get no answer and take effect only
-            when `release_late` is called; one is taken off per write.
+        lost_answers: By key, the number of writes that take effect and whose
+            answer is then lost; each write decrements it.
+        late_writes: By key, the number of writes that get no answer and take
+            effect only when `release_late` is called; each write decrements it.
         before_call: Awaited with method and key before each get and put.
-        calls: How often each method was called.
+        calls: Number of calls of each method.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self.before_call: Callable[[str, str], Awaitable[None]] | None = None
         self.calls: collections.Counter[str] = collections.Counter()
         self._revision = 0
-        self._late: list[tuple[str, bytes, int]] = []
+        self._pending_writes: list[tuple[str, bytes, int]] = []
         self._leases: dict[int, set[str]] = {}
         self._changed: asyncio.Event | None = None
 
@@ -46,22 +46,22 @@
         """Does nothing."""
 
     async def get(self, key: str) -> client.Entry | None:
-        """Reads one key."""
+        """Reads a key."""
         if self.before_call is not None:
             await self.before_call("get", key)
-        self._read("get")
+        self._check_read("get")
         return self.entries.get(key)
 
     async def put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int = 0
     ) -> client.WriteReply:
-        """Writes one key if it has the expected revision."""
+        """Writes a key if it has the expected revision."""
         if self.before_call is not None:
             await self.before_call("put", key)
-        self._write("put")
+        self._check_write("put")
         if self.late_writes[key]:
             self.late_writes[key] -= 1
-            self._late.append((key, value, expected_revision))
+            self._pending_writes.append((key, value, expected_revision))
             raise errors.StoreUnknownOutcomeError("fake: no answer yet")
         reply = self._swap(key, value, expected_revision)
         if reply.written and lease_id:
@@ -72,8 +72,8 @@
         return reply
 
     async def delete(self, key: str, expected_revision: int) -> bool:
-        """Deletes one key if it has the expected revision."""
-        self._write("delete")
+        """Deletes a key if it has the expected revision."""
+        self._check_write("delete")
         entry = self.entries.get(key)
         if entry is None or entry.revision != expected_revision:
             return False
@@ -84,7 +84,7 @@
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> list[client.Entry]:
         """Reads keys with a prefix in order."""
-        self._read("list")
+        self._check_read("list")
         keys = sorted(
             key
             for key in self.entries
@@ -96,7 +96,7 @@
         self, key: str, after_revision: int
     ) -> AsyncIterator[client.Entry]:
         """Yields newer entries of a key until the store is down."""
-        self._read("watch")
+        self._check_read("watch")
         while True:
             changed = self._changed = self._changed or asyncio.Event()
             entry = self.entries.get(key)
@@ -109,15 +109,15 @@
                 raise errors.StoreUnavailableError("fake: watch broke")
 
     async def grant_lease(self, seconds: int) -> int:
-        """Opens a lease; it ends by `end_lease` alone."""
-        self._write("grant_lease")
+        """Opens a lease; it ends only when `end_lease` is called."""
+        self._check_write("grant_lease")
         lease_id = len(self._leases) + 1
         self._leases[lease_id] = set()
         return lease_id
 
     async def keep_lease(self, lease_id: int) -> int:
-        """Returns 1 while the lease lasts, then 0."""
-        self._write("keep_lease")
+        """Returns 1 while the lease is open, then 0."""
+        self._check_write("keep_lease")
         return int(lease_id in self._leases)
 
     def end_lease(self, lease_id: int) -> None:
@@ -126,39 +126,39 @@
             self.entries.pop(key, None)
 
     def release_late(self) -> None:
-        """Lets the late writes take effect, in their order."""
-        late, self._late = self._late, []
-        for key, value, expected_revision in late:
+        """Applies the late writes in the order of their calls."""
+        late_writes, self._pending_writes = self._pending_writes, []
+        for key, value, expected_revision in late_writes:
             self._swap(key, value, expected_revision)
 
     def set_down(self, down: bool) -> None:
-        """Takes the store down, which breaks its watches, or up again."""
+        """Sets whether the store is down, which breaks open watches."""
         self.down = down
-        self._wake()
+        self._notify_watches()
 
     def _swap(
         self, key: str, value: bytes, expected_revision: int
     ) -> client.WriteReply:
-        before = self.entries.get(key, client.Entry(key, b"", 0))
-        if before.revision != expected_revision:
-            return client.WriteReply(False, before)
+        current = self.entries.get(key, client.Entry(key, b"", 0))
+        if current.revision != expected_revision:
+            return client.WriteReply(False, current)
         self._revision += 1
         entry = client.Entry(key, value, self._revision)
         self.entries[key] = entry
-        self._wake()
+        self._notify_watches()
         return client.WriteReply(True, entry)
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         if self._changed is not None:
             self._changed.set()
             self._changed = None
 
-    def _read(self, name: str) -> None:
-        self.calls[name] += 1
+    def _check_read(self, method: str) -> None:
+        self.calls[method] += 1
         if self.down:
             raise errors.StoreUnavailableError("fake: the store is down")
 
-    def _write(self, name: str) -> None:
-        self.calls[name] += 1
+    def _check_write(self, method: str) -> None:
+        self.calls[method] += 1
         if self.down:
             raise errors.StoreUnknownOutcomeError("fake: the store is down")
--- a/tests/store/test_acceptance.py
+++ b/tests/store/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Tests of accepting a version while answers are lost or late."""
+"""Tests for acceptance of versions with lost or late answers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         return await acceptance.swap_head(self.store, head, revision, 0)
 
     async def _accept(self, *change_ids: str) -> document_pb2.Head:
-        """Accepts changes in turn and returns the head that stands."""
+        """Accepts changes one after another and returns the current head."""
         head, revision = await records.read_head(self.store)
         for change_id in change_ids:
             change = document_pb2.Change(
@@ -42,8 +42,8 @@
     async def test_answer_lost_after_the_write(self) -> None:
         """The store accepts a change and its answer is lost.
 
-        Its operator would see a failure, send the change again and be told
-        that somebody else was faster: himself.
+        The operator would see a failure, retry the change, and get the answer
+        that another operator was faster, although that was the first attempt.
         """
         self.store.lost_answers[records.HEAD_KEY] = 1
         outcome = await self._swap(_propose(self.empty, "a"), 0)
@@ -53,21 +53,22 @@
     async def test_answer_lost_and_another_change_follows(self) -> None:
         """The answer is lost, then another operator's change is accepted.
 
-        The head no longer names the first change, but its chain does. Without
-        the chain the first operator would be told that he lost.
+        The head no longer contains the first change, but the chain does.
+        Without the chain the first operator would be told that the change was
+        rejected.
         """
         first = _propose(self.empty, "a")
         self.store.lost_answers[records.HEAD_KEY] = 1
-        turns = 0
+        head_writes = 0
 
-        async def follow(method: str, key: str) -> None:
-            nonlocal turns
-            turns += method == "put" and key == records.HEAD_KEY
-            if turns == 2:
+        async def accept_second_change(method: str, key: str) -> None:
+            nonlocal head_writes
+            head_writes += method == "put" and key == records.HEAD_KEY
+            if head_writes == 2:
                 self.store.before_call = None
                 await self._accept("b")
 
-        self.store.before_call = follow
+        self.store.before_call = accept_second_change
         self.assertEqual(await self._swap(first, 0), acceptance.Accepted(1))
         head, _ = await records.read_head(self.store)
         self.assertEqual((head.version, head.change_id), (2, "b"))
@@ -75,9 +76,9 @@
     async def test_write_takes_effect_late(self) -> None:
         """A write gets no answer and takes effect after the next one.
 
-        Were a fresh head proposed in its place, both could be accepted and
-        the change would be on the chain twice. The same write with the same
-        expected revision takes effect once.
+        If a new head were proposed instead, both could be accepted and the
+        change would be on the chain twice. The same write with the same
+        expected revision takes effect only once.
         """
         self.store.late_writes[records.HEAD_KEY] = 1
         outcome = await self._swap(_propose(self.empty, "a"), 0)
@@ -87,9 +88,9 @@
         self.assertEqual((head.version, list(head.earlier_change_ids)), (1, []))
 
     async def test_no_answer_at_all_is_undecided(self) -> None:
-        """The store takes the write and then answers nothing any more.
+        """The store receives the write and then no longer answers.
 
-        The change is in force though its operator has no answer; to say
+        The change takes effect although its operator gets no answer; to report
         "refused" or "accepted" would be a guess.
         """
         self.store.late_writes[records.HEAD_KEY] = 100
@@ -99,18 +100,18 @@
         head, _ = await records.read_head(self.store)
         self.assertEqual(head.change_id, "a")
 
-    async def test_loser_gets_the_head_that_stands(self) -> None:
-        stands = await self._accept("a")
+    async def test_conflict_returns_the_current_head(self) -> None:
+        current_head = await self._accept("a")
         outcome = await self._swap(_propose(self.empty, "b"), 0)
         self.assertIsInstance(outcome, acceptance.Conflict)
         assert isinstance(outcome, acceptance.Conflict)
-        self.assertEqual(outcome.head, stands)
+        self.assertEqual(outcome.head, current_head)
 
-    async def test_chain_goes_further_than_head_names(self) -> None:
+    async def test_chain_goes_further_back_than_head(self) -> None:
         """An operator is paused while many more versions are accepted.
 
-        The head names the last ids alone; the older ones are found by the
-        change records, so that his own is still found.
+        The head contains only the last ids. The older ones are found through
+        the change records, so the operator's own change is still found.
         """
         ids = [f"{i:03d}" for i in range(records.MAX_EARLIER_IDS + 9)]
         head = await self._accept(*ids)
@@ -124,10 +125,10 @@
     def setUp(self) -> None:
         self.store = fakes.FakeStore()
 
-    async def test_document_that_is_not_what_it_was(self) -> None:
-        """A document's bytes differ from its digest.
+    async def test_corrupted_document(self) -> None:
+        """The bytes of a document do not match its digest.
 
-        A daemon that ran them would serve by targets nobody accepted.
+        A daemon that ran them would apply targets that nobody accepted.
         """
         document = document_pb2.Document(organisation="zaanoever")
         digest = await records.write_document(self.store, document)
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of records and acceptance through the client and the stand-in."""
+"""Tests for records and acceptance with the client and the stand-in."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
         self.store = await standins.start_client(self, self.standin)
 
     async def test_answer_lost_after_the_write_of_head(self) -> None:
-        """The store takes the write of head and its answer is lost.
+        """The store writes the head and its answer is lost.
 
-        The client cannot tell; the same write again settles it.
+        The client does not know the outcome; a retry of the same write shows
+        it.
         """
         await self.standin.set_faults(faults.StoreFaults(lose_answers=1))
         head = acceptance.make_head(document_pb2.Head(), "a", {}, b"")
@@ -33,23 +34,23 @@
         self.assertEqual(revision, 1)
 
     async def test_calls_of_one_change(self) -> None:
-        """The platform counts each call; a change costs a fixed number."""
+        """The platform counts calls; a change makes a fixed number of them."""
         proposer = changes.Proposer(self.store, pause_s=0)
         mesh = changes.Proposal("anna", "mesh", documents.build_mesh())
         outcome = await proposer.propose(mesh)
         self.assertIsInstance(outcome, outcomes.Accepted)
-        before = self._count()
+        calls_before = self._get_calls()
         service = documents.build_service("balie", documents.build_class())
         document = documents.build_document("zaanoever", service)
         outcome = await proposer.propose(
             changes.Proposal("anna", "zaanoever", document)
         )
         self.assertIsInstance(outcome, outcomes.Accepted)
-        after = self._count()
-        # Read: head and each accepted document. Written: document, change,
-        # head.
-        self.assertEqual(after["put"] - before["put"], 3)
-        self.assertEqual(after["get"] - before["get"], 2)
+        calls_after = self._get_calls()
+        # Reads: the head and each accepted document. Writes: the document, the
+        # change and the head.
+        self.assertEqual(calls_after["put"] - calls_before["put"], 3)
+        self.assertEqual(calls_after["get"] - calls_before["get"], 2)
 
-    def _count(self) -> dict[str, int]:
+    def _get_calls(self) -> dict[str, int]:
         return dict(self.standin.servicer.calls)
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -1,4 +1,4 @@
-"""What the product needs of a store, from both clients alike."""
+"""Tests for the contract that both store clients must meet."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.platform import builders as platform_builders
 from tests.standins import builders as standins
 
-_GUARD_S = 30.0
+_TEST_TIMEOUT_S = 30.0
 
 
 class Contract:
-    """The tests, over a store that a subclass starts.
+    """Tests of a store that a subclass starts.
 
     Attributes:
         store: The client under test.
@@ -24,19 +24,19 @@
     store: Any
 
     async def lose_answer(self) -> None:
-        """Has the store do the next write and lose its answer."""
+        """Makes the store apply the next write and lose its answer."""
         raise NotImplementedError
 
     async def refuse(self) -> None:
-        """Has the store refuse every call."""
+        """Makes the store refuse every call."""
         raise NotImplementedError
 
-    async def test_a_key_that_is_not_there(self: Any) -> None:
+    async def test_missing_key(self: Any) -> None:
         self.assertIsNone(await self.store.get("a"))
         self.assertEqual(await self.store.list("a"), [])
 
     async def test_a_write_creates_a_key_once(self: Any) -> None:
-        """Of two writers that each found no key, the second learns of it."""
+        """If two writers found no key, the second write fails."""
         first = await self.store.put("a", b"1", 0)
         second = await self.store.put("a", b"2", 0)
         self.assertTrue(first.written)
@@ -49,9 +49,9 @@
         changed = await self.store.put("a", b"2", first.revision)
         self.assertTrue(changed.written)
         self.assertGreater(changed.entry.revision, first.revision)
-        late = await self.store.put("a", b"3", first.revision)
-        self.assertFalse(late.written)
-        self.assertEqual(late.entry.value, b"2")
+        conflicting = await self.store.put("a", b"3", first.revision)
+        self.assertFalse(conflicting.written)
+        self.assertEqual(conflicting.entry.value, b"2")
 
     async def test_a_delete_needs_the_last_revision(self: Any) -> None:
         first = (await self.store.put("a", b"1", 0)).entry
@@ -70,30 +70,30 @@
         (after,) = await self.store.list("seeds/", after="seeds/a", limit=1)
         self.assertEqual(after.key, "seeds/b")
 
-    async def test_a_watch_yields_what_is_newer(self: Any) -> None:
+    async def test_a_watch_yields_newer_entries(self: Any) -> None:
         first = (await self.store.put("a", b"1", 0)).entry
         watch = self.store.watch("a", first.revision)
-        coming = asyncio.ensure_future(anext(watch))
+        next_entry = asyncio.ensure_future(anext(watch))
         await asyncio.sleep(0.05)
         second = (await self.store.put("a", b"2", first.revision)).entry
-        async with asyncio.timeout(_GUARD_S):
-            self.assertEqual(await coming, second)
+        async with asyncio.timeout(_TEST_TIMEOUT_S):
+            self.assertEqual(await next_entry, second)
         await watch.aclose()
 
-    async def test_bytes_come_back_as_they_were(self: Any) -> None:
+    async def test_bytes_are_returned_unchanged(self: Any) -> None:
         value = bytes(range(256))
         await self.store.put("a", value, 0)
         self.assertEqual((await self.store.get("a")).value, value)
 
     async def test_a_lost_answer_is_unknown(self: Any) -> None:
-        """The writer reads the key to learn what became of its write."""
+        """The writer reads the key to find out if the write took effect."""
         await self.lose_answer()
         with self.assertRaises(errors.StoreUnknownOutcomeError):
             await self.store.put("a", b"1", 0)
         self.assertEqual((await self.store.get("a")).value, b"1")
 
     async def test_a_refused_read_is_an_error(self: Any) -> None:
-        """Nobody takes a store that refuses for one without the key."""
+        """A store that refuses must not look like one without the key."""
         await self.refuse()
         with self.assertRaises(errors.StoreUnavailableError):
             await self.store.get("a")
@@ -101,8 +101,8 @@
             await self.store.list("a")
 
 
-class OwnStoreTest(Contract, unittest.IsolatedAsyncioTestCase):
-    """The product's own store."""
+class NativeStoreTest(Contract, unittest.IsolatedAsyncioTestCase):
+    """The project's native store."""
 
     async def asyncSetUp(self) -> None:
         self.standin = await standins.start_store(self)
@@ -118,7 +118,7 @@
 
 
 class PlatformStoreTest(Contract, unittest.IsolatedAsyncioTestCase):
-    """The store of the users' platform."""
+    """The store of the platform."""
 
     async def asyncSetUp(self) -> None:
         self.standin, self.store = await platform_builders.start_store(self)
