--- a/merlintrestle/versions/__init__.py
+++ b/merlintrestle/versions/__init__.py
@@ -1,1 +1,1 @@
-"""Spreading configuration versions, never back and never in part."""
+"""Distribution of configuration versions, applied whole and never lowered."""
--- a/merlintrestle/versions/active_version.py
+++ b/merlintrestle/versions/active_version.py
@@ -1,4 +1,4 @@
-"""Holder of the version that the proxy runs."""
+"""Active version: the snapshot that the proxy uses."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 if TYPE_CHECKING:
     from merlintrestle.documents import snapshot as snapshot_lib
 
-_HISTORY = 64
+_MAX_ACTIVATIONS = 64
 
 NO_FLOOR = "the floor of versions is not known yet"
 NO_VERSION = "no configuration has been accepted yet"
 
 
 class Activation(NamedTuple):
-    """A version that was taken into use.
+    """The activation of a version.
 
     Attributes:
-        version: Its number.
-        at_ms: When, in ms since 1970.
+        version: Number of the version.
+        at_ms: Time of the activation, in ms since 1970.
     """
 
     version: int
@@ -28,31 +28,33 @@
 
 
 class ActiveVersion:
-    """The running snapshot, read by the proxy on every request.
+    """The active snapshot, which the proxy reads for every request.
 
     Attributes:
-        running: The snapshot in use; None before the first.
-        closed_reason: Why requests are refused as not run; empty when open.
-        history: The latest versions taken into use, oldest first.
+        running: The active snapshot; None before the first activation.
+        closed_reason: Why the daemon refuses requests as not run; empty while
+            it is open.
+        history: The latest activations, oldest first.
     """
 
     def __init__(self) -> None:
         self.running: snapshot_lib.Snapshot | None = None
         self.closed_reason = NO_FLOOR
         self.history: collections.deque[Activation] = collections.deque(
-            maxlen=_HISTORY
+            maxlen=_MAX_ACTIVATIONS
         )
 
     @property
     def version(self) -> int:
-        """The running version; 0 before the first."""
+        """The active version; 0 before the first activation."""
         return self.running.version if self.running is not None else 0
 
     def activate(self, snapshot: snapshot_lib.Snapshot) -> bool:
-        """Takes a snapshot into use whole; False if it is no newer.
+        """Activates a snapshot; returns False if it is not newer.
 
-        One assignment: a request sees all of a version or none of it. News
-        may come late and twice, and a lower version never replaces a higher.
+        This is a single assignment, so a request sees either all of a version
+        or none of it. Versions may arrive late or twice, and a lower version
+        never replaces a higher one.
         """
         if snapshot.version <= self.version:
             return False
--- a/merlintrestle/versions/archive.py
+++ b/merlintrestle/versions/archive.py
@@ -1,4 +1,4 @@
-"""The newest snapshots a daemon holds, to give to peers."""
+"""Archive of the newest snapshots of a daemon, from which peers fetch."""
 
 from __future__ import annotations
 
@@ -12,58 +12,58 @@
     from merlintrestle.documents import snapshot as snapshot_lib
     from merlintrestle.schema import document_pb2
 
-# Bases for which deltas can be made; resources that did not change are shared.
-_KEPT = 8
+# Snapshots that can be the base of a delta; they share unchanged resources.
+_MAX_SNAPSHOTS = 8
 
 
 class Archive:
-    """Snapshots received and checked, whether or not they run yet.
+    """Snapshots that were received and checked, active or not.
 
     Attributes:
-        newest: The highest version held; None at first.
+        newest: The snapshot with the highest version; None if there is none.
     """
 
     def __init__(self) -> None:
         self.newest: snapshot_lib.Snapshot | None = None
-        self._kept: collections.deque[snapshot_lib.Snapshot] = (
-            collections.deque(maxlen=_KEPT)
+        self._snapshots: collections.deque[snapshot_lib.Snapshot] = (
+            collections.deque(maxlen=_MAX_SNAPSHOTS)
         )
         self._deltas: dict[int, document_pb2.Delta] = {}
 
     @property
     def version(self) -> int:
-        """The highest version held; 0: none."""
+        """The highest version held; 0 if there is none."""
         return self.newest.version if self.newest is not None else 0
 
     def add(self, snapshot: snapshot_lib.Snapshot) -> bool:
-        """Keeps a snapshot if it is newer; True if it is."""
+        """Adds a snapshot; returns False if it is not newer than `newest`."""
         if snapshot.version <= self.version:
             return False
         self.newest = snapshot
-        self._kept.append(snapshot)
+        self._snapshots.append(snapshot)
         self._deltas.clear()
         return True
 
     def get(self, version: int) -> snapshot_lib.Snapshot | None:
-        """Returns a version that is still kept."""
-        for snapshot in self._kept:
+        """Returns the snapshot of a version; None if it is not kept."""
+        for snapshot in self._snapshots:
             if snapshot.version == version:
                 return snapshot
         return None
 
     def get_offer(self) -> control_pb2.Offer | None:
-        """Returns the offer of the newest version."""
+        """Returns the offer of the newest version; None if there is none."""
         return deltas.make_offer(self.newest) if self.newest else None
 
     def get_delta(
         self, held: control_pb2.Offer | None
     ) -> document_pb2.Delta | None:
-        """Returns the delta from what a peer holds; None: base not kept."""
+        """Returns the delta from a peer's version; None if the base is gone."""
         if held is None or self.newest is None:
             return None
         if held.version >= self.newest.version:
             return None
-        for base in self._kept:
+        for base in self._snapshots:
             if deltas.matches(base, held):
                 return self._make_delta(base)
         return None
@@ -71,7 +71,7 @@
     def answer_fetch(
         self, request: control_pb2.FetchRequest
     ) -> control_pb2.FetchReply:
-        """Returns the newest version as a delta where that can be."""
+        """Returns the newest version, as a delta if the base is kept."""
         reply = control_pb2.FetchReply()
         if self.newest is None:
             return reply
--- a/merlintrestle/versions/deltas.py
+++ b/merlintrestle/versions/deltas.py
@@ -1,4 +1,4 @@
-"""Deltas between snapshots, and snapshots as messages."""
+"""Deltas between snapshots and conversion of snapshots to messages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def matches(snapshot: snapshot_lib.Snapshot, offer: control_pb2.Offer) -> bool:
-    """Tells whether an offer is of just this snapshot."""
+    """Returns whether an offer is of this snapshot."""
     same_version = snapshot.version == offer.version
     return same_version and snapshot.digest == offer.digest
 
@@ -23,7 +23,7 @@
 def make_delta(
     base: snapshot_lib.Snapshot, target: snapshot_lib.Snapshot
 ) -> document_pb2.Delta:
-    """Returns what turns one snapshot into another."""
+    """Returns the delta from a base snapshot to a target snapshot."""
     delta = document_pb2.Delta(
         base_version=base.version,
         base_digest=base.digest,
@@ -44,8 +44,8 @@
     """Applies a delta to a copy of its base.
 
     Raises:
-        errors.SnapshotError: The base is another one, or what results does
-            not have the digest or cannot be run whole.
+        errors.SnapshotError: The base does not match the delta, or the
+            resulting snapshot has another digest or is not valid.
     """
     if base is None or base.version != delta.base_version:
         raise errors.SnapshotError(
@@ -62,20 +62,24 @@
 
 
 def pack_snapshot(snapshot: snapshot_lib.Snapshot) -> document_pb2.Snapshot:
-    """Returns a snapshot as a message."""
-    packed = document_pb2.Snapshot(version=snapshot.version)
+    """Converts a snapshot to a message."""
+    snapshot_message = document_pb2.Snapshot(version=snapshot.version)
     for name in sorted(snapshot.resources):
-        packed.resources.add(name=name, value=snapshot.resources[name])
-    return packed
+        snapshot_message.resources.add(
+            name=name, value=snapshot.resources[name]
+        )
+    return snapshot_message
 
 
 def unpack_snapshot(
-    packed: document_pb2.Snapshot, digest: bytes
+    snapshot_message: document_pb2.Snapshot, digest: bytes
 ) -> snapshot_lib.Snapshot:
-    """Returns the snapshot in a message.
+    """Converts a message to a snapshot.
 
     Raises:
-        errors.SnapshotError: It does not have the digest, or cannot be run.
+        errors.SnapshotError: It has another digest, or is not valid.
     """
-    resources = {item.name: item.value for item in packed.resources}
-    return loading.load_snapshot(packed.version, resources, None, digest)
+    resources = {item.name: item.value for item in snapshot_message.resources}
+    return loading.load_snapshot(
+        snapshot_message.version, resources, None, digest
+    )
--- a/merlintrestle/versions/discovery.py
+++ b/merlintrestle/versions/discovery.py
@@ -1,4 +1,4 @@
-"""Meeting: the parts of a fleet find each other by records in the store."""
+"""Peer discovery through seed records in the store."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from merlintrestle import errors
 from merlintrestle import events as event_logs
 from merlintrestle.members import seeds as seeds_lib
-from merlintrestle.members import selection as choice_lib
+from merlintrestle.members import selection as selection_lib
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class PeerDiscovery:
-    """Names members of the zone in the store and meets those named there."""
+    """Writes seeds of the zone to the store and contacts the stored seeds."""
 
     def __init__(
         self,
@@ -27,45 +27,46 @@
         source: source_lib.Source,
         clock: Callable[[], float],
     ):
-        """Connects members and store; `clock` tells the time in seconds."""
+        """Connects members and store; `clock` returns the time in seconds."""
         self._membership = membership
         self._timing = membership.timing
         self._source = source
         self._clock = clock
         self._seeds: list[str] = []
-        self._seeds_at = 0.0
-        self._find_s = self._timing.seeds_write_interval_s
-        self._choice = choice_lib.choose_in_local_zone(
+        self._seeds_written_at = 0.0
+        self._next_search_age_s = self._timing.seeds_write_interval_s
+        self._selection = selection_lib.choose_in_local_zone(
             membership.table, "seeds", seeds_lib.SEEDS_PER_ZONE
         )
 
-    async def meet_herd(self) -> None:
-        """Meets others that started at the same time, before it watches.
+    async def contact_peers(self) -> None:
+        """Contacts peers that started at the same time, before watching.
 
-        Where a whole fleet starts, each daemon finds the records of seeds
-        empty and is the only watcher that it knows: all of them read the value
-        once more for themselves and again for their watch. Named in the
-        records first they meet, and few stay chosen. A store that fails here
-        holds back no watch: the watcher names itself again later.
+        When a whole fleet starts, each daemon finds the seed records empty
+        and is the only watcher it knows of, so every daemon would read the
+        value once more for itself and again for its watch. With the seeds
+        written first, the daemons find each other and few remain watchers. A
+        failing store does not delay the watch: the seeds are written later.
         """
-        own_id = self._membership.table.local_id
+        local_id = self._membership.table.local_id
         if any(
-            one.id != own_id for one in self._membership.table.list_members()
+            member.id != local_id
+            for member in self._membership.table.list_members()
         ):
             return
         try:
-            await self.name_seeds()
+            await self.update_seeds()
         except errors.MerlintrestleError as error:
             events.warn("no seeds written", error=str(error))
 
-    async def name_seeds(self) -> None:
-        """Names members of the zone in the store, for first contact.
+    async def update_seeds(self) -> None:
+        """Writes seeds of the zone to the store if they changed or are old.
 
         Raises:
             errors.MerlintrestleError: The store did not answer.
         """
-        seeds = self._choice.get()
-        age_s = self._clock() - self._seeds_at
+        seeds = self._selection.get()
+        age_s = self._clock() - self._seeds_written_at
         changed = (
             seeds != self._seeds
             and age_s >= self._timing.seeds_write_interval_s
@@ -75,25 +76,25 @@
             and not changed
             and age_s < self._timing.seeds_check_interval_s
         ):
-            await self._find_others(age_s)
+            await self._search_peers(age_s)
             return
         zone = self._membership.table.local_member.zone
-        before = await self._source.write_seeds(zone, seeds)
+        previous_seeds = await self._source.write_seeds(zone, seeds)
         self._seeds = seeds
-        self._seeds_at = self._clock()
-        await self._membership.contact_unknown(before)
+        self._seeds_written_at = self._clock()
+        await self._membership.contact_unknown(previous_seeds)
 
-    async def _find_others(self, age_s: float) -> None:
-        """Looks for parts of the fleet, soon after the start and then rarely.
+    async def _search_peers(self, age_s: float) -> None:
+        """Contacts the stored seeds, soon after the start and rarely later.
 
-        Where all start at once, a few may meet each other alone; their callers
-        would find no upstream for most services until the next check. What is
-        looked at after 1, 2, 4 and 8 s has been written by then.
+        When all daemons start at once, a few may find only each other; their
+        callers would find no upstream for most services until the next check.
+        After 1, 2, 4 and 8 s the records of the others have been written.
         """
         if (
-            age_s < self._find_s
-            or self._find_s >= self._timing.seeds_check_interval_s
+            age_s < self._next_search_age_s
+            or self._next_search_age_s >= self._timing.seeds_check_interval_s
         ):
             return
-        self._find_s *= 2
+        self._next_search_age_s *= 2
         await self._membership.contact_stored_seeds()
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -1,4 +1,4 @@
-"""Distribution: from the head in the store to the running snapshot."""
+"""Distribution of versions from the store to the active snapshot."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from merlintrestle import errors
 from merlintrestle import events as event_logs
 from merlintrestle.members import timing as timing_lib
-from merlintrestle.versions import active_version as holder_lib
+from merlintrestle.versions import active_version as active_version_lib
 from merlintrestle.versions import archive as archive_lib
 from merlintrestle.versions import deltas
 from merlintrestle.versions import fetcher as fetcher_lib
@@ -31,85 +31,89 @@
 
 FAST = "fast"
 LEAN = "lean"
-# A larger delta is offered and fetched: a push goes to each neighbour, most of
-# whom already have it, and holds up the heartbeats behind it.
+# Larger deltas are only offered, and fetched on demand: a push goes to every
+# neighbour, most of which already have it, and delays the heartbeats behind it.
 _MAX_PUSH_BYTES = 64 * 1024
 
 
 class Distribution(mode.Service):
-    """Brings every accepted version to this daemon, and passes it on.
+    """Obtains every accepted version for this daemon and passes it on to peers.
 
     Attributes:
-        active_version: What the proxy runs.
-        archive: The newest versions held.
-        witness: Marks of other daemons.
-        watcher: Reads the store while this daemon is chosen to.
+        active_version: The snapshot that the proxy uses.
+        archive: The newest snapshots of this daemon.
+        witness: Keeps the marks of other daemons.
+        watcher: Watches the store while this daemon is a watcher.
     """
 
     def __init__(
         self,
-        holder: holder_lib.ActiveVersion,
+        active_version: active_version_lib.ActiveVersion,
         membership: membership_lib.Membership,
         source: source_lib.Source,
         spread: str = FAST,
-        witnessed: bool = True,
-        watch_directly: bool = False,
+        use_witnesses: bool = True,
+        read_before_contact: bool = False,
     ):
-        """Sets up the parts.
+        """Creates the components.
 
         Args:
-            holder: Takes what this service decides to run.
-            membership: Gives table, links, peers and intervals.
-            source: The store's configuration.
-            spread: `FAST` pushes deltas, `LEAN` offers alone.
-            witnessed: Whether versions are recorded by other daemons before
-                they run, and the floor is asked of these at the start.
-            watch_directly: Whether to ask the store before meeting a peer.
+            active_version: Activates the versions that may run.
+            membership: Provides the table, links, peers and intervals.
+            source: The configuration in the store.
+            spread: `FAST` pushes deltas, `LEAN` pushes only offers.
+            use_witnesses: Whether other daemons record each version before it
+                runs, and are asked for the floor at startup.
+            read_before_contact: Whether to read the store before the first
+                contact with a peer.
         """
         super().__init__()
-        self.active_version = holder
+        self.active_version = active_version
         self.archive = archive_lib.Archive()
         self.witness = marks_lib.Witness(membership.table)
         self._membership = membership
         self._timing = membership.timing
         self._spread = spread
-        self._witnessed = witnessed
+        self._use_witnesses = use_witnesses
         self._marker = marks_lib.Marker(
             membership.table, membership.peers, self._timing
         )
         self.watcher = watcher_lib.Watcher(
-            membership, source, self.hold, directly=watch_directly
+            membership,
+            source,
+            self.hold,
+            read_before_contact=read_before_contact,
         )
         self._floor = floor_lib.Floor(membership, self._marker, self.watcher)
         self._fetcher = fetcher_lib.Fetcher(
             self.archive, membership.peers, self._timing, self.hold
         )
-        self._wake_run = asyncio.Event()
-        self._read_at = 0.0
-        membership.links.on_message.append(self._receive)
+        self._new_version = asyncio.Event()
+        self._next_read_at = 0.0
+        membership.links.on_message.append(self._handle_message)
         membership.links.get_offer = self.archive.get_offer
 
     @property
     def store_reachable(self) -> bool:
-        """Whether the last call to the store by this daemon succeeded."""
+        """Whether the last call of this daemon to the store succeeded."""
         return self.watcher.store_reachable
 
     def hold(self, snapshot: snapshot_lib.Snapshot) -> None:
-        """Keeps a checked snapshot, passes it on and prepares to run it."""
+        """Archives a checked snapshot, offers it to peers and schedules it."""
         if not self.archive.add(snapshot):
             return
         events.note("version held", version=snapshot.version)
         self._membership.links.send_offer(
             deltas.make_offer(snapshot), self._choose_delta
         )
-        self._wake_run.set()
+        self._new_version.set()
 
     def hold_from_operator(self, request: control_pb2.HoldRequest) -> bool:
-        """Holds a version that an operator hands over; False: it is not whole.
+        """Holds a version that an operator hands over; False if it is invalid.
 
-        The store may fail as it accepts a head, before any watcher hears of
-        it. The operator has been told "accepted", and without this the
-        version would wait for the store to come back.
+        The store may fail right after it accepted a head, before any watcher
+        receives it. The operator was told "accepted"; without the handover the
+        version would not run until the store is back.
         """
         try:
             snapshot = deltas.unpack_snapshot(
@@ -124,18 +128,18 @@
     async def answer_floor(
         self, request: control_pb2.FloorRequest
     ) -> control_pb2.FloorReply:
-        """Says what this daemon knows of versions another one ran."""
-        known = max(
+        """Answers a daemon that asks which versions it may run."""
+        highest_known = max(
             self.archive.version,
             self._floor.version or 0,
-            self.witness.get_highest(),
+            self.witness.get_highest_version(),
         )
-        reply = self.witness.answer(request, known)
+        reply = self.witness.answer_floor(request, highest_known)
         await self.watcher.add_head(reply, request.uptime_ms)
         return reply
 
     async def on_stop(self) -> None:
-        """Ends the calls under way."""
+        """Cancels the calls in flight."""
         await self._marker.close()
 
     @mode.Service.task
@@ -144,11 +148,11 @@
 
     @mode.Service.task
     async def _run_versions(self) -> None:
-        """Takes the newest version into use once it may be run."""
-        self.active_version.closed_reason = holder_lib.NO_FLOOR
-        if self._witnessed:
+        """Activates the newest version as soon as it may run."""
+        self.active_version.closed_reason = active_version_lib.NO_FLOOR
+        if self._use_witnesses:
             await self._floor.learn()
-        self._read_at = time.monotonic() + timing_lib.jitter(
+        self._next_read_at = time.monotonic() + timing_lib.jitter(
             self._timing.store_fallback_delay_s
         )
         while not self.should_stop:
@@ -160,42 +164,42 @@
         await self._fetcher.run()
 
     async def _run_newest(self) -> None:
-        """Marks the newest version, then runs it.
+        """Marks the newest version with the witnesses, then activates it.
 
         The mark comes first: a daemon that restarts right after it ran a
-        version must find someone who knows that it did. Running versions are
+        version must find a witness that knows of it. Active versions are
         marked again with witnesses that are new or were restarted.
         """
         newest = self.archive.newest
         floor = self._floor.version or 0
         if newest is None or newest.version < floor:
-            self._explain_closed(floor)
+            self._update_closed_reason(floor)
             if floor:
-                await self._read_missing()
+                await self._read_missing_version()
             return
-        if self._witnessed and not await self._marker.mark(newest.version):
+        if self._use_witnesses and not await self._marker.mark(newest.version):
             events.note("too few witnesses", version=newest.version)
             return
         if self.active_version.activate(newest):
             events.note("version runs", version=newest.version)
         self.active_version.closed_reason = ""
-        self.witness.open()
+        self.witness.set_open()
 
-    def _explain_closed(self, floor: int) -> None:
+    def _update_closed_reason(self, floor: int) -> None:
         if self.active_version.running is not None:
             return
         if floor == 0:
-            self.active_version.closed_reason = holder_lib.NO_VERSION
+            self.active_version.closed_reason = active_version_lib.NO_VERSION
         else:
             self.active_version.closed_reason = (
                 f"version {floor} has not arrived yet"
             )
 
-    async def _read_missing(self) -> None:
-        """Reads the missing version from the store where no peer has it."""
-        if time.monotonic() < self._read_at:
+    async def _read_missing_version(self) -> None:
+        """Reads the missing version from the store if no peer delivers it."""
+        if time.monotonic() < self._next_read_at:
             return
-        self._read_at = time.monotonic() + timing_lib.jitter(
+        self._next_read_at = time.monotonic() + timing_lib.jitter(
             self._timing.head_refresh_interval_s
         )
         try:
@@ -204,15 +208,15 @@
             events.note("store gave nothing", error=str(error))
 
     async def _wait_for_work(self) -> None:
-        """Waits for a new version, or for the time to look at the marks."""
+        """Waits for a new version or for the next check of the marks."""
         try:
             async with asyncio.timeout(
                 timing_lib.jitter(self._timing.heartbeat_interval_s)
             ):
-                await self._wake_run.wait()
+                await self._new_version.wait()
         except TimeoutError:
             return
-        self._wake_run.clear()
+        self._new_version.clear()
 
     def _choose_delta(
         self, held: control_pb2.Offer | None
@@ -224,18 +228,18 @@
             return None
         return delta
 
-    def _receive(
+    def _handle_message(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
     ) -> None:
         version = message.offer.version
         if version <= self.archive.version:
             return
-        if message.HasField("delta") and self._apply(message.delta):
+        if message.HasField("delta") and self._apply_delta(message.delta):
             return
-        self._fetcher.note_offer(link.peer_id, version)
+        self._fetcher.add_offer(link.peer_id, version)
 
-    def _apply(self, delta: document_pb2.Delta) -> bool:
-        """Holds what a pushed delta leads to; False: it must be fetched."""
+    def _apply_delta(self, delta: document_pb2.Delta) -> bool:
+        """Applies a pushed delta; False if the version must be fetched."""
         base = self.archive.get(delta.base_version)
         try:
             self.hold(deltas.apply_delta(base, delta))
--- a/merlintrestle/versions/fetcher.py
+++ b/merlintrestle/versions/fetcher.py
@@ -1,4 +1,4 @@
-"""Fetching versions from the peers that offer them."""
+"""Fetching of versions from the peers that offer them."""
 
 from __future__ import annotations
 
@@ -20,12 +20,11 @@
 
 events = event_logs.EventLog("versions")
 
-# Peers that are asked at once for one version.
-_MAX_FETCHES = 3
+_MAX_CONCURRENT_FETCHES = 3
 
 
 class Fetcher:
-    """Fetches what peers offer, the highest version first."""
+    """Fetches the versions that peers offer, the highest version first."""
 
     def __init__(
         self,
@@ -34,50 +33,53 @@
         timing: timing_lib.Timing,
         hold: Callable[[snapshot_lib.Snapshot], object],
     ):
-        """Connects the parts.
+        """Connects the components.
 
         Args:
-            archive: What this daemon holds.
-            peers: Calls peers.
+            archive: Snapshots of this daemon.
+            peers: Client for calls to peers.
             timing: Intervals.
-            hold: Takes each version that was fetched.
+            hold: Called with each snapshot that was fetched.
         """
         self._archive = archive
         self._peers = peers
         self._timing = timing
         self._hold = hold
         self._offers: dict[str, int] = {}
-        self._wanted = 0
-        self._came = False
-        self._wake = asyncio.Event()
+        self._requested_version = 0
+        self._part_received = False
+        self._offer_added = asyncio.Event()
 
-    def note_offer(self, peer_id: str, version: int) -> None:
-        """Notes that a peer holds a version which this daemon lacks."""
+    def add_offer(self, peer_id: str, version: int) -> None:
+        """Adds the offer of a version that this daemon does not hold."""
         self._offers[peer_id] = version
-        self._wake.set()
+        self._offer_added.set()
 
     async def run(self) -> None:
-        """Fetches for ever."""
+        """Fetches offered versions until cancelled."""
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._offer_added.wait()
+            self._offer_added.clear()
             await self._fetch_offers()
 
     async def _fetch_offers(self) -> None:
-        """Asks one peer after the other until no newer version is offered.
+        """Fetches from peers in turn until no newer version is offered.
 
-        A peer that takes long is not waited for alone: the next one is asked
-        as well once nothing has come for the hedge time. A peer whose parts
-        keep coming behind a thin link is: the bytes of a second one would make
-        both take twice as long.
+        Fetches are hedged: if nothing has arrived for the hedge delay, the
+        next peer is asked as well. A peer whose parts keep arriving over a
+        slow link is not hedged, because the bytes of a second peer would make
+        both fetches take twice as long.
         """
-        self._came = False
+        self._part_received = False
         fetches: set[asyncio.Task[None]] = set()
         try:
             while True:
-                room = len(fetches) < _MAX_FETCHES and not self._came
-                peer_id = self._take_best() if room else None
-                self._came = False
+                may_start = (
+                    len(fetches) < _MAX_CONCURRENT_FETCHES
+                    and not self._part_received
+                )
+                peer_id = self._pop_highest_offer() if may_start else None
+                self._part_received = False
                 if peer_id is not None:
                     fetches.add(asyncio.create_task(self._fetch(peer_id)))
                 if not fetches:
@@ -87,17 +89,17 @@
                     timeout=self._timing.hedge_delay_s,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
-                if not self._has_news():
+                if not self._is_newer_available():
                     return
                 if done:
-                    self._came = False
+                    self._part_received = False
         finally:
             for fetch in fetches:
                 fetch.cancel()
             await asyncio.gather(*fetches, return_exceptions=True)
 
-    def _take_best(self) -> str | None:
-        """Returns the peer with the highest offer that is still news."""
+    def _pop_highest_offer(self) -> str | None:
+        """Removes the highest offer that is newer and returns its peer."""
         self._offers = {
             peer_id: version
             for peer_id, version in self._offers.items()
@@ -105,44 +107,47 @@
         }
         if not self._offers:
             return None
-        peer_id = max(self._offers, key=lambda name: self._offers[name])
-        self._wanted = self._offers.pop(peer_id)
+        peer_id = max(self._offers, key=lambda peer: self._offers[peer])
+        self._requested_version = self._offers.pop(peer_id)
         return peer_id
 
-    def _has_news(self) -> bool:
-        """Tells whether what is fetched or offered is still news."""
-        highest = max([self._wanted, *self._offers.values()])
+    def _is_newer_available(self) -> bool:
+        """Returns whether a requested or offered version is newer."""
+        highest = max([self._requested_version, *self._offers.values()])
         return highest > self._archive.version
 
     async def _fetch(self, peer_id: str) -> None:
-        """Fetches from one peer: a delta where it can be, else the whole."""
+        """Fetches from a peer, first as a delta, then as the whole snapshot."""
         if not await self._try_fetch(peer_id, whole=False):
             await self._try_fetch(peer_id, whole=True)
 
     async def _try_fetch(self, peer_id: str, whole: bool) -> bool:
-        """Fetches from one peer; False if asking for the whole may help."""
+        """Fetches from a peer; False if fetching the whole one may help."""
         request = control_pb2.FetchRequest(whole=whole)
         offer = self._archive.get_offer()
         if offer is not None:
             request.held.CopyFrom(offer)
         try:
             reply = await self._peers.fetch(
-                peer_id, request, self._timing.fetch_timeout_s, self._note_part
+                peer_id,
+                request,
+                self._timing.fetch_timeout_s,
+                self._record_part,
             )
         except peers_lib.PeerError as error:
             events.note("not fetched", member=peer_id, error=str(error))
             return True
         try:
-            self._take(reply)
+            self._hold_reply(reply)
         except errors.SnapshotError as error:
             events.warn("fetch malformed", member=peer_id, error=str(error))
             return False
         return True
 
-    def _note_part(self) -> None:
-        self._came = True
+    def _record_part(self) -> None:
+        self._part_received = True
 
-    def _take(self, reply: control_pb2.FetchReply) -> None:
+    def _hold_reply(self, reply: control_pb2.FetchReply) -> None:
         if reply.HasField("snapshot"):
             digest = reply.offer.digest
             self._hold(deltas.unpack_snapshot(reply.snapshot, digest))
--- a/merlintrestle/versions/floor.py
+++ b/merlintrestle/versions/floor.py
@@ -1,4 +1,4 @@
-"""The floor: the lowest version that a starting daemon may run."""
+"""Floor: the lowest version that a starting daemon may run."""
 
 from __future__ import annotations
 
@@ -22,21 +22,20 @@
 
 events = event_logs.EventLog("versions")
 
-# Members asked besides the watchers of the zone.
-_ASKED = 5
-# Rounds, some 5 s together, in which others are waited for: watchers to answer
-# with the head, and witnesses to confirm one.
-_PATIENCE = 5
-# Reads of the head per second that the whole fleet may put to the store when
-# its watchers do not answer.
-READ_BUDGET = 500
+# Witness candidates that are queried, besides the watchers of the zone.
+_MAX_QUERIED_CANDIDATES = 5
+# Rounds, about 5 s in total, in which to wait for watchers to answer with the
+# head and for witnesses to confirm a floor.
+_MAX_WAITING_ROUNDS = 5
+# Reads of the head by the whole fleet while its watchers do not answer.
+MAX_FLEET_READS_PER_S = 500
 
 
 class Floor:
-    """Learns the floor from the store and from the witnesses.
+    """Determines the floor from the store and from the witnesses.
 
     Attributes:
-        version: The floor; None while it is not known.
+        version: The floor; None while it is unknown.
     """
 
     def __init__(
@@ -56,7 +55,7 @@
         self._replies: dict[str, control_pb2.FloorReply] = {}
 
     async def learn(self) -> None:
-        """Asks until the floor is known."""
+        """Queries other daemons and the store until the floor is known."""
         await self._membership.wait_for_contact(self._timing.join_timeout_s)
         backoff = timing_lib.Backoff(0.2, self._timing.max_floor_retry_delay_s)
         attempt = 1
@@ -65,73 +64,77 @@
             attempt += 1
 
     async def try_learn(self, attempt: int) -> bool:
-        """Asks once; True if the floor is known.
+        """Queries once; returns whether the floor is known.
 
-        The witnesses are asked also where the store answers: a store that
-        answers reads from before an outage must not take this daemon back.
+        The witnesses are queried even if the store answers: a store that
+        returns data from before an outage must not downgrade this daemon.
 
         Args:
-            attempt: How often this has been called, this call included.
+            attempt: Number of calls of this method, including this one.
         """
-        await self._ask_all()
-        if self._is_vouched():
-            self.version = self._get_highest()
+        await self._query_members()
+        if self._is_confirmed():
+            self.version = self._get_highest_version()
             return True
         head = self._find_head()
-        if head is None and self._may_read(attempt):
+        if head is None and self._may_read_head(attempt):
             head = await self._read_head()
         if head is None:
             return False
-        if attempt <= _PATIENCE and not self._is_heard():
+        if attempt <= _MAX_WAITING_ROUNDS and not self._has_enough_replies():
             return False
-        self.version = max(head, self._get_highest())
+        self.version = max(head, self._get_highest_version())
         return True
 
-    async def _ask_all(self) -> None:
-        """Asks those in line to be witnesses, then whom these name.
+    async def _query_members(self) -> None:
+        """Queries the witness candidates, then the witnesses that they name.
 
-        The watchers of other zones are asked where those of this zone are
-        restarting too.
+        The watchers of other zones are queried if those of this zone do not
+        answer with the head, as when they are restarting too.
         """
         self._replies.clear()
-        candidates = self._marker.get_candidates()[:_ASKED]
-        await self._ask_each(
+        candidates = self._marker.get_candidates()[:_MAX_QUERIED_CANDIDATES]
+        await self._query_each(
             [*candidates, *self._watcher.selection.get_watchers()]
         )
-        named = {
-            name for reply in self._replies.values() for name in reply.witnesses
+        named_witnesses = {
+            member_id
+            for reply in self._replies.values()
+            for member_id in reply.witnesses
         }
-        await self._ask_each(named)
+        await self._query_each(named_witnesses)
         if self._find_head() is None:
-            await self._ask_each(self._watcher.selection.list_other_watchers())
-
-    async def _ask_each(self, names: Iterable[str]) -> None:
-        own_id = self._membership.table.local_id
-        lacking = {
-            name
-            for name in names
-            if name not in self._replies and name != own_id
+            await self._query_each(
+                self._watcher.selection.list_other_watchers()
+            )
+
+    async def _query_each(self, member_ids: Iterable[str]) -> None:
+        local_id = self._membership.table.local_id
+        missing = {
+            member_id
+            for member_id in member_ids
+            if member_id not in self._replies and member_id != local_id
         }
-        await asyncio.gather(*(self._ask(name) for name in lacking))
+        await asyncio.gather(*(self._query(member_id) for member_id in missing))
 
-    async def _ask(self, name: str) -> None:
+    async def _query(self, member_id: str) -> None:
         request = control_pb2.FloorRequest(
             member_id=self._membership.table.local_id,
             uptime_ms=self._get_uptime_ms(),
         )
         try:
             reply = await self._membership.peers.call(
-                name, "Floor", request, self._timing.call_timeout_s
+                member_id, "Floor", request, self._timing.call_timeout_s
             )
         except peers_lib.PeerError:
             return
         if reply.head_age_ms > request.uptime_ms:
-            # Read before this process began: an earlier process here may
-            # have run what was accepted since.
+            # The head was read before this process began. An earlier process
+            # at this address may have run a version accepted since then.
             reply.head_read = False
-        self._replies[name] = reply
+        self._replies[member_id] = reply
 
-    def _get_highest(self) -> int:
+    def _get_highest_version(self) -> int:
         return max(
             (
                 max(reply.marked, reply.known)
@@ -140,24 +143,24 @@
             default=0,
         )
 
-    def _is_vouched(self) -> bool:
-        """Tells whether the answers prove a floor without the store.
+    def _is_confirmed(self) -> bool:
+        """Returns whether the replies prove the floor without the store.
 
-        Each of them names the witnesses, and two of these must have been
-        open, and so have kept marks, long before this process began. Two that
-        were open share one with the two that recorded the last mark. A
-        witness that began later says nothing: its marks may have died with
-        the process before it.
+        Each reply names the witnesses, and two of these must have been open,
+        and therefore have kept marks, since long before this process began.
+        Any two of them include one of the two that recorded the last mark. A
+        witness that started later proves nothing: its marks may have been
+        lost with its previous process.
         """
-        vouching = {
-            name: reply
-            for name, reply in self._replies.items()
+        confirming = {
+            member_id: reply
+            for member_id, reply in self._replies.items()
             if self._has_memory(reply)
         }
-        return bool(vouching) and all(
-            _count(reply.witnesses, vouching)
+        return bool(confirming) and all(
+            _count_replies(reply.witnesses, confirming)
             >= min(marks_lib.QUORUM, len(reply.witnesses))
-            for reply in vouching.values()
+            for reply in confirming.values()
         )
 
     def _has_memory(self, reply: control_pb2.FloorReply) -> bool:
@@ -166,14 +169,14 @@
         )
         return reply.open and reply.memory_ms >= needed_ms
 
-    def _is_heard(self) -> bool:
-        """Tells whether enough witnesses answered, with memory or without."""
+    def _has_enough_replies(self) -> bool:
+        """Returns whether enough witnesses answered, whatever their uptime."""
         witnesses = self._marker.get_candidates()[: marks_lib.WITNESSES]
         needed = min(marks_lib.QUORUM, len(witnesses))
-        return _count(witnesses, self._replies) >= needed
+        return _count_replies(witnesses, self._replies) >= needed
 
     def _find_head(self) -> int | None:
-        """Returns the head as a watcher read it after this process began."""
+        """Returns the head that a watcher read after this process began."""
         return max(
             (
                 reply.head_version
@@ -183,18 +186,23 @@
             default=None,
         )
 
-    def _may_read(self, attempt: int) -> bool:
-        """Tells whether to read the head without a watcher's help.
+    def _may_read_head(self, attempt: int) -> bool:
+        """Returns whether this daemon may read the head from the store itself.
 
-        For the first rounds that is left to the watchers. After them so small
-        a share of the daemons reads in each round that all together keep to
-        `READ_BUDGET`; the others ask again.
+        In the first rounds only watchers read. Afterwards a fraction of the
+        daemons reads in each round, so that the fleet does not exceed
+        `MAX_FLEET_READS_PER_S`; the others query the watchers again.
         """
         if self._watcher.selection.is_watcher():
             return True
-        fleet = len(self._membership.table.list_usable_ids())
-        share = READ_BUDGET * self._timing.max_floor_retry_delay_s / 2 / fleet
-        return attempt > _PATIENCE and random.random() < share
+        fleet_size = len(self._membership.table.list_usable_ids())
+        read_fraction = (
+            MAX_FLEET_READS_PER_S
+            * self._timing.max_floor_retry_delay_s
+            / 2
+            / fleet_size
+        )
+        return attempt > _MAX_WAITING_ROUNDS and random.random() < read_fraction
 
     async def _read_head(self) -> int | None:
         try:
@@ -207,7 +215,7 @@
         return int(1000 * (self._clock() - self._started_at))
 
 
-def _count(
-    names: Iterable[str], replies: dict[str, control_pb2.FloorReply]
+def _count_replies(
+    member_ids: Iterable[str], replies: dict[str, control_pb2.FloorReply]
 ) -> int:
-    return sum(name in replies for name in names)
+    return sum(member_id in replies for member_id in member_ids)
--- a/merlintrestle/versions/known_revision.py
+++ b/merlintrestle/versions/known_revision.py
@@ -1,4 +1,4 @@
-"""How far a source knows its store, and what its next read must bring."""
+"""Store revision that a source knows, and whether it must read again."""
 
 from __future__ import annotations
 
@@ -9,68 +9,78 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A watch hears of a change as early as a read does, and carries it already.
-# Read at once, each change would travel twice over the same link. A watch that
-# hears nothing is made up for this much later, well within what a change has.
+# A watch receives a change as early as a read does, including the value. An
+# immediate read would transfer each change twice over the same link. If the
+# watch delivers nothing, the read follows after this delay, well within the
+# time in which a change must take effect.
 _WATCH_LEAD_S = 0.3
-# A read that brought no news is followed by questions to the store's history
-# for this long. A value of some hundred KB is half a second of a thin link: a
-# tenth of this. The history may name no change for about a second before it is
-# dropped, which a question then shows; longer than this nothing rests on it.
+# How long the store's history is queried after a read without a new version. A
+# value of some hundred KB takes half a second on a slow link, a tenth of this.
+# The history may omit changes for about a second before it is dropped, which a
+# query then shows; it is not relied on for longer than this.
 _QUESTIONS_S = 5.0
 
 
 class KnownRevision:
-    """The store's revision up to which the head is known.
+    """Store revision up to which the head is known.
 
-    The revision moves with the keys of other writers as well. Were the head
-    read each time, their writes would fill the link of each watcher.
+    The revision also increases when other writers change their keys. If the
+    head were read each time, their writes would fill the link of each watcher.
 
     Attributes:
-        revision: The revision; 0 while the head was never read.
-        open_watches: How many watches of the head are open.
+        revision: The revision; 0 if the head was never read.
+        open_watches: Number of open watches of the head.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
-        """Starts with nothing known; the clock is monotonic, in seconds."""
+        """Starts at revision 0; the clock is monotonic, in seconds."""
         self.revision = 0
         self.open_watches = 0
         self._clock = clock
-        self._moved = asyncio.Event()
-        self._needless_at: float | None = None
+        self._advanced = asyncio.Event()
+        self._unchanged_read_at: float | None = None
 
-    def advance(self, at: int) -> None:
-        """Notes a revision up to which the head is known."""
-        self.revision = max(self.revision, at)
-        self._moved.set()
+    def advance(self, revision: int) -> None:
+        """Raises the revision up to which the head is known."""
+        self.revision = max(self.revision, revision)
+        self._advanced.set()
 
     def record_read(self, news: bool) -> None:
-        """Notes whether the read of a moved revision brought a new head."""
-        self._needless_at = None if news else self._clock()
+        """Records whether a read at a new revision returned a new head.
+
+        Args:
+            news: Whether the head was new.
+        """
+        self._unchanged_read_at = None if news else self._clock()
 
     def may_query_history(self) -> bool:
-        """Returns whether the store's history may be asked for the head.
+        """Returns whether the store's history may be queried for the head.
 
-        So it is soon after a read without news: others write then. A read
-        with news ends it, and the next move is read whatever history tells.
+        It may soon after a read without a new head, as then other writers
+        raised the revision. A read with a new head ends this, and at the next
+        revision the head is read whatever the history contains.
         """
-        if self._needless_at is None:
+        if self._unchanged_read_at is None:
             return False
-        return self._clock() - self._needless_at < _QUESTIONS_S
+        return self._clock() - self._unchanged_read_at < _QUESTIONS_S
 
     async def wait_for_watch(
-        self, at: int, is_delivering: Callable[[], bool]
+        self, revision: int, is_delivering: Callable[[], bool]
     ) -> bool:
-        """Waits a moment for a watch; returns whether the head is known.
+        """Waits briefly for an open watch; returns whether the head is known.
+
+        If an answer has begun to arrive, it is awaited to its end.
 
-        An answer that has begun to arrive is waited for to its end.
+        Args:
+            revision: Revision up to which the head must be known.
+            is_delivering: Whether an answer of the store is arriving.
         """
-        while self.open_watches and self.revision < at:
-            self._moved.clear()
+        while self.open_watches and self.revision < revision:
+            self._advanced.clear()
             try:
                 async with asyncio.timeout(_WATCH_LEAD_S):
-                    await self._moved.wait()
+                    await self._advanced.wait()
             except TimeoutError:
                 if not is_delivering():
                     break
-        return self.revision >= at
+        return self.revision >= revision
--- a/merlintrestle/versions/marks.py
+++ b/merlintrestle/versions/marks.py
@@ -1,7 +1,8 @@
-"""Marks: the versions that daemons ran, kept by other daemons.
+"""Marks: records, kept by other daemons, of the versions that a daemon ran.
 
-A daemon keeps nothing over a restart. Before it first runs a version it has
-some others, its witnesses, record that; see docs/design/0003-never-back.md.
+A daemon stores nothing across a restart. Before it first runs a version, some
+other daemons, its witnesses, record the version; see
+docs/design/0003-never-back.md.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from merlintrestle import events as event_logs
 from merlintrestle.members import peers as peers_lib
 from merlintrestle.members import rendezvous
-from merlintrestle.members import selection as choice_lib
+from merlintrestle.members import selection as selection_lib
 from merlintrestle.members import table as table_lib
 from merlintrestle.schema import control_pb2
 
@@ -26,17 +27,17 @@
 events = event_logs.EventLog("versions")
 
 WITNESSES = 3
-# Acknowledgements before a version runs, and answers before a floor is known:
-# any two of three have one in common.
+# Witnesses that must record a version before it runs, and that must answer
+# before a floor is known: any two pairs of three have a witness in common.
 QUORUM = 2
-# Members in line for a witness that is gone.
-_CANDIDATES = 8
-# Marks kept by one witness, which expects those of some 3 daemons.
+# Candidates for witnesses, including replacements for those that are gone.
+_MAX_CANDIDATES = 8
+# A witness usually keeps the marks of about 3 daemons.
 _MAX_MARKS = 20_000
 
 
 class Witness:
-    """Keeps the versions that other daemons marked with this one."""
+    """Keeps the versions that other daemons have marked with this daemon."""
 
     def __init__(
         self,
@@ -50,30 +51,35 @@
         )
         self._open_since: float | None = None
 
-    def open(self) -> None:
-        """Notes that this daemon is open; it vouches from now on."""
+    def set_open(self) -> None:
+        """Records that this daemon is open; its replies count from now on."""
         if self._open_since is None:
             self._open_since = self._clock()
 
     def record(self, request: control_pb2.MarkRequest) -> control_pb2.MarkReply:
-        """Records the version of a daemon; a lower one changes nothing."""
-        held = self._marks.pop(request.member_id, 0)
-        self._marks[request.member_id] = max(held, request.version)
+        """Records the version of a daemon; a lower one has no effect."""
+        marked = self._marks.pop(request.member_id, 0)
+        self._marks[request.member_id] = max(marked, request.version)
         if len(self._marks) > _MAX_MARKS:
             self._marks.popitem(last=False)
         return control_pb2.MarkReply(recorded=True)
 
-    def get_highest(self) -> int:
-        """Returns the highest version that any daemon marked here."""
+    def get_highest_version(self) -> int:
+        """Returns the highest version that any daemon marked with this one."""
         return max(self._marks.values(), default=0)
 
-    def answer(
-        self, request: control_pb2.FloorRequest, known: int
+    def answer_floor(
+        self, request: control_pb2.FloorRequest, highest_known: int
     ) -> control_pb2.FloorReply:
-        """Says what this daemon knows of versions another one ran."""
+        """Answers a daemon that asks which versions it may run.
+
+        Args:
+            request: The call.
+            highest_known: The highest version that this daemon knows of.
+        """
         reply = control_pb2.FloorReply(
             marked=self._marks.get(request.member_id, 0),
-            known=known,
+            known=highest_known,
             witnesses=self._list_witnesses(request.member_id),
         )
         if self._open_since is not None:
@@ -82,10 +88,11 @@
         return reply
 
     def _list_witnesses(self, member_id: str) -> list[str]:
-        """Returns the witnesses of a daemon, the dead among them too.
+        """Returns the witnesses of a daemon, including those that are dead.
 
-        Marks that died with a witness must be missed. Without the dead, the
-        next in line would vouch for a daemon that never marked with them.
+        The marks of a dead witness are lost and must be missed. If dead ones
+        were left out, the next candidates would confirm a floor for a daemon
+        that never marked its versions with them.
         """
         candidates = [
             member.id
@@ -108,55 +115,61 @@
         self._table = table
         self._peers = peers
         self._timing = timing
-        self._choice = choice_lib.MemberSelection(
-            table, rendezvous.build_neighbours_key(table.local_id), _CANDIDATES
+        self._selection = selection_lib.MemberSelection(
+            table,
+            rendezvous.build_neighbours_key(table.local_id),
+            _MAX_CANDIDATES,
         )
         self._marked: dict[tuple[str, int], int] = {}
-        self._sending: dict[str, asyncio.Task[bool]] = {}
+        self._calls: dict[str, asyncio.Task[bool]] = {}
 
     async def close(self) -> None:
-        """Ends the calls under way."""
-        sending = list(self._sending.values())
-        for task in sending:
-            task.cancel()
-        await asyncio.gather(*sending, return_exceptions=True)
+        """Cancels the calls in flight."""
+        calls = list(self._calls.values())
+        for call in calls:
+            call.cancel()
+        await asyncio.gather(*calls, return_exceptions=True)
 
     def get_candidates(self) -> list[str]:
-        """Returns the members in line to be witnesses, the first ones first."""
-        return self._choice.get()
+        """Returns the members that can be witnesses, in order of preference."""
+        return self._selection.get()
 
     async def mark(self, version: int) -> bool:
-        """Marks a version with the witnesses that lack it.
+        """Marks a version with the witnesses that have not recorded it yet.
 
         A witness whose host refuses the connection is gone, and so are the
-        marks it kept; the next in line takes its place at once. One that is
-        merely silent keeps its place until it is held for dead.
+        marks that it kept; the next candidate replaces it at once. A witness
+        that is only silent is kept until it is considered dead.
 
         Returns:
-            True if enough of them have recorded it. A daemon that is alone
-            relies on the store.
+            True if enough witnesses have recorded the version. A daemon
+            without peers needs none and relies on the store.
         """
-        refused: set[str] = set()
+        refusing: set[str] = set()
         while True:
-            witnesses = self._get_witnesses(refused)
+            witnesses = self._get_witnesses(refusing)
             if await self._mark_with(witnesses, version):
                 return True
-            newly = await self._find_refused(witnesses, version)
-            if not newly:
+            newly_refusing = await self._find_refusing(witnesses, version)
+            if not newly_refusing:
                 return False
-            refused |= newly
+            refusing |= newly_refusing
 
-    def _get_witnesses(self, refused: set[str]) -> list[str]:
-        usable = [name for name in self._choice.get() if name not in refused]
+    def _get_witnesses(self, refusing: set[str]) -> list[str]:
+        usable = [
+            witness
+            for witness in self._selection.get()
+            if witness not in refusing
+        ]
         return usable[:WITNESSES]
 
     async def _mark_with(self, witnesses: list[str], version: int) -> bool:
-        """Marks until enough have recorded; the rest goes on meanwhile."""
+        """Marks until enough have recorded; the other calls continue."""
         needed = min(QUORUM, len(witnesses))
         pending = {
-            self._start_sending(name, version)
-            for name in witnesses
-            if not self._has_mark(name, version)
+            self._start_call(witness, version)
+            for witness in witnesses
+            if not self._has_mark(witness, version)
         }
         while self._count_marks(witnesses, version) < needed:
             if not pending:
@@ -166,52 +179,59 @@
             )
         return True
 
-    async def _find_refused(
+    async def _find_refusing(
         self, witnesses: list[str], version: int
     ) -> set[str]:
-        lacking = [i for i in witnesses if not self._has_mark(i, version)]
-        answers = await asyncio.gather(
+        unmarked = [
+            witness
+            for witness in witnesses
+            if not self._has_mark(witness, version)
+        ]
+        results = await asyncio.gather(
             *(
-                self._peers.refuses_connection(i, self._timing.call_timeout_s)
-                for i in lacking
+                self._peers.refuses_connection(
+                    witness, self._timing.call_timeout_s
+                )
+                for witness in unmarked
             )
         )
         return {
-            name
-            for name, refused in zip(lacking, answers, strict=True)
-            if refused
+            witness
+            for witness, refuses in zip(unmarked, results, strict=True)
+            if refuses
         }
 
     def _count_marks(self, witnesses: list[str], version: int) -> int:
-        return sum(self._has_mark(name, version) for name in witnesses)
+        return sum(self._has_mark(witness, version) for witness in witnesses)
 
     def _has_mark(self, witness: str, version: int) -> bool:
-        return self._marked.get(self._get_process(witness), 0) >= version
+        return self._marked.get(self._get_process_key(witness), 0) >= version
 
-    def _get_process(self, witness: str) -> tuple[str, int]:
-        """Names a witness and its process: a restarted one forgot.
+    def _get_process_key(self, witness: str) -> tuple[str, int]:
+        """Returns a key of a witness and its process.
 
-        Its incarnation does not tell: it also rises when a witness that was
-        only late refutes that it is dead. Counted as a restart, that voided
-        marks faster than a busy fleet could make them, and no daemon opened.
-        One of an earlier release tells no more than its incarnation.
+        A restarted witness has lost its marks. The incarnation does not
+        identify the process: it also increases when a witness that was only
+        late refutes that it is dead. When this was taken for a restart, marks
+        became invalid faster than a busy fleet could make them, and no daemon
+        opened. A witness of an earlier release sends only its incarnation.
         """
         member = self._table.get(witness)
         if member is None:
             return witness, 0
         return witness, member.process or member.incarnation
 
-    def _start_sending(self, witness: str, version: int) -> asyncio.Task[bool]:
-        running = self._sending.get(witness)
-        if running is not None:
-            return running
-        task = asyncio.create_task(self._send(witness, version))
-        self._sending[witness] = task
-        task.add_done_callback(lambda _: self._sending.pop(witness, None))
+    def _start_call(self, witness: str, version: int) -> asyncio.Task[bool]:
+        call = self._calls.get(witness)
+        if call is not None:
+            return call
+        task = asyncio.create_task(self._call_witness(witness, version))
+        self._calls[witness] = task
+        task.add_done_callback(lambda _: self._calls.pop(witness, None))
         return task
 
-    async def _send(self, witness: str, version: int) -> bool:
-        process = self._get_process(witness)
+    async def _call_witness(self, witness: str, version: int) -> bool:
+        process_key = self._get_process_key(witness)
         request = control_pb2.MarkRequest(
             member_id=self._table.local_id, version=version
         )
@@ -223,11 +243,11 @@
             events.note("not marked", witness=witness, error=str(error))
             return False
         if reply.recorded:
-            self._forget_marks(witness)
-            self._marked[process] = version
+            self._remove_marks(witness)
+            self._marked[process_key] = version
         return reply.recorded
 
-    def _forget_marks(self, witness: str) -> None:
-        for process in list(self._marked):
-            if process[0] == witness:
-                del self._marked[process]
+    def _remove_marks(self, witness: str) -> None:
+        for process_key in list(self._marked):
+            if process_key[0] == witness:
+                del self._marked[process_key]
--- a/merlintrestle/versions/source.py
+++ b/merlintrestle/versions/source.py
@@ -1,4 +1,4 @@
-"""The source of versions: the configuration records in the store."""
+"""Source of versions: the configuration records in the store."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Source(Protocol):
-    """Where versions come from."""
+    """A source of configuration versions."""
 
     async def read_head(self) -> document_pb2.Head:
-        """Reads the head; version 0 where there is none."""
+        """Reads the head; its version is 0 if there is none."""
 
     def watch_head(self) -> AsyncIterator[document_pb2.Head]:
         """Yields the head and each newer one until the store fails."""
@@ -30,19 +30,19 @@
     async def compile_head(
         self, head: document_pb2.Head
     ) -> snapshot_lib.Snapshot:
-        """Compiles the snapshot that a head accepts."""
+        """Compiles the snapshot of a head."""
 
     async def read_orders(self) -> list[client.Entry]:
-        """Reads the orders of roll-outs, or gives those read with the head."""
+        """Returns the roll-out orders, perhaps those read with the head."""
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
-        """Names members of a zone; returns those named before."""
+        """Writes the seeds of a zone; returns those stored before."""
 
 
 class StoreSource:
-    """The platform's store as the source.
+    """The platform's store as a source.
 
-    Documents never change under their digest, so each is read once.
+    The document under a digest never changes, so each is read only once.
     """
 
     def __init__(self, store: client.StoreClient):
@@ -51,7 +51,7 @@
         self._documents: dict[bytes, document_pb2.Document] = {}
 
     async def read_head(self) -> document_pb2.Head:
-        """Reads the head; version 0 where there is none.
+        """Reads the head; its version is 0 if there is none.
 
         Raises:
             errors.StoreUnavailableError: The store did not answer.
@@ -72,22 +72,23 @@
     async def compile_head(
         self, head: document_pb2.Head
     ) -> snapshot_lib.Snapshot:
-        """Compiles the snapshot that a head accepts.
+        """Compiles the snapshot of a head.
 
         Raises:
             errors.StoreUnavailableError: A document could not be read.
-            errors.SnapshotError: It is not the snapshot that was accepted.
+            errors.SnapshotError: It differs from the snapshot that was
+                accepted.
         """
-        self._take_changed(head)
+        self._cache_changed_document(head)
         documents = {
             organisation: await self._read_document(digest)
             for organisation, digest in sorted(head.documents.items())
         }
-        kept = set(head.documents.values())
+        current_digests = set(head.documents.values())
         self._documents = {
             digest: document
             for digest, document in self._documents.items()
-            if digest in kept
+            if digest in current_digests
         }
         snapshot = compiler.compile_snapshot(
             head.version, documents, self._compiled
@@ -100,7 +101,7 @@
         return snapshot
 
     async def read_orders(self) -> list[client.Entry]:
-        """Reads the orders of roll-outs.
+        """Reads the roll-out orders.
 
         Raises:
             errors.StoreUnavailableError: The store did not answer.
@@ -108,18 +109,18 @@
         return await self._store.list(storage.ORDER_PREFIX)
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
-        """Names members of a zone; returns those named before.
+        """Writes the seeds of a zone; returns those stored before.
 
         Raises:
             errors.StoreError: The store did not answer.
         """
         return await seeds_lib.write_seeds(self._store, zone, member_ids)
 
-    def _take_changed(self, head: document_pb2.Head) -> None:
-        """Takes the document in a head, so that it need not be read.
+    def _cache_changed_document(self, head: document_pb2.Head) -> None:
+        """Caches the document in a head, so that it need not be read.
 
-        The store may fail right after it accepted a head. The others are
-        known from the versions before.
+        The store may fail right after it accepted a head. The other documents
+        are known from the versions before.
         """
         if head.HasField("changed"):
             digest = compiler.compute_document_digest(head.changed)
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -1,4 +1,4 @@
-"""Watchers: the few daemons of a zone that watch the head in the store."""
+"""Watcher of the head in the store, which a few daemons of a zone run."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from merlintrestle import events as event_logs
 from merlintrestle.members import table as table_lib
 from merlintrestle.members import timing as timing_lib
-from merlintrestle.versions import discovery as meeting_lib
-from merlintrestle.versions import watcher_selection as turns_lib
+from merlintrestle.versions import discovery as discovery_lib
+from merlintrestle.versions import watcher_selection as selection_lib
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -25,21 +25,22 @@
 
 events = event_logs.EventLog("versions")
 
-# Watchers whose reads of the head are enough for a whole fleet: what one reads
-# is everywhere within some tenths of a second, and the store counts each call.
-_READERS = 3
+# Watchers that may read at the full rate. A version that one of them reads
+# reaches the whole fleet within some tenths of a second, and the store counts
+# each call.
+_FULL_RATE_WATCHERS = 3
 
 
 class Watcher:
-    """Watches the head while this daemon is chosen to.
+    """Watches the head while this daemon is selected as a watcher.
 
-    There is no lease. Two watchers too many cost two watches; one that was
-    frozen and does not know it compiles versions which are no news.
+    There is no lease. Two superfluous watchers cost two watches; one that was
+    frozen without noticing compiles versions that are no longer new.
 
     Attributes:
-        selection: Which daemons watch, and whether this one does.
+        selection: Selects the daemons that watch.
         store_reachable: Whether the last call to the store succeeded.
-        on_orders: Called with the orders of roll-outs that the store has.
+        on_orders: Callbacks that receive the roll-out orders in the store.
     """
 
     def __init__(
@@ -48,72 +49,78 @@
         source: source_lib.Source,
         hold: Callable[[snapshot_lib.Snapshot], None],
         clock: Callable[[], float] = time.monotonic,
-        directly: bool = False,
+        read_before_contact: bool = False,
     ):
-        """Connects the parts.
+        """Connects the components.
 
         Args:
-            membership: Members.
-            source: The store's configuration.
-            hold: Takes each version that was compiled.
+            membership: Members, links, peers and intervals.
+            source: The configuration in the store.
+            hold: Called with each snapshot that was compiled.
             clock: Monotonic time in seconds.
-            directly: Whether to read the head before a peer was met.
+            read_before_contact: Whether to read the head before the first
+                contact with a peer.
         """
-        self._directly = directly
+        self._read_before_contact = read_before_contact
         self.on_orders: list[
             Callable[[Sequence[client.Entry]], Awaitable[None]]
         ] = []
         self.store_reachable = False
-        self._lost_at: float | None = None
+        self._store_lost_at: float | None = None
         self._membership = membership
         self._timing = membership.timing
         self._source = source
         self._hold = hold
         self._clock = clock
-        self._handled = 0
-        self._head = 0
-        self._head_at: float | None = None
-        self._reading = asyncio.Lock()
-        self.selection = turns_lib.WatcherSelection(membership, clock)
-        self._meeting = meeting_lib.PeerDiscovery(membership, source, clock)
+        self._handled_version = 0
+        self._head_version = 0
+        self._head_read_at: float | None = None
+        self._read_lock = asyncio.Lock()
+        self.selection = selection_lib.WatcherSelection(membership, clock)
+        self._discovery = discovery_lib.PeerDiscovery(membership, source, clock)
 
     async def run(self) -> None:
-        """Watches while chosen, for ever."""
+        """Watches while this daemon is a watcher, until cancelled."""
         backoff = timing_lib.Backoff(0.1, self._timing.max_watch_retry_delay_s)
-        if self._directly:
-            await self._read_first()
+        if self._read_before_contact:
+            await self._read_first_version()
         await self._membership.wait_for_contact(self._timing.join_timeout_s)
-        await self._meeting.meet_herd()
+        await self._discovery.contact_peers()
         while True:
             if not self.selection.is_watcher():
                 await asyncio.sleep(
                     timing_lib.jitter(self._timing.watcher_settling_time_s)
                 )
                 continue
-            began = self._clock()
+            started_at = self._clock()
             try:
                 await self._watch()
             except errors.MerlintrestleError as error:
-                self._note_store(False)
+                self._record_store_call(False)
                 events.warn("store lost", error=str(error))
-                if self._clock() - began > self._timing.head_refresh_interval_s:
+                if (
+                    self._clock() - started_at
+                    > self._timing.head_refresh_interval_s
+                ):
                     backoff.reset()
                 await asyncio.sleep(backoff.get_next_delay())
 
-    async def _read_first(self) -> None:
-        """Reads the head until it is known, here or from a peer.
+    async def _read_first_version(self) -> None:
+        """Reads the head until a version is known or a peer is linked.
 
-        A store that has no version yet answers at once, so success needs a
-        pause as well, and a long one: nothing can be served before a version
-        is there, and by then most have met a peer and need not ask at all.
-        With short ones, a fleet of hundreds that starts as a whole would put
-        most of its calls to the store in its first second.
+        A store without a version answers at once, so a successful read is also
+        followed by a delay, and a long one: nothing can be served before there
+        is a version, and by then most daemons have contacted a peer and need
+        not read at all. With short delays, a fleet of hundreds that starts at
+        once would send most of its calls to the store in its first second.
         """
         backoff = timing_lib.Backoff(
             self._timing.first_read_retry_delay_s,
             self._timing.max_watch_retry_delay_s,
         )
-        while not self._handled and not self._membership.links.get_links():
+        while (
+            not self._handled_version and not self._membership.links.get_links()
+        ):
             wait_s = timing_lib.jitter(self._timing.max_watch_retry_delay_s)
             try:
                 if await self.refresh():
@@ -123,12 +130,13 @@
                 wait_s = backoff.get_next_delay()
             await asyncio.sleep(wait_s)
 
-    def get_refresh_s(self) -> float:
+    def get_refresh_interval_s(self) -> float:
         """Returns the mean time between two reads of the head, in seconds.
 
-        Watchers share the reads, so that they do not grow with the number of
-        zones: with one a second each, three zones made 300 of the 640 calls of
-        a calm minute. One that hears of no peer reads for itself alone.
+        Watchers share the reads, so that the reads do not grow with the number
+        of zones: with one per second each, the watchers of three zones made
+        300 of the 640 calls of a minute without changes. An isolated watcher
+        reads at the full rate.
         """
         refresh_s = self._timing.head_refresh_interval_s
         if self._membership.is_isolated():
@@ -139,125 +147,138 @@
             if not table_lib.is_gone(member)
         }
         return refresh_s * max(
-            1.0, len(zones) * turns_lib.WATCHERS_PER_ZONE / _READERS
+            1.0,
+            len(zones) * selection_lib.WATCHERS_PER_ZONE / _FULL_RATE_WATCHERS,
         )
 
     async def refresh(self) -> int:
-        """Reads the head and compiles it if it is news; returns its version.
+        """Reads the head and compiles it if it is new; returns its version.
 
         Raises:
             errors.MerlintrestleError: The store did not answer.
         """
-        began = self._clock()
+        started_at = self._clock()
         try:
             head = await self._source.read_head()
         except errors.StoreError:
-            self._note_store(False)
+            self._record_store_call(False)
             raise
-        self._note_store(True)
-        self._head = head.version
-        self._head_at = began
+        self._record_store_call(True)
+        self._head_version = head.version
+        self._head_read_at = started_at
         await self._compile(head)
-        await self._take_orders()
+        await self._handle_orders()
         return head.version
 
-    async def _take_orders(self) -> None:
-        """Takes in the orders of roll-outs; the version waits for none.
+    async def _handle_orders(self) -> None:
+        """Reads and handles the roll-out orders, without delaying the version.
 
         Raises:
             errors.StoreError: The store did not answer.
         """
         orders = await self._source.read_orders()
-        for take in self.on_orders:
-            await take(orders)
+        for handle in self.on_orders:
+            await handle(orders)
 
     async def add_head(
         self, reply: control_pb2.FloorReply, uptime_ms: int
     ) -> None:
-        """Adds the head to an answer, if this daemon is a watcher.
+        """Adds the head to a reply if this daemon is a watcher.
 
-        One read serves all daemons that began before it, so a herd that
-        restarts costs the store no more reads than its watchers allow.
+        One read serves all daemons that started before it, so a mass restart
+        costs the store no more reads than the watchers allow.
+
+        Args:
+            reply: The reply to a daemon that is starting.
+            uptime_ms: How long ago that daemon started, in ms.
         """
         if not self.selection.is_watcher():
             return
         try:
             async with asyncio.timeout(self._timing.call_timeout_s / 2):
-                await self._read_since(uptime_ms / 1000)
+                await self._read_if_older(uptime_ms / 1000)
         except (TimeoutError, errors.MerlintrestleError):
             return
-        if self._head_at is not None:
+        if self._head_read_at is not None:
             reply.head_read = True
-            reply.head_version = self._head
-            age_s = self._clock() - self._head_at
+            reply.head_version = self._head_version
+            age_s = self._clock() - self._head_read_at
             reply.head_age_ms = int(1000 * age_s) + 1
 
-    async def _read_since(self, age_s: float) -> None:
-        """Reads the head unless the last read is younger than an age."""
-        asked_at = self._clock()
-        async with self._reading:
-            if self._head_at is None or asked_at - self._head_at > age_s:
-                await self._wait_for_budget()
+    async def _read_if_older(self, age_s: float) -> None:
+        """Reads the head if the last read is older than an age."""
+        called_at = self._clock()
+        async with self._read_lock:
+            if (
+                self._head_read_at is None
+                or called_at - self._head_read_at > age_s
+            ):
+                await self._wait_between_reads()
                 await self.refresh()
 
-    async def _wait_for_budget(self) -> None:
-        """Keeps reads on behalf of others apart by a flush interval."""
-        if self._head_at is not None:
-            age_s = self._clock() - self._head_at
+    async def _wait_between_reads(self) -> None:
+        """Separates reads on behalf of other daemons by the flush delay."""
+        if self._head_read_at is not None:
+            age_s = self._clock() - self._head_read_at
             await asyncio.sleep(max(0.0, self._timing.flush_delay_s - age_s))
 
     async def _watch(self) -> None:
-        """Watches until no longer chosen; the head is re-read meanwhile.
+        """Watches while selected, and also reads the head from time to time.
 
         A watch whose connection went silent delivers nothing and does not
-        end, and neither does one that the store has stopped to tell of changes
-        before it drops its history. The read has a deadline and finds that out.
-        A read comes first: begun beside it, the watch would read the same.
+        end. Neither does a watch to which the store has stopped sending
+        changes before it drops its history. The read has a deadline and
+        detects both. The first read precedes the watch, which would read the
+        same value if it were started at the same time.
         """
         await self.refresh()
-        watching = asyncio.create_task(self._follow())
-        refresh_at = self._clock() + timing_lib.jitter(self.get_refresh_s())
+        watch = asyncio.create_task(self._follow_head())
+        refresh_at = self._clock() + timing_lib.jitter(
+            self.get_refresh_interval_s()
+        )
         try:
-            await self._meeting.name_seeds()
+            await self._discovery.update_seeds()
             while self.selection.is_watcher():
                 if self._clock() >= refresh_at:
                     await self.refresh()
-                    await self._meeting.name_seeds()
+                    await self._discovery.update_seeds()
                     refresh_at = self._clock() + timing_lib.jitter(
-                        self.get_refresh_s()
+                        self.get_refresh_interval_s()
                     )
-                left_s = refresh_at - self._clock()
+                remaining_s = refresh_at - self._clock()
                 done, _ = await asyncio.wait(
-                    (watching,),
+                    (watch,),
                     timeout=max(
-                        0.0, min(left_s, self._timing.heartbeat_interval_s)
+                        0.0, min(remaining_s, self._timing.heartbeat_interval_s)
                     ),
                 )
                 if done:
-                    return watching.result()
+                    return watch.result()
         finally:
-            watching.cancel()
-            await asyncio.gather(watching, return_exceptions=True)
+            watch.cancel()
+            await asyncio.gather(watch, return_exceptions=True)
 
-    async def _follow(self) -> None:
+    async def _follow_head(self) -> None:
         async for head in self._source.watch_head():
-            self._note_store(True)
+            self._record_store_call(True)
             await self._compile(head)
 
-    def _note_store(self, reachable: bool) -> None:
-        """Notes whether a call to the store succeeded; logs its return."""
+    def _record_store_call(self, reachable: bool) -> None:
+        """Records whether a call to the store succeeded; logs its recovery."""
         if reachable and not self.store_reachable:
             lost_s = None
-            if self._lost_at is not None:
-                lost_s = round(self._clock() - self._lost_at, 1)
+            if self._store_lost_at is not None:
+                lost_s = round(self._clock() - self._store_lost_at, 1)
             events.note("store reached", lost_s=lost_s)
-        if not reachable and (self.store_reachable or self._lost_at is None):
-            self._lost_at = self._clock()
+        if not reachable and (
+            self.store_reachable or self._store_lost_at is None
+        ):
+            self._store_lost_at = self._clock()
         self.store_reachable = reachable
 
     async def _compile(self, head: document_pb2.Head) -> None:
-        """Compiles a head that is news; one that fails is refused whole."""
-        if head.version <= self._handled:
+        """Compiles a new head; one that does not compile is refused whole."""
+        if head.version <= self._handled_version:
             return
         try:
             snapshot = await self._source.compile_head(head)
@@ -265,7 +286,7 @@
             events.fail(
                 "version refused", version=head.version, error=str(error)
             )
-            self._handled = max(self._handled, head.version)
+            self._handled_version = max(self._handled_version, head.version)
             return
-        self._handled = max(self._handled, head.version)
+        self._handled_version = max(self._handled_version, head.version)
         self._hold(snapshot)
--- a/merlintrestle/versions/watcher_selection.py
+++ b/merlintrestle/versions/watcher_selection.py
@@ -1,10 +1,10 @@
-"""Turns: which daemons watch the head, and whether this one does."""
+"""Selection of the daemons that watch the head."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from merlintrestle.members import selection as choice_lib
+from merlintrestle.members import selection as selection_lib
 from merlintrestle.members import table as table_lib
 
 if TYPE_CHECKING:
@@ -17,19 +17,19 @@
 
 
 class WatcherSelection:
-    """Knows the watchers of all zones, as the table of members has them."""
+    """Selects the watchers of all zones from the member table."""
 
     def __init__(
         self,
         membership: membership_lib.Membership,
         clock: Callable[[], float],
     ):
-        """Sets the members; `clock` tells the time in seconds."""
+        """Selects from the members; `clock` returns the time in seconds."""
         self._membership = membership
-        self._settle_s = membership.timing.watcher_settling_time_s
+        self._settling_time_s = membership.timing.watcher_settling_time_s
         self._clock = clock
-        self._chosen_at: float | None = None
-        self._watchers = choice_lib.choose_in_local_zone(
+        self._selected_at: float | None = None
+        self._watchers = selection_lib.choose_in_local_zone(
             membership.table, "watch", WATCHERS_PER_ZONE
         )
 
@@ -48,37 +48,40 @@
             ):
                 zones.setdefault(member.zone, []).append(member)
         return [
-            name
+            member_id
             for zone, members in sorted(zones.items())
-            for name in choice_lib.choose_by_link_speed(
-                choice_lib.build_zone_key("watch", zone),
+            for member_id in selection_lib.choose_by_link_speed(
+                selection_lib.build_zone_key("watch", zone),
                 members,
                 WATCHERS_PER_ZONE,
             )
         ]
 
     def get_rank(self) -> int | None:
-        """Returns how many watchers come before this one; None: it is none."""
+        """Returns how many watchers precede this one; None if it is none."""
         if not self.is_watcher():
             return None
         watchers = sorted([*self.get_watchers(), *self.list_other_watchers()])
-        own_id = self._membership.table.local_id
-        return watchers.index(own_id) if own_id in watchers else len(watchers)
+        local_id = self._membership.table.local_id
+        return (
+            watchers.index(local_id) if local_id in watchers else len(watchers)
+        )
 
     def is_watcher(self) -> bool:
-        """Tells whether this daemon has been a watcher of its zone for a while.
+        """Returns whether this daemon has been selected for a while.
 
-        In a herd each table begins with its own daemon, which then is the
-        watcher of its zone. If that counted, all would read the store.
+        In a mass restart each member table initially holds only the local
+        daemon, which is therefore selected. If that counted at once, all
+        daemons would read the store.
         """
         now = self._clock()
-        own_id = self._membership.table.local_id
+        local_id = self._membership.table.local_id
         if (
-            own_id not in self.get_watchers()
+            local_id not in self.get_watchers()
             and not self._membership.is_isolated()
         ):
-            self._chosen_at = None
+            self._selected_at = None
             return False
-        if self._chosen_at is None:
-            self._chosen_at = now
-        return now - self._chosen_at >= self._settle_s
+        if self._selected_at is None:
+            self._selected_at = now
+        return now - self._selected_at >= self._settling_time_s
--- a/tests/versions/builders.py
+++ b/tests/versions/builders.py
@@ -1,4 +1,4 @@
-"""Builders of snapshots, a fake source, and daemons in one process."""
+"""Builders for snapshots, a fake source and daemons in one process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from merlintrestle.schema import document_pb2
 from merlintrestle.store import client
 from merlintrestle.store import records
-from merlintrestle.versions import active_version as holder_lib
+from merlintrestle.versions import active_version as active_version_lib
 from merlintrestle.versions import distribution as distribution_lib
 from tests.members import builders as member_builders
 
@@ -56,7 +56,7 @@
     services: Sequence[str] = ("balie",),
     latency_ms: int | None = None,
 ) -> snapshot_lib.Snapshot:
-    """Builds a snapshot that differs from that of another version."""
+    """Builds a snapshot that differs from those of other versions."""
     document = build_document(services, latency_ms or 100 + version)
     return compiler.compile_snapshot(version, {"zaanoever": document})
 
@@ -76,31 +76,31 @@
 
 
 class FakeConfiguration:
-    """The configuration in the store, for any number of daemons.
+    """A fake source of versions for any number of daemons.
 
     Attributes:
-        down: Every call fails while set.
-        stale: Reads answer this version instead of the newest, if set.
-        hang: Reads get no answer while set.
-        mute: Watches deliver nothing more while set.
-        broken: Versions that do not compile.
-        tried: Versions that were compiled or tried.
-        reads: Reads of the head.
-        seed_writes: Writes of seeds.
-        watches: Watches that are open.
+        down: Whether every call fails.
+        stale_version: If set, reads return this version, not the newest one.
+        reads_hang: Whether reads get no answer.
+        watches_silent: Whether watches deliver nothing.
+        broken_versions: Versions that do not compile.
+        compiled_versions: Versions that were compiled, with success or not.
+        reads: Number of reads of the head.
+        seed_writes: Number of writes of seeds.
+        open_watches: Number of open watches.
         seeds: Seeds by zone.
     """
 
     def __init__(self) -> None:
         self.down = False
-        self.stale: int | None = None
-        self.hang = False
-        self.mute = False
-        self.broken: set[int] = set()
-        self.tried: list[int] = []
+        self.stale_version: int | None = None
+        self.reads_hang = False
+        self.watches_silent = False
+        self.broken_versions: set[int] = set()
+        self.compiled_versions: list[int] = []
         self.reads = 0
         self.seed_writes = 0
-        self.watches = 0
+        self.open_watches = 0
         self.seeds: dict[str, list[str]] = {}
         self._version = 0
         self._documents: dict[int, document_pb2.Document] = {}
@@ -113,50 +113,52 @@
         await self._notify()
 
     async def fail(self) -> None:
-        """Begins an outage: reads fail and watches break."""
+        """Starts an outage: reads fail and watches break."""
         self.down = True
         await self._notify()
 
     async def read_orders(self) -> list[client.Entry]:
-        """Reads orders of roll-outs: there are none."""
+        """Returns no roll-out orders."""
         return []
 
     async def read_head(self) -> document_pb2.Head:
         """Reads the head."""
-        # No store answers before other tasks have had their turn.
+        # A real store never answers before other tasks have run.
         await asyncio.sleep(0)
         self.reads += 1
-        if self.hang:
+        if self.reads_hang:
             await asyncio.Event().wait()
-        self._check()
-        version = self._version if self.stale is None else self.stale
+        self._check_up()
+        version = (
+            self._version if self.stale_version is None else self.stale_version
+        )
         return document_pb2.Head(version=version)
 
     async def watch_head(self) -> AsyncIterator[document_pb2.Head]:
-        """Yields the head when it is newer."""
-        self._check()
-        self.watches += 1
-        sent = 0
+        """Yields the head and each newer one."""
+        self._check_up()
+        self.open_watches += 1
+        sent_version = 0
         try:
             while True:
                 async with self._changed:
-                    while self.mute or (
-                        not self.down and self._version <= sent
+                    while self.watches_silent or (
+                        not self.down and self._version <= sent_version
                     ):
                         await self._changed.wait()
-                    self._check()
-                    sent = self._version
-                yield document_pb2.Head(version=sent)
+                    self._check_up()
+                    sent_version = self._version
+                yield document_pb2.Head(version=sent_version)
         finally:
-            self.watches -= 1
+            self.open_watches -= 1
 
     async def compile_head(
         self, head: document_pb2.Head
     ) -> snapshot_lib.Snapshot:
         """Compiles the version of a head."""
-        self._check()
-        self.tried.append(head.version)
-        if head.version in self.broken:
+        self._check_up()
+        self.compiled_versions.append(head.version)
+        if head.version in self.broken_versions:
             raise errors.SnapshotError("it does not compile")
         documents = {}
         if head.version:
@@ -164,14 +166,18 @@
         return compiler.compile_snapshot(head.version, documents)
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
-        """Names members of a zone."""
-        self._check()
+        """Writes the seeds of a zone; returns those stored before."""
+        self._check_up()
         self.seed_writes += 1
-        before = [name for ids in self.seeds.values() for name in ids]
+        previous_seeds = [
+            member_id
+            for zone_seeds in self.seeds.values()
+            for member_id in zone_seeds
+        ]
         self.seeds[zone] = member_ids
-        return before
+        return previous_seeds
 
-    def _check(self) -> None:
+    def _check_up(self) -> None:
         if self.down:
             raise errors.StoreUnavailableError("the fake store is down")
 
@@ -181,7 +187,7 @@
 
 
 class Daemon:
-    """The control part of a daemon, on a loopback port."""
+    """Control server, membership and distribution of a daemon on loopback."""
 
     def __init__(
         self,
@@ -209,9 +215,9 @@
         self.membership = membership_lib.Membership(
             self.table, None, seeds, timing
         )
-        self.holder = holder_lib.ActiveVersion()
+        self.active_version = active_version_lib.ActiveVersion()
         self.distribution = distribution_lib.Distribution(
-            self.holder, self.membership, configuration, spread
+            self.active_version, self.membership, configuration, spread
         )
         self.servicer = service_lib.ControlServicer(
             self.membership, self.distribution
@@ -224,16 +230,16 @@
         await self.distribution.start()
 
     async def close(self) -> None:
-        """Ends all, as a process that dies would."""
+        """Stops everything, as when the process dies."""
         await self.distribution.stop()
         await self.membership.stop()
         await self.server.close(0)
 
 
 async def wait_until(
-    check: Callable[[], bool], guard_s: float = TEST_TIMEOUT_S
+    condition: Callable[[], bool], timeout_s: float = TEST_TIMEOUT_S
 ) -> None:
-    """Waits for a state that other tasks bring about."""
-    async with asyncio.timeout(guard_s):
-        while not check():
+    """Waits until other tasks make a condition true."""
+    async with asyncio.timeout(timeout_s):
+        while not condition():
             await asyncio.sleep(0.01)
--- a/tests/versions/delays.py
+++ b/tests/versions/delays.py
@@ -1,4 +1,4 @@
-"""An event loop that is held up, as on a machine with too much to do."""
+"""Event loop whose callbacks are delayed, as on an overloaded machine."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class DelayedLoop(asyncio.SelectorEventLoop):
-    """Holds up some callbacks, chosen by a seed.
+    """Delays some callbacks, chosen by a seeded random generator.
 
-    The more there is to do, the more of it is late, as where other processes
-    take most of the processor: work done in vain slows down the rest.
+    The more callbacks there are, the more of them are late, as when other
+    processes use most of the processor: useless work slows down the rest.
 
     Attributes:
-        delays: Callbacks that were held up.
+        delays: Number of delayed callbacks.
     """
 
-    # One callback in 200 is held up, 0.15 s on average. Eight daemons that come
-    # up have thousands of callbacks to run a second, so most time is lost.
-    SHARE = 0.005
-    SHORTEST_S = 0.1
-    LONGEST_S = 0.2
+    # One callback in 200 is delayed, by 0.15 s on average. Eight daemons that
+    # start have thousands of callbacks per second, so most time is lost.
+    DELAYED_FRACTION = 0.005
+    MIN_DELAY_S = 0.1
+    MAX_DELAY_S = 0.2
 
     def __init__(self, seed: int):
-        """Seeds the choice of callbacks, and how long each is held up."""
+        """Seeds the choice of callbacks and their delays."""
         super().__init__()
         self.delays = 0
         self._random = random.Random(seed)
@@ -40,9 +40,9 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Schedules a callback, which may be held up."""
+        """Schedules a callback, which may be delayed."""
         return super().call_soon(
-            self._run_late, callback, *args, context=context
+            self._run_delayed, callback, *args, context=context
         )
 
     def call_at(  # type: ignore[override]
@@ -52,13 +52,13 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Schedules a callback for a time, which may be held up further."""
+        """Schedules a callback for a time, which may be delayed further."""
         return super().call_at(
-            when, self._run_late, callback, *args, context=context
+            when, self._run_delayed, callback, *args, context=context
         )
 
-    def _run_late(self, callback: Callable[..., object], *args: Any) -> None:
-        if self._random.random() < self.SHARE:
+    def _run_delayed(self, callback: Callable[..., object], *args: Any) -> None:
+        if self._random.random() < self.DELAYED_FRACTION:
             self.delays += 1
-            time.sleep(self._random.uniform(self.SHORTEST_S, self.LONGEST_S))
+            time.sleep(self._random.uniform(self.MIN_DELAY_S, self.MAX_DELAY_S))
         callback(*args)
--- a/tests/versions/simulations.py
+++ b/tests/versions/simulations.py
@@ -1,4 +1,4 @@
-"""Daemons without sockets or clocks, for tests of what may run."""
+"""Simulated daemons without sockets or clocks, for tests of the floor."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from merlintrestle.members import links as links_lib
 from merlintrestle.members import table as table_lib
 from merlintrestle.schema import control_pb2
-from merlintrestle.versions import active_version as holder_lib
+from merlintrestle.versions import active_version as active_version_lib
 from merlintrestle.versions import archive as archive_lib
 from merlintrestle.versions import floor as floor_lib
 from merlintrestle.versions import marks as marks_lib
@@ -26,12 +26,12 @@
 )
 
 
-class Contact:
-    """Stands in for `membership.Membership`.
+class FakeMembership:
+    """Replaces `membership.Membership`.
 
     Attributes:
         links: Links to peers; none is open.
-        searches: How often it was told to look for others.
+        seed_searches: Number of calls of `contact_stored_seeds`.
     """
 
     def __init__(
@@ -43,58 +43,59 @@
         self.peers = peers
         self.timing = TIMING
         self.links = links_lib.Links(table, TIMING)
-        self.searches = 0
+        self.seed_searches = 0
 
     async def wait_for_contact(self, timeout_s: float) -> bool:
-        """Needs no wait."""
+        """Returns at once."""
         return True
 
     async def contact_unknown(self, addresses: Sequence[str]) -> None:
-        """Knows everyone."""
+        """Does nothing, as all members are known."""
 
     async def contact_stored_seeds(self) -> None:
-        """Counts; there are no others."""
-        self.searches += 1
+        """Counts the call; there are no other members."""
+        self.seed_searches += 1
 
     def is_isolated(self) -> bool:
-        """Hears the others."""
+        """Returns False."""
         return False
 
 
 class SimulatedDaemon:
-    """The version part of one process at one address."""
+    """Version distribution of a process at an address."""
 
     def __init__(self, fleet: SimulatedFleet, number: int, incarnation: int):
-        own = member_builders.build_member(number, incarnation)
-        self.id = own.id
-        self.table = table_lib.MemberTable(own, fleet.get_time)
-        contact: Any = Contact(
-            self.table, member_builders.FakePeerClient(fleet.network, own.id)
+        local_member = member_builders.build_member(number, incarnation)
+        self.id = local_member.id
+        self.table = table_lib.MemberTable(local_member, fleet.get_time)
+        membership: Any = FakeMembership(
+            self.table,
+            member_builders.FakePeerClient(fleet.network, local_member.id),
         )
-        self.contact = contact
+        self.membership = membership
         self.archive = archive_lib.Archive()
-        self.holder = holder_lib.ActiveVersion()
+        self.active_version = active_version_lib.ActiveVersion()
         self.witness = marks_lib.Witness(self.table, fleet.get_time)
-        self.marker = marks_lib.Marker(self.table, contact.peers, TIMING)
+        self.marker = marks_lib.Marker(self.table, membership.peers, TIMING)
         self.watcher = watcher_lib.Watcher(
-            contact, fleet.configuration, self.hold, fleet.get_time
+            membership, fleet.configuration, self.hold, fleet.get_time
         )
         self.floor = floor_lib.Floor(
-            contact, self.marker, self.watcher, fleet.get_time
+            membership, self.marker, self.watcher, fleet.get_time
         )
-        fleet.network.handlers[own.id] = {
+        fleet.network.handlers[local_member.id] = {
             "Mark": self.witness.record,
             "Floor": self._answer_floor,
         }
 
     def hold(self, snapshot: snapshot_lib.Snapshot) -> None:
-        """Keeps a version."""
+        """Archives a version."""
         self.archive.add(snapshot)
 
     async def step(self) -> None:
-        """Learns the floor if it is not known, then runs what may run.
+        """Determines the floor if it is unknown, then runs the newest version.
 
-        The same steps as `Distribution`, one at a time.
+        These are the steps of `Distribution`, one at a time.
         """
         if self.floor.version is None and not await self.floor.try_learn(6):
             return
@@ -102,46 +103,46 @@
         if newest is None or newest.version < (self.floor.version or 0):
             return
         if await self.marker.mark(newest.version):
-            self.holder.activate(newest)
-            self.witness.open()
+            self.active_version.activate(newest)
+            self.witness.set_open()
 
     async def _answer_floor(
         self, request: control_pb2.FloorRequest
     ) -> control_pb2.FloorReply:
-        known = max(
+        highest_known = max(
             self.archive.version,
             self.floor.version or 0,
-            self.witness.get_highest(),
+            self.witness.get_highest_version(),
         )
-        reply = self.witness.answer(request, known)
+        reply = self.witness.answer_floor(request, highest_known)
         await self.watcher.add_head(reply, request.uptime_ms)
         return reply
 
 
 class SimulatedFleet:
-    """Some models, the network between them and the store.
+    """Simulated daemons, the network between them and the store.
 
     Attributes:
-        now: Time in seconds.
-        configuration: The store.
-        network: Calls between the models.
-        models: The processes that run now, by number.
-        highest: The highest version that ever ran, by number.
+        now: Simulated time in seconds.
+        configuration: The configuration in the store.
+        network: Network for calls between the daemons.
+        daemons: The running daemons by number.
+        highest_versions: The highest version that ever ran, by number.
     """
 
     def __init__(self, size: int):
         self.now = 1000.0
         self.configuration = builders.FakeConfiguration()
         self.network = member_builders.FakeNetwork()
-        self.models: dict[int, SimulatedDaemon] = {}
-        self.highest: dict[int, int] = {}
+        self.daemons: dict[int, SimulatedDaemon] = {}
+        self.highest_versions: dict[int, int] = {}
         self._incarnation = 0
         self._version = 0
         for number in range(1, size + 1):
             self.start(number)
 
     def get_time(self) -> float:
-        """Returns the time of the test."""
+        """Returns the simulated time in seconds."""
         return self.now
 
     async def accept(self) -> None:
@@ -151,51 +152,53 @@
             await self.configuration.accept(self._version, ["balie"])
 
     def start(self, number: int) -> None:
-        """Starts a process, at the address of an earlier one or anew."""
+        """Starts a daemon, at the address of its predecessor if any."""
         self._incarnation += 1
-        self.models[number] = SimulatedDaemon(self, number, self._incarnation)
-        for one in self.models.values():
-            for other in self.models.values():
-                if one is not other:
-                    one.table.merge(other.table.local_member)
+        self.daemons[number] = SimulatedDaemon(self, number, self._incarnation)
+        for daemon in self.daemons.values():
+            for peer in self.daemons.values():
+                if daemon is not peer:
+                    daemon.table.merge(peer.table.local_member)
 
     def kill(self, number: int) -> None:
-        """Ends a process; others find out that it is dead."""
-        model = self.models.pop(number)
-        del self.network.handlers[model.id]
-        for other in self.models.values():
-            other.table.set_state(model.id, control_pb2.DEAD)
+        """Ends a daemon; the others detect that it is dead."""
+        daemon = self.daemons.pop(number)
+        del self.network.handlers[daemon.id]
+        for peer in self.daemons.values():
+            peer.table.set_state(daemon.id, control_pb2.DEAD)
 
     async def step(self, number: int) -> int:
-        """Lets one process work; returns the version that it runs."""
-        model = self.models[number]
-        await model.step()
-        running = model.holder.version
-        self.highest[number] = max(self.highest.get(number, 0), running)
+        """Runs a step of a daemon; returns its active version."""
+        daemon = self.daemons[number]
+        await daemon.step()
+        running = daemon.active_version.version
+        self.highest_versions[number] = max(
+            self.highest_versions.get(number, 0), running
+        )
         return running
 
     async def settle(self) -> None:
-        """Spreads everything, then lets more time pass than is remembered.
+        """Distributes all versions, then skips the minimum witness uptime.
 
-        This is what the memory of a witness relies on: in that time every
-        version reaches every daemon and every mark is made again.
+        Witnesses rely on this: within that time every version reaches every
+        daemon, and every mark is made again.
         """
-        for model in self.models.values():
+        for daemon in self.daemons.values():
             if not self.configuration.down:
-                await model.watcher.refresh()
+                await daemon.watcher.refresh()
         for _ in range(2):
-            for one in self.models.values():
-                for other in self.models.values():
-                    if one.archive.newest is not None:
-                        other.hold(one.archive.newest)
-            for number in self.models:
+            for daemon in self.daemons.values():
+                for peer in self.daemons.values():
+                    if daemon.archive.newest is not None:
+                        peer.hold(daemon.archive.newest)
+            for number in self.daemons:
                 await self.step(number)
         self.now += TIMING.min_witness_uptime_s + 1
 
 
-async def read_store(model: SimulatedDaemon) -> None:
-    """Lets a process read the head, as a watcher does."""
+async def read_store(daemon: SimulatedDaemon) -> None:
+    """Makes a daemon read the head, as a watcher does."""
     try:
-        await model.watcher.refresh()
+        await daemon.watcher.refresh()
     except errors.MerlintrestleError:
         return
--- a/tests/versions/test_delayed_fleet.py
+++ b/tests/versions/test_delayed_fleet.py
@@ -1,4 +1,4 @@
-"""Several daemons in one process whose event loop is held up all the time."""
+"""Tests of several daemons in a process whose event loop is often delayed."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class DelayedFleetTest(unittest.TestCase):
-    """Eight daemons that start on a busy machine."""
+    """Eight daemons that start on an overloaded machine."""
 
-    def start_by_schedule(self, seed: int) -> None:
-        """Starts the daemons on a loop with a seeded schedule of delays."""
+    def start_with_delays(self, seed: int) -> None:
+        """Starts the daemons on an event loop with seeded delays."""
         self.addCleanup(random.setstate, random.getstate())
         random.seed(seed)
         with asyncio.Runner(
@@ -23,15 +23,15 @@
             runner.run(_start_fleet(8))
 
     def test_accepted_version_runs_on_a_busy_machine(self) -> None:
-        """Eight daemons start while other processes take most of the time.
+        """Eight daemons start while other processes use most of the processor.
 
-        Each is late itself, and takes that for silence of the others: it ends
-        links that are just being opened, with them the calls that they carry,
-        and opens them anew. That work makes all of them later still. No mark
-        is answered, so callers find every daemon closed for good.
+        Each daemon is late itself and takes this for silence of its peers: it
+        closes links that are just being opened, together with the calls on
+        them, and opens them again. This work delays all daemons further. No
+        mark is answered, so every daemon stays closed for its callers.
         """
         for seed in (1, 2):
-            self.start_by_schedule(seed)
+            self.start_with_delays(seed)
 
 
 async def _start_fleet(size: int) -> None:
@@ -45,7 +45,9 @@
             daemons.append(builders.Daemon(configuration, seeds=seeds))
             await daemons[-1].start()
         await builders.wait_until(
-            lambda: all(daemon.holder.version == 1 for daemon in daemons)
+            lambda: all(
+                daemon.active_version.version == 1 for daemon in daemons
+            )
         )
     finally:
         await asyncio.gather(*(daemon.close() for daemon in daemons))
--- a/tests/versions/test_deltas.py
+++ b/tests/versions/test_deltas.py
@@ -1,4 +1,4 @@
-"""Tests of deltas and of what a daemon holds."""
+"""Tests for deltas and the archive."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from merlintrestle import errors
 from merlintrestle.schema import control_pb2
 from merlintrestle.schema import document_pb2
-from merlintrestle.versions import active_version as holder_lib
+from merlintrestle.versions import active_version as active_version_lib
 from merlintrestle.versions import archive as archive_lib
 from merlintrestle.versions import deltas
 from tests.versions import builders
@@ -22,10 +22,10 @@
 
 
 class DeltaTest(unittest.TestCase):
-    """A delta gives the accepted snapshot, or nothing."""
+    """A delta results in the accepted snapshot or in an error."""
 
     @hypothesis.given(service_sets, service_sets)
-    def test_delta_gives_the_target(
+    def test_delta_results_in_the_target(
         self, before: list[str], after: list[str]
     ) -> None:
         base = builders.build_snapshot(1, before)
@@ -41,31 +41,31 @@
         strategies.integers(0, 10_000),
         strategies.integers(1, 255),
     )
-    def test_corrupted_delta_gives_no_other_snapshot(
-        self, before: list[str], after: list[str], place: int, flip: int
+    def test_corrupted_delta_results_in_no_other_snapshot(
+        self, before: list[str], after: list[str], position: int, mask: int
     ) -> None:
         base = builders.build_snapshot(1, before)
         target = builders.build_snapshot(2, after)
         data = bytearray(deltas.make_delta(base, target).SerializeToString())
-        data[place % len(data)] ^= flip
+        data[position % len(data)] ^= mask
         try:
-            broken = document_pb2.Delta.FromString(bytes(data))
+            corrupted = document_pb2.Delta.FromString(bytes(data))
         except ValueError:
             return
         except Exception as error:
             self.assertEqual(type(error).__name__, "DecodeError")
             return
         try:
-            result = deltas.apply_delta(base, broken)
+            result = deltas.apply_delta(base, corrupted)
         except errors.SnapshotError:
             return
         self.assertEqual(result.digest, target.digest)
 
-    def test_lost_part_is_refused(self) -> None:
-        """A delta loses the class that a route points at.
+    def test_incomplete_delta_is_refused(self) -> None:
+        """A delta lacks the class that a route refers to.
 
-        Run in part, the proxy would route to a class it does not have. The
-        digest refuses it before anything is built of it.
+        If it were applied, the proxy would route to a class that it does not
+        have. The digest check refuses it before anything is built from it.
         """
         base = builders.build_snapshot(1, ["balie"])
         target = builders.build_snapshot(2, ["balie", "kassa"])
@@ -74,15 +74,17 @@
         with self.assertRaises(errors.SnapshotError):
             deltas.apply_delta(base, delta)
 
-    def test_whole_that_does_not_match_its_offer_is_refused(self) -> None:
-        packed = deltas.pack_snapshot(builders.build_snapshot(2, ["kassa"]))
+    def test_snapshot_that_does_not_match_its_offer_is_refused(self) -> None:
+        snapshot_message = deltas.pack_snapshot(
+            builders.build_snapshot(2, ["kassa"])
+        )
         digest = builders.build_snapshot(2, ["balie"]).digest
         with self.assertRaises(errors.SnapshotError):
-            deltas.unpack_snapshot(packed, digest)
+            deltas.unpack_snapshot(snapshot_message, digest)
 
 
 class ArchiveTest(unittest.TestCase):
-    """What is held is given as a delta where it can be."""
+    """The archive answers with a delta if the base is kept."""
 
     def setUp(self) -> None:
         self.archive = archive_lib.Archive()
@@ -100,7 +102,7 @@
             ).ByteSize(),
         )
 
-    def test_answers_with_the_whole_for_another_base(self) -> None:
+    def test_answers_with_the_whole_snapshot_for_another_base(self) -> None:
         held = control_pb2.Offer(version=1, digest=b"another")
         reply = self.archive.answer_fetch(control_pb2.FetchRequest(held=held))
         self.assertTrue(reply.HasField("snapshot"))
@@ -111,31 +113,34 @@
             max_size=20,
         )
     )
-    def test_no_order_of_arrival_goes_back(
+    def test_no_order_of_arrival_downgrades(
         self, arrivals: list[tuple[int, bool]]
     ) -> None:
-        """Versions arrive in any order, twice, whole or as deltas."""
+        """Versions arrive in any order, repeatedly, whole or as deltas."""
         accepted = {
             version: builders.build_snapshot(version) for version in range(1, 7)
         }
-        archive, holder = archive_lib.Archive(), holder_lib.ActiveVersion()
+        archive, active_version = (
+            archive_lib.Archive(),
+            active_version_lib.ActiveVersion(),
+        )
         for version, whole in arrivals:
             base = accepted[max(1, version - 1)]
             delta = deltas.make_delta(base, accepted[version])
             try:
-                arrived = (
+                snapshot = (
                     accepted[version]
                     if whole
                     else deltas.apply_delta(archive.newest, delta)
                 )
             except errors.SnapshotError:
                 continue
-            archive.add(arrived)
-            holder.activate(arrived)
-            assert holder.running is not None
-            expected = accepted[holder.version].digest
-            self.assertEqual(holder.running.digest, expected)
-        versions = [taken.version for taken in holder.history]
+            archive.add(snapshot)
+            active_version.activate(snapshot)
+            assert active_version.running is not None
+            expected = accepted[active_version.version].digest
+            self.assertEqual(active_version.running.digest, expected)
+        versions = [activation.version for activation in active_version.history]
         self.assertEqual(versions, sorted(set(versions)))
 
 
--- a/tests/versions/test_fetcher.py
+++ b/tests/versions/test_fetcher.py
@@ -1,4 +1,4 @@
-"""Tests of fetching from several peers."""
+"""Tests for fetching from several peers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FetcherTest(unittest.IsolatedAsyncioTestCase):
-    """One daemon fetches; peers answer, fail or hang."""
+    """A daemon fetches from peers that answer, fail or hang."""
 
     async def asyncSetUp(self) -> None:
         self.network = member_builders.FakeNetwork()
@@ -38,20 +38,20 @@
 
     def add_peer(self, name: str, version: int, answer: Any = None) -> None:
         """Adds a peer that holds a version and offers it."""
-        held = archive_lib.Archive()
+        archive = archive_lib.Archive()
         for number in range(1, version + 1):
-            held.add(builders.build_snapshot(number))
-        self.network.handlers[name] = {"Fetch": answer or held.answer_fetch}
-        self.fetcher.note_offer(name, version)
+            archive.add(builders.build_snapshot(number))
+        self.network.handlers[name] = {"Fetch": answer or archive.answer_fetch}
+        self.fetcher.add_offer(name, version)
 
     async def wait_for_version(self, version: int) -> None:
         await builders.wait_until(lambda: self.archive.version == version)
 
-    async def test_slow_peer_holds_up_no_fetch(self) -> None:
+    async def test_slow_peer_delays_no_fetch(self) -> None:
         """The peer with the highest offer never answers.
 
-        Another peer offers a version too and is asked after the hedge time;
-        waiting for the first one's deadline would cost seconds.
+        Another peer also offers a version and is asked after the hedge delay;
+        waiting for the timeout of the first call would take seconds.
         """
 
         async def hang(request: control_pb2.FetchRequest) -> None:
@@ -61,29 +61,29 @@
         self.add_peer("quick", 2)
         await self.wait_for_version(2)
 
-    async def test_peer_whose_parts_keep_coming_is_asked_alone(self) -> None:
-        """A version takes its bytes' time over a thin link.
+    async def test_peer_whose_parts_keep_arriving_is_not_hedged(self) -> None:
+        """The transfer of a version over a slow link takes long.
 
-        Its parts keep coming for longer than the hedge time. The same version
-        from a second peer would double what the link has to carry, just where
-        it is full.
+        Its parts keep arriving for longer than the hedge delay. Fetching the
+        same version from a second peer would double the load on a link that
+        is already full.
         """
         hedge_s = member_builders.FAST_TIMING.hedge_delay_s
 
-        async def bring_parts(request: control_pb2.FetchRequest) -> Any:
+        async def send_parts(request: control_pb2.FetchRequest) -> Any:
             for _ in range(8):
-                self.fetcher._note_part()
+                self.fetcher._record_part()
                 await asyncio.sleep(hedge_s / 4)
-            held = archive_lib.Archive()
-            held.add(builders.build_snapshot(2))
-            return held.answer_fetch(request)
+            archive = archive_lib.Archive()
+            archive.add(builders.build_snapshot(2))
+            return archive.answer_fetch(request)
 
-        self.add_peer("slow", 2, bring_parts)
+        self.add_peer("slow", 2, send_parts)
         await builders.wait_until(lambda: bool(self.network.calls))
         self.add_peer("quick", 2)
         await self.wait_for_version(2)
-        called = [target for _, target, _ in self.network.calls]
-        self.assertEqual(called, ["slow"])
+        called_peers = [peer for _, peer, _ in self.network.calls]
+        self.assertEqual(called_peers, ["slow"])
 
     async def test_failing_peer_is_followed_by_the_next(self) -> None:
         self.add_peer("fails", 3)
@@ -91,29 +91,29 @@
         self.add_peer("quick", 2)
         await self.wait_for_version(2)
 
-    async def test_delta_is_asked_for_before_the_whole(self) -> None:
-        asked: list[bool] = []
+    async def test_delta_is_requested_before_the_whole_snapshot(self) -> None:
+        requested_whole: list[bool] = []
 
         def answer(request: control_pb2.FetchRequest) -> Any:
-            asked.append(request.whole)
-            held = archive_lib.Archive()
-            held.add(builders.build_snapshot(1))
-            held.add(builders.build_snapshot(2))
-            reply = held.answer_fetch(request)
+            requested_whole.append(request.whole)
+            archive = archive_lib.Archive()
+            archive.add(builders.build_snapshot(1))
+            archive.add(builders.build_snapshot(2))
+            reply = archive.answer_fetch(request)
             if reply.HasField("delta"):
                 reply.delta.changed[0].value += b"x"
             return reply
 
         self.add_peer("corrupts", 2, answer)
         await self.wait_for_version(2)
-        self.assertEqual(asked, [False, True])
+        self.assertEqual(requested_whole, [False, True])
 
-    async def test_offers_that_are_no_news_cost_nothing(self) -> None:
+    async def test_offers_that_are_not_newer_are_not_fetched(self) -> None:
         self.add_peer("old", 1)
         self.add_peer("new", 2)
         await self.wait_for_version(2)
-        called = [target for _, target, _ in self.network.calls]
-        self.assertEqual(called, ["new"])
+        called_peers = [peer for _, peer, _ in self.network.calls]
+        self.assertEqual(called_peers, ["new"])
 
 
 if __name__ == "__main__":
--- a/tests/versions/test_known_revision.py
+++ b/tests/versions/test_known_revision.py
@@ -1,4 +1,4 @@
-"""Tests of what the next read of the head must bring."""
+"""Tests for the known revision and the history queries."""
 
 from __future__ import annotations
 
@@ -7,37 +7,41 @@
 from merlintrestle.versions import known_revision
 
 
-class ProgressTest(unittest.IsolatedAsyncioTestCase):
+class KnownRevisionTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.now = 0.0
-        self.known = known_revision.KnownRevision(lambda: self.now)
+        self.known_revision = known_revision.KnownRevision(lambda: self.now)
 
-    def test_questions_follow_a_read_without_news_for_a_while(self):
-        """A change that no history names is in force in the end.
+    def test_history_is_queried_for_a_while_after_an_unchanged_read(self):
+        """A change that the history omits takes effect in the end.
 
-        Others write without end, so each read finds the revision moved. The
-        value is read again once the last one is old.
+        Other writers write continuously, so each read finds a new revision.
+        The value is read again once the last read is old.
         """
-        self.assertFalse(self.known.may_query_history())
-        self.known.record_read(news=False)
+        self.assertFalse(self.known_revision.may_query_history())
+        self.known_revision.record_read(news=False)
         self.now = known_revision._QUESTIONS_S - 0.1
-        self.assertTrue(self.known.may_query_history())
+        self.assertTrue(self.known_revision.may_query_history())
         self.now = known_revision._QUESTIONS_S
-        self.assertFalse(self.known.may_query_history())
-
-    def test_no_question_follows_news(self):
-        """A storm of the operators' changes rests on no history."""
-        self.known.record_read(news=False)
-        self.known.record_read(news=True)
-        self.assertFalse(self.known.may_query_history())
-
-    def test_what_is_known_does_not_go_back(self):
-        """A slow answer that comes late costs no read of what is known."""
-        self.known.advance(7)
-        self.known.advance(5)
-        self.assertEqual(self.known.revision, 7)
-
-    async def test_no_watch_is_waited_for_where_none_is_open(self):
-        self.assertFalse(await self.known.wait_for_watch(3, lambda: True))
-        self.known.advance(3)
-        self.assertTrue(await self.known.wait_for_watch(3, lambda: False))
+        self.assertFalse(self.known_revision.may_query_history())
+
+    def test_no_history_query_follows_a_new_head(self):
+        """During many changes by operators, the history is not relied on."""
+        self.known_revision.record_read(news=False)
+        self.known_revision.record_read(news=True)
+        self.assertFalse(self.known_revision.may_query_history())
+
+    def test_revision_does_not_decrease(self):
+        """A late answer causes no further read of what is known."""
+        self.known_revision.advance(7)
+        self.known_revision.advance(5)
+        self.assertEqual(self.known_revision.revision, 7)
+
+    async def test_does_not_wait_if_no_watch_is_open(self):
+        self.assertFalse(
+            await self.known_revision.wait_for_watch(3, lambda: True)
+        )
+        self.known_revision.advance(3)
+        self.assertTrue(
+            await self.known_revision.wait_for_watch(3, lambda: False)
+        )
--- a/tests/versions/test_no_downgrade.py
+++ b/tests/versions/test_no_downgrade.py
@@ -1,4 +1,4 @@
-"""No daemon runs a version below one that ran at its address before."""
+"""Tests that no daemon runs a lower version than ran at its address before."""
 
 from __future__ import annotations
 
@@ -38,23 +38,26 @@
 
 
 async def run_history(history: Sequence[tuple[str, int, int]]) -> None:
-    """Plays steps on a fleet and checks every daemon after each."""
+    """Simulates the actions and checks the daemon concerned after each."""
     fleet = simulations.SimulatedFleet(SIZE)
     await fleet.accept()
     await fleet.settle()
-    for action, number, other in history:
-        await act(fleet, action, number, other)
-        before = fleet.highest.get(number, 0)
+    for action, number, peer_number in history:
+        await act(fleet, action, number, peer_number)
+        highest_version = fleet.highest_versions.get(number, 0)
         running = await fleet.step(number)
-        assert running == 0 or running >= before, (
-            f"daemon {number} ran {before} and then {running}"
+        assert running == 0 or running >= highest_version, (
+            f"daemon {number} ran {highest_version} and then {running}"
         )
 
 
 async def act(
-    fleet: simulations.SimulatedFleet, action: str, number: int, other: int
+    fleet: simulations.SimulatedFleet,
+    action: str,
+    number: int,
+    peer_number: int,
 ) -> None:
-    """Plays one step."""
+    """Simulates an action."""
     match action:
         case "accept":
             await fleet.accept()
@@ -67,25 +70,25 @@
         case "tick":
             fleet.now += 1.0
         case "read":
-            await simulations.read_store(fleet.models[number])
+            await simulations.read_store(fleet.daemons[number])
         case "offer":
-            newest = fleet.models[other].archive.newest
+            newest = fleet.daemons[peer_number].archive.newest
             if newest is not None:
-                fleet.models[number].hold(newest)
+                fleet.daemons[number].hold(newest)
 
 
-class NeverBackTest(unittest.IsolatedAsyncioTestCase):
-    """Restarts, outages and stale answers."""
+class NoDowngradeTest(unittest.IsolatedAsyncioTestCase):
+    """Daemons restart, the store fails, and answers are stale."""
 
     @hypothesis.settings(max_examples=150)
     @hypothesis.given(steps)
-    def test_no_history_takes_a_daemon_back(
+    def test_no_history_downgrades_a_daemon(
         self, history: list[tuple[str, int, int]]
     ) -> None:
-        """Versions are accepted, daemons restart, the store fails.
+        """Versions are accepted, daemons restart and the store fails.
 
-        Offers arrive late and in any order. A daemon may stay closed, but if
-        it runs a version, it is none below one that ran there before.
+        Offers arrive late and in any order. A daemon may stay closed, but it
+        never runs a lower version than ran at its address before.
         """
         asyncio.run(run_history(history))
 
@@ -95,7 +98,7 @@
         fleet = simulations.SimulatedFleet(size)
         await fleet.configuration.accept(version, ["balie"])
         await fleet.settle()
-        for number in fleet.models:
+        for number in fleet.daemons:
             self.assertEqual(await fleet.step(number), version)
         return fleet
 
@@ -104,123 +107,130 @@
     ) -> None:
         """A daemon that ran version 7 restarts and reads head 5."""
         await fleet.configuration.accept(7, ["balie"])
-        await simulations.read_store(fleet.models[1])
+        await simulations.read_store(fleet.daemons[1])
         self.assertEqual(await fleet.step(1), 7)
-        fleet.configuration.stale = 5
+        fleet.configuration.stale_version = 5
         fleet.start(1)
-        await simulations.read_store(fleet.models[1])
+        await simulations.read_store(fleet.daemons[1])
         self.assertEqual(await fleet.step(1), 0)
-        self.assertEqual(fleet.models[1].floor.version, 7)
+        self.assertEqual(fleet.daemons[1].floor.version, 7)
 
-    async def test_stale_store_takes_no_daemon_back(self) -> None:
-        """The store answers reads from before an outage.
+    async def test_stale_store_downgrades_no_daemon(self) -> None:
+        """The store returns data from before an outage.
 
         A daemon that ran version 7 restarts and reads head 5. Its witnesses
-        know of 7, so it stays closed until it holds 7.
+        know of version 7, so it stays closed until it holds version 7.
         """
         fleet = await self.build_running(5, 5)
         await self.check_stale_store(fleet)
 
     async def test_stale_store_and_witnesses_without_memory(self) -> None:
-        """As before, but the witnesses themselves opened a moment ago.
+        """The store is stale and the witnesses opened only recently.
 
-        They cannot vouch, so the store's answer counts; the mark that they
-        hold must count as well.
+        They cannot confirm the floor, so the answer of the store counts; the
+        mark that they keep must count as well.
         """
         fleet = simulations.SimulatedFleet(5)
         await fleet.configuration.accept(5, ["balie"])
-        for model in fleet.models.values():
-            await simulations.read_store(model)
-        for number in fleet.models:
+        for daemon in fleet.daemons.values():
+            await simulations.read_store(daemon)
+        for number in fleet.daemons:
             self.assertEqual(await fleet.step(number), 5)
         await self.check_stale_store(fleet)
 
-    async def test_head_read_before_the_start_is_no_floor(self) -> None:
-        """A watcher answers with a head that it read a while ago.
+    async def test_head_read_before_startup_is_no_floor(self) -> None:
+        """A watcher answers with a head that it read before the restart.
 
-        Versions accepted since then may have run here before the restart.
+        The previous process may have run versions accepted since that read.
         """
         fleet = simulations.SimulatedFleet(3)
         fleet.configuration.down = True
-        model = fleet.models[1]
+        daemon = fleet.daemons[1]
         fleet.now += 1.0
         for number in (2, 3):
-            fleet.network.handlers[fleet.models[number].id]["Floor"] = (
+            fleet.network.handlers[fleet.daemons[number].id]["Floor"] = (
                 lambda request: control_pb2.FloorReply(
                     head_read=True, head_version=3, head_age_ms=1500
                 )
             )
-        self.assertFalse(await model.floor.try_learn(6))
+        self.assertFalse(await daemon.floor.try_learn(6))
         fleet.now += 1.0
-        self.assertTrue(await model.floor.try_learn(6))
+        self.assertTrue(await daemon.floor.try_learn(6))
 
-    async def test_herd_without_watchers_keeps_the_read_budget(self) -> None:
+    async def test_mass_restart_without_watchers_limits_reads(self) -> None:
         """Thousands of daemons restart and no watcher answers.
 
-        Each would read the head itself in each round, all of them at the
-        moment the store comes back. Only a share does.
+        If each daemon read the head itself in each round, all of them would
+        read at the moment the store recovers. Only a fraction does.
         """
         fleet = simulations.SimulatedFleet(3)
-        model = fleet.models[1]
-        model.watcher.selection.is_watcher = lambda: False  # type: ignore[method-assign]
-        with mock.patch.object(floor, "READ_BUDGET", 0.1):
+        daemon = fleet.daemons[1]
+        daemon.watcher.selection.is_watcher = lambda: False  # type: ignore[method-assign]
+        with mock.patch.object(floor, "MAX_FLEET_READS_PER_S", 0.1):
             with mock.patch("random.random", return_value=0.0):
-                first = [model.floor._may_read(number) for number in range(6)]
-            self.assertFalse(any(first))
+                first_rounds = [
+                    daemon.floor._may_read_head(number) for number in range(6)
+                ]
+            self.assertFalse(any(first_rounds))
             rounds = 4000
-            reads = sum(model.floor._may_read(100) for _ in range(rounds))
+            reads = sum(daemon.floor._may_read_head(100) for _ in range(rounds))
         expected = (
             rounds * 0.1 * simulations.TIMING.max_floor_retry_delay_s / 2 / 3
         )
         self.assertLess(reads, 3 * expected + 10)
 
-    async def test_all_die_with_the_store_down(self) -> None:
+    async def test_all_restart_with_the_store_down(self) -> None:
         """All daemons restart at once while the store is down.
 
-        Nobody is left who knows what ran. All stay closed until the store
-        returns; then its head is the floor.
+        No daemon knows which version ran. All stay closed until the store
+        recovers; then its head is the floor.
         """
         fleet = await self.build_running(5, 3)
-        old = fleet.models[1].archive.newest
+        old_snapshot = fleet.daemons[1].archive.newest
         await fleet.configuration.accept(4, ["balie"])
         await fleet.settle()
         fleet.configuration.down = True
         for number in range(1, 6):
             fleet.start(number)
-        assert old is not None
-        fleet.models[1].hold(old)
+        assert old_snapshot is not None
+        fleet.daemons[1].hold(old_snapshot)
         for _ in range(3):
-            for number in fleet.models:
+            for number in fleet.daemons:
                 self.assertEqual(await fleet.step(number), 0)
             fleet.now += simulations.TIMING.min_witness_uptime_s + 1
         fleet.configuration.down = False
         await fleet.settle()
-        for number in fleet.models:
+        for number in fleet.daemons:
             self.assertEqual(await fleet.step(number), 4)
 
-    async def test_half_die_with_the_store_down(self) -> None:
+    async def test_half_restart_with_the_store_down(self) -> None:
         """Half of the daemons restart at once while the store is down.
 
-        Those who have two witnesses among the survivors run again. The others
-        cannot know what ran, and stay closed until the store returns.
+        Those with two witnesses among the survivors run again. The others
+        cannot determine which version ran, and stay closed until the store
+        recovers.
         """
         fleet = await self.build_running(12, 3)
         fleet.configuration.down = True
         restarted = range(1, 7)
-        survivors = {fleet.models[number].id for number in range(7, 13)}
+        survivors = {fleet.daemons[number].id for number in range(7, 13)}
         for number in restarted:
             fleet.start(number)
-        snapshot = fleet.models[12].archive.newest
+        snapshot = fleet.daemons[12].archive.newest
         assert snapshot is not None
         expected: dict[int, int] = {}
         for number in restarted:
-            model = fleet.models[number]
-            model.hold(snapshot)
-            others = [m.id for m in fleet.models.values() if m is not model]
-            key = rendezvous.build_neighbours_key(model.id)
+            daemon = fleet.daemons[number]
+            daemon.hold(snapshot)
+            others = [
+                peer.id for peer in fleet.daemons.values() if peer is not daemon
+            ]
+            key = rendezvous.build_neighbours_key(daemon.id)
             witnesses = rendezvous.choose(key, others, marks.WITNESSES)
-            vouched = len(survivors.intersection(witnesses)) >= marks.QUORUM
-            expected[number] = 3 if vouched else 0
+            is_confirmed = (
+                len(survivors.intersection(witnesses)) >= marks.QUORUM
+            )
+            expected[number] = 3 if is_confirmed else 0
         self.assertEqual(set(expected.values()), {0, 3})
         for _ in range(3):
             for number, version in expected.items():
@@ -231,39 +241,43 @@
         for number in restarted:
             self.assertEqual(await fleet.step(number), 3)
 
-    async def test_witnesses_that_died_are_missed(self) -> None:
-        """A daemon and two of its witnesses die; only it comes back.
+    async def test_dead_witnesses_count_as_missing(self) -> None:
+        """A daemon and two of its witnesses die, and only the daemon restarts.
 
-        The next in line never recorded its last version. Were they taken for
-        its witnesses, they would vouch for a version before that.
+        The next candidates never recorded its last version. If they were taken
+        for its witnesses, they would confirm an earlier version.
         """
         fleet = await self.build_running(8, 3)
         await fleet.configuration.accept(4, ["balie"])
-        model = fleet.models[1]
-        await simulations.read_store(model)
+        daemon = fleet.daemons[1]
+        await simulations.read_store(daemon)
         self.assertEqual(await fleet.step(1), 4)
         fleet.configuration.down = True
-        gone = model.marker.get_candidates()[: marks.WITNESSES]
+        dead_witnesses = daemon.marker.get_candidates()[: marks.WITNESSES]
         for number in [
-            n for n, other in fleet.models.items() if other.id in gone
+            number
+            for number, peer in fleet.daemons.items()
+            if peer.id in dead_witnesses
         ]:
             fleet.kill(number)
         fleet.start(1)
-        older = fleet.models[max(fleet.models)].archive.newest
-        assert older is not None
-        fleet.models[1].hold(older)
+        older_snapshot = fleet.daemons[max(fleet.daemons)].archive.newest
+        assert older_snapshot is not None
+        fleet.daemons[1].hold(older_snapshot)
         self.assertEqual(await fleet.step(1), 0)
 
-    async def test_version_does_not_run_before_two_recorded_it(self) -> None:
+    async def test_version_does_not_run_before_two_witnesses_recorded_it(
+        self,
+    ) -> None:
         """Two of three witnesses are silent when a version arrives.
 
-        If it ran now and the daemon restarted, the one mark might be missed.
+        If it ran and the daemon restarted, the only mark might be missed.
         """
         fleet = await self.build_running(6, 1)
         await fleet.configuration.accept(2, ["balie"])
-        model = fleet.models[1]
-        await simulations.read_store(model)
-        witnesses = model.marker.get_candidates()[: marks.WITNESSES]
+        daemon = fleet.daemons[1]
+        await simulations.read_store(daemon)
+        witnesses = daemon.marker.get_candidates()[: marks.WITNESSES]
         fleet.network.silent.update(witnesses[:2])
         self.assertEqual(await fleet.step(1), 1)
         fleet.network.silent.discard(witnesses[0])
@@ -272,75 +286,76 @@
     async def test_refused_witness_is_replaced_at_once(self) -> None:
         fleet = await self.build_running(6, 1)
         await fleet.configuration.accept(2, ["balie"])
-        model = fleet.models[1]
-        await simulations.read_store(model)
-        witnesses = model.marker.get_candidates()[: marks.WITNESSES]
+        daemon = fleet.daemons[1]
+        await simulations.read_store(daemon)
+        witnesses = daemon.marker.get_candidates()[: marks.WITNESSES]
         fleet.network.refused.update(witnesses[:2])
         self.assertEqual(await fleet.step(1), 2)
 
     async def test_restarted_witness_is_marked_again(self) -> None:
-        """A witness restarts and has forgotten its marks.
+        """A witness restarts and has lost its marks.
 
-        The daemon marks its running version with it again, or after enough
-        restarts nobody would know what it ran.
+        The daemon marks its active version with the witness again; otherwise,
+        after enough restarts, no witness would know which version it ran.
         """
         fleet = await self.build_running(4, 3)
-        model = fleet.models[1]
+        daemon = fleet.daemons[1]
         for number in (2, 3, 4):
             fleet.start(number)
         await fleet.step(1)
-        held = [
-            other.witness._marks.get(model.id, 0)
-            for number, other in fleet.models.items()
+        marked_versions = [
+            peer.witness._marks.get(daemon.id, 0)
+            for number, peer in fleet.daemons.items()
             if number != 1
         ]
-        self.assertGreaterEqual(held.count(3), marks.QUORUM)
+        self.assertGreaterEqual(marked_versions.count(3), marks.QUORUM)
 
     async def test_witness_that_was_only_late_keeps_its_mark(self) -> None:
-        """A busy daemon opens, though its witnesses are held for dead at times.
+        """A busy daemon opens though its witnesses are sometimes declared dead.
 
-        Each refutes that with a higher incarnation, which everybody passes on.
-        Counted as a restart, it voids a mark that is there. On a busy machine
-        marks were lost so faster than they were made: all eight daemons of a
-        fleet held the version, and three lacked two marks for good.
+        Each refutes this with a higher incarnation, which all daemons pass on.
+        If this were treated as a restart, an existing mark would be discarded.
+        On a busy machine marks were discarded faster than they were made: all
+        eight daemons of a fleet held the version, and three of them never had
+        two marks.
         """
         fleet = await self.build_running(4, 1)
-        model = fleet.models[1]
+        daemon = fleet.daemons[1]
         for number in (2, 3, 4):
-            late = fleet.models[number].table
-            told = control_pb2.Member()
-            told.CopyFrom(late.local_member)
-            told.state = control_pb2.DEAD
-            late.merge(told)
-            self.assertTrue(model.table.merge(late.local_member))
+            late_table = fleet.daemons[number].table
+            declared_dead = control_pb2.Member()
+            declared_dead.CopyFrom(late_table.local_member)
+            declared_dead.state = control_pb2.DEAD
+            late_table.merge(declared_dead)
+            self.assertTrue(daemon.table.merge(late_table.local_member))
         fleet.network.calls.clear()
         await fleet.step(1)
         self.assertEqual(fleet.network.calls, [])
 
-    async def test_frozen_watcher_is_harmless(self) -> None:
-        """A watcher is frozen with an old head in hand, then thawed.
+    async def test_paused_watcher_is_harmless(self) -> None:
+        """A watcher is paused after it read a head, and resumes much later.
 
-        It compiles the old version and holds it out as news. Nobody takes
-        it, and the thawed daemon itself does not either.
+        It compiles the old version and offers it as new. No daemon activates
+        it, including the resumed one.
         """
         fleet = await self.build_running(4, 2)
-        frozen = fleet.models[1]
-        old = frozen.archive.newest
+        paused = fleet.daemons[1]
+        old_snapshot = paused.archive.newest
         await fleet.configuration.accept(3, ["balie"])
         await fleet.settle()
-        assert old is not None
-        for number, model in fleet.models.items():
-            model.hold(old)
+        assert old_snapshot is not None
+        for number, daemon in fleet.daemons.items():
+            daemon.hold(old_snapshot)
             self.assertEqual(await fleet.step(number), 3)
-            self.assertFalse(model.holder.activate(old))
+            self.assertFalse(daemon.active_version.activate(old_snapshot))
 
-    async def test_lone_daemon_relies_on_the_store(self) -> None:
+    async def test_only_daemon_relies_on_the_store(self) -> None:
         fleet = await self.build_running(1, 3)
         fleet.configuration.down = True
         fleet.start(1)
         self.assertEqual(await fleet.step(1), 0)
         fleet.configuration.down = False
-        await simulations.read_store(fleet.models[1])
+        await simulations.read_store(fleet.daemons[1])
         self.assertEqual(await fleet.step(1), 3)
 
 
--- a/tests/versions/test_sessions.py
+++ b/tests/versions/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions over three daemons."""
+"""Golden-file tests of whole sessions of three daemons."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SessionTest(unittest.IsolatedAsyncioTestCase):
-    """What happens, from the head to the last acknowledgement."""
+    """Steps from a new head to the last acknowledgement."""
 
     maxDiff = None
 
@@ -31,9 +31,9 @@
             session.end_phase()
         session.lines.append("== last acknowledgement")
         session.write_states()
-        self.assertEqual(session.lines, sessions.read_root("change"))
+        self.assertEqual(session.lines, sessions.read_golden_file("change"))
 
-    async def test_herd_restart(self) -> None:
+    async def test_mass_restart(self) -> None:
         session = self.session
         await self.configuration.accept(1, ["balie"])
         await session.start()
@@ -54,13 +54,15 @@
         await builders.wait_until(
             lambda: (
                 not any(
-                    daemon.holder.closed_reason
+                    daemon.active_version.closed_reason
                     for daemon in session.daemons.values()
                 )
             )
         )
         session.write_states()
-        self.assertEqual(session.lines, sessions.read_root("herd-restart"))
+        self.assertEqual(
+            session.lines, sessions.read_golden_file("herd-restart")
+        )
 
 
 if __name__ == "__main__":
