--- a/merlintrestle/store/acceptance.py
+++ b/merlintrestle/store/acceptance.py
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Undecided:
-    """The store did not answer; the change may be accepted now or later.
+    """The store did not answer; the change may be or may become accepted.
 
     Attributes:
         reason: Error message of the store's client.
--- a/merlintrestle/versions/active_version.py
+++ b/merlintrestle/versions/active_version.py
@@ -1,4 +1,4 @@
-"""Active version: the snapshot that the proxy uses."""
+"""The active version, whose snapshot the proxy uses."""
 
 from __future__ import annotations
 
--- a/merlintrestle/versions/floor.py
+++ b/merlintrestle/versions/floor.py
@@ -1,4 +1,4 @@
-"""Floor: the lowest version that a starting daemon may run."""
+"""Determination of the floor, the lowest version a starting daemon may run."""
 
 from __future__ import annotations
 
--- a/merlintrestle/versions/known_revision.py
+++ b/merlintrestle/versions/known_revision.py
@@ -1,4 +1,4 @@
-"""Store revision that a source knows, and whether it must read again."""
+"""Revision of the store up to which a source knows the head."""
 
 from __future__ import annotations
 
--- a/merlintrestle/versions/marks.py
+++ b/merlintrestle/versions/marks.py
@@ -1,4 +1,4 @@
-"""Marks: records, kept by other daemons, of the versions that a daemon ran.
+"""Marks with which other daemons record the versions that a daemon ran.
 
 A daemon stores nothing across a restart. Before it first runs a version, some
 other daemons, its witnesses, record the version; see
--- a/merlintrestle/versions/source.py
+++ b/merlintrestle/versions/source.py
@@ -1,4 +1,4 @@
-"""Source of versions: the configuration records in the store."""
+"""Source of versions from the configuration records in the store."""
 
 from __future__ import annotations
 
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -1,4 +1,4 @@
-"""Watcher of the head in the store, which a few daemons of a zone run."""
+"""Watching of the head in the store by a few daemons of each zone."""
 
 from __future__ import annotations
 
