--- a/merlintrestle/requests/transport/bodies.py
+++ b/merlintrestle/requests/transport/bodies.py
@@ -58,7 +58,10 @@
 
     @property
     def replayable(self) -> bool:
-        """True while the body can be sent from its start."""
+        """True if the whole body can be sent, also for a retry or resend.
+
+        It is buffered, or its stream has not been started.
+        """
         return self.buffered is not None or not self.consumed
 
     def make_payload(self) -> bytes | AsyncIterator[bytes] | None:
@@ -95,7 +98,8 @@
         deadline: Time by which the body must be read, in seconds of the event
             loop's clock.
         buffer_chunked: Also buffers a body of unknown length, up to the maximum
-            size, so that a payout whose body is cut short is never started.
+            size, so that an unrepeatable call whose body is truncated is never
+            started.
 
     Raises:
         BodyError: The body is incomplete or did not arrive in time.
@@ -117,28 +121,36 @@
             asyncio.timeout_at(deadline),
             asyncio.timeout(STALL_TIMEOUT_S),
         ):
-            prefix = await _read_up_to(content, MAX_BUFFERED_BYTES)
+            received = await _read_at_least(content, MAX_BUFFERED_BYTES)
     except (web.RequestPayloadError, OSError, TimeoutError) as error:
         raise BodyError("the request body stopped half-way") from error
-    return _build_body(prefix, content)
+    return _build_body(received, content)
 
 
-def _build_body(prefix: bytes, content: aiohttp.StreamReader) -> Body:
+def _build_body(received: bytes, content: aiohttp.StreamReader) -> Body:
     """Builds a body from the bytes read so far and the rest of the stream.
 
     More than the maximum buffer size can arrive at once. Whether a body is
-    buffered must not depend on that, because the identity of a request contains
-    the length alone of a streamed body: a payout would look like a different
-    one if its retry were streamed.
+    buffered must not depend on that. The request digest, by which a retry of an
+    unrepeatable call is recognised, includes only the length of a streamed
+    body. If the first request were buffered and its retry streamed, the retry
+    would look like a different call.
+
+    Args:
+        received: Bytes read so far.
+        content: Stream with the rest of the body.
     """
-    if content.is_eof() and len(prefix) <= MAX_BUFFERED_BYTES:
-        return Body(prefix, len(prefix))
-    return Body(None, None, content, prefix)
+    if content.is_eof() and len(received) <= MAX_BUFFERED_BYTES:
+        return Body(received, len(received))
+    return Body(None, None, content, received)
 
 
-async def _read_up_to(content: aiohttp.StreamReader, limit: int) -> bytes:
+async def _read_at_least(
+    content: aiohttp.StreamReader, min_bytes: int
+) -> bytes:
+    """Reads chunks until they have a size, or until the end of the body."""
     chunks = []
-    remaining = limit
+    remaining = min_bytes
     while remaining > 0:
         chunk = await content.readany()
         if not chunk:
--- a/merlintrestle/requests/transport/connections.py
+++ b/merlintrestle/requests/transport/connections.py
@@ -28,8 +28,9 @@
 
 _KEEP_ALIVE_TIMEOUT = re.compile(r"\btimeout\s*=\s*(\d{1,6})")
 _READ_BUFFER_BYTES = 64 * 1024
-# Read ahead of an answer of the local backend server, which can then finish
-# sooner: a slot that waits for a slow link isn't available to other calls.
+# Size of the read buffer for answers of the local backend server. It is large,
+# so that the server can finish an answer sooner: while an answer waits for a
+# slow link, its slot isn't available to other calls.
 READ_AHEAD_BYTES = 512 * 1024
 _SWITCHING_PROTOCOLS_STATUS = 101
 _MAX_INFORMATIONAL_STATUS = 199
@@ -55,7 +56,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: str,
-        last_received: dict[str, float] | None = None,
+        last_received_at_by_address: dict[str, float] | None = None,
         traffic: traffics.Traffic | None = None,
     ):
         """Sets the address of the server.
@@ -63,29 +64,35 @@
         Args:
             loop: The event loop.
             address: Address of the server, "ip:port".
-            last_received: Time at which bytes were last received, by address;
-                updated by the connection.
+            last_received_at_by_address: Time at which bytes were last received
+                from each address over any connection, in seconds of the event
+                loop's clock; updated by the connection.
             traffic: Counter of the bytes of the connection.
         """
         super().__init__(loop)
         self._traffic = traffic or traffics.Traffic()
         self.address = address
-        self._last_received = {} if last_received is None else last_received
+        self._last_received_at_by_address = (
+            {}
+            if last_received_at_by_address is None
+            else last_received_at_by_address
+        )
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
         self.get_time = loop.time
         self.last_received_at = 0.0
         self._upload: asyncio.Task[None] | None = None
-        self._alarm_timer: asyncio.TimerHandle | None = None
-        self._alarm_timer_at = 0.0
-        self._alarm: Callable[[], None] | None = None
-        self._alarm_at = 0.0
+        # Timer of the event loop, which may fire before `_timer_at`.
+        self._loop_timer: asyncio.TimerHandle | None = None
+        self._loop_timer_at = 0.0
+        self._timer_callback: Callable[[], None] | None = None
+        self._timer_at = 0.0
         # Body of the awaited answer, once its headers have arrived.
-        self._answer: aiohttp.StreamReader | None = None
+        self._answer_body: aiohttp.StreamReader | None = None
 
     @property
     def reusable(self) -> bool:
-        """True if the next answer cannot be mixed up with an earlier call.
+        """True if the next answer cannot belong to an earlier call.
 
         False if an answer wasn't read to its end, if a body is still being
         sent, or if unsolicited bytes were received.
@@ -114,7 +121,7 @@
         Raises:
             aiohttp.ClientError: The connection broke.
             http.HttpProcessingError: The answer is not HTTP.
-            TimeoutError: `expire` was called.
+            TimeoutError: `fail_with_timeout` was called.
         """
         self.set_response_params(
             skip_payload=method == "HEAD",
@@ -122,7 +129,7 @@
             auto_decompress=False,
             read_bufsize=max(read_ahead_bytes, _READ_BUFFER_BYTES),
         )
-        self._answer = None
+        self._answer_body = None
         await self._send(method, target, headers, body)
         return await self._read_answer()
 
@@ -132,9 +139,9 @@
         Raises:
             aiohttp.ClientError: The connection broke.
             http.HttpProcessingError: The answer is not HTTP.
-            TimeoutError: `expire` was called.
+            TimeoutError: `fail_with_timeout` was called.
         """
-        self._answer = None
+        self._answer_body = None
         return await self._read_answer()
 
     def feed_data(
@@ -145,7 +152,7 @@
         """Receives the headers of an answer; called by aiohttp."""
         message, content = data
         if message.code > _MAX_INFORMATIONAL_STATUS:
-            self._answer = content
+            self._answer_body = content
         super().feed_data(data, size)
 
     async def _read_answer(self) -> answers.Answer:
@@ -159,12 +166,12 @@
             if message.code == _SWITCHING_PROTOCOLS_STATUS:
                 raise aiohttp.ClientPayloadError("unexpected status 101")
 
-    def expire(self) -> None:
+    def fail_with_timeout(self) -> None:
         """Makes the wait for an answer or its body raise TimeoutError.
 
         Has no effect if the whole answer has arrived.
         """
-        if self._answer is not None and self._answer.is_eof():
+        if self._answer_body is not None and self._answer_body.is_eof():
             return
         error = TimeoutError("no answer before the deadline")
         content = self._payload
@@ -172,21 +179,27 @@
         if content is not None:
             content.set_exception(error)
 
-    def set_alarm(self, when: float, alarm: Callable[[], None]) -> None:
-        """Schedules `alarm` at a time, in place of an earlier alarm.
+    def set_timer(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback, in place of the one scheduled before.
+
+        If the event loop already has a timer for an earlier time, set by an
+        earlier call, it isn't cancelled: when it fires, it is started again for
+        the new time. Creating and cancelling a timer of the event loop for
+        every call would cost more than all the rest of a watchdog.
 
-        If the timer of an earlier call expires sooner, it is kept and is
-        restarted when it expires. Creating and cancelling a timer for every
-        call would cost more than all the rest of a watchdog.
+        Args:
+            when: Time at which the callback is called, in seconds of the event
+                loop's clock.
+            callback: The callback.
         """
-        self._alarm = alarm
-        self._alarm_at = when
-        if self._alarm_timer is None or when < self._alarm_timer_at:
-            self._set_timer(when)
+        self._timer_callback = callback
+        self._timer_at = when
+        if self._loop_timer is None or when < self._loop_timer_at:
+            self._start_loop_timer(when)
 
-    def clear_alarm(self) -> None:
-        """Cancels the alarm."""
-        self._alarm = None
+    def clear_timer(self) -> None:
+        """Cancels the scheduled callback."""
+        self._timer_callback = None
 
     def mark_idle(self, now: float) -> None:
         """Prepares for being idle until the next call."""
@@ -208,9 +221,9 @@
 
     def data_received(self, data: bytes) -> None:
         """Receives bytes; called by the event loop."""
-        self.last_received_at = self._last_received[self.address] = (
-            self._loop.time()
-        )
+        self.last_received_at = self._last_received_at_by_address[
+            self.address
+        ] = self._loop.time()
         self._traffic.received += len(data)
         super().data_received(data)
 
@@ -221,7 +234,7 @@
     def resume_reading(self, resume_parser: bool = True) -> None:
         """Resumes reading; called while a body is read and when it ends.
 
-        aiohttp does this also if reading isn't paused, and then runs its parser
+        Does nothing if reading isn't paused: aiohttp would then run its parser
         over zero bytes for every body.
         """
         if self.is_paused():
@@ -238,33 +251,34 @@
             )
         if self._upload is not None:
             self._upload.cancel()
-        if self._alarm_timer is not None:
-            self._alarm_timer.cancel()
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
         super().connection_lost(exc)
 
-    def _set_timer(self, when: float) -> None:
-        if self._alarm_timer is not None:
-            self._alarm_timer.cancel()
-        self._alarm_timer = self._loop.call_at(when, self._run_alarm_timer)
-        self._alarm_timer_at = when
+    def _start_loop_timer(self, when: float) -> None:
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer = self._loop.call_at(when, self._handle_loop_timer)
+        self._loop_timer_at = when
 
-    def _run_alarm_timer(self) -> None:
-        self._alarm_timer = None
-        alarm = self._alarm
-        if alarm is None:
+    def _handle_loop_timer(self) -> None:
+        self._loop_timer = None
+        callback = self._timer_callback
+        if callback is None:
             return
-        if self._loop.time() < self._alarm_at:
-            self._set_timer(self._alarm_at)
+        if self._loop.time() < self._timer_at:
+            self._start_loop_timer(self._timer_at)
             return
         # After the event loop was blocked, timers run before the bytes that
-        # arrived meanwhile are read. They are read before the second call_soon.
-        self._loop.call_soon(self._loop.call_soon, self._trigger_alarm, alarm)
+        # arrived meanwhile are read. The nested `call_soon` delays the callback
+        # until the sockets have been polled and those bytes are read.
+        self._loop.call_soon(self._loop.call_soon, self._run_callback, callback)
 
-    def _trigger_alarm(self, alarm: Callable[[], None]) -> None:
-        if self._alarm is not alarm:
+    def _run_callback(self, callback: Callable[[], None]) -> None:
+        if self._timer_callback is not callback:
             return
-        self._alarm = None
-        alarm()
+        self._timer_callback = None
+        callback()
 
     async def _send(
         self,
@@ -303,15 +317,16 @@
                 await writer.write(chunk)
             await writer.write_eof()
         except Exception:
-            # The body is incomplete. Aborting keeps it from looking complete to
-            # the server, and ends the wait for the answer.
+            # The body is incomplete. The connection is aborted, so that the
+            # server does not consider it complete and the wait for the answer
+            # ends.
             self.abort()
         finally:
             self._traffic.sent += writer.output_size
 
 
 def _parse_keep_alive(headers: Mapping[str, str]) -> float | None:
-    """Returns the timeout of a "Keep-Alive" header in seconds."""
+    """Returns the timeout of a "Keep-Alive" header in seconds, if any."""
     value = headers.get(hdrs.KEEP_ALIVE)
     match = _KEEP_ALIVE_TIMEOUT.search(value) if value else None
     return float(match[1]) if match else None
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -24,7 +24,7 @@
     import multidict
 
     from merlintrestle.requests.calls import call as calls
-    from merlintrestle.requests.reports import traffic as traffics_
+    from merlintrestle.requests.reports import traffic as traffics
 
 events = event_logs.EventLog("requests")
 
@@ -43,18 +43,20 @@
     Attributes:
         dialect: Dialect of the server.
         unacknowledged_timeout_ms: Time for which sent data may stay
-            unacknowledged before the connection is broken, in milliseconds; 0:
-            the default of the operating system.
+            unacknowledged before the operating system closes the connection, in
+            milliseconds; 0: the default of the operating system.
     """
 
     dialect: object
     unacknowledged_timeout_ms: int
 
 
-# Over a full link, data is acknowledged late. A connection that is broken for
-# that looks like a crash, and its call is lost while the backend server runs
-# it. A silent peer is detected by probes instead. Daemons forward whole answers
-# only, and each to its own call.
+# No timeout for unacknowledged data, because a congested link delays
+# acknowledgements. If the operating system closed the connection for that, it
+# would look like a crash, and the call would be lost while the backend server
+# still runs it. Silent peers are detected by probes instead. The native dialect
+# checks nothing else in answers: the peer has already checked that they are
+# complete and belong to their calls.
 PEER = ConnectionOptions(dialects.NativeDialect(), 0)
 
 
@@ -64,18 +66,18 @@
     def __init__(
         self,
         pool: pools.Pool,
-        traffics: traffics_.Traffics,
+        counters: traffics.Traffics,
         accepts_unframed: bool,
     ):
         """Sets the dependencies.
 
         Args:
             pool: Pool of connections.
-            traffics: Counters of the bytes of connections.
+            counters: Counters of the bytes of connections.
             accepts_unframed: See `forwarding.Forwarder`.
         """
         self._pool = pool
-        self._traffics = traffics
+        self._counters = counters
         self._accepts_unframed = accepts_unframed
         self._loop = asyncio.get_running_loop()
 
@@ -86,11 +88,11 @@
         remaining_s = deadline - self._loop.time()
         try:
             async with timeouts.timeout(min(_CONNECT_TIMEOUT_S, remaining_s)):
-                traffics = self._traffics
+                counters = self._counters
                 connection = await self._pool.open(
                     address,
                     options.unacknowledged_timeout_ms,
-                    traffics.peers if options is PEER else traffics.backend,
+                    counters.peers if options is PEER else counters.backend,
                 )
         except TimeoutError:
             return (
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -32,12 +32,13 @@
 
 events = event_logs.EventLog("requests")
 
-# Three times the minimum retransmission timeout of TCP (200 ms). Without it, a
-# call over a connection that has gone silent would wait for its deadline. A
-# server that is merely slow still acknowledges what fits into its buffers; both
-# ends are on the same instance, so there is no link in between. Data that does
-# not fit stays unacknowledged until the server reads, so the timeout is set
-# only for calls whose body is buffered, which always fits.
+# TCP_USER_TIMEOUT of connections to the local backend server: three times the
+# minimum retransmission timeout of TCP (200 ms). Without this timeout, a call
+# over a connection that has gone silent would wait until its deadline. Both
+# ends are on the same instance, so no link delays acknowledgements, and a slow
+# server also acknowledges data that fits into its buffers. Data that does not
+# fit stays unacknowledged until the server reads it. So the timeout is set only
+# for calls whose body is buffered, which always fits.
 _UNACKNOWLEDGED_TIMEOUT_MS = 600
 
 
@@ -53,7 +54,8 @@
         """Sets the dependencies.
 
         Args:
-            budgets: Retry budgets for calls sent again to the same upstream.
+            budgets: Retry budgets, which also limit resends to the local
+                backend server.
             accepts_unframed: Accept answers whose end is marked only by the
                 close of the connection.
             traffics: Counters of the bytes of connections.
@@ -77,7 +79,7 @@
 
     def drop_idle(self, address: str) -> None:
         """Closes the idle connections to an address."""
-        self._pool.drop(address)
+        self._pool.close_idle(address)
 
     async def send_to_backend(
         self,
@@ -87,10 +89,11 @@
     ) -> outcomes.Outcome:
         """Sends a call to the local backend server and waits for its answer.
 
-        Waits for the whole of a small answer. A call that is not repeatable
-        gets a new connection: if a pooled one is being closed by the server or
-        has gone silent, it would be unknown whether the call ran. A streamed
-        body gets a new connection too, as no timeout detects that silence.
+        Waits for the whole of a small answer. An unrepeatable call is sent over
+        a new connection: if a pooled connection were being closed by the server
+        or had gone silent, it would be unknown whether the call ran. A call
+        with a streamed body is sent over a new connection as well, as no
+        timeout detects that a pooled connection has gone silent.
 
         Raises:
             bodies.BodyError: The caller's body could not be read.
@@ -111,7 +114,8 @@
             connection="new" if pooled is None else "kept",
         )
         if pooled is None:
-            # A new connection cannot be silent: only the server can be slow.
+            # A new connection has not gone silent; if no answer arrives, the
+            # server is slow.
             return await self._send_over_new(
                 address,
                 call.target,
@@ -132,7 +136,11 @@
         sent_headers: multidict.CIMultiDict[str],
         options: exchanges.ConnectionOptions,
     ) -> outcomes.Outcome:
-        """Sends a call over a pooled connection; resends it if in doubt."""
+        """Sends a call over a pooled connection.
+
+        It is resent over a new connection if the pooled one may be silent or
+        broke while it was idle.
+        """
         budget = self._budgets.get(call.service)
         budget.record_call()
         resend = resends.Resend(
@@ -142,7 +150,7 @@
             pooled,
             call.plan.work_s,
             call.deadline,
-            self._choose_check(backend, call, budget, resend),
+            self._choose_slow_call_handler(backend, call, budget, resend),
         )
         started_at = self._loop.time()
         idle_s = started_at - pooled.idle_since
@@ -157,7 +165,7 @@
                 call.decision_log.add(
                     "connection was gone", idle_ms=round(idle_s * 1000)
                 )
-                self._pool.drop(backend.address)
+                self._pool.close_idle(backend.address)
                 resend.start()
             return await resend.resolve(outcome)
         finally:
@@ -177,39 +185,41 @@
             options=options,
         )
 
-    def _choose_check(
+    def _choose_slow_call_handler(
         self,
         backend: backends.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
         resend: resends.Resend,
     ) -> Callable[[], Coroutine[Any, Any, None]] | None:
-        """Returns the check for a backend server that does not answer.
+        """Returns the handler of a slow call; None if it is not resent.
 
-        A backend server that sends heartbeats is alive and slow. Treated as
-        silent, it would run the call twice just when it is most loaded. A dead
+        A backend server that sends heartbeats is alive, so a slow call means
+        that the server is slow. If its connection were considered silent, the
+        server would run the call twice when it is most loaded. A broken
         connection to it is detected by the operating system.
         """
+        # Backend servers that send heartbeats state an id.
         if backend.instance_id:
             return None
         return functools.partial(
-            self._check_backend, backend, call, budget, resend
+            self._resend_if_silent, backend, call, budget, resend
         )
 
-    async def _check_backend(
+    async def _resend_if_silent(
         self,
         backend: backends.LocalBackend,
         call: calls.Call,
         budget: budgets_.Budget,
         resend: resends.Resend,
     ) -> None:
-        """Resends a call if only its connection seems to be silent.
+        """Resends a slow call if its connection may have gone silent.
 
         A backend server cannot be probed about a call. If it accepts new
-        connections, the pooled one may be silent or the server may be slow. So
-        the first send continues, and a retry budget limits resends, which would
-        otherwise add to the load of a slow server. A call that is already a
-        retry is not resent.
+        connections, either the pooled connection is silent or the server is
+        slow. So the first send continues, and a retry budget limits resends,
+        which would otherwise add to the load of a slow server. A call that is
+        already a retry is not resent.
         """
         if (
             await backend.check_reachable()
@@ -220,7 +230,7 @@
             call.attempt += 1
             call.repeat = True
             events.note("connection silent", address=backend.address)
-            self._pool.drop(backend.address)
+            self._pool.close_idle(backend.address)
             resend.start()
 
     async def send_to_peer(
@@ -252,7 +262,7 @@
                 address, target, call, sent_headers
             )
         else:
-            outcome = await self._send_watched(
+            outcome = await self._send_with_probes(
                 address, target, call, sent_headers, report
             )
         if (
@@ -260,10 +270,10 @@
             and isinstance(outcome, outcomes.Answered)
             and outcome.body is None
         ):
-            self._watch_transfer(address, call_id, outcome)
+            self._watch_answer_body(address, call_id, outcome)
         return outcome
 
-    async def _send_watched(
+    async def _send_with_probes(
         self,
         address: str,
         target: str,
@@ -271,7 +281,10 @@
         sent_headers: multidict.CIMultiDict[str],
         report: Callable[[doubts.Doubt], None],
     ) -> outcomes.Outcome:
-        """Sends a call over a pooled connection and probes the daemon."""
+        """Sends a call over a pooled or new connection.
+
+        Once the call is slow, the daemon is probed about it.
+        """
         connection: connections.Connection | outcomes.NotRun | None
         connection = self._pool.acquire(address)
         if connection is None:
@@ -280,7 +293,7 @@
             )
             if isinstance(connection, outcomes.NotRun):
                 return connection
-        check = functools.partial(
+        probe = functools.partial(
             watchdogs.probe_peer,
             self._pool,
             connection,
@@ -290,7 +303,7 @@
             functools.partial(self._report, address, report),
         )
         watchdog = watchdogs.Watchdog(
-            connection, call.plan.work_s, call.deadline, check
+            connection, call.plan.work_s, call.deadline, probe
         )
         return await self._runner.run(
             connection, watchdog, target, call, sent_headers
@@ -302,10 +315,10 @@
         report: Callable[[doubts.Doubt], None],
         doubt: doubts.Doubt,
     ) -> None:
-        """Reports a doubt; closes idle connections, which may be silent too."""
+        """Reports a doubt; closes idle connections that may be silent too."""
         if doubt.concerns_connection_only:
             events.note("connection silent", address=address)
-            self._pool.drop(address)
+            self._pool.close_idle(address)
         report(doubt)
 
     async def _send_over_new(
@@ -335,7 +348,7 @@
             connection.force_close()
         elif call.body.buffered is None:
             # The server may answer before it has read the body, and the next
-            # call would wait behind the rest of it. The server isn't asked to
+            # call would wait until the rest is read. The server isn't asked to
             # close: if it closes before it has read the whole body, its answer
             # may be lost.
             connection.force_close()
@@ -344,11 +357,11 @@
             connection, watchdog, target, call, sent_headers, options
         )
 
-    def _watch_transfer(
+    def _watch_answer_body(
         self, address: str, call_id: str, answered: outcomes.Answered
     ) -> None:
         task = asyncio.create_task(
-            watchdogs.watch_transfer(
+            watchdogs.watch_answer_body(
                 self._pool, address, call_id, answered.response
             )
         )
--- a/merlintrestle/requests/transport/headers.py
+++ b/merlintrestle/requests/transport/headers.py
@@ -16,12 +16,14 @@
 OUTCOME = multidict.istr("Merlintrestle-Outcome")
 # Time remaining until the caller's deadline, in milliseconds.
 DEADLINE = multidict.istr("Merlintrestle-Deadline-Ms")
-# Number of calls above this one: 0 for a call from outside the mesh.
+# Number of calls in which this one is nested: 0 for a call from outside the
+# mesh.
 DEPTH = multidict.istr("Merlintrestle-Depth")
-# 0 if neither this call nor a call above it is a retry; otherwise the call is
-# not retried.
+# 0 if the receiving daemon may retry the call. More than 0 if the call is a
+# retry, or if another daemon may retry the call or one that it is nested in.
 ATTEMPT = multidict.istr("Merlintrestle-Attempt")
-# Class of the call with its targets; trusted on the peer port only.
+# Plan of the call, which is its class of work and its targets (see `plans`);
+# trusted on the peer port only.
 PLAN = multidict.istr("Merlintrestle-Plan")
 # Load of the answering daemon's local backend server, see `loads`.
 LOAD = multidict.istr("Merlintrestle-Load")
@@ -67,8 +69,9 @@
     `Merlintrestle-` headers of a caller are removed: if they were forwarded,
     the caller could choose its class or forge an outcome.
 
-    "Connection" cannot remove an idempotency key: without the key the next
-    daemon would run the call without a claim, and again at each retry.
+    "Connection" cannot remove an idempotency key: without the key, the next
+    daemon would not create a claim, which prevents a second run of the call,
+    and each retry would run the call again.
     """
     names = tuple(headers)
     excluded = _excluded_by_names.get(names)
@@ -112,4 +115,5 @@
     return int(text)
 
 
+# Longer numbers in headers are not accepted.
 _MAX_DIGITS = 12
--- a/merlintrestle/requests/transport/pool.py
+++ b/merlintrestle/requests/transport/pool.py
@@ -28,7 +28,7 @@
         """Creates an empty pool."""
         self._loop = loop
         self._idle: dict[str, list[connections.Connection]] = {}
-        self._last_received: dict[str, float] = {}
+        self._last_received_at_by_address: dict[str, float] = {}
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     def acquire(self, address: str) -> connections.Connection | None:
@@ -55,8 +55,9 @@
         Args:
             address: Address of the server, "ip:port".
             unacknowledged_timeout_ms: Time for which sent data may stay
-                unacknowledged before the connection is broken, in milliseconds;
-                0: the default of the operating system.
+                unacknowledged before the operating system closes the
+                connection, in milliseconds; 0: the default of the operating
+                system.
             traffic: Counter of the bytes of the connection.
 
         Raises:
@@ -65,7 +66,7 @@
         host, _, port = address.rpartition(":")
         transport, connection = await self._loop.create_connection(
             lambda: connections.Connection(
-                self._loop, address, self._last_received, traffic
+                self._loop, address, self._last_received_at_by_address, traffic
             ),
             host,
             int(port),
@@ -78,7 +79,7 @@
 
     def has_received_since(self, address: str, since: float) -> bool:
         """Returns whether bytes were received from an address since a time."""
-        return self._last_received.get(address, 0.0) > since
+        return self._last_received_at_by_address.get(address, 0.0) > since
 
     def release(self, connection: connections.Connection) -> None:
         """Returns a connection to the pool, or closes it if not reusable."""
@@ -90,12 +91,13 @@
         if self._sweep_timer is None:
             self._sweep_timer = self._loop.call_later(MAX_IDLE_S, self._sweep)
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes the idle connections to an address.
 
-        Whatever made one connection silent affects all connections of the same
-        age. Connections in use stay open; the watchdogs of their calls check
-        them.
+        If one connection has gone silent (see `probes`), for example because a
+        firewall lost its state, the other idle ones to the address probably
+        have as well. Connections in use stay open; the watchdogs of their calls
+        detect whether they are silent.
         """
         for connection in self._idle.pop(address, ()):
             connection.close()
@@ -105,7 +107,7 @@
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         for address in list(self._idle):
-            self.drop(address)
+            self.close_idle(address)
 
     def _sweep(self) -> None:
         """Closes connections that have been idle for too long."""
@@ -121,13 +123,13 @@
             self._idle[address] = kept
             if not kept:
                 del self._idle[address]
-                self._last_received.pop(address, None)
+                self._last_received_at_by_address.pop(address, None)
         if self._idle:
             self._sweep_timer = self._loop.call_later(MAX_IDLE_S, self._sweep)
 
 
 def _is_fresh(connection: connections.Connection, now: float) -> bool:
-    """Returns whether the server still keeps an idle connection open."""
+    """Returns whether the server is not about to close an idle connection."""
     max_idle_s = MAX_IDLE_S
     if connection.keep_alive_s is not None:
         max_idle_s = min(max_idle_s, connection.keep_alive_s - _CLOSE_MARGIN_S)
--- a/merlintrestle/requests/transport/probes.py
+++ b/merlintrestle/requests/transport/probes.py
@@ -1,9 +1,9 @@
 """Probes of calls in flight at another daemon.
 
-A connection can go silent for good, without an error at either end, if
-something between them has lost its state and drops all packets. A call that
-merely waits for a slow backend server looks the same on its connection. So the
-daemon asks its peer about the call over a new connection.
+A connection can go silent permanently, without an error at either end, if a
+device between them (e.g. a firewall) has lost its state and drops all packets.
+A call that is waiting for a slow backend server looks the same on its
+connection. So the daemon asks its peer about the call over a new connection.
 """
 
 from __future__ import annotations
@@ -26,13 +26,16 @@
     from merlintrestle.requests.transport import pool as pools
 
 PATH = "/-/calls/"
-# A daemon answers within milliseconds, a busy one within tens of milliseconds.
+# A daemon answers a probe within milliseconds, a busy daemon within tens of
+# milliseconds.
 _TIMEOUT_S = 0.3
 _IN_FLIGHT_STATUS = 200
 _UNKNOWN_STATUS = 404
 _ENDED_STATUS = 410
-# Takes about 200 KB and covers 20 s at 50 calls per second, the share of one of
-# 6,300 daemons in 320,000 calls per second. A first probe is sent after 0.25 s.
+# Number of ended calls that a daemon remembers, which takes about 200 KB. It
+# covers the last 20 s if a daemon serves 50 calls per second, as do 6,300
+# daemons that serve 320,000 calls per second. The first probe of a call is sent
+# much sooner, after 0.25 s.
 _MAX_ENDED = 1024
 
 
@@ -51,8 +54,12 @@
 class ProbeResult:
     """Result of probing a peer about a call.
 
+    If the peer answered and the call is neither in flight nor ended, the peer
+    does not know the call: it hasn't arrived, or it ended long ago.
+
     Attributes:
-        answered: False if the peer did not answer over a new connection.
+        answered: True if the peer answered the probe; False if it did not
+            answer in time over a new connection.
         in_flight: True if the call is in flight at the peer.
         written: Bytes of the answer's body that the peer has written.
         ended: True if the call has ended at the peer and its answer is written.
@@ -101,7 +108,13 @@
 
 
 async def ask(pool: pools.Pool, address: str, call_id: str) -> ProbeResult:
-    """Probes a peer about a call over a new connection."""
+    """Sends a probe about a call to a peer, over a new connection.
+
+    Args:
+        pool: Opens the connection.
+        address: Address of the peer, "ip:port".
+        call_id: Id of the call.
+    """
     try:
         async with asyncio.timeout(_TIMEOUT_S):
             status, text = await _fetch(pool, address, f"{PATH}{call_id}")
--- a/merlintrestle/requests/transport/protocols.py
+++ b/merlintrestle/requests/transport/protocols.py
@@ -14,7 +14,7 @@
     """Leaves setting TCP_NODELAY to the event loop.
 
     Event loops set it for each connection that they open or accept. aiohttp
-    sets it again, through a socket object of its own. That takes three system
+    sets it again, through another socket object. That takes three system
     calls at each end, a noticeable cost for connections that serve one call.
 
     Must follow aiohttp's class in the bases of a protocol.
--- a/merlintrestle/requests/transport/resends.py
+++ b/merlintrestle/requests/transport/resends.py
@@ -1,4 +1,8 @@
-"""Resends of calls to the same address while the first send is in flight."""
+"""Resends of calls to the same address while the first send is in flight.
+
+A resend goes to the same server, while the first send may still be answered. A
+retry is a further attempt after a failure.
+"""
 
 from __future__ import annotations
 
@@ -18,16 +22,17 @@
 class Resend:
     """Second send of a call, which most calls do not need.
 
-    The first send is awaited by the task of the call, so that a call without a
-    resend needs no further task. An answer to the resend ends that wait.
+    The task of the call awaits the first send, so that only a resend needs a
+    further task. If the resend is answered first, the wait for the first send
+    is ended with a timeout.
     """
 
     __slots__ = (
         "_first_connection",
         "_send",
-        "_first_ended",
+        "_wait_ended",
         "_task",
-        "_resend_answered",
+        "_first_aborted",
     )
 
     def __init__(
@@ -44,10 +49,12 @@
         self._first_connection = first_connection
         self._send = send
         self._task: asyncio.Task[outcomes.Outcome] | None = None
-        # Whether the first send has ended, as seen by the task that awaits it.
-        self._first_ended = False
-        # Whether an answer to the resend has ended the wait for the first send.
-        self._resend_answered = False
+        # Whether the task of the call no longer awaits the first send, because
+        # it has ended or the call has. Its connection must not be failed then.
+        self._wait_ended = False
+        # Whether `_end_first` has ended the wait for the first send, because
+        # the resend was answered.
+        self._first_aborted = False
 
     def start(self) -> None:
         """Sends the call again, unless it has been resent."""
@@ -61,37 +68,36 @@
         Args:
             first: Outcome of the first send.
         """
-        self._first_ended = True
+        self._wait_ended = True
         if self._task is None:
             return first
         if isinstance(first, outcomes.Answered):
-            if not self._resend_answered:
+            if not self._first_aborted:
                 return first
-            # It arrived in the same loop iteration, and its body was aborted.
+            # The first answer arrived in the iteration of the event loop in
+            # which `_end_first` ended the wait for it, so its body is aborted.
             first.release()
-        # `_task` stays set until its outcome is taken, so that `close` releases
-        # the answer if the caller disconnects in the same iteration.
-        latest = await self._task
+        # `_task` is not cleared before its outcome is available, so that
+        # `close` releases the answer if the caller disconnects in the same
+        # iteration.
+        second = await self._task
         self._task = None
-        return retries.combine(first, latest)
+        return retries.combine(first, second)
 
     def close(self) -> None:
         """Cancels a resend that is no longer needed."""
-        self._first_ended = True
+        self._wait_ended = True
         if self._task is None:
             return
         self._task.add_done_callback(outcomes.release_unused)
         self._task.cancel()
 
     def _end_first(self, task: asyncio.Task[outcomes.Outcome]) -> None:
+        """Ends the wait for the first send if the resend was answered."""
         # This callback may already be scheduled when the first send ends. The
         # connection then carries the answer in use, which must not be aborted.
-        if (
-            self._first_ended
-            or task.cancelled()
-            or task.exception() is not None
-        ):
+        if self._wait_ended or task.cancelled() or task.exception() is not None:
             return
         if isinstance(task.result(), outcomes.Answered):
-            self._resend_answered = True
-            self._first_connection.expire()
+            self._first_aborted = True
+            self._first_connection.fail_with_timeout()
--- a/merlintrestle/requests/transport/results.py
+++ b/merlintrestle/requests/transport/results.py
@@ -1,4 +1,4 @@
-"""Outcome of a call, derived from one exchange over a connection."""
+"""Classification of the result of one exchange over a connection."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.transport import answers
 
-# No server closes a connection that has been idle for less than this.
+# If a connection is reset after it was idle for less than this, the reset is
+# taken for a crash of the server: the idle timeouts of servers are longer.
 _MIN_IDLE_S = 0.5
-# The reset of a connection that no longer exists arrives within this time, as
-# both ends are on the same instance.
+# A server answers a call over a connection that it no longer has with a reset,
+# which arrives within this time, as both ends are on the same instance.
 _MAX_RESET_S = 0.05
 DEADLINE_EXCEEDED = outcomes.Unknown(
     "no answer before the deadline", outcomes.TIMEOUT_STATUS
@@ -47,9 +48,16 @@
 ) -> bool:
     """Returns whether a connection was lost before a call was sent over it.
 
-    The server may drop an idle connection without notice, sooner than it has
-    announced, and answer the next call with an immediate reset. Reported as an
-    outcome, that would look like a crash of the backend server.
+    The server may close an idle connection without sending anything, sooner
+    than it has announced, and answer the next call with an immediate reset. If
+    that were reported as the outcome, it would look like a crash of the backend
+    server.
+
+    Args:
+        outcome: Outcome of the call over the connection.
+        idle_s: Time for which the connection was idle before the call, in
+            seconds.
+        duration_s: Duration of the call, in seconds.
     """
     broke = isinstance(outcome, outcomes.Unknown) and outcome.broken
     return broke and idle_s >= _MIN_IDLE_S and duration_s <= _MAX_RESET_S
--- a/merlintrestle/requests/transport/server.py
+++ b/merlintrestle/requests/transport/server.py
@@ -24,13 +24,15 @@
 
 # A new connection that has not sent its first request in this time is closed.
 FIRST_REQUEST_TIMEOUT_S = 10.0
-# Longer than the pools of other daemons keep an idle connection.
+# Idle timeout of connections. It is longer than the time for which the pools of
+# other daemons keep an idle connection.
 _KEEPALIVE_TIMEOUT_S = 75.0
-# Granted by `close` to requests in flight. To aiohttp, 0 means no timeout, so
-# that a stop would take as long as the longest download.
+# Time that `close` allows for requests in flight. It must not be 0, which means
+# no timeout to aiohttp: a stop would then take as long as the longest download.
 _SHUTDOWN_TIMEOUT_S = 0.05
 # Interval at which `flush` checks the write buffers of connections.
 _FLUSH_POLL_S = 0.02
+# Limits of the headers of a request.
 _MAX_LINE_BYTES = 8190
 _MAX_FIELD_BYTES = 8190
 _MAX_HEADERS = 100
@@ -78,7 +80,7 @@
 
     def __call__(self) -> web.RequestHandler:
         """Creates the protocol of a connection."""
-        return _Connection(self, loop=self._loop, **self._options)
+        return _RequestHandler(self, loop=self._loop, **self._options)
 
     async def start(self, address: str, port: int) -> None:
         """Binds the port; 0 selects a free one."""
@@ -88,23 +90,24 @@
         self.port = self._listener.sockets[0].getsockname()[1]
 
     async def flush(self) -> None:
-        """Waits until all answers are handed to the operating system.
+        """Waits until the operating system has accepted all answers.
 
         A call counts as answered once its last bytes are in the write buffer of
         the connection. Bytes that are still there when the process exits are
         lost, such as the end of a long download to a slow caller. Stops waiting
         once no bytes have moved for `bodies.STALL_TIMEOUT_S`.
         """
-        held_back = self.get_held_back()
+        buffered_bytes = self.get_held_back()
         moved_at = self._loop.time()
         while (
-            held_back and self._loop.time() - moved_at < bodies.STALL_TIMEOUT_S
+            buffered_bytes
+            and self._loop.time() - moved_at < bodies.STALL_TIMEOUT_S
         ):
             await asyncio.sleep(_FLUSH_POLL_S)
-            new_held_back = self.get_held_back()
-            if new_held_back != held_back:
+            new_buffered_bytes = self.get_held_back()
+            if new_buffered_bytes != buffered_bytes:
                 moved_at = self._loop.time()
-            held_back = new_held_back
+            buffered_bytes = new_buffered_bytes
 
     async def close(self) -> None:
         """Stops listening and closes every connection."""
@@ -114,7 +117,7 @@
         await self.shutdown(_SHUTDOWN_TIMEOUT_S)
 
     def get_held_back(self) -> int:
-        """Returns the number of bytes in the write buffers."""
+        """Returns the number of bytes in the connections' write buffers."""
         return sum(
             connection.transport.get_write_buffer_size()
             for connection in self.connections
@@ -122,8 +125,12 @@
         )
 
 
-class _Connection(web.RequestHandler, protocols.NoDelayProtocol):
-    """A connection; sets an outcome in answers that aiohttp generates, too."""
+class _RequestHandler(web.RequestHandler, protocols.NoDelayProtocol):
+    """Server side of a connection.
+
+    Counts bytes, limits the wait for the first request, and adds the outcome to
+    error responses, which aiohttp would generate without one.
+    """
 
     __slots__ = ("_first_request_timer", "_traffic")
 
--- a/merlintrestle/requests/transport/streams.py
+++ b/merlintrestle/requests/transport/streams.py
@@ -23,26 +23,34 @@
 # Values of l_onoff and l_linger; the first makes a close send a reset.
 _LINGER_RESET = struct.pack("ii", 1, 0)
 _LINGER_DEFAULT = struct.pack("ii", 0, 0)
-# Interval at which the write buffer is checked after an answer to an HTTP/1.0
-# caller or without a framed end.
+# Interval at which the write buffer is checked after an answer whose end is
+# marked only by the close of its connection: the received answer is unframed,
+# or it has no Content-Length and the caller uses HTTP/1.0.
 _FLUSH_POLL_S = 0.02
 _BODILESS_STATUSES = frozenset((204, 304))
 
 
 class BodySender(Protocol):
-    """Sends the body of an answer whose headers have been sent."""
+    """Sends the body of an answer to a caller or daemon."""
 
     async def __call__(
         self,
         request: web.BaseRequest,
-        answer: web.StreamResponse,
+        response: web.StreamResponse,
         answered: outcomes.Answered,
         progress: probes.AnswerProgress,
     ) -> None:
-        """Sends the whole body and counts its bytes in `progress`."""
+        """Sends the whole body.
 
+        Args:
+            request: The request.
+            response: The response, whose headers have been sent.
+            answered: The answer whose body is sent.
+            progress: Counts the written bytes.
+        """
 
-async def read_answer(response: answers.Answer, method: str) -> bytes | None:
+
+async def read_answer(answer: answers.Answer, method: str) -> bytes | None:
     """Reads a small answer into memory; any other answer will be streamed.
 
     If a small answer is truncated, the call can still be retried or answered
@@ -50,7 +58,7 @@
     unframed answer is never buffered: whether it is complete is unknown.
 
     Args:
-        response: The answer, whose headers have been read.
+        answer: The answer, whose headers have been read.
         method: HTTP method of the request.
 
     Returns:
@@ -59,38 +67,38 @@
     Raises:
         aiohttp.ClientError: The answer was truncated.
     """
-    content = response.content
-    if not is_framed(response, method):
+    content = answer.content
+    if not is_framed(answer, method):
         return None
     if content.is_eof():
         return content.read_nowait()
-    length = response.content_length
+    length = answer.content_length
     if length is not None and length <= bodies.MAX_BUFFERED_BYTES:
         return await content.read()
     return None
 
 
-def is_framed(response: answers.Answer, method: str) -> bool:
-    """Returns whether the end of an answer can be told from a truncation.
+def is_framed(answer: answers.Answer, method: str) -> bool:
+    """Returns whether a truncation of an answer can be detected.
 
     An answer that ends only with the close of its connection looks complete
     wherever it is truncated. "chunked" is the only transfer coding that marks
     the end.
     """
-    if method == "HEAD" or response.status in _BODILESS_STATUSES:
+    if method == "HEAD" or answer.status in _BODILESS_STATUSES:
         return True
-    codings = response.headers.get(hdrs.TRANSFER_ENCODING)
+    codings = answer.headers.get(hdrs.TRANSFER_ENCODING)
     if codings is not None:
         return codings.lower().rpartition(",")[2].strip() == "chunked"
-    return response.content_length is not None
+    return answer.content_length is not None
 
 
 async def relay(
     request: web.BaseRequest,
     answered: outcomes.Answered,
     progress: probes.AnswerProgress | None = None,
-    added: tuple[tuple[str, str], ...] = (),
-    send: BodySender | None = None,
+    extra_headers: tuple[tuple[str, str], ...] = (),
+    send_body: BodySender | None = None,
 ) -> web.StreamResponse:
     """Forwards an answer; resets the caller's connection if it is truncated.
 
@@ -100,32 +108,32 @@
 
     Args:
         request: The caller's request.
-        answered: The answer.
+        answered: Outcome of the call, with the answer.
         progress: Counts the forwarded bytes of a long answer.
-        added: Headers to add.
-        send: Sends the body of a long answer; None: each chunk is sent as it
-            arrives.
+        extra_headers: Headers to add.
+        send_body: Sends the body of a long answer; None: each chunk is sent as
+            it arrives.
 
     Returns:
         The response; the server writes it unless it has been sent.
     """
-    response = answered.response
-    copied = headers.copy_end_to_end(response.headers)
-    copied.extend(added)
-    bodiless = request.method == "HEAD" or response.status in _BODILESS_STATUSES
+    answer = answered.response
+    copied = headers.copy_end_to_end(answer.headers)
+    copied.extend(extra_headers)
+    bodiless = request.method == "HEAD" or answer.status in _BODILESS_STATUSES
     buffered = answered.body
     if (
         buffered is not None
         and not bodiless
-        and (send is None or len(buffered) <= reservations.CHUNK_BYTES)
+        and (send_body is None or len(buffered) <= reservations.CHUNK_BYTES)
     ):
-        return answers.build_buffered(request, response, copied, buffered)
-    framed = is_framed(response, request.method)
-    answer = (web.StreamResponse if framed else _UnframedAnswer)(
-        status=response.status, reason=response.reason, headers=copied
+        return answers.build_buffered(request, answer, copied, buffered)
+    framed = is_framed(answer, request.method)
+    response = (web.StreamResponse if framed else _UnframedResponse)(
+        status=answer.status, reason=answer.reason, headers=copied
     )
     if not framed:
-        answer.force_close()
+        response.force_close()
     progress = progress or probes.AnswerProgress()
     watchdog = _ReceiverWatchdog(request, progress)
     # Whether only the close of the connection marks the end of the answer.
@@ -137,22 +145,24 @@
     try:
         if ends_by_close:
             _set_linger(request, _LINGER_RESET)
-        await answer.prepare(request)
+        await response.prepare(request)
         if not bodiless:
-            await (send or _send)(request, answer, answered, progress)
-        await answer.write_eof()
+            await (send_body or _send_chunks)(
+                request, response, answered, progress
+            )
+        await response.write_eof()
         if ends_by_close:
-            await _flush_unframed(request)
+            await _flush_before_close(request)
     except BaseException:
         reset_connection(request)
         raise
     finally:
         watchdog.close()
-    return answer
+    return response
 
 
-class _UnframedAnswer(web.StreamResponse):
-    """An answer whose end is marked only by the close of its connection.
+class _UnframedResponse(web.StreamResponse):
+    """A response whose end is marked only by the close of its connection.
 
     It is forwarded unframed: with a length or chunks, an answer that the
     backend server has truncated would look complete to the caller.
@@ -164,10 +174,11 @@
 class _ReceiverWatchdog:
     """Resets the connection of a receiver that has stopped reading.
 
-    The host of the receiver may have gone without closing the connection. The
+    The host of the receiver may have failed without closing the connection. The
     call would occupy its slot forever, and a few such receivers would block a
-    backend server. With a slow receiver some bytes move, and for a receiver
-    that waits for the answer the write buffer is empty.
+    backend server. Connections of slow receivers are not reset, as some bytes
+    are sent between two checks; nor are those of receivers that wait for more
+    of the answer, as their write buffer is empty.
     """
 
     def __init__(
@@ -188,18 +199,18 @@
         transport = self._request.transport
         if transport is None:
             return
-        held_back = transport.get_write_buffer_size()
-        current = (self._progress.written, held_back)
-        if held_back and current == self._last_progress:
+        buffered_bytes = transport.get_write_buffer_size()
+        current = (self._progress.written, buffered_bytes)
+        if buffered_bytes and current == self._last_progress:
             reset_connection(self._request)
             return
         self._last_progress = current
         self._timer = self._loop.call_later(bodies.STALL_TIMEOUT_S, self._check)
 
 
-async def _send(
+async def _send_chunks(
     request: web.BaseRequest,
-    answer: web.StreamResponse,
+    response: web.StreamResponse,
     answered: outcomes.Answered,
     progress: probes.AnswerProgress,
 ) -> None:
@@ -208,7 +219,7 @@
     content = answered.response.content
     while chunk := await content.readany():
         progress.written += len(chunk)
-        await answer.write(chunk)
+        await response.write(chunk)
 
 
 def reset_connection(request: web.BaseRequest) -> None:
@@ -220,11 +231,12 @@
     transport.abort()
 
 
-async def _flush_unframed(request: web.BaseRequest) -> None:
-    """Lets the connection close normally once its write buffer is empty.
+async def _flush_before_close(request: web.BaseRequest) -> None:
+    """Waits until the write buffer is empty, and allows a normal close again.
 
-    Until then any close must reset it: if the daemon is killed, the operating
-    system closes the connection, and a truncated answer would look complete.
+    Until then, each close of the connection must reset it: if the daemon is
+    killed, the operating system closes the connection, and without a reset a
+    truncated answer would look complete.
     """
     transport = request.transport
     while transport is not None and transport.get_write_buffer_size():
--- a/merlintrestle/requests/transport/transfers.py
+++ b/merlintrestle/requests/transport/transfers.py
@@ -18,9 +18,9 @@
     from merlintrestle.requests.calls import outcomes
     from merlintrestle.requests.transport import probes
 
-# A fifth of the time that unsent data may take, so that the link doesn't become
-# idle between two checks.
-_CHECK_INTERVAL_S = 0.012
+# A fifth of `reservations.SEND_WINDOW_S`, the time in which the link sends the
+# data that may be unsent, so that the link doesn't become idle between updates.
+_UPDATE_INTERVAL_S = 0.012
 
 
 class TransferSender:
@@ -39,7 +39,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def close(self) -> None:
-        """Stops the checks."""
+        """Stops the updates of unsent bytes."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -47,7 +47,7 @@
     async def send(
         self,
         request: web.BaseRequest,
-        answer: web.StreamResponse,
+        response: web.StreamResponse,
         answered: outcomes.Answered,
         progress: probes.AnswerProgress,
         transfer: reservations.Transfer,
@@ -56,10 +56,11 @@
 
         Args:
             request: The request of the other daemon.
-            answer: The response, whose headers have been sent.
+            response: The response, whose headers have been sent.
             answered: The answer whose body is sent.
             progress: Counts the written bytes.
-            transfer: The transfer on the link; ended once all bytes are sent.
+            transfer: The transfer, which holds the reservation on the link;
+                ended once all bytes are sent.
 
         Raises:
             OSError: The connection broke.
@@ -79,13 +80,13 @@
                     await transfer.wait_for_turn()
                     progress.written += len(chunk)
                     transfer.record_written(len(chunk))
-                    self._schedule_check()
-                    await answer.write(chunk)
+                    self._schedule_update()
+                    await response.write(chunk)
                 if answered.body is not None:
                     return
             transfer.record_size(progress.written - written_before)
         finally:
-            active.written = True
+            active.all_written = True
 
     def _end_previous(self, transport: asyncio.Transport) -> None:
         """Ends the previous transfer on a connection.
@@ -98,26 +99,28 @@
             if active.transport is transport:
                 active.transfer.update_unsent(0)
                 active.transfer.end()
-                active.written = True
+                active.all_written = True
 
-    def _schedule_check(self) -> None:
+    def _schedule_update(self) -> None:
         if self._timer is None:
-            self._timer = self._loop.call_later(_CHECK_INTERVAL_S, self._check)
+            self._timer = self._loop.call_later(
+                _UPDATE_INTERVAL_S, self._update_transfers
+            )
 
-    def _check(self) -> None:
+    def _update_transfers(self) -> None:
         """Updates the unsent bytes of transfers and ends completed ones."""
         self._timer = None
         remaining = []
         for active in self._active:
             active.update()
-            if active.written and not active.transfer.unsent:
+            if active.all_written and not active.transfer.unsent:
                 active.transfer.end()
             else:
                 remaining.append(active)
         self._active = remaining
         self._link.update_rate()
         if any(active.transfer.unsent for active in remaining):
-            self._schedule_check()
+            self._schedule_update()
 
 
 @dataclasses.dataclass(slots=True)
@@ -126,13 +129,13 @@
 
     Attributes:
         transport: Transport of the connection.
-        transfer: The transfer.
-        written: True once the last chunk has been written.
+        transfer: The transfer, which holds the reservation on the link.
+        all_written: True once the last chunk has been written.
     """
 
     transport: asyncio.Transport
     transfer: reservations.Transfer
-    written: bool = False
+    all_written: bool = False
 
     def update(self) -> None:
         """Updates the unsent bytes of the transfer.
@@ -144,9 +147,9 @@
         if self.transport.is_closing():
             self.transfer.end()
             return
-        held_back = self.transport.get_write_buffer_size()
+        buffered_bytes = self.transport.get_write_buffer_size()
         self.transfer.update_unsent(
-            held_back + _get_kernel_queue_bytes(self.transport)
+            buffered_bytes + _get_kernel_queue_bytes(self.transport)
         )
 
 
--- a/merlintrestle/requests/transport/watchdogs.py
+++ b/merlintrestle/requests/transport/watchdogs.py
@@ -17,20 +17,26 @@
     from merlintrestle.requests.transport import connections
     from merlintrestle.requests.transport import pool as pools
 
-# A call whose answer has not started after this time, or after a multiple of
-# its expected work time if that is longer, is probed.
+# A call is slow if its answer has not started after this time, or after a
+# multiple of its expected work time if that is longer. A slow call to a peer is
+# probed; a slow call to the backend server may be resent.
 FIRST_BYTE_TIMEOUT_S = 0.25
 _WORK_TIME_FACTOR = 4.0
-# Data in transit when the peer reports that a call has ended or has not arrived
-# comes within this time if links are free. On a full link it takes about as
-# long as the probe did; the duration of the probe is used if it is longer.
-_GRACE_S = 0.05
-# Interval at which the transfer of a streamed answer is checked.
+# Minimum time to wait for data in transit after a peer reported that a call has
+# ended or has not arrived. The data arrives within this time if no link is
+# congested. Otherwise it takes about as long as the probe did, so the duration
+# of the probe is used if it is longer.
+_MIN_IN_TRANSIT_S = 0.05
+# Interval at which a streamed answer is checked for progress.
 TRANSFER_PROBE_INTERVAL_S = 5.0
 
 
-def get_probe_delay(work_s: float) -> float:
-    """Returns how long a call waits before it is probed, in seconds."""
+def get_slow_call_s(work_s: float) -> float:
+    """Returns the time after which an unanswered call is slow, in seconds.
+
+    Args:
+        work_s: Expected work time, in seconds.
+    """
     return max(FIRST_BYTE_TIMEOUT_S, _WORK_TIME_FACTOR * work_s)
 
 
@@ -47,19 +53,19 @@
 
 
 class Watchdog:
-    """Ends the wait for an answer at the deadline, and checks the call earlier.
+    """Ends the wait for an answer at the deadline, and detects slow calls.
 
     A call that is answered quickly needs neither a timer nor a task of its own.
     """
 
-    __slots__ = ("_connection", "_deadline", "_check", "_task")
+    __slots__ = ("_connection", "_deadline", "_handle_slow_call", "_task")
 
     def __init__(
         self,
         connection: connections.Connection,
         work_s: float,
         deadline: float,
-        check: Callable[[], Coroutine[Any, Any, None]] | None,
+        handle_slow_call: Callable[[], Coroutine[Any, Any, None]] | None,
     ):
         """Starts the watchdog.
 
@@ -68,32 +74,33 @@
             work_s: Expected work time, in seconds.
             deadline: Time at which the wait ends, in seconds of the event
                 loop's clock.
-            check: Checks a call that is not answered; None: no check.
+            handle_slow_call: Started as a task once the call is slow; None: do
+                nothing until the deadline.
         """
         self._connection = connection
         self._deadline = deadline
-        self._check = check
+        self._handle_slow_call = handle_slow_call
         self._task: asyncio.Task[None] | None = None
-        if check is None:
-            connection.set_alarm(deadline, connection.expire)
+        if handle_slow_call is None:
+            connection.set_timer(deadline, connection.fail_with_timeout)
             return
-        check_at = connection.get_time() + get_probe_delay(work_s)
-        connection.set_alarm(min(check_at, deadline), self._start_check)
+        slow_at = connection.get_time() + get_slow_call_s(work_s)
+        connection.set_timer(min(slow_at, deadline), self._handle_timer)
 
     def close(self) -> None:
         """Stops the watchdog."""
-        self._connection.clear_alarm()
+        self._connection.clear_timer()
         if self._task is not None:
             self._task.cancel()
 
-    def _start_check(self) -> None:
+    def _handle_timer(self) -> None:
         connection = self._connection
         if connection.get_time() >= self._deadline:
-            connection.expire()
+            connection.fail_with_timeout()
             return
-        connection.set_alarm(self._deadline, connection.expire)
-        assert self._check is not None
-        self._task = asyncio.create_task(self._check())
+        connection.set_timer(self._deadline, connection.fail_with_timeout)
+        assert self._handle_slow_call is not None
+        self._task = asyncio.create_task(self._handle_slow_call())
 
 
 async def probe_peer(
@@ -106,11 +113,11 @@
 ) -> None:
     """Probes a peer about a call until the call is no longer in flight there.
 
-    Neither a missing nor any received result of a probe proves that the call
-    isn't running: on a full link a probe isn't answered in time, and the call
-    or its answer may still be in transit. So findings are reported as doubts
-    and the wait goes on. A peer is not silent if any connection has received
-    bytes from it since the probe was sent.
+    A probe cannot prove that the call isn't running: on a congested link it may
+    not be answered in time, and the call or its answer may still be in transit.
+    So a finding is only reported as a doubt (a reason to hedge the call), and
+    the call keeps waiting for its answer. A peer is not silent if any
+    connection has received bytes from it since the probe was sent.
 
     Args:
         pool: Opens the connections of probes.
@@ -130,7 +137,7 @@
             if not has_received_since(address, probed_at):
                 report(doubts.Doubt.PEER_SILENT)
         elif not result.in_flight:
-            await asyncio.sleep(max(_GRACE_S, loop.time() - probed_at))
+            await asyncio.sleep(max(_MIN_IN_TRANSIT_S, loop.time() - probed_at))
             if connection.last_received_at < probed_at:
                 report(
                     doubts.Doubt.ANSWER_MISSING
@@ -138,30 +145,30 @@
                     else doubts.Doubt.NOT_ARRIVED
                 )
                 return
-        await asyncio.sleep(get_probe_delay(work_s))
+        await asyncio.sleep(get_slow_call_s(work_s))
 
 
-async def watch_transfer(
+async def watch_answer_body(
     pool: pools.Pool,
     address: str,
     call_id: str,
-    response: answers.Answer,
+    answer: answers.Answer,
 ) -> None:
     """Aborts an answer whose connection goes silent during its body.
 
     An answer is aborted if the peer has written more than was received, or has
-    ended the call, and nothing is received until the next check. A transfer
-    that waits for its backend server has received all that the peer wrote; it
-    may take any time. So may a transfer that this daemon has paused because its
-    caller does not read.
+    ended the call, and nothing is received until the next check. There is no
+    time limit for an answer that waits for its backend server (all that the
+    peer wrote has been received), nor for one whose reading this daemon has
+    paused because the caller does not read.
 
     Args:
         pool: Opens the connections of probes.
         address: Address of the peer, "ip:port".
         call_id: Id of the call.
-        response: The answer, whose headers have been read.
+        answer: The answer, whose headers have been read.
     """
-    content = response.content
+    content = answer.content
     was_stalled = False
     while True:
         received = content.total_bytes
@@ -170,11 +177,11 @@
             was_stalled = False
             continue
         result = await probes.ask(pool, address, call_id)
-        sent_more = result.written > content.total_bytes
-        stalled = result.answered and (sent_more or not result.in_flight)
-        if response.is_paused():
+        wrote_more = result.written > content.total_bytes
+        stalled = result.answered and (wrote_more or not result.in_flight)
+        if answer.is_paused():
             stalled = False
         if was_stalled and stalled and content.total_bytes == received:
-            response.abort()
+            answer.abort()
             return
         was_stalled = stalled
--- a/tests/requests/transport/test_answers.py
+++ b/tests/requests/transport/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of answers that the daemon generates itself."""
+"""Tests of responses that the daemon generates itself."""
 
 from __future__ import annotations
 
--- a/tests/requests/transport/test_streams.py
+++ b/tests/requests/transport/test_bodies.py
@@ -17,7 +17,7 @@
 
 
 class ReadBodyTest(unittest.IsolatedAsyncioTestCase):
-    """What is read of a body before the request is forwarded."""
+    """Bodies are buffered or streamed, depending on their length."""
 
     async def asyncSetUp(self) -> None:
         loop = asyncio.get_running_loop()
@@ -54,11 +54,13 @@
             self.assertEqual(body.buffered, b"whole")
             self.assertTrue(body.replayable)
 
-    async def test_payout_with_incomplete_body_is_not_started(self) -> None:
-        """The call is refused as not run, though it states no length.
+    async def test_unrepeatable_call_with_incomplete_body_is_not_started(
+        self,
+    ) -> None:
+        """The call is refused as not run, although its length is unknown.
 
-        If its body were streamed, the payout would have started when the body
-        broke off, and its outcome would be "unknown" forever.
+        If the body were streamed, the call would have started when the body was
+        truncated, and its outcome would be "unknown" forever.
         """
         self.content.feed_data(b"half")
         self.content.set_exception(web.RequestPayloadError("broken"))
--- a/tests/requests/transport/test_connections.py
+++ b/tests/requests/transport/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of pooled connections: reuse, failures, alarms and uploads."""
+"""Tests of pooled connections: reuse, failures, timers and uploads."""
 
 from __future__ import annotations
 
@@ -54,6 +54,7 @@
     """Each call on a reused connection gets its own answer."""
 
     async def test_repeatable_calls_share_a_connection(self) -> None:
+        """Otherwise each call would wait for a new connection."""
         transports = []
 
         async def record(request: web.BaseRequest) -> web.StreamResponse:
@@ -70,6 +71,10 @@
         self.assertEqual(len(set(transports)), 1)
 
     async def test_unrepeatable_calls_get_new_connections(self) -> None:
+        """The server can't be closing the connection of an unrepeatable call.
+
+        Otherwise it would be unknown whether the call ran.
+        """
         transports = []
 
         async def record(request: web.BaseRequest) -> web.StreamResponse:
@@ -88,7 +93,9 @@
                 )
         self.assertEqual(len(set(transports)), 3)
 
-    async def test_unsolicited_bytes_between_calls(self) -> None:
+    async def test_connection_with_unsolicited_bytes_is_not_reused(
+        self,
+    ) -> None:
         """The next caller gets its own answer, not an unsolicited one.
 
         A server sends the start of a second answer while the connection is
@@ -120,6 +127,11 @@
             pool.close()
 
     async def test_idle_for_too_long(self) -> None:
+        """A connection is closed before its server closes it.
+
+        A call sent while the server closes the connection would have an unknown
+        outcome.
+        """
         pool = pools.Pool(asyncio.get_running_loop())
         async with builders.Node() as node:
             await node.start()
@@ -159,12 +171,12 @@
                 if acquired is not None:
                     acquired.close()
 
-    async def test_connection_dropped_while_idle(self) -> None:
+    async def test_connection_lost_while_idle(self) -> None:
         """The caller gets its answer; the call does not count as a crash.
 
-        Something between daemon and backend server has dropped an idle
-        connection without notice. The next call over it is answered by a reset;
-        the backend server has not seen it and accepts it over a new connection.
+        An idle connection to the backend server was lost without an error at
+        the daemon. The next call over it is answered by a reset. The backend
+        server has not received the call and accepts it over a new connection.
         """
         served = 0
 
@@ -248,6 +260,7 @@
             self.assertEqual((first.status, second.status), (200, 504))
 
     async def test_disconnecting_caller_cancels_the_call(self) -> None:
+        """The backend server does not continue work that nobody waits for."""
         started = asyncio.Event()
         cancelled = asyncio.Event()
 
@@ -269,34 +282,37 @@
             await cancelled.wait()
 
 
-class AlarmTest(unittest.IsolatedAsyncioTestCase):
-    """A connection has one timer, which is kept from call to call."""
+class TimerTest(unittest.IsolatedAsyncioTestCase):
+    """A connection has one timer of the event loop for all its calls."""
 
     def setUp(self) -> None:
         builders.shorten_probe_delays(self, wait_s=0.01)
 
-    async def test_cleared_alarm_is_not_triggered(self) -> None:
-        """A download may continue after the deadline of its headers."""
+    async def test_cleared_timer_is_not_triggered(self) -> None:
+        """The deadline of a call applies until its headers arrive.
+
+        The body of a download may take longer; it must not be aborted then.
+        """
         loop = asyncio.get_running_loop()
         connection = connections.Connection(loop, "127.0.0.1:1")
         triggered = asyncio.Event()
         later = asyncio.Event()
-        connection.set_alarm(loop.time() + 0.01, triggered.set)
-        connection.clear_alarm()
+        connection.set_timer(loop.time() + 0.01, triggered.set)
+        connection.clear_timer()
         loop.call_later(0.05, later.set)
         await later.wait()
         self.assertFalse(triggered.is_set())
 
-    async def test_deadline_during_a_check(self) -> None:
-        """The caller is answered at the deadline even if a check never ends."""
+    async def test_deadline_while_a_slow_call_is_handled(self) -> None:
+        """The caller is answered at the deadline even if a probe never ends."""
         loop = asyncio.get_running_loop()
         connection = connections.Connection(loop, "127.0.0.1:1")
 
-        async def check() -> None:
+        async def handle_slow_call() -> None:
             await asyncio.Event().wait()
 
         watchdog = watchdogs.Watchdog(
-            connection, 0.0, loop.time() + 0.05, check
+            connection, 0.0, loop.time() + 0.05, handle_slow_call
         )
         async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             with self.assertRaisesRegex(TimeoutError, "before the deadline"):
--- a/tests/requests/transport/test_resends.py
+++ b/tests/requests/transport/test_resends.py
@@ -64,10 +64,11 @@
         self.first.set_result(answer)
         self.assertIs(await call, answer)
         await self.run_pending()
-        self.connection.expire.assert_not_called()
+        self.connection.fail_with_timeout.assert_not_called()
         self.released.assert_not_called()
 
     async def test_second_answer_is_released_if_the_first_is_used(self) -> None:
+        """Otherwise its slot and its connection would stay occupied."""
         call = await self.start_call()
         self.second.set_result(self.build_answer())
         self.first.set_result(outcomes.Answered(mock.Mock(), b"1st", []))
@@ -78,13 +79,14 @@
     async def test_aborted_first_answer_is_not_used(self) -> None:
         """The caller gets the second send's answer, which is complete.
 
-        The first answer arrives in the loop iteration in which its wait is
-        ended: its headers have been read and its body is aborted.
+        The first answer arrives in the iteration of the event loop in which the
+        wait for it is ended: its headers have been read, but its body is
+        aborted.
         """
         call = await self.start_call()
         answer = outcomes.Answered(mock.Mock(), b"2nd", [])
-        self.connection.expire.side_effect = lambda: self.first.set_result(
-            self.build_answer()
+        self.connection.fail_with_timeout.side_effect = lambda: (
+            self.first.set_result(self.build_answer())
         )
         self.second.set_result(answer)
         self.assertIs(await call, answer)
--- a/tests/requests/transport/test_silence.py
+++ b/tests/requests/transport/test_silence.py
@@ -1,4 +1,4 @@
-"""Tests of connections that go silent for good."""
+"""Tests of connections that go silent permanently."""
 
 from __future__ import annotations
 
@@ -32,14 +32,16 @@
         )
         ask = probes.ask
 
-        async def count(*arguments: Any) -> probes.ProbeResult:
+        async def count_probe(*arguments: Any) -> probes.ProbeResult:
             result = await ask(*arguments)
             self.probes_sent.release()
             return result
 
-        self.enterContext(mock.patch.object(probes, "ask", count))
+        self.enterContext(mock.patch.object(probes, "ask", count_probe))
 
-    async def wait(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def answer_when_allowed(
+        self, request: web.BaseRequest
+    ) -> web.StreamResponse:
         """Answers once the test allows it."""
         self.started.set()
         await self.may_answer.wait()
@@ -65,7 +67,7 @@
         it would wait until its deadline; a new connection works.
         """
         self.may_answer.set()
-        async with relays.run_relayed_nodes(self.wait) as (
+        async with relays.run_relayed_nodes(self.answer_when_allowed) as (
             nodes,
             relay,
             client,
@@ -98,15 +100,19 @@
             self.assertEqual(len(nodes[1].served), 2)
             self.assertEqual(answer.headers[headers.OUTCOME], "unknown")
 
-    async def test_all_idle_connections_are_dropped(self) -> None:
-        async with relays.run_relayed_nodes(self.wait) as (
+    async def test_all_idle_connections_are_closed(self) -> None:
+        """If one connection is silent, all idle ones to the address are closed.
+
+        Otherwise each of the next calls would wait until it is probed.
+        """
+        async with relays.run_relayed_nodes(self.answer_when_allowed) as (
             nodes,
             relay,
             client,
         ):
             url = nodes[0].url + "/x"
             # A slow connection that is considered silent would not be pooled,
-            # and no pooled connection would be there to go silent.
+            # but the test needs pooled connections that go silent.
             with mock.patch.object(
                 watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.TEST_TIMEOUT_S
             ):
@@ -115,18 +121,22 @@
                 self.may_answer.set()
                 await asyncio.gather(*calls)
             relay.silence()
-            with builders.spy_on_method(pools.Pool, "drop") as drop:
+            with builders.spy_on_method(pools.Pool, "close_idle") as close_idle:
                 for _ in range(3):
                     self.assertEqual((await client.get(url)).status, 200)
-            self.assertEqual(drop.call_count, 1)
+            self.assertEqual(close_idle.call_count, 1)
 
     async def test_slow_answer_is_waited_for(self) -> None:
         """The caller gets its answer; the backend server receives one call.
 
         No bytes arrive for a long time because the backend server is slow. The
-        connection looks silent, but the peer reports the call as in flight.
+        connection seems silent, but the peer reports the call as in flight.
         """
-        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.answer_when_allowed) as (
+            nodes,
+            _,
+            client,
+        ):
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             for _ in range(3):
                 await self.probes_sent.acquire()
@@ -135,6 +145,11 @@
             self.assertEqual(len(nodes[1].served), 1)
 
     async def test_waiting_download_is_not_aborted(self) -> None:
+        """The caller gets the whole download after a long pause.
+
+        No bytes arrive because the backend server pauses. All bytes that the
+        peer wrote have been received, so the connection is not silent.
+        """
         async with relays.run_relayed_nodes(self.send_archive) as (
             nodes,
             _,
@@ -168,11 +183,11 @@
     async def test_frozen_daemon(self) -> None:
         """The caller gets its answer from another upstream.
 
-        The daemon is frozen: its host accepts connections, but nothing is ever
-        answered on them, not even on new ones.
+        Its host accepts connections, but the daemon never answers on them, not
+        even on new ones.
         """
         self.may_answer.set()
-        async with relays.run_relayed_nodes(self.wait, 3) as (
+        async with relays.run_relayed_nodes(self.answer_when_allowed, 3) as (
             nodes,
             relay,
             client,
@@ -186,12 +201,12 @@
     async def test_peer_that_answers_others_is_not_silent(self) -> None:
         """The caller gets its answer, though a probe is lost.
 
-        A link is full, so that a probe of the other daemon times out. The same
-        daemon has answered another call meanwhile: it is not silent, and the
-        work that runs there is not lost.
+        A link is congested, so that a probe of the other daemon times out. The
+        same daemon has answered another call since then, so it is not silent,
+        and the call that runs there is not lost.
         """
 
-        async def ask(*arguments: Any) -> probes.ProbeResult:
+        async def lose_probe(*arguments: Any) -> probes.ProbeResult:
             answer = await client.get(nodes[0].url + "/quick")
             self.assertEqual(answer.status, 200)
             self.may_answer.set()
@@ -200,25 +215,26 @@
         async def answer(request: web.BaseRequest) -> web.StreamResponse:
             if request.path == "/quick":
                 return web.Response(body=b"quick")
-            return await self.wait(request)
+            return await self.answer_when_allowed(request)
 
         async with relays.run_relayed_nodes(answer) as (nodes, _, client):
-            with mock.patch.object(probes, "ask", ask):
+            with mock.patch.object(probes, "ask", lose_probe):
                 response = await client.get(nodes[0].url + "/x")
             self.assertEqual(await response.read(), b"whole")
 
     async def test_connection_to_the_backend_server_is_silent(self) -> None:
         """The caller gets its answer long before its deadline.
 
-        As between daemons, but the backend server cannot be probed.
+        A pooled connection to the backend server has gone silent. The server
+        cannot be probed about the call, which is resent over a new connection.
         """
         plan = builders.build_plan(deadline_s=6 * builders.TEST_TIMEOUT_S)
         snapshot = builders.build_snapshot({"/": plan})
         self.may_answer.set()
         async with (
-            builders.run_nodes(1, handler=self.wait, running=snapshot) as (
-                node,
-            ),
+            builders.run_nodes(
+                1, handler=self.answer_when_allowed, running=snapshot
+            ) as (node,),
             builders.open_client() as client,
         ):
             relay = relays.Relay(node.backend.port)
@@ -266,14 +282,22 @@
             await ended.wait()
         self.assertEqual(len(node.served), 3)
 
-    async def test_late_acknowledgement_breaks_no_connection(self) -> None:
-        """A full link between daemons alone does not make a payout "unknown".
+    async def test_unacknowledged_timeout_is_set_for_backend_server_only(
+        self,
+    ) -> None:
+        """TCP_USER_TIMEOUT is not set for connections between daemons.
 
-        Over a full link, data is acknowledged late. There is no link to the
-        local backend server, so a connection that accepts no data is dead.
+        A congested link between daemons delays acknowledgements. If the
+        connection were closed for that, the outcome of its call would be
+        "unknown". There is no link to the local backend server, so data that
+        stays unacknowledged means that the connection is broken.
         """
         self.may_answer.set()
-        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.answer_when_allowed) as (
+            nodes,
+            _,
+            client,
+        ):
             await client.get(nodes[0].url + "/x")
             timeouts_ms = []
             for node in nodes:
@@ -295,7 +319,7 @@
         """
         self.may_answer.set()
         async with (
-            builders.run_nodes(1, handler=self.wait) as (node,),
+            builders.run_nodes(1, handler=self.answer_when_allowed) as (node,),
             builders.open_client() as client,
         ):
             url = node.url + "/x"
@@ -312,7 +336,11 @@
         as well, it would run three times or more.
         """
         self.may_answer.set()
-        async with relays.run_relayed_nodes(self.wait, 3) as (nodes, _, client):
+        async with relays.run_relayed_nodes(self.answer_when_allowed, 3) as (
+            nodes,
+            _,
+            client,
+        ):
             url = nodes[0].url + "/x"
             # Gives each daemon an idle connection to its backend server.
             for node in nodes[1:]:
@@ -325,23 +353,37 @@
         self.assertEqual(after - before, 2)
 
     async def send_wave(
-        self, client: Any, node: builders.Node, until: int
+        self, client: Any, node: builders.Node, min_served: int
     ) -> None:
-        """Sends 30 calls, answered once `until` calls have been served."""
+        """Sends 30 calls, answered once a number of calls has been served.
+
+        Args:
+            client: The caller.
+            node: The daemon and its backend server.
+            min_served: Number of calls that the backend server has served since
+                its start, including the resent ones.
+        """
         self.may_answer.clear()
         wave = [
             asyncio.create_task(client.get(node.url + "/x")) for _ in range(30)
         ]
-        while len(node.served) < until:
+        while len(node.served) < min_served:
             await asyncio.sleep(0.01)
         self.may_answer.set()
         answers = await asyncio.gather(*wave)
         self.assertEqual({answer.status for answer in answers}, {200})
 
     async def test_slow_backend_server_is_not_flooded(self) -> None:
-        """Calls to a slow server are rarely resent."""
+        """Only a few calls to a slow backend server are resent.
+
+        The retry budget allows 10 resends, plus one for every ten calls.
+        Without a budget, all 30 calls of the second wave would be resent, and
+        the load of the slow server would double.
+        """
         async with (
-            builders.run_nodes(1, handler=self.wait, slots=40) as (node,),
+            builders.run_nodes(
+                1, handler=self.answer_when_allowed, slots=40
+            ) as (node,),
             builders.open_client() as client,
         ):
             with mock.patch.object(
@@ -349,13 +391,24 @@
             ):
                 # All run at once, so that as many connections are pooled.
                 await self.send_wave(client, node, 30)
+            # The backend server answers once 10 calls have been resent.
             await self.send_wave(client, node, 30 + 40)
+        # Two waves, and the resends that the budget allows.
         self.assertLessEqual(len(node.served), 60 + 10 + 3)
 
     async def test_probe_of_an_unknown_call(self) -> None:
-        async with relays.run_relayed_nodes(self.wait) as (nodes, _, client):
+        """The peer port answers 404; the caller port does not answer probes.
+
+        There, a probe is refused like any other request that matches no route.
+        """
+        async with relays.run_relayed_nodes(self.answer_when_allowed) as (
+            nodes,
+            _,
+            client,
+        ):
             root = f"http://127.0.0.1:{nodes[1].proxy.peer_port}"
             answer = await client.get(root + probes.PATH + "none")
             self.assertEqual(answer.status, 404)
+            # The URL of the caller port ends with "/kassa".
             answer = await client.get(nodes[1].url[:-6] + probes.PATH + "x")
             self.assertEqual(answer.headers[headers.OUTCOME], "not-run")
--- a/tests/requests/transport/test_timeouts.py
+++ b/tests/requests/transport/test_timeouts.py
@@ -27,12 +27,12 @@
 
 async def _call_over_stalled_connects() -> tuple[int, bytes]:
     """Returns the answer to a call; each connect blocks the event loop."""
-    open_ = pools.Pool.open
+    open_connection = pools.Pool.open
 
     async def open_stalled(self: pools.Pool, *arguments: Any) -> Any:
         stall_s = 1.2 * exchanges._CONNECT_TIMEOUT_S
         asyncio.get_running_loop().call_soon(time.sleep, stall_s)
-        return await open_(self, *arguments)
+        return await open_connection(self, *arguments)
 
     async with (
         builders.run_nodes(1, handler=_answer) as (node,),
@@ -66,6 +66,11 @@
                 await asyncio.Event().wait()
 
     async def test_completed_block_is_not_cancelled(self) -> None:
+        """A block that ends is not cancelled, nor is what runs after it.
+
+        The second block ends after its time is over, but before pending I/O has
+        been processed.
+        """
         async with timeouts.timeout(0.01):
             pass
         async with timeouts.timeout(0.01):
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -26,7 +26,7 @@
 _BODY = bytes(range(256)) * 1024
 # So slow that no further chunk is sent while a test runs.
 _RATE_BYTES_PER_S = 1000
-_CHECK = builders.build_plan("check", latency_s=0.3)
+_SMALL_CALL = builders.build_plan("check", latency_s=0.3)
 _DOWNLOAD = builders.build_plan("download", latency_s=5.0, deadline_s=60.0)
 
 
@@ -52,7 +52,7 @@
         self.addCleanup(self.close_socks)
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers a check at once, and downloads once all have arrived."""
+        """Answers a small call at once, and downloads once all have arrived."""
         if request.path == "/check":
             return web.Response(body=b"well")
         if len(self.node.served) == self.expected_calls:
@@ -85,7 +85,7 @@
         port = self.node.proxy.peer_port
         await loop.sock_connect(sock, ("127.0.0.1", port))
         reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
-        plan = _CHECK if path == "/check" else _DOWNLOAD
+        plan = _SMALL_CALL if path == "/check" else _DOWNLOAD
         end = "keep-alive" if keep else "close"
         writer.write(
             f"{method} /kassa{path} HTTP/1.1\r\nHost: a\r\n"
@@ -113,13 +113,13 @@
         link.update_rate()
         link.rate = _RATE_BYTES_PER_S
 
-    async def test_check_does_not_queue_behind_downloads(self) -> None:
-        """A check is answered while downloads wait, with little queued ahead.
+    async def test_small_call_does_not_queue_behind_downloads(self) -> None:
+        """A small call is answered while downloads wait for the link.
 
         Four daemons request downloads and do not read the answers for now. If
         the answers were written whole, a megabyte would wait in the buffers of
-        the operating system, and on a slow link the answer to a check would
-        arrive seconds later.
+        the operating system, and on a slow link the answer to a small call
+        would arrive seconds later.
         """
         self.set_slow_link()
         async with asyncio.timeout(builders.TEST_TIMEOUT_S):
@@ -142,11 +142,11 @@
             writer.close()
 
     async def test_slot_is_free_while_an_answer_waits(self) -> None:
-        """A check gets the only slot while a download is being sent.
+        """A small call gets the only slot while a download is being sent.
 
-        The backend server has completed the download and accepts the check over
-        the same connection. If the slot were occupied until the answer has been
-        sent, checks would be refused although the server is idle.
+        The backend server has completed the download and accepts the small call
+        over the same connection. If the slot were occupied until the answer has
+        been sent, small calls would be refused although the server is idle.
         """
         self.set_slow_link()
         self.expected_calls = 1
@@ -155,16 +155,16 @@
             reader, writer = await self.request("/download", True)
             while not self.node.proxy._link._waiting:
                 await asyncio.sleep(0)
-            check_reader, check_writer = await self.request("/check")
-            self.assertTrue((await check_reader.read()).endswith(b"well"))
+            small_reader, small_writer = await self.request("/check")
+            self.assertTrue((await small_reader.read()).endswith(b"well"))
             self.node.proxy._link.rate = 1e9
             await reader.readuntil(b"\r\n\r\n")
             self.assertEqual(await reader.readexactly(len(_BODY)), _BODY)
-        check_writer.close()
+        small_writer.close()
         writer.close()
 
     async def test_downloads_are_complete(self) -> None:
-        """All downloads are complete, and no reservation remains."""
+        """Every body is complete, and no reservation remains on the link."""
         async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             connections = [
                 await self.request("/download") for _ in range(_DOWNLOADS)
@@ -180,7 +180,10 @@
             writer.close()
 
     async def test_disconnecting_receivers_release_reservations(self) -> None:
-        """Reserved bytes are released though they were never sent."""
+        """Reserved bytes are released though they were never sent.
+
+        Otherwise the link would seem to be busy forever.
+        """
         self.set_slow_link()
         async with asyncio.timeout(builders.TEST_TIMEOUT_S):
             connections = [
@@ -197,9 +200,8 @@
     async def test_answers_without_content_length_wait_too(self) -> None:
         """Chunks of an answer of unknown length are sent as the link allows.
 
-        The first answers of a class have no reservation. If an answer without a
-        reservation did not wait, all of it would be written to the buffers at
-        once.
+        The first answers of a class have no reservation. If they did not wait
+        for the link, the whole of each would be written to the buffers at once.
         """
         self.set_slow_link()
         self.chunked = True
@@ -216,7 +218,10 @@
             writer.close()
 
     async def test_answers_that_do_not_count_for_the_mean_size(self) -> None:
-        """An error, and an answer to HEAD, which has a length but no body."""
+        """The mean size of a class isn't changed by errors or answers to HEAD.
+
+        An answer to HEAD states a length but has no body.
+        """
         self.expected_calls = 1
         for method, status in (("HEAD", 200), ("GET", 404)):
             with self.subTest(method=method, status=status):
@@ -232,6 +237,7 @@
                 writer.close()
 
     async def test_mean_size_of_answers_without_content_length(self) -> None:
+        """The bytes that were sent count as the size of the answer."""
         self.chunked = True
         self.expected_calls = 1
         async with asyncio.timeout(builders.TEST_TIMEOUT_S):
@@ -249,13 +255,13 @@
     async def asyncSetUp(self) -> None:
         self.clock = fakes.Clock()
         self.link = links.OutgoingLink(self.clock.get_time)
-        self.transfers = transfers.TransferSender(self.link)
-        self.addCleanup(self.transfers.close)
+        self.sender = transfers.TransferSender(self.link)
+        self.addCleanup(self.sender.close)
         self.transport = mock.Mock()
         self.transport.is_closing.return_value = False
         self.transport.get_extra_info.return_value = None
         self.request: Any = mock.Mock(transport=self.transport)
-        self.answer: Any = mock.Mock(write=mock.AsyncMock())
+        self.response: Any = mock.Mock(write=mock.AsyncMock())
 
     async def send(self, size: int) -> reservations.Transfer:
         """Sends an answer, which stays in the write buffer."""
@@ -267,11 +273,11 @@
         assert isinstance(transfer, reservations.Transfer)
         transfer.set_size(size)
         self.transport.get_write_buffer_size.return_value = size
-        no_response: Any = None
-        answered = outcomes.Answered(no_response, bytes(size), [])
-        await self.transfers.send(
+        no_received_answer: Any = None
+        answered = outcomes.Answered(no_received_answer, bytes(size), [])
+        await self.sender.send(
             self.request,
-            self.answer,
+            self.response,
             answered,
             probes.AnswerProgress(),
             transfer,
@@ -279,18 +285,26 @@
         return transfer
 
     async def test_next_answer_on_a_connection(self) -> None:
-        """It starts before the check of the previous one, which is all sent."""
+        """The unsent bytes of a connection count for its latest answer only.
+
+        The next answer starts when the previous one has been sent, but its
+        unsent bytes have not been updated since.
+        """
         await self.send(20_000)
         await self.send(32_000)
-        self.transfers._check()
+        self.sender._update_transfers()
         self.assertEqual(self.link.unsent, 32_000)
         self.assertEqual(self.link.reserved_bytes, 32_000)
 
     async def test_aborted_connection(self) -> None:
-        """Its reservation is released, but its bytes do not count as sent."""
+        """The reservation is released, but its bytes do not count as sent.
+
+        How much was sent before the abort is unknown. If all of it counted, the
+        measured rate of the link would be far too high.
+        """
         with mock.patch.object(self.link, "note_sent") as note_sent:
             await self.send(200_000)
             self.transport.is_closing.return_value = True
-            self.transfers._check()
+            self.sender._update_transfers()
         note_sent.assert_not_called()
         self.assertEqual((self.link.reserved_bytes, self.link.unsent), (0, 0))
--- a/tests/requests/transport/test_reuse.py
+++ b/tests/requests/transport/test_unsolicited_answers.py
@@ -1,4 +1,4 @@
-"""Tests of reused connections and unsolicited answers."""
+"""Tests of unsolicited answers on idle connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 _TIMED_OUT = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 4\r\n\r\nlate"
 
 
-class ReuseTest(unittest.IsolatedAsyncioTestCase):
+class UnsolicitedAnswerTest(unittest.IsolatedAsyncioTestCase):
     """A backend server that sends an unsolicited answer."""
 
     def setUp(self) -> None:
--- a/tests/requests/transport/test_uploads.py
+++ b/tests/requests/transport/test_uploads.py
@@ -15,8 +15,9 @@
     from collections.abc import AsyncIterator
 
 _ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
-# Twice the time after which the operating system breaks a connection that
-# accepts no data, plus the interval to its next probe.
+# Twice `forwarding._UNACKNOWLEDGED_TIMEOUT_MS` (0.6 s), after which the
+# operating system closes a connection with unacknowledged data, plus the
+# interval to its next TCP window probe, at which it does so.
 _PAUSE_S = 1.5
 _PLAN = builders.build_plan(large=True, deadline_s=6 * builders.TEST_TIMEOUT_S)
 
@@ -70,7 +71,7 @@
         writer.close()
 
 
-class UploadTest(unittest.IsolatedAsyncioTestCase):
+class SlowReaderUploadTest(unittest.IsolatedAsyncioTestCase):
     """A backend server starts to read a body late."""
 
     @contextlib.asynccontextmanager
@@ -106,9 +107,9 @@
     async def test_upload_to_a_server_that_pauses(self) -> None:
         """The caller's upload arrives, however long the server pauses.
 
-        The buffers are full, and the receive window of the server is closed.
-        To the operating system, the connection accepts no data. If it were
-        broken for that, a healthy server would look as if it had crashed.
+        The buffers are full, and the receive window of the server is closed, so
+        sent data stays unacknowledged. If the operating system closed the
+        connection for that, a healthy server would seem to have crashed.
         """
         await self.check_pause(4 * 1024 * 1024)
 
--- a/tests/requests/transport/test_watchdogs.py
+++ b/tests/requests/transport/test_watchdogs.py
@@ -17,7 +17,7 @@
 
 
 class ProbePeerTest(unittest.IsolatedAsyncioTestCase):
-    """A call whose probes have the results that the test gives."""
+    """Probes of a call, with results that the test sets."""
 
     def setUp(self) -> None:
         builders.shorten_probe_delays(self, wait_s=0.01)
@@ -26,7 +26,9 @@
     async def probe(
         self, *results: probes.ProbeResult, receiving: int = 0
     ) -> bool:
-        """Probes until all results are used; returns whether probing goes on.
+        """Probes until all results are used.
+
+        Returns whether the call is probed once more after that.
 
         Args:
             *results: Results of the probes.
@@ -37,12 +39,12 @@
         )
         remaining = list(results)
         probed = 0
-        goes_on = asyncio.Event()
+        probed_again = asyncio.Event()
 
         async def answer(*arguments: Any) -> probes.ProbeResult:
             nonlocal probed
             if not remaining:
-                goes_on.set()
+                probed_again.set()
                 await asyncio.Event().wait()
             probed += 1
             # Time passes, so that bytes are received after the probe was sent.
@@ -62,14 +64,14 @@
                     self.reported.put_nowait,
                 )
             )
-            waiting = asyncio.create_task(goes_on.wait())
+            waiting = asyncio.create_task(probed_again.wait())
             async with asyncio.timeout(builders.TEST_TIMEOUT_S):
                 await asyncio.wait(
                     (probing, waiting), return_when=asyncio.FIRST_COMPLETED
                 )
             probing.cancel()
             waiting.cancel()
-        return goes_on.is_set()
+        return probed_again.is_set()
 
     def list_reported(self) -> list[doubts.Doubt]:
         """Returns the doubts that were reported."""
@@ -78,7 +80,7 @@
         ]
 
     async def test_silent_peer_is_probed_again(self) -> None:
-        """One lost probe ends nothing; the next one may be answered."""
+        """Probing continues after a lost probe: the next may be answered."""
         silent = probes.ProbeResult(False)
         self.assertTrue(
             await self.probe(silent, silent, probes.ProbeResult(True, True))
@@ -86,10 +88,12 @@
         self.assertEqual(self.list_reported(), [doubts.Doubt.PEER_SILENT] * 2)
 
     async def test_call_that_did_not_arrive(self) -> None:
+        """The doubt is reported once; another attempt can then be made."""
         self.assertFalse(await self.probe(probes.ProbeResult(True)))
         self.assertEqual(self.list_reported(), [doubts.Doubt.NOT_ARRIVED])
 
     async def test_lost_answer(self) -> None:
+        """The peer has sent the answer, and nothing of it has arrived."""
         ended = probes.ProbeResult(True, ended=True)
         self.assertFalse(await self.probe(ended))
         self.assertEqual(self.list_reported(), [doubts.Doubt.ANSWER_MISSING])
@@ -97,9 +101,9 @@
     async def test_answer_in_transit(self) -> None:
         """An answer that is still arriving is not reported as missing.
 
-        The peer has ended the call, and its answer arrives slowly over a full
-        link. If it were considered lost, it would be discarded and the call
-        would run again, which would load the link even more.
+        The call has ended at the peer, and its answer arrives slowly over a
+        congested link. If it were considered lost, it would be discarded and
+        the call would run again, which would load the link even more.
         """
         ended = probes.ProbeResult(True, ended=True)
         self.assertTrue(await self.probe(ended, ended, ended, receiving=3))
