--- a/merlintrestle/requests/transport/pool.py
+++ b/merlintrestle/requests/transport/pool.py
@@ -72,9 +72,7 @@
             int(port),
         )
         if unacknowledged_timeout_ms:
-            connectors.limit_unacknowledged(
-                transport, unacknowledged_timeout_ms
-            )
+            connectors.set_user_timeout(transport, unacknowledged_timeout_ms)
         return connection
 
     def has_received_since(self, address: str, since: float) -> bool:
