--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -1,4 +1,4 @@
-"""State of the local backend server, as announced by it."""
+"""State of the local backend server, as it announces it."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 
 events = event_logs.EventLog("requests")
 
+# Timeout of a connection attempt, in seconds. A timeout does not change the
+# state, see `LocalBackend.check_reachable`.
 _CONNECT_TIMEOUT_S = 0.5
-# Time in which the share of calls of an upstream rises to its full value after
-# it became ready.
+# Duration of the slow start of an upstream, in seconds. During this time after
+# it became ready, its share of calls rises to the full value.
 WARMUP_S = 10.0
 
 
@@ -28,17 +30,21 @@
         address: Its "ip:port".
         slots: Number of calls it runs at once.
         version: Version of its software; empty if not announced.
-        warm_at: Monotonic time until which it is slow after its start, in
-            seconds.
+        warm_at: Monotonic time at which its warm-up ends, in seconds. Until
+            then it may be slow, as its process has just started.
         instance_id: Id of its process; empty if not announced.
+        born_ms: Start time of its process, in ms since 1970; 0 if not
+            announced.
         state: State as announced, or DOWN while it refuses connections.
-        born_ms: Start of its process, in ms since 1970; 0 if not announced.
-        ready_since_ms: Time at which it became ready, in ms since 1970.
+        ready_since_ms: Time at which it became ready, in ms since 1970, minus
+            the warm-up time that had already elapsed by then. Its slow start
+            is computed from it.
         reachable: False after it refused a connection, until it accepts one.
         on_change: Called after every change of the value of `build_record`.
-        on_down: Called when it is found to refuse connections.
-        on_restart: Called with its address when another process announces
-            itself.
+        on_down: Called when `check_reachable` finds that it refuses
+            connections.
+        on_restart: Called with the address of the previous process when a new
+            process announces itself.
     """
 
     def __init__(self) -> None:
@@ -78,19 +84,20 @@
             slots: Number of calls it runs at once.
             state: Whether it accepts new calls.
             instance_id: Id of its process; empty if not announced.
-            cold_s: Time for which it will still be slow after its start, in
-                seconds. Without it, a daemon that restarts would treat a warm
-                backend server as a cold one.
-            born_ms: Start of its process, in ms since 1970; 0 if not announced.
+            cold_s: Remaining warm-up time of its process, in seconds. Without
+                it, a restarted daemon would assume that a warm backend server
+                has just started.
+            born_ms: Start time of its process, in ms since 1970; 0 if not
+                announced.
             version: Version of its software; empty if not announced.
         """
-        before = self.build_record()
+        previous_record = self.build_record()
         self._remaining_warmup_s = min(cold_s, WARMUP_S)
         self.warm_at = time.monotonic() + self._remaining_warmup_s
-        if self._is_other_process(instance_id, born_ms):
-            # The state and the open connections belong to the previous process:
-            # the new one is not warm, and nobody answers on these connections
-            # any more.
+        if self._is_new_process(instance_id, born_ms):
+            # The state and the open connections belong to the previous process.
+            # The new process is not warm yet, and requests on the open
+            # connections would get no answer.
             self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
             self.on_restart(self.address)
         self.instance_id = instance_id
@@ -104,45 +111,52 @@
             control_pb2.DRAINING if self._draining else state
         )
         self._set_state(self._announced_state)
-        self._report_change(before)
+        self._report_change(previous_record)
 
     def retire(self) -> None:
-        """Accepts no new calls until another process announces itself."""
-        before = self.build_record()
+        """Stops new calls until the next announcement.
+
+        It is called when the process reports that it ends. Later heartbeats of
+        that process are dropped by `daemon.heartbeats`.
+        """
+        previous_record = self.build_record()
         self._announced_state = control_pb2.DRAINING
         if self.state == control_pb2.READY:
             self._set_state(control_pb2.DRAINING)
-        self._report_change(before)
+        self._report_change(previous_record)
 
     def drain(self) -> None:
-        """Accepts no new calls from now on, whatever state is announced."""
-        before = self.build_record()
+        """Stops new calls permanently, whatever state is announced later.
+
+        It is called when the daemon stops.
+        """
+        previous_record = self.build_record()
         self._draining = True
         self._announced_state = control_pb2.DRAINING
         if self.state == control_pb2.READY:
             self._set_state(control_pb2.DRAINING)
-        self._report_change(before)
+        self._report_change(previous_record)
 
     async def check_reachable(self) -> bool:
         """Checks whether it accepts connections, and returns `reachable`.
 
         Only a refused connection marks it unreachable, as it shows that no
-        process listens. A connection attempt that times out may also be due to
-        a full backlog.
+        process listens. A connection attempt may also time out because the
+        backlog of the listening socket is full.
         """
         if not self.address:
             return self.reachable
         reachable = await _try_connection(self.address)
         if reachable is None or reachable == self.reachable:
             return self.reachable
-        before = self.build_record()
+        previous_record = self.build_record()
         self.reachable = reachable
         self._set_state(
             self._announced_state if reachable else control_pb2.DOWN
         )
         if not reachable:
             self.on_down()
-        self._report_change(before)
+        self._report_change(previous_record)
         return reachable
 
     def build_record(self) -> control_pb2.Backend:
@@ -155,21 +169,25 @@
             version=self.version,
         )
 
-    def _is_other_process(self, instance_id: str, born_ms: int) -> bool:
-        """Returns whether an announcement comes from another process."""
+    def _is_new_process(self, instance_id: str, born_ms: int) -> bool:
+        """Returns whether an announcement comes from a new process.
+
+        A restarted process may keep its instance id, so the start times are
+        compared too.
+        """
         if not self.instance_id:
             return False
-        restarted = 0 < self.born_ms < born_ms
-        return restarted or instance_id != self.instance_id
+        started_later = 0 < self.born_ms < born_ms
+        return started_later or instance_id != self.instance_id
 
     def _set_state(self, state: control_pb2.BackendState) -> None:
         if state == control_pb2.READY and self.state != control_pb2.READY:
-            warm_s = WARMUP_S - self._remaining_warmup_s
-            self.ready_since_ms = int((time.time() - warm_s) * 1000)
+            elapsed_warmup_s = WARMUP_S - self._remaining_warmup_s
+            self.ready_since_ms = int((time.time() - elapsed_warmup_s) * 1000)
         self.state = state
 
-    def _report_change(self, before: control_pb2.Backend) -> None:
-        if self.build_record() == before:
+    def _report_change(self, previous_record: control_pb2.Backend) -> None:
+        if self.build_record() == previous_record:
             return
         events.note(
             "backend server changed",
@@ -184,7 +202,7 @@
 
 
 async def _try_connection(address: str) -> bool | None:
-    """Returns whether a connection is accepted; None if that is unknown."""
+    """Returns whether a connection is accepted; None if undetermined."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(_CONNECT_TIMEOUT_S):
@@ -201,5 +219,5 @@
     pass
 
 
-def _ignore_restart(address: str) -> None:
-    del address
+def _ignore_restart(previous_address: str) -> None:
+    del previous_address
--- a/merlintrestle/requests/interfaces.py
+++ b/merlintrestle/requests/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces of the other parts of a daemon that the data path uses."""
+"""Interfaces of the other packages that the data path uses."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 
 
 class ActiveVersion(Protocol):
-    """The configuration version that the daemon applies to requests.
+    """The active configuration version, which the daemon applies to requests.
 
     Attributes:
-        running: The version in use; None while the daemon is closed.
-        closed_reason: Why the daemon is closed.
+        running: Snapshot of the active version. It is None while the daemon is
+            closed, that is, while it refuses all calls because it has no
+            version to apply.
+        closed_reason: Why the daemon is closed; refusals contain it.
     """
 
     running: snapshot.Snapshot | None
@@ -24,12 +26,12 @@
 
 
 class MemberTable(Protocol):
-    """The members of the mesh, with the upstreams of each service."""
+    """The members of the mesh, and the upstreams of each service."""
 
     def get_upstreams(self, service: str) -> tuple[table.Upstream, ...]:
         """Returns the upstreams of a service.
 
-        It returns the same tuple until the upstreams change.
+        Until these change, each call returns the same tuple object.
         """
 
     def count_usable(self) -> int:
@@ -37,7 +39,11 @@
 
 
 class Observer(Protocol):
-    """Observes the answers of the local backend server during a roll-out."""
+    """Monitors the local backend server during a roll-out.
+
+    It records the results of calls, and decides whether the version of the
+    backend server may serve calls in the current phase.
+    """
 
     def may_serve(self) -> bool:
         """Returns whether the local backend server may serve calls."""
@@ -45,22 +51,27 @@
     def record_answer(
         self, class_name: str, failed: bool, duration_s: float
     ) -> None:
-        """Records a finished call.
+        """Records a finished call that ran or may have run.
 
         Args:
             class_name: Class of work of the call.
-            failed: Whether the call failed.
+            failed: Whether it got a server error or no answer.
             duration_s: Duration of the call, in seconds.
         """
 
 
 class SubsetSelector(Protocol):
-    """Selects the upstreams of each attempt during a roll-out."""
+    """Selects the upstreams that each attempt may use during a roll-out."""
 
     def choose(
         self, service: str, upstreams: tuple[table.Upstream, ...]
     ) -> subsets.Subset:
-        """Returns the subset that the next attempt of a call may use."""
+        """Returns the subset that the next attempt of a call may use.
+
+        Args:
+            service: Service that is called.
+            upstreams: All upstreams of the service.
+        """
 
 
 class Store(Protocol):
