--- a/merlintrestle/requests/reports/__init__.py
+++ b/merlintrestle/requests/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Reports on calls: statistics, latencies, traffic and decision logs."""
+"""Metrics and decision logs of calls."""
--- a/merlintrestle/requests/reports/decision_logs.py
+++ b/merlintrestle/requests/reports/decision_logs.py
@@ -1,9 +1,10 @@
 """Decision logs of calls, written once their outcome is known.
 
 The outcome of a call determines how much is logged about it, so its decisions
-are kept in memory until then. If a call failed, was refused or was retried, all
-its decisions are written, with the times at which they were made. For
-successful calls a single line is written, at a limited rate.
+are kept in memory until the call ends. If a call failed, was refused or was
+retried, all its decisions are written, with the times at which they were made.
+For other calls, a single line is written. Both kinds of logs have a maximum
+rate.
 """
 
 from __future__ import annotations
@@ -19,10 +20,11 @@
 from merlintrestle import events as event_logs
 from merlintrestle.requests.calls import outcomes
 
-# Maximum rate of complete decision logs. With some 8 lines of 250 bytes each,
-# they take at most 20 KB/s.
+# Maximum sustained rate of complete decision logs. With about 8 lines of 250
+# bytes each, they take at most 20 KB/s. A burst of up to `event_logs.BURST`
+# logs may exceed this rate.
 MAX_COMPLETE_LOGS_PER_S = 10.0
-# Maximum rate of lines about successful calls.
+# Maximum rate of lines about successful calls, without bursts.
 MAX_SUCCESS_LINES_PER_S = 1.0
 
 _Fields = dict[str, Any] | Callable[[], dict[str, Any]]
@@ -63,36 +65,37 @@
         """Adds a decision.
 
         Args:
-            event: The decision.
-            **fields: The values that it was based on, and their age.
+            event: Event text of the decision.
+            **fields: The values on which it was based, and their age.
         """
         self._decisions.append((time.time(), event, fields))
 
     def add_lazy(
-        self, event: str, describe: Callable[[], dict[str, Any]]
+        self, event: str, build_fields: Callable[[], dict[str, Any]]
     ) -> None:
         """Adds a decision whose fields are built only if they are written.
 
         Args:
-            event: The decision.
-            describe: Returns the fields. It must return the values as of now,
-                although it is called later.
+            event: Event text of the decision.
+            build_fields: Returns the fields. It is called when the log is
+                written, but must return the values at the time of the decision.
         """
-        self._decisions.append((time.time(), event, describe))
+        self._decisions.append((time.time(), event, build_fields))
 
     @property
     def has_retry_decision(self) -> bool:
-        """True if the call was retried, or further retries were given up."""
+        """True if the call was retried, or retries of it were abandoned."""
         return any(event in _RETRY_DECISIONS for _, event, _ in self._decisions)
 
     def write(self, end: str, successful: bool, **fields: Any) -> None:
         """Writes the log if the outcome of the call and the rate allow it.
 
         Args:
-            end: Event by which the call ended.
-            successful: Whether the call succeeded, so that nobody will ask for
-                its decisions.
-            **fields: What the caller got.
+            end: Event text of the end of the call.
+            successful: Whether the call succeeded. If so, its decisions are
+                only of interest if it was retried.
+            **fields: Fields of the last line, such as the status that the
+                caller got.
         """
         complete = not successful or self.has_retry_decision
         bucket = _complete_log_bucket if complete else _success_bucket
@@ -100,13 +103,13 @@
             _get_left_out_counter(end).inc()
             return
         if complete:
-            for at, event, decision_fields in self._decisions:
-                described = (
-                    decision_fields()
-                    if callable(decision_fields)
-                    else decision_fields
+            for decided_at, event, fields_or_builder in self._decisions:
+                decision_fields = (
+                    fields_or_builder()
+                    if callable(fields_or_builder)
+                    else fields_or_builder
                 )
-                self._write_line(event, described, at)
+                self._write_line(event, decision_fields, decided_at)
         if bucket.left_out:
             fields["left_out"] = bucket.left_out
             bucket.left_out = 0
@@ -122,26 +125,30 @@
 
 @functools.cache
 def _get_left_out_counter(end: str) -> prometheus_client.Counter:
-    """Returns the counter of one end event.
+    """Returns the counter of omitted logs for one end event.
 
-    It is cached, as the library looks it up under a lock.
+    It is cached, as `prometheus_client` acquires a lock to look it up.
     """
     return _left_out_counter.labels(end)
 
 
-# If one of these was made about a successful call, its complete log is written.
+# Event texts of the decisions that `requests.serving.dispatch` records for a
+# retry and for a failure after which no further retry is made. A call with one
+# of them gets a complete log even if it succeeded.
 _RETRY_DECISIONS = frozenset(("sent again", "given up"))
 
 
 def write_cancellation(
     decision_log: DecisionLog, error: BaseException, elapsed_s: float
 ) -> None:
-    """Writes the log of a call whose caller or daemon disconnected.
+    """Writes the log of a call that was ended by an exception.
+
+    This is usually a cancellation, as its caller or daemon disconnected.
 
     Args:
         decision_log: The decision log of the call.
         error: The exception that ended the call.
-        elapsed_s: Time from the start of the call, in seconds.
+        elapsed_s: Time since the start of the call, in seconds.
     """
     decision_log.write(
         "cut",
@@ -161,7 +168,7 @@
     Args:
         decision_log: The decision log of the call.
         outcome: The outcome of the call.
-        elapsed_s: Time from the start of the call, in seconds.
+        elapsed_s: Time since the start of the call, in seconds.
     """
     elapsed_ms = round(elapsed_s * 1000)
     if isinstance(outcome, outcomes.Answered):
@@ -188,7 +195,7 @@
 
 
 def build_outcome_fields(outcome: outcomes.Outcome) -> dict[str, Any]:
-    """Returns the outcome of one attempt as fields of a log line."""
+    """Returns the log fields that describe the outcome of an attempt."""
     if isinstance(outcome, outcomes.Answered):
         return {"outcome": "answered", "status": outcome.response.status}
     if isinstance(outcome, outcomes.Replayed):
--- a/merlintrestle/requests/reports/statistics.py
+++ b/merlintrestle/requests/reports/statistics.py
@@ -1,4 +1,4 @@
-"""Counts of the outcomes of calls by class of work."""
+"""Counts of call outcomes by class of work."""
 
 from __future__ import annotations
 
@@ -17,10 +17,12 @@
 
     from merlintrestle.documents import snapshot
 
-# Length of the sliding window, in seconds. It is divided into buckets.
+# Length of the sliding window, in seconds.
 WINDOW_S = 60.0
+# Number of buckets into which the window is divided, and length of each.
 _BUCKET_COUNT = 12
 _BUCKET_S = WINDOW_S / _BUCKET_COUNT
+# Minimum HTTP status of a server error.
 _MIN_SERVER_ERROR_STATUS = 500
 
 
@@ -33,7 +35,7 @@
         within_latency: Answered calls that met their latency target.
         refused: Calls that were refused and did not run.
         failed: Calls that ran and failed.
-        unknown: Calls that may have run.
+        unknown: Calls that may or may not have run.
     """
 
     __slots__ = (
@@ -54,15 +56,16 @@
         self.unknown = 0
 
 
-# Organisation, service and class of work.
+# Organisation, service and name of the class of work.
 _Key = tuple[str, str, str]
 
 
 class Statistics:
     """Counts calls by class of work, over a sliding window and since the start.
 
-    It is a collector for `prometheus_client`. Each call updates plain numbers
-    only; metrics are built from them when they are collected.
+    It is a collector for `prometheus_client`. A call only updates Python
+    integers, which is cheap; metrics are built from them on collection.
+    `latencies.Latencies` has the latency distributions of the same calls.
     """
 
     def __init__(self, get_time: Callable[[], float]):
@@ -78,8 +81,8 @@
         self._bucket: dict[_Key, Counts] = {}
         self._bucket_ends_at = 0.0
         # Totals of all buckets before the current one. The counts of the
-        # current bucket are added when metrics are collected, so that each call
-        # updates one place only.
+        # current bucket are added on collection, so that each call updates a
+        # single `Counts`.
         self._totals: dict[_Key, Counts] = {}
 
     def record(
@@ -91,9 +94,9 @@
         """Records a finished call.
 
         Args:
-            plan: Class of work of the call.
+            plan: Plan of its class of work.
             outcome: Outcome of the call.
-            latency_s: Time until its outcome, in seconds.
+            latency_s: Time from its start to its outcome, in seconds.
         """
         now = self._get_time()
         if now >= self._bucket_ends_at:
@@ -106,26 +109,28 @@
         count_outcome(outcome, counts, latency_s <= plan.latency_s)
 
     def get_statuses(self) -> list[control_pb2.ClassStatus]:
-        """Returns the counts of each class over the sliding window."""
-        last_expired = int(self._get_time() / _BUCKET_S) - _BUCKET_COUNT
-        statuses: dict[_Key, control_pb2.ClassStatus] = {}
-        for number, bucket in self._buckets:
-            if number <= last_expired:
+        """Returns the counts of each class of work over the sliding window."""
+        last_expired_number = int(self._get_time() / _BUCKET_S) - _BUCKET_COUNT
+        class_statuses: dict[_Key, control_pb2.ClassStatus] = {}
+        for bucket_number, bucket in self._buckets:
+            if bucket_number <= last_expired_number:
                 continue
             for key, counts in bucket.items():
-                status = statuses.get(key)
-                if status is None:
-                    status = statuses[key] = control_pb2.ClassStatus(
-                        organisation=key[0],
-                        service=key[1],
-                        name=key[2],
-                        window_s=WINDOW_S,
+                class_status = class_statuses.get(key)
+                if class_status is None:
+                    class_status = class_statuses[key] = (
+                        control_pb2.ClassStatus(
+                            organisation=key[0],
+                            service=key[1],
+                            name=key[2],
+                            window_s=WINDOW_S,
+                        )
                     )
-                _add_counts(status, counts)
-        return list(statuses.values())
+                _add_counts(class_status, counts)
+        return list(class_statuses.values())
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yields the counts of all calls since the start."""
+        """Yields the metrics of all calls since the start."""
         by_outcome = metrics_core.CounterMetricFamily(
             "merlintrestle_requests",
             "Calls from callers by class of work and outcome.",
@@ -145,10 +150,10 @@
 
     def _begin_bucket(self, now: float) -> None:
         self._totals = self._compute_totals()
-        number = int(now / _BUCKET_S)
+        bucket_number = int(now / _BUCKET_S)
         self._bucket = {}
-        self._bucket_ends_at = (number + 1) * _BUCKET_S
-        self._buckets.append((number, self._bucket))
+        self._bucket_ends_at = (bucket_number + 1) * _BUCKET_S
+        self._buckets.append((bucket_number, self._bucket))
 
     def _compute_totals(self) -> dict[_Key, Counts]:
         """Returns the counts of all calls since the start."""
@@ -164,12 +169,12 @@
 def count_outcome(
     outcome: object, counts: Counts, within_latency: bool
 ) -> None:
-    """Adds the outcome of a call to the counts of its class.
+    """Adds the outcome of a call to the counts of its class of work.
 
     Args:
         outcome: Outcome of the call.
-        counts: Counts of its class.
-        within_latency: Whether the call met the latency target of its class.
+        counts: Counts of its class of work.
+        within_latency: Whether its latency was within the target of its class.
     """
     raise TypeError(f"not an outcome: {outcome!r}")
 
--- a/merlintrestle/requests/reports/traffic.py
+++ b/merlintrestle/requests/reports/traffic.py
@@ -1,9 +1,10 @@
-"""Report on the traffic of the data path and on what delays it.
+"""Reports on the traffic of the data path and the causes of delays.
 
-A full link and an overloaded processor look the same to callers: answers are
-late. The report tells them apart: if the link is full, bytes wait while the
-event loop is on time; if the processor is overloaded, the event loop is late
-and no bytes wait.
+Callers cannot distinguish a full link from an overloaded processor: in both
+cases, answers are late. The report distinguishes them. If the link is full,
+bytes are queued while the event loop is on time. If the processor is
+overloaded, the event loop is late and no bytes are queued. Queued bytes are
+those in the write buffers of the ports and those reserved on the outgoing link.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 
 # Minimum time between two log lines, in seconds.
 _LOG_INTERVAL_S = 5.0
-# Minimum lateness of the event loop that is logged, in seconds. A tenth of it
-# is usual where the operating system shares a processor.
+# Minimum lateness of the event loop that is logged, in seconds. A lateness of
+# 0.01 s is normal if processes share a processor.
 _MIN_LOGGED_LATENESS_S = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """Bytes transferred since the start over one kind of connection.
+    """Byte counters of one kind of connection, from the start of the daemon.
 
     Attributes:
         received: Bytes received.
@@ -43,12 +44,12 @@
 
 
 class Traffics(NamedTuple):
-    """The traffic of a daemon's data path by kind of connection.
+    """Byte counters of a daemon's data path, by kind of connection.
 
     Attributes:
         callers: Connections on the port for callers.
-        peers: Connections with other daemons: those that they open to the peer
-            port, and those that the local daemon opens to them.
+        peers: Connections with other daemons, in both directions: to the peer
+            port of the local daemon, and to those of the others.
         backend: Connections to the local backend server.
     """
 
@@ -65,15 +66,15 @@
 class TrafficReport:
     """Reports the bytes transferred, the link rate and the event loop lateness.
 
-    It is a collector for `prometheus_client`. While bytes wait or the event
-    loop is late, it also writes a log line every few seconds.
+    It is a collector for `prometheus_client`. While bytes are queued or the
+    event loop is late, it also writes a log line every few seconds.
     """
 
     def __init__(
         self,
         traffics: Traffics,
         link: links.OutgoingLink,
-        get_held_back: Callable[[], int],
+        get_buffered_bytes: Callable[[], int],
         get_time: Callable[[], float],
     ):
         """Initializes the report.
@@ -81,55 +82,55 @@
         Args:
             traffics: The byte counters.
             link: The outgoing link to other daemons.
-            get_held_back: Returns the number of bytes in the write buffers of
-                both ports.
+            get_buffered_bytes: Returns the number of bytes in the write
+                buffers of both ports.
             get_time: Returns the time in seconds.
         """
         self._traffics = traffics
         self._link = link
-        self._get_held_back = get_held_back
+        self._get_buffered_bytes = get_buffered_bytes
         self._get_time = get_time
         self._previous_traffics = _copy(traffics)
         self._created_at = get_time()
         self._interval_began_at = self._created_at
         self._lateness_s = 0.0
         self._max_lateness_s = 0.0
-        self._max_waiting_bytes = 0
+        self._max_queued_bytes = 0
 
     def update(self, lateness_s: float) -> None:
-        """Updates the report; to be called regularly by the event loop.
+        """Updates the report; called periodically by a task of the event loop.
 
         Args:
-            lateness_s: Delay of this call against its schedule, in seconds.
+            lateness_s: Delay of this call after its scheduled time, in seconds.
         """
         self._lateness_s = lateness_s
         self._max_lateness_s = max(self._max_lateness_s, lateness_s)
-        waiting_bytes = self._get_held_back() + self._link.reserved_bytes
-        self._max_waiting_bytes = max(self._max_waiting_bytes, waiting_bytes)
+        queued_bytes = self._get_buffered_bytes() + self._link.reserved_bytes
+        self._max_queued_bytes = max(self._max_queued_bytes, queued_bytes)
         now = self._get_time()
         if now - self._interval_began_at < _LOG_INTERVAL_S:
             return
         if (
-            self._max_waiting_bytes
+            self._max_queued_bytes
             or self._max_lateness_s >= _MIN_LOGGED_LATENESS_S
         ):
             self._write_line(now)
         self._interval_began_at = now
         self._previous_traffics = _copy(self._traffics)
         self._max_lateness_s = 0.0
-        self._max_waiting_bytes = 0
+        self._max_queued_bytes = 0
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yields the byte counts and the gauges."""
-        byte_counts = metrics_core.CounterMetricFamily(
+        """Yields the byte counters and the gauges."""
+        byte_counters = metrics_core.CounterMetricFamily(
             "merlintrestle_bytes",
             "Bytes of the data path by other end and direction.",
             labels=("with", "direction"),
         )
         for name, traffic in self._traffics._asdict().items():
-            byte_counts.add_metric((name, "in"), traffic.received)
-            byte_counts.add_metric((name, "out"), traffic.sent)
-        yield byte_counts
+            byte_counters.add_metric((name, "in"), traffic.received)
+            byte_counters.add_metric((name, "out"), traffic.sent)
+        yield byte_counters
         for name, help_text, value in self._list_gauges():
             yield metrics_core.GaugeMetricFamily(name, help_text, value=value)
 
@@ -150,7 +151,7 @@
             (
                 "merlintrestle_held_back_bytes",
                 "Bytes of answers that wait in write buffers.",
-                self._get_held_back(),
+                self._get_buffered_bytes(),
             ),
             (
                 "merlintrestle_event_loop_lateness_seconds",
@@ -176,7 +177,7 @@
         }
         events.note(
             "bytes waited",
-            waiting=self._max_waiting_bytes,
+            waiting=self._max_queued_bytes,
             link_kb_s=round(self._link.rate / 1000, 1),
             unsent=self._link.unsent,
             loop_late_ms=round(self._max_lateness_s * 1000),
--- a/tests/requests/reports/__init__.py
+++ b/tests/requests/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of merlintrestle.requests.reports."""
+"""Tests of the metrics and decision logs of calls."""
--- a/tests/requests/reports/test_traffic.py
+++ b/tests/requests/reports/test_traffic.py
@@ -1,4 +1,4 @@
-"""Tests of the reports that tell a full link from an overloaded processor."""
+"""Tests of the report on traffic and the causes of delays."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     def setUp(self) -> None:
         self.clock = fakes.Clock()
         self.traffics = traffic.build_traffics()
-        self.held_back = 0
+        self.buffered_bytes = 0
         self.report = traffic.TrafficReport(
             self.traffics,
             links.OutgoingLink(self.clock.get_time),
-            lambda: self.held_back,
+            lambda: self.buffered_bytes,
             self.clock.get_time,
         )
 
     def update(self, duration_s: float, lateness_s: float = 0.0) -> None:
-        """Updates the report twice a second during a time."""
+        """Updates the report every 0.5 s for `duration_s`."""
         for _ in range(round(duration_s * 2)):
             self.clock.now += 0.5
             self.report.update(lateness_s)
@@ -37,15 +37,15 @@
         }
 
     def test_full_link(self) -> None:
-        """If bytes wait while the event loop is on time, one line is written.
+        """A line is logged if bytes are queued and the event loop is on time.
 
-        A write buffer that was full in between counts as well, even if it is
-        empty when the line is written.
+        It also contains queued bytes of earlier updates in the interval, even
+        if the write buffers are empty when the line is written.
         """
         self.traffics.peers.sent += 2_000_000
-        self.held_back = 70_000
+        self.buffered_bytes = 70_000
         self.update(1.0)
-        self.held_back = 0
+        self.buffered_bytes = 0
         with self.assertLogs("merlintrestle.requests") as logs:
             self.update(9.0)
         self.assertEqual(len(logs.records), 1)
@@ -55,27 +55,27 @@
         self.assertEqual(fields["loop_late_ms"], 0)
 
     def test_overloaded_processor(self) -> None:
-        """No bytes wait while the event loop is late."""
+        """A line is logged if the event loop is late, without queued bytes."""
         with self.assertLogs("merlintrestle.requests") as logs:
             self.update(5.0, lateness_s=0.3)
         fields = vars(logs.records[0])["fields"]
         self.assertEqual(fields["waiting"], 0)
         self.assertEqual(fields["loop_late_ms"], 300)
 
-    def test_nothing_waits(self) -> None:
-        """No line is written, however many bytes are transferred."""
+    def test_no_delay(self) -> None:
+        """Traffic alone is not logged, however many bytes are transferred."""
         self.traffics.callers.sent += 9_000_000
         with self.assertNoLogs("merlintrestle.requests"):
             self.update(20.0, lateness_s=0.01)
 
     def test_metrics(self) -> None:
         self.traffics.backend.received += 5
-        self.held_back = 3
+        self.buffered_bytes = 3
         self.update(0.5, lateness_s=0.2)
-        byte_counts = next(iter(self.report.collect()))
+        byte_counters = next(iter(self.report.collect()))
         counts = {
             (sample.labels["with"], sample.labels["direction"]): sample.value
-            for sample in byte_counts.samples
+            for sample in byte_counters.samples
         }
         self.assertEqual(len(counts), 6)
         self.assertEqual(counts["backend", "in"], 5)
@@ -86,27 +86,31 @@
         )
 
 
-class CountedBytesTest(unittest.IsolatedAsyncioTestCase):
+class ByteCountersTest(unittest.IsolatedAsyncioTestCase):
     async def test_bytes_by_kind_of_connection(self) -> None:
-        """A call through another daemon is counted on each connection."""
-        async with builders.run_nodes(2) as (first, second):
-            first.table.upstreams["kassa"] = (second.build_upstream(),)
+        """A call is counted on each connection of its path through daemons."""
+        async with builders.run_nodes(2) as (local_node, remote_node):
+            local_node.table.upstreams["kassa"] = (
+                remote_node.build_upstream(),
+            )
             async with builders.open_client() as client:
                 body = b"x" * 5000
                 await builders.fetch(
-                    client, f"{first.url}/echo", "POST", data=body
+                    client, f"{local_node.url}/echo", "POST", data=body
                 )
-            near, far = (node.proxy._traffics for node in (first, second))
-        for count in (
-            near.callers.received,
-            near.callers.sent,
-            near.peers.sent,
-            near.peers.received,
-            far.peers.received,
-            far.peers.sent,
-            far.backend.sent,
-            far.backend.received,
+            local_traffics, remote_traffics = (
+                node.proxy._traffics for node in (local_node, remote_node)
+            )
+        for byte_count in (
+            local_traffics.callers.received,
+            local_traffics.callers.sent,
+            local_traffics.peers.sent,
+            local_traffics.peers.received,
+            remote_traffics.peers.received,
+            remote_traffics.peers.sent,
+            remote_traffics.backend.sent,
+            remote_traffics.backend.received,
         ):
-            self.assertGreater(count, 5000)
-        self.assertEqual(near.backend, traffic.Traffic())
-        self.assertEqual(far.callers, traffic.Traffic())
+            self.assertGreater(byte_count, 5000)
+        self.assertEqual(local_traffics.backend, traffic.Traffic())
+        self.assertEqual(remote_traffics.callers, traffic.Traffic())
