--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -33,13 +33,15 @@
     from merlintrestle.requests.load import budgets
     from merlintrestle.requests.load import picking
 
+# Timeout of all requests of a client of `open_client`, in seconds.
 TEST_TIMEOUT_S = 10.0
-# Time from the start of a call to its deadline in `build_short_plans`.
+# Time from the start of a call to its deadline in `build_short_plans`, in
+# seconds.
 SHORT_DEADLINE_S = 1.0
 
 
 def build_plan(name: str = "lookup", **fields: Any) -> snapshot.ClassPlan:
-    """Builds a repeatable class of work of kassa with small answers.
+    """Builds the plan of a repeatable class of kassa with small answers.
 
     Args:
         name: Name of the class.
@@ -64,7 +66,7 @@
 
 
 def build_plans() -> dict[str, snapshot.ClassPlan]:
-    """Builds the classes of work of kassa, by path prefix."""
+    """Builds the plans of the classes of work of kassa, by path prefix."""
     return {
         "/payouts": build_plan(
             "payout", repeatable=False, key_required=True, importance=5
@@ -75,7 +77,7 @@
 
 
 def build_short_plans() -> dict[str, snapshot.ClassPlan]:
-    """Builds classes of work with the deadline `SHORT_DEADLINE_S`."""
+    """Builds plans with the deadline `SHORT_DEADLINE_S`, by path prefix."""
     return {
         "/payouts": build_plan(
             "payout", repeatable=False, deadline_s=SHORT_DEADLINE_S
@@ -87,10 +89,10 @@
 def build_snapshot(
     plans: dict[str, snapshot.ClassPlan] | None = None, version: int = 1
 ) -> snapshot.Snapshot:
-    """Builds a configuration version with the service kassa.
+    """Builds the snapshot of a configuration version with the service kassa.
 
     Args:
-        plans: Classes of work by path prefix; by default those of
+        plans: Plans of classes of work by path prefix; by default those of
             `build_plans`.
         version: Number of the version.
     """
@@ -118,7 +120,7 @@
     """Builds an upstream with 12 slots that became ready long ago.
 
     Args:
-        number: Last part of its IP address.
+        number: Last byte of its IP address.
         **fields: Fields of the upstream that differ from the default.
     """
     upstream = table.Upstream(
@@ -135,11 +137,11 @@
 
 
 class Node(contextlib.AsyncExitStack):
-    """The proxy of a daemon with its backend server.
+    """A test daemon: a real proxy, its backend server, and fakes of the rest.
 
     Attributes:
         proxy: The proxy.
-        holder: Fake holder of its configuration version.
+        holder: Its fake `interfaces.ActiveVersion`.
         table: Its fake member table.
         settings: Its settings.
         store: Its fake store.
@@ -161,8 +163,8 @@
 
         Args:
             handler: Handler of the backend server; by default it echoes bodies.
-            running: The configuration version; by default that of
-                `build_snapshot`.
+            running: Snapshot of the active configuration version; by default
+                that of `build_snapshot`.
             slots: Slots of the backend server.
             store: The store; by default a new fake store.
         """
@@ -214,27 +216,27 @@
 
     @property
     def budget(self) -> budgets.Budget:
-        """The retry budget of kassa."""
+        """The retry budget for kassa."""
         return self.proxy._budgets.get("kassa")
 
     @property
     def picker(self) -> picking.Picker:
-        """The picker of upstreams."""
+        """The upstream picker of the proxy."""
         return self.proxy._dispatch._picker
 
     def exhaust_budget(self) -> None:
-        """Spends the whole retry budget of kassa."""
+        """Spends the whole retry budget for kassa."""
         budget = self.budget
         while budget.try_spend():
             pass
 
     def add_upstream(self, node: Node) -> None:
-        """Adds a node to the member table of this node."""
+        """Adds a node to the upstreams of kassa in this node's member table."""
         upstreams = self.table.upstreams.get("kassa", ())
         self.table.upstreams["kassa"] = (*upstreams, node.build_upstream())
 
     def build_upstream(self) -> table.Upstream:
-        """Builds this node's entry in the member tables of other nodes."""
+        """Builds the upstream by which other nodes reach this node."""
         return table.Upstream(
             member_id=self.member_id,
             address="127.0.0.1",
@@ -276,7 +278,10 @@
 
 
 class SlowDownload:
-    """A download whose last bytes remain in the daemon, as the caller is slow.
+    """A download whose caller does not read the answer at first.
+
+    The last bytes of the answer therefore stay in the daemon's write buffer.
+    The class contains both the caller and the handler of the backend server.
 
     Attributes:
         length: Number of bytes that the backend server sent.
@@ -310,30 +315,32 @@
         return reader, writer
 
     async def send(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Sends chunks until some bytes wait in the daemon's write buffer.
+        """Sends chunks until the daemon's write buffer is not empty.
 
         It is the handler of the backend server.
         """
         answer = web.StreamResponse()
         await answer.prepare(request)
-        while not self._get_held_back():
+        while not self._get_buffered_bytes():
             await answer.write(self._CHUNK)
             self.length += len(self._CHUNK)
+            # Lets the daemon read the chunk and write it to the caller.
             for _ in range(10):
                 await asyncio.sleep(0)
         await answer.write_eof()
         return answer
 
     async def wait_until_held_back(self) -> None:
-        """Waits until the call has ended, but part of its answer is unsent.
+        """Waits until the call has ended, with a non-empty write buffer.
 
-        The unsent part is in the daemon's write buffer.
+        The buffer contains the last bytes of the answer, which the daemon has
+        not written to the socket yet.
         """
         while self._node.proxy.in_flight or not self.length:
             await asyncio.sleep(0)
-        assert self._get_held_back()
+        assert self._get_buffered_bytes()
 
-    def _get_held_back(self) -> int:
+    def _get_buffered_bytes(self) -> int:
         return sum(
             transport.get_write_buffer_size()
             for transport in self._node.list_transports()
@@ -347,15 +354,15 @@
 
 @contextlib.asynccontextmanager
 async def run_nodes(
-    count: int, only_local: bool = False, **options: Any
+    count: int, isolated: bool = False, **options: Any
 ) -> AsyncIterator[list[Node]]:
     """Runs several daemons that share a store.
 
     Args:
         count: Number of daemons.
-        only_local: Whether each daemon knows only its local backend server
-            rather than all of them.
-        **options: Passed to each node.
+        isolated: Whether each daemon has only its local backend server as an
+            upstream, instead of the backend servers of all daemons.
+        **options: Passed to `Node`.
 
     Yields:
         The nodes.
@@ -367,9 +374,9 @@
             node = await stack.enter_async_context(Node(**options))
             nodes.append(await node.start())
         for node in nodes:
-            for other in nodes:
-                if other is node or not only_local:
-                    node.add_upstream(other)
+            for upstream_node in nodes:
+                if upstream_node is node or not isolated:
+                    node.add_upstream(upstream_node)
             node.proxy.crashes.send_strike = _build_strike_sender(nodes)
         yield nodes
 
@@ -388,7 +395,7 @@
 
 @contextlib.asynccontextmanager
 async def open_client() -> AsyncIterator[aiohttp.ClientSession]:
-    """Opens an HTTP client that is limited by `TEST_TIMEOUT_S`."""
+    """Opens an HTTP client with a total timeout of `TEST_TIMEOUT_S`."""
     async with (
         asyncio.timeout(TEST_TIMEOUT_S),
         aiohttp.ClientSession(
@@ -417,17 +424,17 @@
     latency_deadline: float = float("inf"),
     return_trip_s: float = 0.0,
 ) -> calls.Call:
-    """Builds a call as the daemon of the backend server receives it.
+    """Builds a call as the daemon of the called backend server receives it.
 
     Args:
         key: Its idempotency key.
         deadline: Monotonic time of its deadline, in seconds.
         body: Its body.
-        plan: Its class of work; by default payouts.
+        plan: Plan of its class of work; by default that of payouts.
         latency_deadline: Monotonic time by which its latency target is met, in
             seconds.
-        return_trip_s: Time that a refusal takes back to the daemon of the
-            caller, in seconds.
+        return_trip_s: Time that a refusal takes to the daemon of the caller,
+            in seconds.
     """
     plan = plan or build_plans()["/payouts"]
     return calls.Call(
@@ -450,7 +457,7 @@
 def shorten_probe_delays(
     case: unittest.TestCase, *delays: str, wait_s: float = 0.02
 ) -> None:
-    """Shortens the delays after which silent peers are probed, in this test.
+    """Shortens, for one test, the delays after which silent peers are probed.
 
     Args:
         case: The test.
@@ -467,7 +474,7 @@
     result: probes.ProbeResult,
     on_probe: Callable[[], Any],
 ) -> None:
-    """Replaces all probes about calls by a fixed result, in this test.
+    """Replaces, for one test, the results of all probes by a fixed result.
 
     Args:
         case: The test.
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -29,11 +29,12 @@
 
 
 class Holder:
-    """Holds one configuration version, or none while the daemon is closed.
+    """A fake `interfaces.ActiveVersion` whose version is set by the test.
 
     Attributes:
-        running: The version; None while the daemon is closed.
-        closed_reason: Why the daemon is closed.
+        running: Snapshot of the active version; None while the daemon is
+            closed, that is, while it refuses all calls.
+        closed_reason: Why the daemon is closed; refusals contain it.
     """
 
     def __init__(self, running: snapshot.Snapshot | None):
@@ -42,7 +43,7 @@
 
 
 class Table:
-    """A member table that is set by the test.
+    """A fake `interfaces.MemberTable` whose upstreams are set by the test.
 
     Attributes:
         upstreams: The upstreams by service.
@@ -64,7 +65,7 @@
     """Fault of one call of the store."""
 
     NONE = enum.auto()
-    # The request never arrives.
+    # The request does not arrive.
     REQUEST_LOST = enum.auto()
     # The request takes effect, but its reply is lost.
     REPLY_LOST = enum.auto()
@@ -75,13 +76,13 @@
 
 
 class Store:
-    """A store in memory whose calls can fail in each way of `Fault`.
+    """A fake `interfaces.Store` in memory, with the faults of `Fault`.
 
     Attributes:
-        now: Its clock in seconds, by which leases expire.
+        now: Its current time in seconds, by which leases expire.
         faults: Faults of the next calls, in this order.
-        fault: Fault of the calls after these.
-        writes: Number of writes that arrived.
+        fault: Fault of all calls after those of `faults`.
+        writes: Number of writes, deletions and lease requests that arrived.
     """
 
     def __init__(self) -> None:
@@ -146,7 +147,7 @@
         return lease_id
 
     def lose_leases(self) -> None:
-        """Drops all leases and keys, as a store that was restored may do."""
+        """Deletes all leases and keys, as the restore of a backup may do."""
         self._leases.clear()
         self._entries.clear()
 
