--- a/tests/requests/interleaving.py
+++ b/tests/requests/interleaving.py
@@ -1,4 +1,9 @@
-"""Simulation of daemons whose concurrent steps run in a chosen order."""
+"""Deterministic simulation of concurrent daemons.
+
+Each store request, each recall and the end of each run on a backend server is a
+step of a daemon. It waits until the test resumes it, so the test chooses the
+order of the steps.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +21,8 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.schema import request_pb2
 
-# Iterations of the event loop after which all tasks wait for the test.
+# Iterations of the event loop that suffice for each task to end or to reach its
+# next step.
 _LOOP_ITERATIONS = 30
 # Time from the start of a call to its deadline, in seconds.
 _DEADLINE_S = 10.0
@@ -37,29 +43,29 @@
 
 
 class Daemon:
-    """The claims of one daemon, whose steps run when the test resumes them.
+    """A simulated daemon, reduced to its claims and its at-most-once runner.
 
     Attributes:
-        frozen: Whether it is frozen: its steps are not resumed, and it does not
-            answer other daemons.
+        frozen: Whether it is suspended: its steps are not resumed, and it does
+            not answer other daemons.
         dead: Whether it has crashed.
-        world: The simulation to which it belongs.
+        simulation: The simulation to which it belongs.
         number: Number of the daemon.
-        pending_steps: Futures of the steps that wait to be resumed.
+        pending_steps: Futures for which its steps wait until resumed.
         claims: Its claims.
         runner: Runs each payout at most once.
     """
 
-    def __init__(self, world: World, number: int):
+    def __init__(self, simulation: World, number: int):
         """Initializes a daemon.
 
         Args:
-            world: The simulation to which it belongs.
+            simulation: The simulation to which it belongs.
             number: Number of the daemon.
         """
         self.frozen = False
         self.dead = False
-        self.world = world
+        self.simulation = simulation
         self.number = number
         self.pending_steps: list[asyncio.Future[None]] = []
         owner = claims.Owner(f"10.0.0.{number}:1", f"10.0.0.{number}", 1)
@@ -79,7 +85,7 @@
         )
 
     async def wait_for_resume(self) -> None:
-        """Waits until the test resumes this step of the daemon."""
+        """Adds a pending step and waits until the test resumes it."""
         future: asyncio.Future[None] = asyncio.Future()
         self.pending_steps.append(future)
         await future
@@ -87,37 +93,39 @@
     async def recall(
         self, claim: request_pb2.Claim, claim_key: str, wait_s: float
     ) -> request_pb2.RecallReply | None:
-        """Recalls a claim of another daemon, once the test resumes this step.
+        """Recalls a claim of another daemon, as one step.
 
         Args:
             claim: The claim.
             claim_key: Key of the claim in the store.
-            wait_s: Time that the recall takes, in seconds.
+            wait_s: Time that the recall takes on the simulated clock, in
+                seconds.
 
         Returns:
             The reply; None if the daemon is frozen or has crashed.
         """
         await self.wait_for_resume()
-        self.world.store.now += wait_s
-        holder = self.world.daemons[int(claim.member_id.split(".")[3][0])]
+        self.simulation.store.now += wait_s
+        # The last byte of the IP address is the number of the daemon.
+        holder = self.simulation.daemons[int(claim.member_id.split(".")[3][0])]
         if holder.frozen or holder.dead:
             return None
         return await holder.claims.answer_recall(claim.claim_id, 0)
 
     async def _forward(self, call: calls.Call) -> outcomes.Outcome:
         call_number = int(call.headers["Call-Number"])
-        backend_result = self.world.take_backend_result()
+        backend_result = self.simulation.take_backend_result()
         if backend_result == "refused":
             return outcomes.NotRun("could not connect", elsewhere=True)
-        run = Run(call.key, call_number, self.world.store.now)
-        self.world.runs.append(run)
+        run = Run(call.key, call_number, self.simulation.store.now)
+        self.simulation.runs.append(run)
         await self.wait_for_resume()
         if backend_result == "broken":
             return outcomes.Unknown("the connection broke")
         return outcomes.Ran("stands for an answer that is not kept")
 
     def _get_time(self) -> float:
-        return self.world.store.now
+        return self.simulation.store.now
 
 
 class World:
@@ -127,8 +135,8 @@
         store: The store that the daemons share.
         runs: Runs of calls on the backend servers, in order.
         backend_results: Results of the next requests to backend servers:
-            "answered", "refused" or "broken". Afterwards all are answered.
-        results: Idempotency key and outcome of each finished call, by its
+            "answered", "refused" or "broken". All later ones are answered.
+        results: Idempotency key and outcome of each finished call, by call
             number. Calls to daemons that have crashed get no outcome.
         daemons: The daemons.
     """
@@ -163,7 +171,7 @@
         )
 
     def crash(self, number: int) -> None:
-        """Replaces a daemon by a new one without its state."""
+        """Replaces a daemon by a new one that has none of its state."""
         self.daemons[number].dead = True
         self.daemons[number] = Daemon(self, number)
 
@@ -180,12 +188,16 @@
             daemon.pending_steps.pop(position).set_result(None)
 
     async def run_until_blocked(self) -> None:
-        """Runs all tasks until each of them waits to be resumed."""
+        """Runs all tasks until each of them has ended or waits at a step."""
         for _ in range(_LOOP_ITERATIONS):
             await asyncio.sleep(0)
 
     async def finish(self) -> None:
-        """Resumes all daemons until their calls end, without new faults."""
+        """Resumes all daemons until no step is pending, without new faults.
+
+        The rounds are bounded in case a call never ends. Such a call has no
+        outcome in `results`.
+        """
         self.store.faults.clear()
         self.store.apply_delayed_writes()
         for _ in range(200):
@@ -214,7 +226,7 @@
 
 
 class _AdmitAll:
-    """An admission that accepts all calls."""
+    """A fake `load.admission.Admission` that admits all calls."""
 
     async def acquire(self, call: calls.Call) -> None:
         return None
@@ -224,7 +236,7 @@
 
 
 class _SteppedStore:
-    """The shared store; the test resumes each call of it."""
+    """The shared store, with each call of a daemon as one step."""
 
     def __init__(self, daemon: Daemon):
         self._daemon = daemon
@@ -232,7 +244,7 @@
     def __getattr__(self, name: str) -> Any:
         async def call(*arguments: Any) -> Any:
             await self._daemon.wait_for_resume()
-            method = getattr(self._daemon.world.store, name)
+            method = getattr(self._daemon.simulation.store, name)
             return await method(*arguments)
 
         return call
--- a/tests/requests/sessions.py
+++ b/tests/requests/sessions.py
@@ -1,4 +1,4 @@
-"""Logs of whole sessions, to compare with golden files."""
+"""Transcripts of requests and answers, for tests with golden files."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
     from tests.requests import builders
 
 _ROOT = pathlib.Path(__file__).parent.parent / "roots" / "requests"
-# Environment variable; if set, the golden files are written.
+# Environment variable. If it is set, the golden files are written before the
+# comparison.
 _WRITE_VARIABLE = "WRITE_GOLDEN_FILES"
+# Maximum number of characters of a body in the transcript; the rest is omitted.
 _MAX_SHOWN_CHARACTERS = 60
 
 
 class Session:
-    """Log of the requests and answers at callers and backend servers.
+    """Transcript of the requests and answers at callers and backend servers.
 
     Attributes:
-        nodes: The daemons, numbered from 1 in the log.
+        nodes: The daemons, numbered from 1 in the transcript.
     """
 
     def __init__(self) -> None:
@@ -34,7 +36,7 @@
         self._lines: list[str] = []
 
     def add_line(self, line: str) -> None:
-        """Adds a line to the log."""
+        """Adds a line to the transcript."""
         self._lines.append(line)
 
     def find_backend(self, request: web.BaseRequest) -> int:
@@ -45,7 +47,7 @@
         raise LookupError("no backend server has this request")
 
     def record_request(self, request: web.BaseRequest) -> None:
-        """Logs a request that a backend server received."""
+        """Records a request that a backend server received."""
         self.add_line(
             f"backend server {self.find_backend(request)} gets {request.method}"
             f" {request.raw_path}"
@@ -59,10 +61,10 @@
         path: str,
         **options: Any,
     ) -> None:
-        """Sends a request to a daemon, and logs the request and its answer.
+        """Sends a request to a daemon, and records the request and its answer.
 
         Args:
-            client: Client session of the caller.
+            client: HTTP client of the caller.
             number: Number of the daemon.
             method: Method of the request.
             path: Path of the request, without the service.
@@ -81,7 +83,7 @@
             self.add_line(f"    {body[:_MAX_SHOWN_CHARACTERS]}")
 
     def compare(self, test: unittest.TestCase, name: str) -> None:
-        """Compares the log with its golden file.
+        """Compares the transcript with its golden file.
 
         Args:
             test: The test, for its assertions.
