--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -33,7 +33,7 @@
         warm_at: Monotonic time at which its warm-up ends, in seconds. Until
             then it may be slow, as its process has just started.
         instance_id: Id of its process; empty if not announced.
-        born_ms: Start time of its process, in ms since 1970; 0 if not
+        started_ms: Start time of its process, in ms since 1970; 0 if not
             announced.
         state: State as announced, or DOWN while it refuses connections.
         ready_since_ms: Time at which it became ready, in ms since 1970, minus
@@ -54,7 +54,7 @@
         self.version = ""
         self.warm_at = 0.0
         self.instance_id = ""
-        self.born_ms = 0
+        self.started_ms = 0
         self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
         self.ready_since_ms = 0
         self.reachable = True
@@ -101,7 +101,7 @@
             self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
             self.on_restart(self.address)
         self.instance_id = instance_id
-        self.born_ms = born_ms
+        self.started_ms = born_ms
         self.version = version
         self.service = service
         self.address = address
@@ -177,7 +177,7 @@
         """
         if not self.instance_id:
             return False
-        started_later = 0 < self.born_ms < born_ms
+        started_later = 0 < self.started_ms < born_ms
         return started_later or instance_id != self.instance_id
 
     def _set_state(self, state: control_pb2.BackendState) -> None:
--- a/merlintrestle/requests/reports/decision_logs.py
+++ b/merlintrestle/requests/reports/decision_logs.py
@@ -35,10 +35,10 @@
     "Requests whose decisions were not logged, to keep to the rate.",
     ("end",),
 )
-_complete_log_bucket = event_logs.Bucket(
+_complete_log_bucket = event_logs.TokenBucket(
     time.monotonic(), MAX_COMPLETE_LOGS_PER_S
 )
-_success_bucket = event_logs.Bucket(
+_success_bucket = event_logs.TokenBucket(
     time.monotonic(), MAX_SUCCESS_LINES_PER_S, burst=MAX_SUCCESS_LINES_PER_S
 )
 
@@ -99,7 +99,7 @@
         """
         complete = not successful or self.has_retry_decision
         bucket = _complete_log_bucket if complete else _success_bucket
-        if not bucket.take(time.monotonic()):
+        if not bucket.try_take(time.monotonic()):
             _get_left_out_counter(end).inc()
             return
         if complete:
--- a/merlintrestle/requests/reports/statistics.py
+++ b/merlintrestle/requests/reports/statistics.py
@@ -164,7 +164,7 @@
         return totals
 
 
-@generics.remember_choices
+@generics.cache_dispatch
 @functools.singledispatch
 def count_outcome(
     outcome: object, counts: Counts, within_latency: bool
