--- a/merlintrestle/members/anti_entropy.py
+++ b/merlintrestle/members/anti_entropy.py
@@ -21,12 +21,14 @@
 
 events = event_logs.EventLog("members")
 
-# One of this many rounds contacts a gone member or a seed. This reconnects
-# regions that were partitioned for so long that each considers the other dead.
-_GONE_ROUND_INTERVAL = 4
-# While no difference is known, only one of this many rounds is made: a
-# comparison costs about 1,700 bytes, most of them for a new connection.
-_QUIET_ROUND_INTERVAL = 4
+# On average, one of this many rounds contacts a gone member or a configured
+# seed. This reconnects regions that were partitioned for so long that each
+# considers the other dead.
+_ROUNDS_PER_GONE_CONTACT = 4
+# While no difference is known, only one of this many rounds compares tables,
+# because a comparison costs about 1,700 bytes, most of them for a new
+# connection.
+_ROUNDS_PER_IDLE_COMPARISON = 4
 
 
 class AntiEntropy:
@@ -42,9 +44,18 @@
         table: table_lib.MemberTable,
         peers: peers_lib.PeerClient,
         store: client.StoreClient | None,
-        seeds: Sequence[str],
+        configured_seeds: Sequence[str],
         timing: timing_lib.Timing,
     ):
+        """Initializes anti-entropy.
+
+        Args:
+            table: The member table of this daemon.
+            peers: Client for calls to other daemons.
+            store: Holds the stored seeds; None if there is no store.
+            configured_seeds: Control addresses of daemons to contact first.
+            timing: Intervals and timeouts.
+        """
         self.on_reply_built: list[
             Callable[[control_pb2.MembersReply], None]
         ] = []
@@ -54,10 +65,10 @@
         self._table = table
         self._peers = peers
         self._store = store
-        self._seeds = list(seeds)
+        self._configured_seeds = list(configured_seeds)
         self._timing = timing
         self._contacted = asyncio.Event()
-        self._differing: set[str] = set()
+        self._differing_ids: set[str] = set()
         self._round = 0
 
     async def wait_for_contact(self, timeout_s: float) -> bool:
@@ -73,54 +84,62 @@
         return True
 
     def record_difference(self, peer_id: str) -> None:
-        """Makes a peer whose digest differed a candidate for the next round."""
+        """Prefers a peer in the next round because its digest differed."""
         if peer_id:
-            self._differing.add(peer_id)
+            self._differing_ids.add(peer_id)
 
     async def join(self) -> None:
-        """Contacts a first daemon by the seeds, or else by the store's records.
-
-        When many daemons start at once, the seeds are starting too, so they are
-        tried for a while. The first reads of the store are spread over
-        `Timing.start_jitter_s` and later ones back off, so that the daemons do
-        not all read the store at once.
+        """Makes the first contact with the fleet.
+
+        Contacts the configured seeds, or the stored seeds if no configured seed
+        answers. When many daemons start at once, the configured seeds are
+        starting too, so they are contacted repeatedly for
+        `Timing.start_jitter_s`. The first reads of the store are spread over
+        the same time and later ones back off, so that the daemons do not all
+        read the store at once.
         """
-        if await self._contact_seeds():
+        if await self._contact_configured_seeds():
             return
         await asyncio.sleep(random.uniform(0, self._timing.start_jitter_s))
         backoff = timing_lib.Backoff(1.0, self._timing.max_store_retry_delay_s)
         while not self._contacted.is_set():
-            addresses = await self._read_seeds()
-            if addresses is not None:
-                await self._contact_any(addresses)
-                # If none of the seeds in the store answers, this daemon is
-                # alone.
+            seed_ids = await self._read_stored_seeds()
+            if seed_ids is not None:
+                await self._contact_any(seed_ids)
+                # If no stored seed answers, this daemon continues alone.
                 self._contacted.set()
                 return
             await asyncio.sleep(backoff.get_next_delay())
-            await self._contact_any(self._seeds)
+            await self._contact_any(self._configured_seeds)
+
+    async def _contact_configured_seeds(self) -> bool:
+        """Contacts the configured seeds repeatedly for `start_jitter_s`.
 
-    async def _contact_seeds(self) -> bool:
-        """Tries the seeds for `start_jitter_s`; True once a daemon answered."""
+        Returns:
+            Whether the first contact has been made, by either side.
+        """
         backoff = timing_lib.Backoff(0.1, 1.0)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._timing.start_jitter_s
-        while self._seeds and loop.time() < deadline:
-            if await self._contact_any(self._seeds) or self._contacted.is_set():
+        while self._configured_seeds and loop.time() < deadline:
+            if (
+                await self._contact_any(self._configured_seeds)
+                or self._contacted.is_set()
+            ):
                 return True
             await asyncio.sleep(backoff.get_next_delay())
         return self._contacted.is_set()
 
     async def run_round(self) -> str | None:
-        """Compares with a peer; returns its id if it did not answer.
+        """Compares the table with a peer's; returns its id if it is silent.
 
-        Most rounds are skipped while no difference is known and no member is
-        gone.
+        Most rounds make no comparison while no difference is known and no
+        member is gone.
         """
         self._round += 1
         if self._is_alone():
-            await self._contact_any(await self._read_seeds() or [])
-        if self._is_quiet() and self._round % _QUIET_ROUND_INTERVAL:
+            await self._contact_any(await self._read_stored_seeds() or [])
+        if self._is_in_sync() and self._round % _ROUNDS_PER_IDLE_COMPARISON:
             return None
         peer_id = self._choose_peer()
         if peer_id is None:
@@ -132,7 +151,7 @@
         return None
 
     async def compare(self, peer_id: str) -> None:
-        """Exchanges the buckets that differ from a peer's table.
+        """Exchanges the buckets in which a peer's table differs.
 
         Raises:
             peers_lib.PeerError: The peer did not answer.
@@ -143,11 +162,12 @@
         )
         reply = await self._call(peer_id, request)
         self._merge(reply.members)
-        differing = self._find_differing(reply.bucket_digests)
-        if not differing:
+        differing_buckets = self._find_differing(reply.bucket_digests)
+        if not differing_buckets:
             return
         request = control_pb2.MembersRequest(
-            buckets=differing, members=self._select(differing, reply.members)
+            buckets=differing_buckets,
+            members=self._select_needed(differing_buckets, reply.members),
         )
         reply = await self._call(peer_id, request)
         self._merge(reply.members)
@@ -155,7 +175,7 @@
     def answer(
         self, request: control_pb2.MembersRequest
     ) -> control_pb2.MembersReply:
-        """Merges the records of a request and returns those that differ."""
+        """Merges the records of a request and returns those the peer needs."""
         self._contacted.set()
         self._merge(request.members)
         buckets = list(request.buckets) or self._find_differing(
@@ -163,53 +183,54 @@
         )
         reply = control_pb2.MembersReply(
             bucket_digests=self._table.bucket_digests,
-            members=self._select(buckets, request.members),
+            members=self._select_needed(buckets, request.members),
         )
-        for add in self.on_reply_built:
-            add(reply)
+        for callback in self.on_reply_built:
+            callback(reply)
         return reply
 
-    async def _contact_any(self, addresses: Sequence[str]) -> bool:
+    async def _contact_any(self, member_ids: Sequence[str]) -> bool:
         """Contacts daemons in random order until one answers."""
-        for address in random.sample(list(addresses), len(addresses)):
-            if address == self._table.local_id:
+        for member_id in random.sample(list(member_ids), len(member_ids)):
+            if member_id == self._table.local_id:
                 continue
             try:
-                await self._contact(address)
+                await self._bootstrap_from(member_id)
             except peers_lib.PeerError as error:
-                events.note("no contact", member=address, error=str(error))
+                events.note("no contact", member=member_id, error=str(error))
                 continue
             self._contacted.set()
             return True
         return False
 
-    async def _contact(self, address: str) -> None:
-        """Gets some members from a first daemon and all from one of these.
+    async def _bootstrap_from(self, seed_id: str) -> None:
+        """Fetches one random bucket from a seed, then the table from a member.
 
-        If many starting daemons requested whole tables from the few seeds, they
-        would overload the seeds.
+        The whole table is fetched from a random member of that bucket, or from
+        the seed if this fails. If many starting daemons requested whole tables
+        from the few seeds, they would overload the seeds.
 
         Raises:
-            peers_lib.PeerError: Neither daemon answered.
+            peers_lib.PeerError: The seed did not answer.
         """
         request = control_pb2.MembersRequest(
             buckets=[random.randrange(table_lib.BUCKETS)],
             members=[self._table.local_member],
         )
-        reply = await self._call(address, request)
+        reply = await self._call(seed_id, request)
         candidates = [
             member.id
             for member in reply.members
-            if member.id not in (self._table.local_id, address)
+            if member.id not in (self._table.local_id, seed_id)
         ]
         self._merge(reply.members)
         try:
-            await self.compare(random.choice(candidates or [address]))
+            await self.compare(random.choice(candidates or [seed_id]))
         except peers_lib.PeerError:
-            await self.compare(address)
+            await self.compare(seed_id)
 
-    async def _read_seeds(self) -> list[str] | None:
-        """Returns the seeds in the store, or None if it did not answer."""
+    async def _read_stored_seeds(self) -> list[str] | None:
+        """Returns the stored seeds, or None if the store did not answer."""
         if self._store is None:
             return []
         try:
@@ -218,42 +239,56 @@
             events.note("no seeds", error=str(error))
             return None
 
-    async def contact_unknown(self, addresses: Sequence[str]) -> None:
-        """Contacts the daemons that are not in the table.
+    async def contact_unknown(self, member_ids: Sequence[str]) -> None:
+        """Contacts those of the given daemons that are not in the table.
 
         Two partitions of a fleet that started separately at the same time do
-        not know each other; the seed records lead one to the other.
+        not know each other, but each finds the other by its seed record.
         """
-        unknown = [i for i in addresses if self._table.get(i) is None]
-        await self._contact_any(unknown)
+        unknown_ids = [
+            member_id
+            for member_id in member_ids
+            if self._table.get(member_id) is None
+        ]
+        await self._contact_any(unknown_ids)
 
     async def contact_stored_seeds(self) -> None:
-        """Contacts the seeds in the store that are not in the table."""
-        await self.contact_unknown(await self._read_seeds() or [])
+        """Contacts the stored seeds that are not in the table."""
+        await self.contact_unknown(await self._read_stored_seeds() or [])
 
     def _is_alone(self) -> bool:
-        """Tells whether no other usable member is known.
+        """Tells whether this daemon knows no other usable member.
 
-        This is the case when all daemons start at once.
+        This can happen when all daemons start at once.
         """
         return len(self._table.list_usable_ids()) <= 1
 
-    def _is_quiet(self) -> bool:
-        return not self._differing and not any(
+    def _is_in_sync(self) -> bool:
+        """Tells whether no difference is known and no member is gone."""
+        return not self._differing_ids and not any(
             table_lib.is_gone(member) for member in self._table.list_members()
         )
 
     def _choose_peer(self) -> str | None:
         local_id = self._table.local_id
         members = [m for m in self._table.list_members() if m.id != local_id]
-        gone = [m.id for m in members if table_lib.is_gone(m)]
-        usable = [m.id for m in members if not table_lib.is_gone(m)]
-        seeds = [seed for seed in self._seeds if seed != local_id]
-        if random.randrange(_GONE_ROUND_INTERVAL) == 0 and gone + seeds:
-            return random.choice(gone + seeds)
-        differing = [i for i in usable if i in self._differing]
-        self._differing.clear()
-        candidates = differing or usable or seeds
+        gone_ids = [m.id for m in members if table_lib.is_gone(m)]
+        usable_ids = [m.id for m in members if not table_lib.is_gone(m)]
+        seed_ids = [
+            seed_id for seed_id in self._configured_seeds if seed_id != local_id
+        ]
+        if (
+            random.randrange(_ROUNDS_PER_GONE_CONTACT) == 0
+            and gone_ids + seed_ids
+        ):
+            return random.choice(gone_ids + seed_ids)
+        differing_ids = [
+            member_id
+            for member_id in usable_ids
+            if member_id in self._differing_ids
+        ]
+        self._differing_ids.clear()
+        candidates = differing_ids or usable_ids or seed_ids
         return random.choice(candidates) if candidates else None
 
     async def _call(
@@ -262,18 +297,18 @@
         reply: control_pb2.MembersReply = await self._peers.call(
             peer_id, "Members", request, self._timing.fetch_timeout_s
         )
-        for notify in self.on_reply_received:
-            notify(reply)
+        for callback in self.on_reply_received:
+            callback(reply)
         return reply
 
     def _merge(self, members: Sequence[control_pb2.Member]) -> None:
         for member in members:
             self._table.merge(member)
 
-    def _select(
+    def _select_needed(
         self, buckets: Sequence[int], peer_records: Sequence[control_pb2.Member]
     ) -> list[control_pb2.Member]:
-        """Returns the records of some buckets that the peer needs."""
+        """Returns the records in the given buckets that the peer needs."""
         records_by_id = {member.id: member for member in peer_records}
         return [
             member
@@ -282,7 +317,11 @@
         ]
 
     def _find_differing(self, digests: Sequence[int]) -> list[int]:
-        """Returns the buckets that differ, or all if no digests were given."""
+        """Returns the buckets whose digest differs from the local one.
+
+        Returns all buckets if the number of digests differs, as in a request
+        without digests.
+        """
         local_digests = self._table.bucket_digests
         if len(digests) != len(local_digests):
             return list(range(len(local_digests)))
@@ -296,8 +335,9 @@
 ) -> bool:
     """Tells whether a peer needs a record.
 
-    Records of gone members are sent only to a peer that holds an older record.
-    Otherwise daemons that have removed them would receive them again and again.
+    The record of a gone member is sent only to a peer that holds an older
+    record of it. Otherwise daemons that have removed the member would receive
+    the record again and again.
     """
     if peer_record is None:
         return not table_lib.is_gone(member)
--- a/merlintrestle/members/seeds.py
+++ b/merlintrestle/members/seeds.py
@@ -1,4 +1,4 @@
-"""Seed records in the store, by which a daemon finds its first peer."""
+"""Seed records in the store, which starting daemons use for first contact."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
 events = event_logs.EventLog("members")
 
 KEY_PREFIX = "seeds/"
-# Members in the record of an availability zone.
+# Maximum number of members in the record of an availability zone.
 SEEDS_PER_ZONE = 8
 _MAX_ZONES = 100
 
 
 async def read_seeds(store: records.Store) -> list[str]:
-    """Returns the control addresses in the seed records of all zones.
+    """Returns the member ids in the seed records of all zones.
+
+    The id of a member is its control address.
 
     Raises:
         errors.StoreUnavailableError: The store did not answer.
     """
-    return _list_addresses(await store.list(KEY_PREFIX, limit=_MAX_ZONES))
+    return _list_member_ids(await store.list(KEY_PREFIX, limit=_MAX_ZONES))
 
 
 async def write_seeds(
@@ -38,12 +40,14 @@
 ) -> list[str]:
     """Writes the seed record of a zone if it differs from the stored one.
 
-    If another writer was faster, its record stays and is among those returned:
-    it may come from a partition of the fleet that started at the same time and
-    does not know this one, and its addresses let the two partitions merge.
+    If another daemon writes the record at the same time and wins, its record
+    stays. It may come from a partition of the fleet that started at the same
+    time and does not know this one. The caller contacts the returned members,
+    which merges the two partitions.
 
     Returns:
-        The addresses in the records of all zones, without those just written.
+        The member ids in the records of all zones as read before the write, and
+        those in the record of another daemon that won.
 
     Raises:
         errors.StoreError: The store did not answer.
@@ -54,23 +58,25 @@
     )
     value = record.SerializeToString(deterministic=True)
     entries = await store.list(KEY_PREFIX, limit=_MAX_ZONES)
-    current = {entry.key: entry for entry in entries}.get(key)
-    if current is not None and current.value == value:
-        return _list_addresses(entries)
-    reply = await store.put(key, value, current.revision if current else 0)
+    stored_entry = {entry.key: entry for entry in entries}.get(key)
+    if stored_entry is not None and stored_entry.value == value:
+        return _list_member_ids(entries)
+    reply = await store.put(
+        key, value, stored_entry.revision if stored_entry else 0
+    )
     if not reply.written:
         entries = [*entries, reply.entry]
-    return _list_addresses(entries)
+    return _list_member_ids(entries)
 
 
-def _list_addresses(entries: Sequence[client.Entry]) -> list[str]:
-    addresses: list[str] = []
+def _list_member_ids(entries: Sequence[client.Entry]) -> list[str]:
+    member_ids: list[str] = []
     for entry in entries:
         try:
             record = control_pb2.MembersReply.FromString(entry.value)
         except message.DecodeError as error:
-            # The daemons of that zone will rewrite it; until then starting
-            # daemons use the records of the other zones.
+            # The daemons of that zone will rewrite the record. Until then,
+            # starting daemons use the records of the other zones.
             events.warn("seeds malformed", key=entry.key, error=str(error))
             continue
         for member in record.members:
@@ -78,5 +84,5 @@
             if problem := config.check_address(member.id):
                 events.warn("seed malformed", key=entry.key, error=problem)
             else:
-                addresses.append(member.id)
-    return addresses
+                member_ids.append(member.id)
+    return member_ids
