--- a/merlintrestle/members/failure_detection.py
+++ b/merlintrestle/members/failure_detection.py
@@ -1,4 +1,4 @@
-"""Failure detection for members, with care to avoid false positives."""
+"""Failure detection for members, designed to avoid false positives."""
 
 from __future__ import annotations
 
@@ -18,14 +18,18 @@
 
 events = event_logs.EventLog("members")
 
-# Daemons that are asked to probe a member that this daemon cannot reach.
-INDIRECT_PROBES = 3
+# Number of daemons asked to probe a member that this daemon cannot reach.
+INDIRECT_PROBE_COUNT = 3
 # Maximum timeout of a probe, as a multiple of the normal one.
 _MAX_TIMEOUT_FACTOR = 8
 
 
 class FailureDetector:
-    """Checks members whose link was lost, and suspects that do not refute."""
+    """Suspects members that cannot be reached and declares them dead.
+
+    Checks each member whose link was lost, and each suspect member that has not
+    refuted the suspicion by announcing a higher incarnation.
+    """
 
     def __init__(
         self,
@@ -39,7 +43,7 @@
         self._links = links
         self._timing = timing
         self._checks: dict[str, asyncio.Task[None]] = {}
-        self._grace_until = 0.0
+        self._no_suspicion_until = 0.0
         self._timeout_factor = 1
 
     async def close(self) -> None:
@@ -50,9 +54,9 @@
         await asyncio.gather(*checks, return_exceptions=True)
 
     def tick(self, elapsed_s: float, expected_s: float) -> None:
-        """Checks suspects after the suspicion timeout.
+        """Checks suspect members whose suspicion timeout has passed.
 
-        Called twice per heartbeat.
+        Called twice per heartbeat interval.
 
         Args:
             elapsed_s: Actual time since the previous call, in seconds.
@@ -61,7 +65,7 @@
         if elapsed_s - expected_s > self._timing.pause_threshold_s:
             self._handle_pause(elapsed_s - expected_s)
         for member_id in self._table.list_suspects():
-            age_s = self._table.get_state_age(member_id)
+            age_s = self._table.get_record_age(member_id)
             if age_s > self._timing.suspicion_timeout_s:
                 self.start_check(member_id)
 
@@ -84,12 +88,12 @@
         )
 
     async def _check(self, member_id: str) -> None:
-        began = time.monotonic()
-        if await self.probe(member_id) or self._has_sent(member_id, began):
+        started_at = time.monotonic()
+        if await self.probe(member_id) or self._has_sent(member_id, started_at):
             return
         if await self._probe_indirectly(member_id):
             return
-        if self._has_sent(member_id, began):
+        if self._has_sent(member_id, started_at):
             return
         if await self._may_advance_state(member_id):
             self._advance_state(member_id)
@@ -97,10 +101,10 @@
     def _has_sent(self, member_id: str, since: float) -> bool:
         """Tells whether a member has sent a message on a link since a time.
 
-        A busy member may answer a probe too late but is alive. If it were
-        suspected, it would refute, the whole fleet would forward the refutation
-        and all daemons would send it their marks again; this work makes it and
-        the others even busier.
+        A busy member may answer a probe too late although it is alive. A
+        suspicion would add load to the whole fleet: the member refutes it, all
+        daemons forward the refutation, and they send their marks to the member
+        again (see `versions.marks`).
 
         Args:
             member_id: The member.
@@ -109,7 +113,10 @@
         return self._links.has_sent(member_id, since)
 
     def _advance_state(self, member_id: str) -> None:
-        """Moves an unreachable member to the next state: suspect, then dead."""
+        """Changes an unreachable member from alive to suspect, or else to dead.
+
+        A suspect member becomes dead only after the suspicion timeout.
+        """
         member = self._table.get(member_id)
         if member is None:
             return
@@ -117,7 +124,7 @@
             events.note("member suspected", member=member_id)
             self._table.set_state(member_id, control_pb2.SUSPECT)
             return
-        age_s = self._table.get_state_age(member_id)
+        age_s = self._table.get_record_age(member_id)
         suspect = member.state == control_pb2.SUSPECT
         if suspect and age_s <= self._timing.suspicion_timeout_s:
             return
@@ -126,43 +133,51 @@
 
     async def _probe_indirectly(self, member_id: str) -> bool:
         """Asks other members to probe a member over their network paths."""
-        excluded = (self._table.local_id, member_id)
-        others = [
+        excluded_ids = (self._table.local_id, member_id)
+        candidates = [
             usable_id
             for usable_id in self._table.list_usable_ids()
-            if usable_id not in excluded
+            if usable_id not in excluded_ids
         ]
-        helpers = random.sample(others, min(INDIRECT_PROBES, len(others)))
+        helper_ids = random.sample(
+            candidates, min(INDIRECT_PROBE_COUNT, len(candidates))
+        )
         request = control_pb2.ProbeRequest(member_id=member_id)
-        # The helper's call to the member may take one timeout of these two.
+        # Twice the call timeout, because the helper's own probe of the member
+        # may take one call timeout.
         answers = await asyncio.gather(
             *(
                 self._send_probe(
-                    helper, request, self._timing.call_timeout_s * 2
+                    helper_id, request, self._timing.call_timeout_s * 2
                 )
-                for helper in helpers
+                for helper_id in helper_ids
             )
         )
         return any(answers)
 
     async def _send_probe(
         self,
-        address: str,
+        peer_id: str,
         request: control_pb2.ProbeRequest,
         timeout_s: float,
     ) -> bool:
-        """Sends a probe and returns whether its member was reached.
+        """Sends a probe to a daemon; returns whether the member was reached.
 
-        If several probes in succession get no answer, it is more likely that
-        this daemon or the whole machine is slow, and repeating them at the same
-        rate would slow it down further, so the timeout grows. A single failed
-        member does not raise the timeout, because the other members that are
-        asked about it do answer.
+        The timeout grows with each probe that gets no answer. Several such
+        probes in succession usually mean that this daemon or the whole machine
+        is slow, and repeating them at the same rate would slow it down further.
+        A single failed member does not keep the timeout raised, because the
+        members that are asked to probe it answer.
+
+        Args:
+            peer_id: Id of the daemon that receives the probe.
+            request: The probe, with the id of the member to reach.
+            timeout_s: Timeout in seconds if earlier probes were answered.
         """
         extended_timeout_s = timeout_s * self._timeout_factor
         try:
             reply = await self._peers.call(
-                address, "Probe", request, extended_timeout_s
+                peer_id, "Probe", request, extended_timeout_s
             )
         except peers_lib.PeerSilentError:
             self._timeout_factor = min(
@@ -175,18 +190,21 @@
         return reply.reached
 
     async def _may_advance_state(self, member_id: str) -> bool:
-        """Tells whether this daemon may change the state of another.
+        """Tells whether this daemon may change the state of a member.
 
-        To a daemon that was paused or that receives no messages, all members
-        seem to fall silent at once, and it would declare the whole fleet dead.
-        A refused connection is a proof even for an isolated daemon.
+        A daemon that was paused or that receives no messages gets no answer
+        from any member and would declare the whole fleet dead. A refused
+        connection proves that the member's process is gone even if this daemon
+        receives no messages.
         """
         now = time.monotonic()
-        if now < self._grace_until:
+        if now < self._no_suspicion_until:
             return False
         last_received_at = max(
             self._links.last_received_at, self._peers.last_received_at
         )
+        # Twice the timeout after which a silent link ends: until then, this
+        # daemon counts as connected.
         if now - last_received_at < 2 * self._timing.silence_timeout_s:
             return True
         return await self._peers.refuses_connection(
@@ -195,5 +213,8 @@
 
     def _handle_pause(self, late_s: float) -> None:
         events.warn("paused", late_s=late_s)
-        self._grace_until = time.monotonic() + self._timing.silence_timeout_s
-        self._table.exclude_pause(late_s)
+        # Calls fail at first, because connections timed out during the pause.
+        self._no_suspicion_until = (
+            time.monotonic() + self._timing.silence_timeout_s
+        )
+        self._table.shift_record_times(late_s)
--- a/merlintrestle/members/table.py
+++ b/merlintrestle/members/table.py
@@ -1,4 +1,4 @@
-"""The table of the fleet's members and upstreams."""
+"""Table of the members and upstreams of the fleet."""
 
 from __future__ import annotations
 
@@ -15,29 +15,31 @@
 
 events = event_logs.EventLog("members")
 
-# Number of buckets of members; anti-entropy compares one digest for each.
+# Number of buckets of member records. Anti-entropy compares a digest of each.
 BUCKETS = 64
-# How long a member that left or died is remembered, so that an outdated record
-# of it as alive does not bring it back.
+# Time for which the record of a member that left or died is kept, so that an
+# outdated record of it as alive is not merged.
 GONE_RETENTION_S = 600.0
 
+# A member is either gone or usable; `MEMBER_STATE_UNSPECIFIED` is neither.
 _GONE_STATES = (control_pb2.LEAVING, control_pb2.DEAD)
 _USABLE_STATES = (control_pb2.ALIVE, control_pb2.SUSPECT)
 
 
 class Upstream(NamedTuple):
-    """A backend server that takes calls through its daemon.
+    """A backend server that is called through its daemon.
 
     Attributes:
         member_id: Id of its daemon, "ip:control_port".
-        address: IP address of the daemon.
+        address: IP address of the daemon, without a port.
         peer_port: Port of the daemon for calls from peers.
         zone: Availability zone.
         region: Region.
-        slots: Number of calls that it runs concurrently.
-        ready_since_ms: Time when it became ready, in ms since 1970.
+        slots: Number of calls that the backend server runs concurrently.
+        ready_since_ms: Time when the backend server became ready, in ms since
+            1970.
         suspect: Whether the daemon is suspected to have failed.
-        version: Version of the backend server's software; empty if not stated.
+        version: Version of the backend server's software; empty if unknown.
     """
 
     member_id: str
@@ -54,14 +56,15 @@
 class MemberTable:
     """The records of all members known to this daemon, itself included.
 
-    Of two records of a member, the one that supersedes the other is kept, so
-    that records can arrive in any order and repeatedly.
+    Of two records of a member, the superseding one is kept, so that records can
+    arrive in any order and more than once. A member is gone if it has left or
+    died, and usable if it is alive or suspect.
 
     Attributes:
         local_id: Id of this daemon.
-        digest: XOR of the digests of all members that are not gone.
-        bucket_digests: The same for each bucket.
-        on_change: Called with each record that was stored.
+        digest: XOR of the digests of all records whose member is not gone.
+        bucket_digests: XOR of these digests for each bucket.
+        on_change: Called with each record after it was stored.
     """
 
     def __init__(
@@ -72,9 +75,9 @@
         """Initializes the table with this daemon as the only member.
 
         Args:
-            local_member: Record of this daemon. Without an incarnation it gets
-                the time in ms, which is above that of any earlier process at
-                its address.
+            local_member: Record of this daemon. If it has no incarnation, the
+                time in ms is used, which is above the incarnation of any
+                earlier process at the same address.
             clock: Returns the monotonic time in seconds.
         """
         self.local_id = local_member.id
@@ -86,7 +89,7 @@
         self._usable_count = 0
         self._suspects: set[str] = set()
         self._changed_at: dict[str, float] = {}
-        self._upstreams_by_id: dict[str, dict[str, Upstream]] = {}
+        self._upstreams_by_service: dict[str, dict[str, Upstream]] = {}
         self._cached_upstreams: dict[str, tuple[Upstream, ...]] = {}
         record = control_pb2.Member()
         record.CopyFrom(local_member)
@@ -115,7 +118,7 @@
         return list(self._suspects)
 
     def list_usable_ids(self) -> list[str]:
-        """Returns the ids of members that are not gone, the local included."""
+        """Returns the ids of usable members, including the local one."""
         return [
             member.id
             for member in self._members.values()
@@ -123,24 +126,33 @@
         ]
 
     def count_usable(self) -> int:
-        """Returns the number of members that are not gone."""
+        """Returns the number of usable members."""
         return self._usable_count
 
     def get_upstreams(self, service: str) -> tuple[Upstream, ...]:
-        """Returns the upstreams of a service, the same tuple until a change."""
+        """Returns the upstreams of a service, ordered by member id.
+
+        Returns the same tuple until an upstream of the service changes.
+        """
         upstreams = self._cached_upstreams.get(service)
         if upstreams is None:
-            by_id = self._upstreams_by_id.get(service, {})
-            upstreams = tuple(by_id[member_id] for member_id in sorted(by_id))
+            by_member = self._upstreams_by_service.get(service, {})
+            upstreams = tuple(
+                by_member[member_id] for member_id in sorted(by_member)
+            )
             self._cached_upstreams[service] = upstreams
         return upstreams
 
-    def get_state_age(self, member_id: str) -> float:
-        """Returns the seconds since the record of a member changed."""
+    def get_record_age(self, member_id: str) -> float:
+        """Returns the time since the record of a member changed, in seconds."""
         return self._clock() - self._changed_at[member_id]
 
-    def exclude_pause(self, pause_s: float) -> None:
-        """Excludes a pause of this daemon, in seconds, from all state ages."""
+    def shift_record_times(self, pause_s: float) -> None:
+        """Excludes a pause of this daemon from the ages of all records.
+
+        Args:
+            pause_s: Duration of the pause in seconds.
+        """
         for member_id in self._changed_at:
             self._changed_at[member_id] += pause_s
 
@@ -159,7 +171,7 @@
         self._update_local(local)
 
     def leave(self) -> None:
-        """Announces that this daemon is leaving and takes no new calls."""
+        """Announces that this daemon is leaving and accepts no new calls."""
         local = self._copy_local()
         local.state = control_pb2.LEAVING
         if local.HasField("backend"):
@@ -167,7 +179,13 @@
         self._update_local(local)
 
     def merge(self, member: control_pb2.Member) -> bool:
-        """Merges a valid record that supersedes the held one; True if so."""
+        """Stores a record if it is valid and supersedes the stored one.
+
+        If the record is about this daemon, it is refuted instead.
+
+        Returns:
+            Whether the record was stored or refuted.
+        """
         held = self._members.get(member.id)
         if held is not None and not supersedes(member, held):
             return False
@@ -183,7 +201,14 @@
         return True
 
     def set_state(self, member_id: str, state: control_pb2.MemberState) -> bool:
-        """Sets a worse state of another member at its current incarnation."""
+        """Sets the state of another member at its current incarnation.
+
+        Only a state with a higher number than the current one has an effect;
+        see `supersedes`.
+
+        Returns:
+            Whether the state was set.
+        """
         held = self._members[member_id]
         changed = control_pb2.Member()
         changed.CopyFrom(held)
@@ -191,7 +216,7 @@
         return self.merge(changed)
 
     def list_buckets(self, buckets: Iterable[int]) -> list[control_pb2.Member]:
-        """Returns the records in some buckets, including gone members."""
+        """Returns the records in the given buckets, including gone members."""
         wanted = set(buckets)
         return [
             member
@@ -200,11 +225,11 @@
         ]
 
     def remove_gone(self) -> None:
-        """Removes members that have been gone for `GONE_RETENTION_S`."""
+        """Removes records of members gone for more than `GONE_RETENTION_S`."""
         for member in self.list_members():
             if member.id == self.local_id or member.state not in _GONE_STATES:
                 continue
-            if self.get_state_age(member.id) > GONE_RETENTION_S:
+            if self.get_record_age(member.id) > GONE_RETENTION_S:
                 del self._members[member.id]
                 del self._changed_at[member.id]
 
@@ -218,11 +243,14 @@
         self._put(local)
 
     def _refute(self, record: control_pb2.Member) -> None:
-        """Raises the local incarnation above the one that others hold.
+        """Raises the local incarnation above that of a record from a peer.
 
-        Others consider this daemon dead or suspect, or an earlier process at
-        its address had a clock ahead of the current one. Only a higher
-        incarnation supersedes such a record.
+        Either other daemons consider this daemon dead or suspect, or the record
+        is that of an earlier process at the same address whose clock was ahead.
+        Only a higher incarnation supersedes such a record.
+
+        Args:
+            record: Record of this daemon that supersedes the local one.
         """
         local = self._copy_local()
         local.incarnation = max(local.incarnation, record.incarnation)
@@ -244,11 +272,11 @@
         self._changed_at[member.id] = self._clock()
         self._toggle_digest(member)
         self._add_upstream(member)
-        for notify in self.on_change:
-            notify(member)
+        for callback in self.on_change:
+            callback(member)
 
     def _toggle_digest(self, member: control_pb2.Member) -> None:
-        """Adds a record to the digests or removes it again, by XOR."""
+        """Adds a record to the digests or removes it from them, both by XOR."""
         if member.state in _GONE_STATES:
             return
         digest = _compute_digest(member)
@@ -258,7 +286,7 @@
     def _remove_upstream(self, member: control_pb2.Member) -> None:
         service = member.backend.service
         if (
-            self._upstreams_by_id.get(service, {}).pop(member.id, None)
+            self._upstreams_by_service.get(service, {}).pop(member.id, None)
             is not None
         ):
             self._cached_upstreams.pop(service, None)
@@ -268,8 +296,8 @@
         ready = backend.state == control_pb2.READY
         if not ready or member.state not in _USABLE_STATES:
             return
-        by_id = self._upstreams_by_id.setdefault(backend.service, {})
-        by_id[member.id] = Upstream(
+        by_member = self._upstreams_by_service.setdefault(backend.service, {})
+        by_member[member.id] = Upstream(
             member.id,
             member.address,
             member.peer_port,
@@ -283,21 +311,23 @@
         self._cached_upstreams.pop(backend.service, None)
 
 
-def supersedes(record: control_pb2.Member, other: control_pb2.Member) -> bool:
-    """Tells whether a record of a member supersedes another one of it.
+def supersedes(
+    record: control_pb2.Member, other_record: control_pb2.Member
+) -> bool:
+    """Tells whether a record of a member supersedes another record of it.
 
     Records have a total order (incarnation, then state, then bytes), so that
     the result does not depend on the order of arrival.
     """
-    if record.incarnation != other.incarnation:
-        return record.incarnation > other.incarnation
-    if record.state != other.state:
-        return record.state > other.state
-    return _serialize(record) > _serialize(other)
+    if record.incarnation != other_record.incarnation:
+        return record.incarnation > other_record.incarnation
+    if record.state != other_record.state:
+        return record.state > other_record.state
+    return _serialize(record) > _serialize(other_record)
 
 
 def get_bucket(member_id: str) -> int:
-    """Returns the bucket of a member."""
+    """Returns the bucket that contains a member's record."""
     digest = hashlib.blake2b(member_id.encode(), digest_size=2).digest()
     return int.from_bytes(digest, "big") % BUCKETS
 
@@ -313,13 +343,13 @@
 
 
 def _changes_routing(
-    record: control_pb2.Member, other: control_pb2.Member
+    record: control_pb2.Member, other_record: control_pb2.Member
 ) -> bool:
-    """Tells whether two records of a member differ in how calls are routed."""
+    """Tells whether the difference of two records affects call routing."""
     return (
-        record.state != other.state
-        or record.backend.state != other.backend.state
-        or record.backend.service != other.backend.service
+        record.state != other_record.state
+        or record.backend.state != other_record.backend.state
+        or record.backend.service != other_record.backend.service
     )
 
 
--- a/tests/members/test_table.py
+++ b/tests/members/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of the member table and of selections from it."""
+"""Tests of the member table and selections of members."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
     service=strategies.sampled_from(("", "balie", "kassa")),
     link_mbps=strategies.sampled_from((0.0, 3.25, 10.0, 50.0)),
 )
-histories = strategies.lists(records, max_size=12)
+record_lists = strategies.lists(records, max_size=12)
 
 
-def merge_all(history: list[control_pb2.Member]) -> table_lib.MemberTable:
+def merge_all(record_list: list[control_pb2.Member]) -> table_lib.MemberTable:
     """Merges records into a new table."""
     table = builders.build_table()
-    for record in history:
+    for record in record_list:
         table.merge(record)
     return table
 
 
-def describe(table: table_lib.MemberTable) -> dict[str, bytes]:
-    """Returns the serialized records of the other members by id."""
+def serialize_other_members(table: table_lib.MemberTable) -> dict[str, bytes]:
+    """Returns the serialized records of all members but the local one by id."""
     return {
         member.id: member.SerializeToString(deterministic=True)
         for member in table.list_members()
@@ -57,20 +57,22 @@
 class MergeTest(unittest.TestCase):
     """Properties of merging records."""
 
-    @hypothesis.given(histories, strategies.randoms(use_true_random=False))
+    @hypothesis.given(record_lists, strategies.randoms(use_true_random=False))
     def test_order_and_duplicates_do_not_matter(
-        self, history: list[control_pb2.Member], random: random_lib.Random
+        self, record_list: list[control_pb2.Member], random: random_lib.Random
     ) -> None:
-        shuffled = history + history[:3]
+        shuffled = record_list + record_list[:3]
         random.shuffle(shuffled)
-        ordered, reordered = merge_all(history), merge_all(shuffled)
-        self.assertEqual(describe(ordered), describe(reordered))
+        ordered, reordered = merge_all(record_list), merge_all(shuffled)
+        self.assertEqual(
+            serialize_other_members(ordered), serialize_other_members(reordered)
+        )
         self.assertEqual(
             ordered.digest ^ _compute_local_digest(ordered),
             reordered.digest ^ _compute_local_digest(reordered),
         )
 
-    @hypothesis.given(histories, histories)
+    @hypothesis.given(record_lists, record_lists)
     def test_merging_tables_is_associative(
         self, left: list[control_pb2.Member], right: list[control_pb2.Member]
     ) -> None:
@@ -79,27 +81,29 @@
         for record in merge_all(right).list_members():
             if record.id != joined.local_id:
                 joined.merge(record)
-        self.assertEqual(describe(both), describe(joined))
+        self.assertEqual(
+            serialize_other_members(both), serialize_other_members(joined)
+        )
 
-    @hypothesis.given(histories)
+    @hypothesis.given(record_lists)
     def test_outdated_records_do_not_revive_a_member(
-        self, history: list[control_pb2.Member]
+        self, record_list: list[control_pb2.Member]
     ) -> None:
         leaving = builders.build_member(
             2, incarnation=3, state=control_pb2.LEAVING, service="balie"
         )
-        table = merge_all([leaving, *history])
+        table = merge_all([leaving, *record_list])
         record = table.get(leaving.id)
         assert record is not None
         self.assertIn(record.state, (control_pb2.LEAVING, control_pb2.DEAD))
         ids = [upstream.member_id for upstream in table.get_upstreams("balie")]
         self.assertNotIn(leaving.id, ids)
 
-    @hypothesis.given(histories)
+    @hypothesis.given(record_lists)
     def test_digests_equal_those_of_a_new_table(
-        self, history: list[control_pb2.Member]
+        self, record_list: list[control_pb2.Member]
     ) -> None:
-        table = merge_all(history)
+        table = merge_all(record_list)
         new_table = table_lib.MemberTable(table.local_member)
         for record in table.list_members():
             new_table.merge(record)
@@ -108,14 +112,15 @@
     def test_a_daemon_refutes_its_own_death(self) -> None:
         """A paused daemon was declared dead and has resumed.
 
-        It receives its own record as dead. Unless it raises its incarnation
-        above that of the record, all other daemons ignore it for good.
+        It receives a record that declares it dead. Unless it raises its
+        incarnation above that of the record, all other daemons ignore it
+        permanently.
         """
         table = builders.build_table(1)
         table.merge(builders.build_member(1, 7, control_pb2.DEAD))
         self.assertEqual(table.local_member.state, control_pb2.ALIVE)
-        other = merge_all([])
-        other.merge(builders.build_member(2, 7, control_pb2.DEAD))
+        peer_table = merge_all([])
+        peer_table.merge(builders.build_member(2, 7, control_pb2.DEAD))
         self.assertEqual(table.local_member.incarnation, 8)
 
     def test_gone_members_are_removed_after_the_retention(self) -> None:
@@ -133,7 +138,7 @@
 
 
 class UpstreamsTest(unittest.TestCase):
-    """The upstreams of a service, as the proxy reads them."""
+    """The upstreams of a service, as used by the proxy."""
 
     def test_same_tuple_until_the_service_changes(self) -> None:
         table = builders.build_table()
@@ -166,17 +171,17 @@
 
 
 class MemberSelectionTest(unittest.TestCase):
-    """A selection equals one made again from the whole table."""
+    """A selection equals a new selection from the whole table."""
 
-    @hypothesis.given(histories, strategies.booleans())
+    @hypothesis.given(record_lists, strategies.booleans())
     def test_follows_the_table(
-        self, history: list[control_pb2.Member], include_dead: bool
+        self, record_list: list[control_pb2.Member], include_dead: bool
     ) -> None:
         table = builders.build_table()
         selected = selection.MemberSelection(
             table, "key", 2, include_dead=include_dead
         )
-        for record in history:
+        for record in record_list:
             table.merge(record)
             eligible = [
                 member.id
@@ -190,13 +195,15 @@
             expected = rendezvous.choose("key", eligible, 2)
             self.assertEqual(selected.get(), expected)
 
-    @hypothesis.given(histories)
-    def test_follows_the_links(self, history: list[control_pb2.Member]) -> None:
+    @hypothesis.given(record_lists)
+    def test_follows_link_speed_changes(
+        self, record_list: list[control_pb2.Member]
+    ) -> None:
         table = builders.build_table()
         selected = selection.MemberSelection(
             table, "key", 2, "zone-a", prefer_fast_links=True
         )
-        for record in history:
+        for record in record_list:
             table.merge(record)
             eligible = [
                 member
@@ -209,10 +216,10 @@
             self.assertEqual(selected.get(), expected)
 
     def test_fast_links_come_first_and_slow_ones_fill_the_rest(self) -> None:
-        """Calls over slow links are not delayed by downloads of watchers.
+        """Guards against downloads by watchers that delay calls on slow links.
 
         Two hosts of a zone have fast links. If a daemon with a slow link were a
-        watcher, each configuration would fill that link for half a second.
+        watcher, each configuration would occupy that link for half a second.
         """
         slow = [builders.build_member(n, link_mbps=3.25) for n in range(2, 20)]
         fast = [builders.build_member(n, link_mbps=50.0) for n in (20, 21)]
@@ -239,14 +246,14 @@
             rendezvous.choose("key", ids, 3),
         )
 
-    def test_removing_a_member_changes_few_selections(self) -> None:
+    def test_removing_a_member_changes_only_its_own_selections(self) -> None:
         names = [f"daemon-{number}" for number in range(50)]
-        moved = 0
+        changed_count = 0
         for key in names:
             before = rendezvous.choose(key, names, 1)
             after = rendezvous.choose(key, names[1:], 1)
-            moved += before != after and before != names[:1]
-        self.assertEqual(moved, 0)
+            changed_count += before != after and before != names[:1]
+        self.assertEqual(changed_count, 0)
 
 
 def _compute_local_digest(table: table_lib.MemberTable) -> int:
@@ -256,13 +263,13 @@
 
 
 class OrderTest(unittest.TestCase):
-    """All orders of the states of one incarnation, without sampling."""
+    """All orders of the states of an incarnation, without sampling."""
 
     def test_all_orders_end_in_the_same_state(self) -> None:
-        history = [builders.build_member(2, 1, state) for state in STATES]
-        for order in itertools.permutations(history):
+        record_list = [builders.build_member(2, 1, state) for state in STATES]
+        for order in itertools.permutations(record_list):
             table = merge_all(list(order))
-            record = table.get(history[0].id)
+            record = table.get(record_list[0].id)
             assert record is not None
             self.assertEqual(record.state, control_pb2.DEAD)
 
