--- a/merlintrestle/members/links.py
+++ b/merlintrestle/members/links.py
@@ -23,8 +23,8 @@
     from merlintrestle.schema import document_pb2
 
 _KIND = "Link"
-# Strikes remembered, so that none circulates endlessly.
-_MAX_STRIKES = 10_000
+# Maximum number of strikes remembered to avoid forwarding one twice.
+_MAX_REMEMBERED_STRIKES = 10_000
 
 
 class Link:
@@ -34,8 +34,10 @@
         peer_id: Id of the peer; empty until its first message.
         outgoing: Whether this daemon opened the link.
         outbox: Updates queued for the peer.
-        peer_offer: The newest version that the peer is known to hold.
-        silence_factor: Multiple of the silence timeout allowed for the link.
+        peer_offer: Offer of the version that the peer is known to hold; None
+            if its digest is unknown.
+        silence_factor: Multiple of `Timing.silence_timeout_s` after which the
+            link ends if its peer is silent.
         last_received_at: Monotonic time of the peer's last message, in seconds.
         is_writing: Whether a message is being sent.
         messages_written: Number of messages sent.
@@ -57,9 +59,10 @@
 
     Attributes:
         on_message: Called with each link and the message received on it.
-        on_open: Called with each link whose peer has become known.
+        on_open: Called with each link when its peer has sent its id.
         on_strike: Called with each new strike from a peer.
-        get_offer: Returns the newest version held, for heartbeats.
+        get_offer: Returns the offer of the newest version held by this daemon,
+            which every message contains; None if it holds none.
         last_received_at: Monotonic time of the last message from any peer, in
             seconds.
     """
@@ -75,14 +78,15 @@
         self._table = table
         self._timing = timing
         self._links: list[Link] = []
-        self._strikes: dict[tuple[bytes, str], int] = {}
+        # Expiry in ms since 1970, by request digest and crash id.
+        self._remembered_strikes: dict[tuple[bytes, str], int] = {}
 
     def get_links(self) -> list[Link]:
         """Returns the links whose peer is known."""
         return [link for link in self._links if link.peer_id]
 
     def has_sent(self, peer_id: str, since: float) -> bool:
-        """Tells whether a peer has sent a message since a time.
+        """Tells whether a peer has sent a message since the given time.
 
         Args:
             peer_id: The peer.
@@ -96,7 +100,7 @@
     def send_member(
         self, member: control_pb2.Member, exclude: Link | None = None
     ) -> None:
-        """Queues a record on all links except the one it came from."""
+        """Queues a record on all links except `exclude`, its origin."""
         for link in self._links:
             if link is not exclude:
                 link.outbox.add_member(member)
@@ -108,7 +112,7 @@
     def send_rollout(
         self, rollout: control_pb2.Rollout, exclude: Link | None = None
     ) -> None:
-        """Queues a roll-out on all links except the one it came from."""
+        """Queues a roll-out on all links except `exclude`, its origin."""
         for link in self._links:
             if link is not exclude:
                 link.outbox.add_rollout(rollout)
@@ -116,7 +120,7 @@
     def send_trial(
         self, trial: control_pb2.Trial, exclude: Link | None = None
     ) -> None:
-        """Queues a trial record on all links except the one it came from."""
+        """Queues a trial record on all links except `exclude`, its origin."""
         for link in self._links:
             if link is not exclude:
                 link.outbox.add_trial(trial)
@@ -131,14 +135,15 @@
         """Offers a version to the neighbours that are not known to hold it.
 
         Args:
-            offer: The version.
-            build_delta: Returns the delta from a version held by a peer, or
-                None if only the offer should be sent.
+            offer: The offered version.
+            build_delta: Returns the delta from the version held by a peer, or
+                None if only the offer should be sent. Its argument is None if
+                that version is unknown.
         """
         for link in self._links:
-            held = link.peer_offer
-            if held is None or held.version < offer.version:
-                delta = build_delta(held)
+            peer_offer = link.peer_offer
+            if peer_offer is None or peer_offer.version < offer.version:
+                delta = build_delta(peer_offer)
                 link.outbox.set_delta(delta)
                 if delta is not None:
                     # If the delta is lost, the next heartbeat still announces
@@ -150,7 +155,8 @@
         """Waits until all queued updates have been sent.
 
         When a daemon stops, its links end and gRPC discards messages that the
-        peer has not read yet, so this waits for one more flush interval.
+        peer has not read yet. Therefore this waits for `Timing.flush_delay_s`
+        after the last message was sent.
 
         Args:
             timeout_s: Maximum wait in seconds, as a neighbour may be silent.
@@ -210,11 +216,16 @@
             accounting.count_received(_KIND, message)
             if message.sender:
                 link.peer_id = message.sender
-                for notify in self.on_open:
-                    notify(link)
+                for callback in self.on_open:
+                    callback(link)
             self._handle(link, message)
 
     def _update_peer_offer(self, link: Link, offer: control_pb2.Offer) -> None:
+        """Records the version that a peer reports in a message.
+
+        An offer without a digest repeats the version of the previous offer (see
+        `_add_offer`). If it has another version, the digest is unknown.
+        """
         if offer.digest:
             link.peer_offer = offer
         elif link.peer_offer and link.peer_offer.version != offer.version:
@@ -224,33 +235,45 @@
         self._update_peer_offer(link, message.offer)
         for member in message.members:
             link.outbox.drop_known(member)
-        for notify in self.on_message:
-            notify(link, message)
+        for callback in self.on_message:
+            callback(link, message)
         for strike in message.strikes:
             if self._forward_strike(strike, link):
-                for callback in self.on_strike:
-                    callback(strike)
+                for on_strike in self.on_strike:
+                    on_strike(strike)
 
     def _forward_strike(
         self, strike: control_pb2.Strike, exclude: Link | None
     ) -> bool:
-        """Forwards a strike once; False if it is known or has expired."""
+        """Forwards a strike unless it is known or has expired.
+
+        Returns:
+            Whether the strike was forwarded.
+        """
         key = (strike.request_digest, strike.crash_id)
-        if key in self._strikes or len(self._strikes) >= _MAX_STRIKES:
-            self._forget_strikes()
+        if (
+            key in self._remembered_strikes
+            or len(self._remembered_strikes) >= _MAX_REMEMBERED_STRIKES
+        ):
+            self._prune_strikes()
         now_ms = time.time_ns() // 10**6
-        if key in self._strikes or strike.until_ms <= now_ms:
+        if key in self._remembered_strikes or strike.until_ms <= now_ms:
             return False
-        self._strikes[key] = strike.until_ms
+        self._remembered_strikes[key] = strike.until_ms
         for link in self._links:
             if link is not exclude:
                 link.outbox.add_strike(strike)
         return True
 
-    def _forget_strikes(self) -> None:
+    def _prune_strikes(self) -> None:
+        """Removes expired strikes, and the oldest ones above the maximum."""
         now_ms = time.time_ns() // 10**6
-        unexpired = [item for item in self._strikes.items() if item[1] > now_ms]
-        self._strikes = dict(unexpired[-_MAX_STRIKES:])
+        unexpired = [
+            item
+            for item in self._remembered_strikes.items()
+            if item[1] > now_ms
+        ]
+        self._remembered_strikes = dict(unexpired[-_MAX_REMEMBERED_STRIKES:])
 
     async def _send(self, link: Link, write: Callable[[Any], Any]) -> None:
         sender = self._table.local_id
@@ -271,9 +294,18 @@
     def _add_offer(
         self, message: control_pb2.LinkMessage, sent_version: int
     ) -> int:
-        """Adds the newest offer to a message; returns its version.
+        """Adds the offer of the newest version to a message.
+
+        Every message contains the offer, so that a peer that missed a delta
+        learns of the version from the next heartbeat. A repeated offer omits
+        the digest; an empty digest means that the version is unchanged.
 
-        The offer in every heartbeat compensates for lost pushes.
+        Args:
+            message: The message.
+            sent_version: Version of the previous offer on the link; 0 if none.
+
+        Returns:
+            The version of the last offer on the link.
         """
         offer = self.get_offer()
         if offer is None:
@@ -284,46 +316,52 @@
         return offer.version
 
     async def _wait_for_update(self, link: Link) -> None:
-        """Waits until the next heartbeat is due or an update is queued."""
+        """Waits until the next heartbeat is due or updates should be sent.
+
+        After an update is queued, further updates are batched for
+        `Timing.flush_delay_s` unless one of them is urgent.
+        """
         wait_s = timing_lib.jitter(self._timing.heartbeat_interval_s)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                await link.outbox.filled.wait()
+                await link.outbox.pending_event.wait()
             async with asyncio.timeout(self._timing.flush_delay_s):
-                await link.outbox.urgent.wait()
+                await link.outbox.urgent_event.wait()
 
     async def _watch_progress(self, link: Link) -> None:
         """Ends a link whose peer is silent or has stopped reading.
 
-        A connection whose state was lost by a device between the two ends stays
-        open for ever and delivers nothing. Silence despite heartbeats makes
-        this likely but does not prove it: the peer may be as busy as this
-        daemon. So the link is reopened with a longer silence timeout, and the
-        calls that use the channel continue.
+        A NAT device or firewall may drop the state of a connection without
+        notifying either end. The connection then stays open and delivers
+        nothing. Silence despite heartbeats suggests such a connection but does
+        not prove it, because the peer may only be busy. Therefore
+        `Membership._keep_link` reopens the link with a longer silence timeout,
+        and the calls that use the channel continue.
 
-        The timeout counts iterations of this loop, however late they run. If it
-        used the clock, a daemon that was paused would end all its links before
-        it had read the messages that arrived meanwhile, and with them the calls
-        that use the links. Reopening them is work that would delay it further,
-        without end. Within that many iterations, arrived messages are read.
+        The timeout counts ticks, the iterations of this loop, instead of using
+        the clock, so that a daemon that was paused first reads the messages
+        that arrived during the pause. With the clock, it would end all its
+        links, and the calls that use them, before it had read these messages.
+        Reopening the links would delay it further, without end.
 
         Raises:
-            TimeoutError: No progress for the silence timeout of the link.
+            TimeoutError: No progress for `silence_factor` times the silence
+                timeout.
         """
         tick_s = self._timing.heartbeat_interval_s / 2
-        max_rounds = math.ceil(
+        max_ticks = math.ceil(
             link.silence_factor * self._timing.silence_timeout_s / tick_s
         )
-        silent_rounds = stalled_rounds = 0
-        while max(silent_rounds, stalled_rounds) < max_rounds:
+        silent_ticks = stalled_ticks = 0
+        while max(silent_ticks, stalled_ticks) < max_ticks:
             received_at, written = link.last_received_at, link.messages_written
             await asyncio.sleep(tick_s)
             received = link.last_received_at != received_at
             progressed = not link.is_writing or link.messages_written != written
-            silent_rounds = 0 if received else silent_rounds + 1
-            stalled_rounds = 0 if progressed else stalled_rounds + 1
+            silent_ticks = 0 if received else silent_ticks + 1
+            stalled_ticks = 0 if progressed else stalled_ticks + 1
         problem = (
-            "silent" if silent_rounds >= max_rounds else "taking nothing more"
+            "silent" if silent_ticks >= max_ticks else "taking nothing more"
         )
         raise TimeoutError(f"{link.peer_id} is {problem}")
 
@@ -347,4 +385,4 @@
 
 
 def _has_unsent(link: Link) -> bool:
-    return link.is_writing or link.outbox.filled.is_set()
+    return link.is_writing or link.outbox.pending_event.is_set()
