--- a/merlintrestle/members/membership.py
+++ b/merlintrestle/members/membership.py
@@ -1,4 +1,4 @@
-"""Membership service: discovery, links and failure detection."""
+"""Membership service for first contact, links and failure detection."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 events = event_logs.EventLog("members")
 
-NEIGHBOURS = 4
+# Number of members to which this daemon opens links.
+NEIGHBOUR_COUNT = 4
 
-# Metadata key by which the daemon that opens a link sets the silence factor of
-# both ends.
+# Metadata key that the daemon that opens a link uses to tell the peer the
+# silence factor, so that both ends use the same one.
 _SILENCE_FACTOR_KEY = "patience"
 _MAX_SILENCE_FACTOR = 8
 _LINK_ERRORS = (grpc.aio.AioRpcError, peers_lib.PeerError, TimeoutError)
@@ -42,7 +43,7 @@
 
     Attributes:
         table: All known members.
-        links: The links to neighbours and those opened by other daemons.
+        links: The links opened by this daemon and by other daemons.
         peers: Client for control calls.
         anti_entropy: Compares the table with other daemons.
         timing: Intervals and timeouts.
@@ -59,8 +60,9 @@
 
         Args:
             table: The member table, with this daemon in it.
-            store: Holds the seed records, for first contact if no seed answers.
-            seeds: Control addresses of daemons to contact first.
+            store: Holds the stored seeds, for first contact if no configured
+                seed answers; None if there is no store.
+            seeds: Configured control addresses of daemons to contact first.
             timing: Intervals and timeouts.
         """
         super().__init__()
@@ -75,9 +77,12 @@
             table, self.peers, self.links, self.timing
         )
         key = rendezvous.build_neighbours_key(table.local_id)
-        self._selection = selection.MemberSelection(table, key, NEIGHBOURS)
-        self._neighbours: dict[str, asyncio.Task[None]] = {}
-        self._changed = asyncio.Event()
+        self._selection = selection.MemberSelection(table, key, NEIGHBOUR_COUNT)
+        # Tasks that keep the links to the neighbours open, by member id.
+        self._link_tasks: dict[str, asyncio.Task[None]] = {}
+        self._reselect_event = asyncio.Event()
+        # Link on which the record that is being merged arrived. The record is
+        # not sent back on it.
         self._receiving_link: links_lib.Link | None = None
         self.links.on_message.append(self._receive)
         self.links.on_open.append(self._send_initial_records)
@@ -85,13 +90,13 @@
 
     async def on_start(self) -> None:
         """Triggers the first selection of neighbours."""
-        self._changed.set()
+        self._reselect_event.set()
 
     async def on_stop(self) -> None:
         """Ends all links opened by this daemon and closes its channels."""
-        for task in self._neighbours.values():
+        for task in self._link_tasks.values():
             task.cancel()
-        await asyncio.gather(*self._neighbours.values(), return_exceptions=True)
+        await asyncio.gather(*self._link_tasks.values(), return_exceptions=True)
         await self.peers.close()
 
     async def wait_for_contact(self, timeout_s: float) -> bool:
@@ -101,8 +106,9 @@
     def is_isolated(self) -> bool:
         """Tells whether no peer has sent a message for two heartbeat intervals.
 
-        A daemon that is cut off from its peers, or whose zone has just lost its
-        watchers, can get new versions only from the store.
+        A daemon that is cut off from its peers can get new versions only from
+        the store, and so can one whose zone has just lost its watchers. Before
+        the first message from any peer, the result is False.
         """
         last_received_at = self.links.last_received_at
         silent_s = time.monotonic() - last_received_at
@@ -144,16 +150,16 @@
 
     @mode.Service.task
     async def _choose_neighbours(self) -> None:
-        # `should_stop` is checked before each wait, as `sleep` may return for
-        # the stop and swallow the cancellation that comes with it.
+        # `mode`'s `sleep` may return early on a stop and suppress the
+        # `CancelledError`, so `should_stop` is checked before each wait.
         while not self.should_stop:
-            await self._changed.wait()
+            await self._reselect_event.wait()
             if self.should_stop:
-                # A change that arrives while the links are being ended would
-                # open a link that is never ended, and over it this daemon
-                # would still announce that it is alive.
+                # If a change arrives while `on_stop` ends the links, a link
+                # opened now would never be ended. On it, this daemon would
+                # still announce that it is alive.
                 return
-            self._changed.clear()
+            self._reselect_event.clear()
             self._update_neighbours()
             await self.sleep(self.timing.flush_delay_s)
 
@@ -164,7 +170,7 @@
             before = time.monotonic()
             await self.sleep(tick_s)
             elapsed_s = time.monotonic() - before
-            self.peers.record_lateness(max(0.0, elapsed_s - tick_s))
+            self.peers.record_loop_lag(max(0.0, elapsed_s - tick_s))
             self._detector.tick(elapsed_s, tick_s)
 
     @mode.Service.task
@@ -184,42 +190,52 @@
             await self.peers.close_idle_channels()
 
     def _update_neighbours(self) -> None:
-        wanted = self._selection.get()
-        for member_id in set(self._neighbours) - set(wanted):
-            self._neighbours.pop(member_id).cancel()
-        for member_id in wanted:
-            if member_id not in self._neighbours:
-                self._neighbours[member_id] = asyncio.create_task(
+        selected_ids = self._selection.get()
+        for member_id in set(self._link_tasks) - set(selected_ids):
+            self._link_tasks.pop(member_id).cancel()
+        for member_id in selected_ids:
+            if member_id not in self._link_tasks:
+                self._link_tasks[member_id] = asyncio.create_task(
                     self._keep_link(member_id)
                 )
 
     async def _keep_link(self, member_id: str) -> None:
-        """Reopens the link to a neighbour until it is cancelled."""
+        """Keeps the link to a neighbour open until cancelled.
+
+        A lost link is reopened after a backoff.
+        """
         backoff = timing_lib.Backoff(
             self.timing.reconnect_delay_s, self.timing.max_reconnect_delay_s
         )
         silence_factor = 1
         while True:
-            began = time.monotonic()
+            started_at = time.monotonic()
             link = links_lib.Link(
                 member_id, outgoing=True, silence_factor=silence_factor
             )
             try:
-                await self._run_outgoing(link)
+                await self._run_outgoing_link(link)
             except _LINK_ERRORS as error:
                 events.note("link to lost", member=member_id, error=str(error))
                 if isinstance(error, TimeoutError):
                     silence_factor = min(
                         2 * silence_factor, _MAX_SILENCE_FACTOR
                     )
-            if link.last_received_at - began > self.timing.silence_timeout_s:
+            # The link worked for longer than the normal timeout, so the path
+            # may not need the longer one any more.
+            if (
+                link.last_received_at - started_at
+                > self.timing.silence_timeout_s
+            ):
                 silence_factor = max(1, silence_factor // 2)
-            if time.monotonic() - began > self.timing.silence_timeout_s:
+            # An attempt that lasted this long needs no backoff to limit the
+            # rate of attempts.
+            if time.monotonic() - started_at > self.timing.silence_timeout_s:
                 backoff.reset()
             self._detector.start_check(member_id)
             await asyncio.sleep(backoff.get_next_delay())
 
-    async def _run_outgoing(self, link: links_lib.Link) -> None:
+    async def _run_outgoing_link(self, link: links_lib.Link) -> None:
         channel = peers_lib.open_channel(link.peer_id)
         stream = control_pb2_grpc.ControlStub(channel).Link(
             metadata=((_SILENCE_FACTOR_KEY, str(link.silence_factor)),)
@@ -231,19 +247,19 @@
             await self.links.run_link(link, stream.read, stream.write)
         finally:
             stream.cancel()
-            self.peers.retire_channel(link.peer_id, channel)
+            self.peers.close_channel_after_calls(link.peer_id, channel)
 
     def _send_initial_records(self, link: links_lib.Link) -> None:
-        """Sends the records of a peer and of this daemon when a link opens.
+        """Sends the local record and the stored record of the peer.
 
-        A peer that is considered dead learns this from its record and refutes
-        it.
+        If this daemon considers the peer dead, the peer learns this from its
+        stored record and refutes it.
         """
         events.note("link open", member=link.peer_id, outgoing=link.outgoing)
         link.outbox.add_member(self.table.local_member)
-        held = self.table.get(link.peer_id)
-        if held is not None:
-            link.outbox.add_member(held)
+        peer_record = self.table.get(link.peer_id)
+        if peer_record is not None:
+            link.outbox.add_member(peer_record)
 
     def _receive(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
@@ -258,12 +274,12 @@
             self.anti_entropy.record_difference(link.peer_id)
 
     def _forward(self, member: control_pb2.Member) -> None:
-        """Forwards a record to the neighbours and triggers their selection."""
+        """Forwards a changed record and triggers a selection of neighbours."""
         exclude = (
             None if member.id == self.table.local_id else self._receiving_link
         )
         self.links.send_member(member, exclude)
-        self._changed.set()
+        self._reselect_event.set()
 
 
 def _read_silence_factor(metadata: Iterable[tuple[str, str | bytes]]) -> int:
--- a/merlintrestle/members/service.py
+++ b/merlintrestle/members/service.py
@@ -1,4 +1,4 @@
-"""The gRPC service for control calls between daemons."""
+"""gRPC service for control calls between daemons."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 _OPTIONS = [
     ("grpc.max_receive_message_length", peers_lib.MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", peers_lib.MAX_MESSAGE_BYTES),
+    # Probes of the bandwidth-delay product would add traffic.
     ("grpc.http2.bdp_probe", 0),
     # With port reuse, two daemons on one port would each receive half of the
     # other's calls.
@@ -38,7 +39,7 @@
     """
 
     def __init__(self, address: str, port: int):
-        """Binds the port; 0 selects a free one.
+        """Binds the control port; port 0 selects a free port.
 
         Must be called inside a running event loop.
 
@@ -59,7 +60,7 @@
         await self.server.start()
 
     async def close(self, grace_s: float = 0.2) -> None:
-        """Stops serving; open links end after `grace_s` seconds."""
+        """Stops serving; open links and calls end after `grace_s` seconds."""
         await self.server.stop(grace_s)
 
 
@@ -100,10 +101,10 @@
         return _count("Fetch", request, reply)
 
     async def FetchParts(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Streams the newest version in parts."""
+        """Streams the newest version in compressed parts."""
         del context
         _count_received("FetchParts", request)
-        for part in parts.split(
+        for part in parts.split_message(
             self._distribution.archive.answer_fetch(request)
         ):
             accounting.count_sent("FetchParts", part)
@@ -134,7 +135,10 @@
         return _count("Members", request, reply)
 
     async def Probe(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Probes a member for another daemon; the local id is a plain ping."""
+        """Probes a member for another daemon.
+
+        A request with the id of this daemon is answered without a probe.
+        """
         del context
         local_id = self._membership.table.local_id
         reached = request.member_id == local_id or await self._membership.probe(
@@ -145,18 +149,18 @@
     async def Status(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Returns what this daemon runs and measures."""
         del context
-        holder = self._distribution.active_version
+        active_version = self._distribution.active_version
         reply = control_pb2.StatusReply(
-            closed=bool(holder.closed_reason),
-            closed_reason=holder.closed_reason,
+            closed=bool(active_version.closed_reason),
+            closed_reason=active_version.closed_reason,
             classes=self._get_classes(),
             in_flight=self._get_in_flight(),
             store_reachable=self._distribution.store_reachable,
         )
         reply.self.CopyFrom(self._membership.table.local_member)
-        if holder.running is not None:
-            reply.running.version = holder.running.version
-            reply.running.digest = holder.running.digest
+        if active_version.running is not None:
+            reply.running.version = active_version.running.version
+            reply.running.digest = active_version.running.digest
         if request.members:
             reply.members.extend(self._membership.table.list_members())
         return reply
--- a/tests/members/builders.py
+++ b/tests/members/builders.py
@@ -1,4 +1,4 @@
-"""Builders of members and tables, and a fake network."""
+"""Builders for members and tables, and a fake network."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 import time
 from typing import Any, TYPE_CHECKING
 
-from merlintrestle.members import peers
+from merlintrestle.members import peers as peers_lib
 from merlintrestle.members import table as table_lib
-from merlintrestle.members import timing
+from merlintrestle.members import timing as timing_lib
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Short intervals; tests wait for events and never for these.
-FAST_TIMING = timing.Timing(
+# Short intervals. Tests wait for events and not for these intervals.
+FAST_TIMING = timing_lib.Timing(
     heartbeat_interval_s=0.1,
     silence_timeout_s=0.5,
     call_timeout_s=0.5,
@@ -49,7 +49,10 @@
     service: str = "",
     link_mbps: float = 0.0,
 ) -> control_pb2.Member:
-    """Builds a member; with a service, it has a READY backend server."""
+    """Builds the record of a member.
+
+    With a service, the member has a READY backend server.
+    """
     port = 9000 + number
     member = control_pb2.Member(
         id=f"127.0.0.1:{port}",
@@ -86,11 +89,11 @@
     """Connects daemons without sockets.
 
     Attributes:
-        handlers: Functions that answer requests, by id and method.
+        handlers: Functions that answer requests, by member id and method.
         silent: Ids of daemons that do not answer.
         refused: Ids of daemons whose host refuses connections.
-        cut: Pairs (source, target) between which calls fail.
-        calls: (source, target, method) of every call, in order.
+        cut: Pairs (source id, target id) between which calls fail.
+        calls: (source id, target id, method) of every call, in order.
     """
 
     def __init__(self) -> None:
@@ -102,15 +105,15 @@
 
     def is_reachable(self, source: str, target: str) -> bool:
         """Tells whether a call between two daemons would be answered."""
-        down = self.silent | self.refused
+        unreachable = self.silent | self.refused
         return (
             target in self.handlers
-            and target not in down
+            and target not in unreachable
             and (source, target) not in self.cut
         )
 
 
-class FakePeerClient(peers.PeerClient):
+class FakePeerClient(peers_lib.PeerClient):
     """Client for the calls of a daemon over a fake network."""
 
     def __init__(self, network: FakeNetwork, local_id: str):
@@ -124,7 +127,7 @@
         """Calls the target's handler of the method."""
         self._network.calls.append((self._local_id, address, method))
         if not self._network.is_reachable(self._local_id, address):
-            raise peers.PeerError(f"{address}: {method}: unavailable")
+            raise peers_lib.PeerError(f"{address}: {method}: unavailable")
         reply = self._network.handlers[address][method](request)
         if inspect.isawaitable(reply):
             reply = await reply
@@ -135,11 +138,11 @@
         self,
         address: str,
         request: control_pb2.FetchRequest,
-        gap_s: float,
+        part_timeout_s: float,
         on_part: Callable[[], None],
     ) -> control_pb2.FetchReply:
         """Calls the target's handler; the reply is a single part."""
-        reply = await self.call(address, "Fetch", request, gap_s)
+        reply = await self.call(address, "Fetch", request, part_timeout_s)
         on_part()
         return reply
 
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -6,8 +6,8 @@
 import unittest
 from unittest import mock
 
-from merlintrestle.members import membership as memberships
-from merlintrestle.members import table as tables
+from merlintrestle.members import membership as membership_lib
+from merlintrestle.members import table as table_lib
 from tests.members import builders
 from tests.requests import relays
 from tests.versions import builders as version_builders
@@ -15,14 +15,15 @@
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
     async def test_change_during_the_stop_opens_no_link(self) -> None:
-        """A stopping daemon learns of its first neighbour as it ends its links.
+        """A stopping daemon finds its first neighbour while it ends its links.
 
-        A new link would never be ended. Over it the stopped daemon would keep
-        refuting that it is gone, and other daemons would route calls to it.
+        A link opened then would never be ended. On it, the stopped daemon would
+        keep refuting that it has left, and other daemons would route calls to
+        it.
         """
-        table = tables.MemberTable(builders.build_member(1))
+        table = table_lib.MemberTable(builders.build_member(1))
         timing = builders.FAST_TIMING._replace(flush_delay_s=0)
-        membership = memberships.Membership(table, None, (), timing)
+        membership = membership_lib.Membership(table, None, (), timing)
         await membership.start()
         await _run_other_tasks()
 
@@ -32,7 +33,7 @@
 
         with mock.patch.object(membership.peers, "close", close):
             await membership.stop()
-        self.assertEqual(membership._neighbours, {})
+        self.assertEqual(membership._link_tasks, {})
 
 
 class SlowPathTest(unittest.IsolatedAsyncioTestCase):
@@ -45,8 +46,8 @@
         relay.delay_s = 0.4
         await relay.start()
         self.addAsyncCleanup(relay.close)
-        table = tables.MemberTable(builders.build_member(1))
-        membership = memberships.Membership(
+        table = table_lib.MemberTable(builders.build_member(1))
+        membership = membership_lib.Membership(
             table, None, (), builders.FAST_TIMING
         )
         opened = asyncio.Event()
