--- a/merlintrestle/members/accounting.py
+++ b/merlintrestle/members/accounting.py
@@ -1,4 +1,4 @@
-"""Counting the bytes of control messages."""
+"""Metrics of the bytes of control messages."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from google.protobuf import message
 
-# Bytes at the socket for each message of a link: the gRPC frame (5), the HTTP/2
-# frame (9) and a WINDOW_UPDATE frame (13).
+# Framing bytes of each message at the socket: the gRPC header (5), the HTTP/2
+# frame header (9) and a WINDOW_UPDATE frame (13).
 MESSAGE_OVERHEAD_BYTES = 27
-# Additional bytes of headers for each call on an open connection, in each
-# direction.
+# Additional HTTP/2 header bytes of each call on an open connection, in each
+# direction. Messages on an open link have no such headers.
 CALL_OVERHEAD_BYTES = 35
 
 _SENT = prometheus_client.Counter(
@@ -44,7 +44,8 @@
     _get_received_counter(kind).inc(size)
 
 
-# Cached because the library looks up the counter of a label under a lock.
+# Cached because `prometheus_client` looks up the counter of a label under a
+# lock.
 @functools.cache
 def _get_sent_counter(kind: str) -> prometheus_client.Counter:
     return _SENT.labels(kind)
--- a/merlintrestle/members/rendezvous.py
+++ b/merlintrestle/members/rendezvous.py
@@ -14,7 +14,8 @@
     """Returns the `count` candidates with the highest weights, in order.
 
     All daemons that know the same candidates choose the same ones. Adding or
-    removing a candidate changes the result for few keys.
+    removing a candidate changes only the results that contain it, which are
+    those of few keys.
     """
     return heapq.nlargest(
         count, candidates, key=lambda name: (weigh(key, name), name)
@@ -22,10 +23,10 @@
 
 
 def build_neighbours_key(member_id: str) -> str:
-    """Returns the key that selects a member's neighbours.
+    """Returns the rendezvous key of a member's neighbours.
 
-    The first neighbours are also its witnesses: its marks travel over the
-    links to them.
+    The member's witnesses are chosen by the same key (see `versions.marks`), so
+    that marks are sent to neighbours, over the connections of existing links.
     """
     return f"neighbours/{member_id}"
 
--- a/merlintrestle/members/selection.py
+++ b/merlintrestle/members/selection.py
@@ -1,4 +1,4 @@
-"""Selection of members that is kept up to date with the member table."""
+"""Selections of members that follow changes of the member table."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
     from merlintrestle.schema import control_pb2
 
 
-# Ratio to the speed of the fastest link from which on a link counts as fast.
-# Links of hosts of the same model differ by less, links of hosts of different
-# models by a whole factor.
-_FAST_LINK_RATIO = 0.5
+# A link is fast if its speed is at least this fraction of the fastest link's
+# speed. The speeds of hosts of the same model differ by less than this factor,
+# those of hosts of different models by more.
+_MIN_FAST_LINK_FRACTION = 0.5
 
 
 class _Rank(NamedTuple):
@@ -37,14 +37,16 @@
 def choose_by_link_speed(
     key: str, members: Sequence[control_pb2.Member], count: int
 ) -> list[str]:
-    """Returns the ids of the highest weight, members with fast links first.
-
-    A member that does work for many others fills its link: a watcher downloads
-    every configuration in full. On a slow link, that delayed calls to the
-    backend server of the instance and the configuration itself by seconds. If
-    there are too few fast links, members with slow links fill the remaining
-    places. If all links have the same speed, or none is known, only the weight
-    counts.
+    """Returns the ids of the highest-ranked members.
+
+    Members with fast links rank above members with slow links: members with
+    slow links are selected only if there are too few others. Within each of the
+    two groups, members are ranked by weight. If all links have the same speed,
+    or none is known, only the weight counts.
+
+    A member that works for many others fills its link: a watcher downloads
+    every configuration in full. A slow link would delay this download and the
+    calls to the backend server of the instance by seconds.
     """
     max_link_mbps = find_max_link_mbps(members)
     ranks = [compute_rank(key, member, max_link_mbps) for member in members]
@@ -59,17 +61,24 @@
 def compute_rank(
     key: str, member: control_pb2.Member, max_link_mbps: float
 ) -> _Rank:
-    """Returns the rank of a member, given the speed of the fastest link."""
-    fast_link = member.link_mbps >= _FAST_LINK_RATIO * max_link_mbps
+    """Returns the rank of a member.
+
+    Args:
+        key: Key of the rendezvous hashing.
+        member: The member.
+        max_link_mbps: Speed of the fastest link in Mbit/s.
+    """
+    fast_link = member.link_mbps >= _MIN_FAST_LINK_FRACTION * max_link_mbps
     return _Rank(fast_link, rendezvous.weigh(key, member.id), member.id)
 
 
 class MemberSelection:
-    """The members of highest weight for a key, updated as the table changes.
+    """The members of the highest rank for a key, updated as the table changes.
 
-    A changed record costs one hash; only the loss of a selected member costs a
-    pass over the table. Selecting again at each use would take about 10 ms with
-    6,000 members, several times a second.
+    A changed record costs one hash. Only the loss of a selected member, or a
+    changed link speed if fast links are preferred, costs a pass over the table.
+    Selecting at each use would take about 10 ms with 6,000 members, several
+    times a second.
     """
 
     def __init__(
@@ -114,7 +123,7 @@
         return list(self._selected)
 
     def close(self) -> None:
-        """Stops following the table."""
+        """Stops updates when the table changes."""
         self._table.on_change.remove(self._update)
 
     def _select(self) -> None:
@@ -144,7 +153,9 @@
         if self._stale:
             return
         is_eligible = self._is_eligible(member)
-        if self._prefer_fast_links and self._update_link(member, is_eligible):
+        if self._prefer_fast_links and self._update_link_speed(
+            member, is_eligible
+        ):
             self._stale = True
             return
         if member.id in self._selected:
@@ -153,10 +164,10 @@
         if is_eligible:
             self._insert(member)
 
-    def _update_link(
+    def _update_link_speed(
         self, member: control_pb2.Member, is_eligible: bool
     ) -> bool:
-        """Updates the link speed of a member; True if ranks change by it."""
+        """Updates the link speed of a member; True if it changes ranks."""
         old_mbps = self._link_mbps.pop(member.id, None)
         if is_eligible:
             self._link_mbps[member.id] = member.link_mbps
@@ -195,7 +206,15 @@
 def choose_in_local_zone(
     table: table_lib.MemberTable, purpose: str, count: int
 ) -> MemberSelection:
-    """Returns a selection from the local zone, the local daemon included."""
+    """Creates a selection of members in the availability zone of this daemon.
+
+    This daemon can be selected itself, and members with fast links come first.
+
+    Args:
+        table: The table to select from.
+        purpose: What the members are selected for; part of the key.
+        count: Maximum number of members.
+    """
     zone = table.local_member.zone
     key = build_zone_key(purpose, zone)
     return MemberSelection(
--- a/merlintrestle/members/validation.py
+++ b/merlintrestle/members/validation.py
@@ -7,8 +7,8 @@
 from merlintrestle import config
 from merlintrestle.schema import control_pb2
 
-# A member refutes by an incarnation one above that held by others; the largest
-# integers would leave no higher number.
+# A member refutes its suspicion or death by an incarnation one above the one
+# that others hold. None is above the largest integer.
 _MAX_INCARNATION = 2**62
 _MAX_VERSION_CHARACTERS = 200
 
@@ -16,9 +16,10 @@
 def find_problem(member: control_pb2.Member) -> str:
     """Returns why a record is invalid, or an empty string if it is valid.
 
-    Records reach every daemon. A record with an unusable address would raise
-    wherever it is used, in the whole fleet, and an exception in a task ends its
-    daemon. A record that is refused on receipt is neither used nor forwarded.
+    Each record is forwarded to every daemon. Using a record with an invalid
+    address raises an exception, and an exception in a task ends its daemon, so
+    that one such record could end the whole fleet. A record that is refused on
+    receipt is neither used nor forwarded.
     """
     if problem := config.check_address(member.id):
         return problem
--- a/tests/members/test_validation.py
+++ b/tests/members/test_validation.py
@@ -10,10 +10,10 @@
 
 
 def build_invalid_members() -> dict[str, control_pb2.Member]:
-    """Builds invalid records that would raise when used, keyed by fault."""
+    """Builds invalid records, whose use would raise, by their fault."""
     members = {
-        name: builders.build_member(2, service="balie")
-        for name in (
+        fault: builders.build_member(2, service="balie")
+        for fault in (
             "port",
             "no port",
             "no id",
@@ -22,10 +22,10 @@
             "peer port",
             "no peer port",
             "address",
-            "incarnation",
+            "incarnation too high",
             "no incarnation",
-            "link",
-            "no number",
+            "negative link speed",
+            "NaN link speed",
         )
     }
     members["port"].id = "127.0.0.1:99999"
@@ -36,10 +36,10 @@
     members["peer port"].peer_port = 99999
     members["no peer port"].peer_port = 0
     members["address"].address = "x["
-    members["incarnation"].incarnation = 2**64 - 1
+    members["incarnation too high"].incarnation = 2**64 - 1
     members["no incarnation"].incarnation = 0
-    members["link"].link_mbps = -1.0
-    members["no number"].link_mbps = math.nan
+    members["negative link speed"].link_mbps = -1.0
+    members["NaN link speed"].link_mbps = math.nan
     return members
 
 
@@ -47,14 +47,15 @@
     """Invalid records from a peer with a bug or with corrupt memory."""
 
     def test_invalid_records_are_not_stored(self) -> None:
-        """Invalid records are ignored.
+        """Guards against invalid records that end all daemons of the fleet.
 
-        If a member with port 99999 became the witness of a daemon, the mark of
-        that daemon would raise; a backend server without slots raises in every
-        pick. As records reach every daemon, all daemons would end.
+        If a member with port 99999 became the witness of a daemon, sending a
+        mark to it would raise. A backend server without slots raises whenever
+        an upstream is selected. As records reach every daemon, all daemons
+        would end.
         """
-        for name, member in build_invalid_members().items():
-            with self.subTest(name):
+        for fault, member in build_invalid_members().items():
+            with self.subTest(fault):
                 table = builders.build_table()
                 changes: list[control_pb2.Member] = []
                 table.on_change.append(changes.append)
@@ -63,7 +64,10 @@
                 self.assertEqual(table.get_upstreams("balie"), ())
 
     def test_local_incarnation_cannot_be_exhausted(self) -> None:
-        """A record with the highest number cannot declare a daemon dead."""
+        """Guards against a record of a dead daemon that it cannot refute.
+
+        No incarnation is above the largest integer.
+        """
         table = builders.build_table()
         highest = builders.build_member(1, 2**64 - 1, control_pb2.DEAD)
         self.assertFalse(table.merge(highest))
