--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -267,7 +267,7 @@
         """Sends an answer, which stays in the write buffer."""
         now = self.clock.now
         call = builders.build_call(
-            plan=_DOWNLOAD, due=now + 5.0, deadline=now + 60.0
+            plan=_DOWNLOAD, latency_deadline=now + 5.0, deadline=now + 60.0
         )
         transfer = self.link.admit(call)
         assert isinstance(transfer, reservations.Transfer)
