--- a/merlintrestle/daemon/heartbeats.py
+++ b/merlintrestle/daemon/heartbeats.py
@@ -22,7 +22,8 @@
         address: Its "ip:port".
         slots: Calls it runs at once.
         state: Whether it takes new work.
-        cold_s: Seconds for which it will still be slow after its start.
+        remaining_warmup_s: Seconds for which it will still be slow after its
+            start.
         sequence: Greater in each later heartbeat of one process.
         started_ms: When the process started, in ms since 1970; 0: not stated.
         version: Version of its software; empty: not stated.
@@ -33,7 +34,7 @@
     address: str
     slots: int
     state: control_pb2.BackendState
-    cold_s: float
+    remaining_warmup_s: float
     sequence: float
     started_ms: int = 0
     version: str = ""
--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -179,7 +179,7 @@
             heartbeat.slots,
             heartbeat.state,
             heartbeat.instance_id,
-            heartbeat.cold_s,
+            heartbeat.remaining_warmup_s,
             heartbeat.started_ms,
             heartbeat.version,
         )
@@ -241,7 +241,7 @@
             lambda: self._proxy.in_flight,
         )
         request_pb2_grpc.add_RequestsServicer_to_server(
-            self._proxy.recalls, self._control.server
+            self._proxy.recall_servicer, self._control.server
         )
         await self._control.start(servicer)
         self._proxy.backend.on_change = self._spread_backend
--- a/merlintrestle/operators/rollouts.py
+++ b/merlintrestle/operators/rollouts.py
@@ -66,7 +66,7 @@
     async with run.open_store() as store:
         findings += await _check_service(store, service)
         before = await _read_state(store, service)
-        if before is not None and before.state not in records.ENDED:
+        if before is not None and before.state not in records.FINAL_STATES:
             text = f"is being moved to {before.version} already."
             findings.append(errors.Finding(service, text))
         attempt = orders.Attempt(
@@ -113,7 +113,9 @@
     until = time.monotonic() + wait_timeout
     async with run.open_store() as store:
         found = await _require_state(store, service)
-        while found.state not in records.ENDED and time.monotonic() < until:
+        while (
+            found.state not in records.FINAL_STATES and time.monotonic() < until
+        ):
             await asyncio.sleep(_POLL_S)
             found = await _require_state(store, service)
     run.report(_describe(found))
--- a/merlintrestle/platform/health.py
+++ b/merlintrestle/platform/health.py
@@ -64,6 +64,6 @@
         address=str(settings.backend),
         slots=int(slots),
         state=control_pb2.READY,
-        cold_s=0.0,
+        remaining_warmup_s=0.0,
         sequence=heartbeats.INITIAL_SEQUENCE,
     )
--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -30,8 +30,8 @@
         address: Its "ip:port".
         slots: Number of calls it runs at once.
         version: Version of its software; empty if not announced.
-        warm_at: Monotonic time at which its warm-up ends, in seconds. Until
-            then it may be slow, as its process has just started.
+        warmup_ends_at: Monotonic time at which its warm-up ends, in seconds.
+            Until then it may be slow, as its process has just started.
         instance_id: Id of its process; empty if not announced.
         started_ms: Start time of its process, in ms since 1970; 0 if not
             announced.
@@ -52,7 +52,7 @@
         self.address = ""
         self.slots = 0
         self.version = ""
-        self.warm_at = 0.0
+        self.warmup_ends_at = 0.0
         self.instance_id = ""
         self.started_ms = 0
         self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
@@ -93,7 +93,7 @@
         """
         previous_record = self.build_record()
         self._remaining_warmup_s = min(cold_s, WARMUP_S)
-        self.warm_at = time.monotonic() + self._remaining_warmup_s
+        self.warmup_ends_at = time.monotonic() + self._remaining_warmup_s
         if self._is_new_process(instance_id, born_ms):
             # The state and the open connections belong to the previous process.
             # The new process is not warm yet, and requests on the open
--- a/merlintrestle/requests/interfaces.py
+++ b/merlintrestle/requests/interfaces.py
@@ -48,7 +48,7 @@
     def may_serve(self) -> bool:
         """Returns whether the local backend server may serve calls."""
 
-    def record_answer(
+    def record_call(
         self, class_name: str, failed: bool, duration_s: float
     ) -> None:
         """Records a finished call that ran or may have run.
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -120,13 +120,13 @@
         queue.hold_s += _HOLD_EWMA_WEIGHT * (held_s - queue.hold_s)
         self._slots.release(queue)
 
-    def record_acceptance(self, taken: bool) -> None:
+    def record_acceptance(self, accepted: bool) -> None:
         """Records whether the backend server accepted an admitted call.
 
         Args:
-            taken: Whether it accepted the call; False if it rejected it.
+            accepted: Whether it accepted the call; False if it rejected it.
         """
-        self._acceptance.record(taken)
+        self._acceptance.record(accepted)
 
     def estimate_retry_delay(self, call: calls.Call) -> float:
         """Returns the retry delay after the backend server rejects a call.
--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -66,7 +66,7 @@
         self._transfers: set[reservations.Transfer] = set()
         self._sent_bytes = 0
         self._interval_began_at: float | None = None
-        self._means: dict[tuple[str, str], reservations.AnswerStats] = {}
+        self._answer_stats: dict[tuple[str, str], reservations.AnswerStats] = {}
         self._refuse_late_until = 0.0
         self._waiting: list[
             tuple[reservations.Transfer, asyncio.Future[None]]
@@ -112,7 +112,9 @@
             The transfer that holds the reservation, or the refusal.
         """
         class_key = (call.organisation, call.plan.name)
-        stats = self._means.setdefault(class_key, reservations.AnswerStats())
+        stats = self._answer_stats.setdefault(
+            class_key, reservations.AnswerStats()
+        )
         transfer_s = self.get_transfer_s(stats.size + stats.deviation)
         min_answer_s = stats.head_s + transfer_s
         # Large transfers are monitored by their progress and have no latency
@@ -157,7 +159,7 @@
         else:
             self._transfers.discard(transfer)
 
-    def note_sent(self, count: int) -> None:
+    def record_sent(self, count: int) -> None:
         """Records that `count` bytes have left the host."""
         self._sent_bytes += count
 
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -216,10 +216,10 @@
             work_s: Expected work time of the call, in seconds.
             failures: Number of failures that the call counts as.
         """
-        self.record_cancellation(work_s)
+        self.stop_awaiting(work_s)
         self._count_failures(now, failures)
 
-    def record_doubt(self, now: float) -> None:
+    def record_overdue(self, now: float) -> None:
         """Records that a call is overdue: not answered in the expected time.
 
         The overdue call counts as a failure but continues. If only its end were
@@ -239,7 +239,7 @@
         # `_MAX_EJECTION_S`.
         self.ejections = min(self.ejections + 1, 10)
 
-    def record_cancellation(self, work_s: float) -> None:
+    def stop_awaiting(self, work_s: float) -> None:
         """Records that a call no longer waits for its first byte.
 
         It was cancelled, which shows nothing about the health of the upstream,
@@ -249,7 +249,7 @@
         if work_s <= _MAX_QUICK_WORK_S:
             self.awaiting_first_byte -= 1
 
-    def record_result(self, succeeded: bool) -> None:
+    def update_success_rate(self, succeeded: bool) -> None:
         """Updates the success rate by a call that reached it.
 
         Args:
@@ -288,14 +288,14 @@
 
     def _record_first_byte(self, now: float, work_s: float) -> None:
         """Records the first byte of an answer or a refusal."""
-        self.record_cancellation(work_s)
+        self.stop_awaiting(work_s)
         self.last_answer_at = now
         self.silent_since = now
 
 
 @generics.cache_dispatch
 @functools.singledispatch
-def record(
+def record_outcome(
     outcome: object,
     observation: Observation,
     now: float,
@@ -314,7 +314,7 @@
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
-@record.register
+@record_outcome.register
 def _record_answered(
     outcome: outcomes.Answered,
     observation: Observation,
@@ -322,7 +322,7 @@
     sent_at: float,
     work_s: float,
 ) -> None:
-    observation.record_result(
+    observation.update_success_rate(
         outcome.response.status < outcomes.MIN_SERVER_ERROR_STATUS
     )
     if outcome.response.status == outcomes.SHEDDING_STATUS:
@@ -331,7 +331,7 @@
         observation.record_answer(now, now - sent_at, work_s)
 
 
-@record.register
+@record_outcome.register
 def _record_replayed(
     outcome: outcomes.Replayed,
     observation: Observation,
@@ -345,7 +345,7 @@
     observation.backoff_until = 0.0
 
 
-@record.register
+@record_outcome.register
 def _record_not_run(
     outcome: outcomes.NotRun,
     observation: Observation,
@@ -357,7 +357,7 @@
         observation.record_failure(now, work_s, _MAX_FAILURES)
         return
     if outcome.reached:
-        observation.record_result(False)
+        observation.update_success_rate(False)
     observation.record_refusal(now, work_s)
     if not outcome.elsewhere:
         # The refusal is caused by the call instead of the upstream, so there
@@ -365,8 +365,8 @@
         observation.backoff_until = 0.0
 
 
-@record.register(outcomes.Ran)
-@record.register(outcomes.Unknown)
+@record_outcome.register(outcomes.Ran)
+@record_outcome.register(outcomes.Unknown)
 def _record_failure(
     outcome: outcomes.Ran | outcomes.Unknown,
     observation: Observation,
@@ -374,5 +374,5 @@
     sent_at: float,
     work_s: float,
 ) -> None:
-    observation.record_result(False)
+    observation.update_success_rate(False)
     observation.record_failure(now, work_s)
--- a/merlintrestle/requests/load/reservations.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -52,7 +52,7 @@
     ) -> None:
         """Changes the bytes that are reserved for a transfer."""
 
-    def note_sent(self, count: int) -> None:
+    def record_sent(self, count: int) -> None:
         """Records that `count` bytes have left the host."""
 
     async def wait_for_turn(self, transfer: Transfer) -> None:
@@ -237,7 +237,7 @@
         if sent > 0:
             self._progress_at = now
             self._set_stalled(False)
-            self._link.note_sent(sent)
+            self._link.record_sent(sent)
             self._set_unsent(unsent)
             self._set_remaining(max(unsent, self.remaining - sent))
             self._update_slow(now, sent)
--- a/merlintrestle/requests/serving/attempt_runner.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -79,15 +79,15 @@
         if doubt.concerns_connection_only or self._failure_recorded:
             return
         self._failure_recorded = True
-        self._observation.record_doubt(self._get_time())
+        self._observation.record_overdue(self._get_time())
 
     def record_cancellation(self) -> None:
         """Records that the attempt was cancelled before it was answered."""
-        self._observation.record_cancellation(self._work_s)
+        self._observation.stop_awaiting(self._work_s)
         # A cancellation alone shows nothing about the upstream. After a doubt
         # it also lowers the success rate, which `record_doubt` does not.
         if self._failure_recorded:
-            self._observation.record_result(False)
+            self._observation.update_success_rate(False)
         self._observation.end()
 
     def record_outcome(self, outcome: outcomes.Outcome) -> None:
@@ -99,7 +99,7 @@
             self.record_cancellation()
             return
         observation = self._observation
-        observations.record(
+        observations.record_outcome(
             outcome,
             observation,
             self._get_time(),
--- a/merlintrestle/requests/serving/local_runner.py
+++ b/merlintrestle/requests/serving/local_runner.py
@@ -136,7 +136,7 @@
         self._record_acceptance(outcome)
         self._track_crashes(call, outcome)
         if not isinstance(outcome, outcomes.NotRun):
-            self._observer.record_answer(
+            self._observer.record_call(
                 call.plan.name,
                 _is_failure(outcome),
                 time.monotonic() - started_at,
@@ -150,9 +150,9 @@
     def _record_acceptance(self, outcome: outcomes.Outcome) -> None:
         """Records whether the backend server accepted a call it received."""
         if not isinstance(outcome, outcomes.NotRun):
-            self._admission.record_acceptance(taken=True)
+            self._admission.record_acceptance(accepted=True)
         elif outcome.reached:
-            self._admission.record_acceptance(taken=False)
+            self._admission.record_acceptance(accepted=False)
 
     def _track_crashes(
         self, call: calls.Call, outcome: outcomes.Outcome
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -76,9 +76,9 @@
         crashes: Receives the strikes of other daemons (`crashes.strikes.add`)
             and sends those of this daemon (`crashes.send_strike`).
         observer: Records answers of the local backend server in a roll-out.
-        recalls: gRPC servicer to be added to the control server. It answers
-            recalls: queries of other daemons about the claims of this daemon
-            on calls that must not be repeated.
+        recall_servicer: gRPC servicer to be added to the control server. It
+            answers recall_servicer: queries of other daemons about the claims
+            of this daemon on calls that must not be repeated.
     """
 
     def __init__(
@@ -115,12 +115,12 @@
         self.set_retry_bounds(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_s
         )
-        self._traffics = traffic.build_traffics()
+        self._byte_counters = traffic.build_traffics()
         self._link = links.OutgoingLink()
         self._forwarder = forwarding.Forwarder(
             self._resend_budgets,
             dialects.accepts_unframed_answers(dialect),
-            self._traffics,
+            self._byte_counters,
         )
         self.control_port = settings.control_port
         self._recall_client = recall.RecallClient()
@@ -132,7 +132,7 @@
             settings.claims,
             time.monotonic,
         )
-        self.recalls = recall.RecallServicer(claims)
+        self.recall_servicer = recall.RecallServicer(claims)
         self._admission = admission = admissions.Admission(
             self.backend, holder, table
         )
@@ -152,7 +152,7 @@
             dialect,
             self.observer,
         )
-        self._dispatch = dispatch.Dispatcher(
+        self._dispatcher = dispatch.Dispatcher(
             self._get_member_id,
             table,
             picking.Picker(
@@ -196,7 +196,7 @@
         caller_handler = callers.CallerHandler(
             self._state,
             self._dialect,
-            self._dispatch,
+            self._dispatcher,
             self.statistics,
             self.latencies,
             self._admission.is_busy,
@@ -204,7 +204,7 @@
         self._peer_handler = peers.PeerHandler(
             self._state, self._local_runner, self._admission, self._link
         )
-        traffics = self._traffics
+        traffics = self._byte_counters
         self._caller_server = server.Server(
             caller_handler.handle, traffics.callers
         )
@@ -221,7 +221,7 @@
 
     async def open_caller_port(self) -> None:
         """Opens the port for callers."""
-        self._dispatch.startup_wait.begin()
+        self._dispatcher.startup_wait.begin()
         address = self._settings.address
         await self._caller_server.start(address, self._settings.port)
         self.caller_port = self._caller_server.port
@@ -312,7 +312,7 @@
     def _get_send_buffer_bytes(self) -> int:
         """Returns the bytes of answers in the send buffers of both ports."""
         servers = (self._caller_server, self._peer_server)
-        return sum(port_server.get_held_back() for port_server in servers)
+        return sum(port_server.get_buffered_bytes() for port_server in servers)
 
     @property
     def in_flight(self) -> int:
--- a/merlintrestle/requests/serving/responses.py
+++ b/merlintrestle/requests/serving/responses.py
@@ -83,7 +83,7 @@
     send_body: streams.BodySender | None,
 ) -> web.StreamResponse:
     try:
-        return await streams.relay(
+        return await streams.forward_answer(
             request, answered, progress, extra_headers, send_body
         )
     except (aiohttp.ClientError, OSError) as error:
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -14,8 +14,8 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.transport import answers
 from merlintrestle.requests.transport import connections
+from merlintrestle.requests.transport import exchange_outcomes
 from merlintrestle.requests.transport import pool as pools
-from merlintrestle.requests.transport import results
 from merlintrestle.requests.transport import streams
 from merlintrestle.requests.transport import timeouts
 from merlintrestle.requests.transport import watchdogs
@@ -129,7 +129,7 @@
             answer = await connection.call(
                 call.method, target, sent_headers, call.body, read_ahead_bytes
             )
-            while not results.matches_call(
+            while not exchange_outcomes.matches_call(
                 answer, call, sent_headers, options.dialect
             ):
                 # A late answer to an earlier call on this connection.
@@ -150,7 +150,7 @@
             body = await streams.read_answer(answer, call.method)
         except TimeoutError:
             connection.abort()
-            return results.DEADLINE_EXCEEDED
+            return exchange_outcomes.DEADLINE_EXCEEDED
         except (
             aiohttp.ClientError,
             http.HttpProcessingError,
@@ -159,7 +159,7 @@
             connection.abort()
             if call.body.error is not None:
                 raise call.body.error from error
-            return results.build_failure(
+            return exchange_outcomes.build_failure(
                 answer, "the connection broke", 502, broken=True
             )
         except BaseException:
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -13,11 +13,11 @@
 from merlintrestle.requests.calls import outcomes
 from merlintrestle.requests.reports import traffic as traffics_
 from merlintrestle.requests.transport import connections
+from merlintrestle.requests.transport import exchange_outcomes
 from merlintrestle.requests.transport import exchanges
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import pool as pools
 from merlintrestle.requests.transport import resends
-from merlintrestle.requests.transport import results
 from merlintrestle.requests.transport import watchdogs
 
 if TYPE_CHECKING:
@@ -158,7 +158,7 @@
             outcome = await self._runner.run(
                 pooled, watchdog, call.target, call, sent_headers, options
             )
-            broke = results.broke_while_idle(
+            broke = exchange_outcomes.broke_while_idle(
                 outcome, idle_s, self._loop.time() - started_at
             )
             if broke and call.body.replayable and budget.try_spend():
--- a/merlintrestle/requests/transport/server.py
+++ b/merlintrestle/requests/transport/server.py
@@ -97,14 +97,14 @@
         lost, such as the end of a long download to a slow caller. Stops waiting
         once no bytes have moved for `bodies.STALL_TIMEOUT_S`.
         """
-        buffered_bytes = self.get_held_back()
+        buffered_bytes = self.get_buffered_bytes()
         moved_at = self._loop.time()
         while (
             buffered_bytes
             and self._loop.time() - moved_at < bodies.STALL_TIMEOUT_S
         ):
             await asyncio.sleep(_FLUSH_POLL_S)
-            new_buffered_bytes = self.get_held_back()
+            new_buffered_bytes = self.get_buffered_bytes()
             if new_buffered_bytes != buffered_bytes:
                 moved_at = self._loop.time()
             buffered_bytes = new_buffered_bytes
@@ -116,7 +116,7 @@
         self.pre_shutdown()
         await self.shutdown(_SHUTDOWN_TIMEOUT_S)
 
-    def get_held_back(self) -> int:
+    def get_buffered_bytes(self) -> int:
         """Returns the number of bytes in the connections' write buffers."""
         return sum(
             connection.transport.get_write_buffer_size()
--- a/merlintrestle/requests/transport/streams.py
+++ b/merlintrestle/requests/transport/streams.py
@@ -93,7 +93,7 @@
     return answer.content_length is not None
 
 
-async def relay(
+async def forward_answer(
     request: web.BaseRequest,
     answered: outcomes.Answered,
     progress: probes.AnswerProgress | None = None,
--- a/merlintrestle/rollouts/observer.py
+++ b/merlintrestle/rollouts/observer.py
@@ -102,7 +102,7 @@
             return not self._refuses_calls(progress)
         return self._tracker.may_run_unknown_version(progress)
 
-    def record_answer(
+    def record_call(
         self, class_name: str, failed: bool, duration_s: float
     ) -> None:
         """Records a finished call, which may have failed without an answer.
@@ -187,7 +187,7 @@
 
         No call counts as slow during a cold start, nor without a baseline.
         """
-        if self._get_time() < self._backend.warm_at:
+        if self._get_time() < self._backend.warmup_ends_at:
             return False
         if baseline.calls < _MIN_CALLS_FOR_MEAN_DURATION:
             return False
--- a/merlintrestle/rollouts/progress.py
+++ b/merlintrestle/rollouts/progress.py
@@ -80,7 +80,7 @@
     @property
     def ended(self) -> bool:
         """True once the order is known to be in a final state."""
-        return self.rollout.state in records.ENDED
+        return self.rollout.state in records.FINAL_STATES
 
     def classify(self, upstreams: Sequence[tables.Upstream]) -> None:
         """Groups the upstreams by version, and recomputes the baseline."""
--- a/merlintrestle/rollouts/records.py
+++ b/merlintrestle/rollouts/records.py
@@ -10,7 +10,7 @@
 
 # Final states of an order. The first one that is written to the store is never
 # changed.
-ENDED = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
+FINAL_STATES = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
 # Limits for records that another program may have written to the store.
 _MAX_NAME_LENGTH = 200
 _MAX_CLASSES = 100
@@ -48,7 +48,7 @@
     """
     if current is None or received.number > current.number:
         return received
-    if received.number < current.number or current.state in ENDED:
+    if received.number < current.number or current.state in FINAL_STATES:
         return None
     return received if received.state > current.state else None
 
--- a/merlintrestle/rollouts/storage.py
+++ b/merlintrestle/rollouts/storage.py
@@ -192,7 +192,7 @@
         key = self._format.build_state_key(rollout.service)
         entry = await self._store.get(key)
         current = self._get_state(rollout, entry)
-        if current in records.ENDED or current >= state:
+        if current in records.FINAL_STATES or current >= state:
             return current
         value = self._format.encode_state(rollout, state)
         revision = entry.revision if entry is not None else 0
@@ -212,7 +212,7 @@
                 roll-outs, or None if the store has none.
         """
         # The state of an order is final if an operator has aborted it.
-        if rollout.state in records.ENDED:
+        if rollout.state in records.FINAL_STATES:
             return rollout.state
         # An entry that is older than the order belongs to an earlier order.
         if entry is None or entry.revision < rollout.number:
--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -169,7 +169,7 @@
             store: The store; by default a new fake store.
         """
         super().__init__()
-        self.holder = fakes.Holder(running or build_snapshot())
+        self.holder = fakes.FakeActiveVersion(running or build_snapshot())
         self.served: list[tuple[str, str]] = []
         self.table = fakes.Table()
         self._handler = handler or _answer_ok
@@ -192,7 +192,7 @@
         self.push_async_callback(self.backend.close)
         self.control = grpc.aio.server()
         request_pb2_grpc.add_RequestsServicer_to_server(
-            self.proxy.recalls, self.control
+            self.proxy.recall_servicer, self.control
         )
         self.proxy.control_port = self.control.add_insecure_port("127.0.0.1:0")
         await self.control.start()
@@ -222,7 +222,7 @@
     @property
     def picker(self) -> picking.Picker:
         """The upstream picker of the proxy."""
-        return self.proxy._dispatch._picker
+        return self.proxy._dispatcher._picker
 
     def exhaust_budget(self) -> None:
         """Spends the whole retry budget for kassa."""
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -28,7 +28,7 @@
         return self.now
 
 
-class Holder:
+class FakeActiveVersion:
     """A fake `interfaces.ActiveVersion` whose version is set by the test.
 
     Attributes:
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -25,8 +25,8 @@
 from merlintrestle.requests.load import picking
 from merlintrestle.requests.load import repeats
 from merlintrestle.requests.serving import dispatch
+from merlintrestle.requests.transport import exchange_outcomes
 from merlintrestle.requests.transport import headers
-from merlintrestle.requests.transport import results
 from merlintrestle.rollouts import subsets
 from merlintrestle.rollouts import tracker
 from merlintrestle.schema import control_pb2
@@ -73,7 +73,7 @@
         backend.announce("kassa", "127.0.0.1:1", slots, control_pb2.READY)
         self.admission = admission.Admission(
             backend,
-            fakes.Holder(builders.build_snapshot({})),
+            fakes.FakeActiveVersion(builders.build_snapshot({})),
             table,
             self._loop.time,
         )
@@ -143,7 +143,7 @@
                 outcome = await self._daemons[address].run(received)
                 await asyncio.sleep(self._round_trip_s / 2)
         except TimeoutError:
-            return results.DEADLINE_EXCEEDED
+            return exchange_outcomes.DEADLINE_EXCEEDED
         if not isinstance(outcome, outcomes.NotRun):
             return outcome
         answer = outcomes.render(outcome)
--- a/tests/requests/load/simulations.py
+++ b/tests/requests/load/simulations.py
@@ -65,7 +65,7 @@
         backend.announce("kassa", "127.0.0.1:1", slots, control_pb2.READY)
         self._admission = admission.Admission(
             backend,
-            fakes.Holder(builders.build_snapshot({})),
+            fakes.FakeActiveVersion(builders.build_snapshot({})),
             fakes.Table(),
             self._loop.time,
         )
--- a/tests/requests/load/test_acceptance.py
+++ b/tests/requests/load/test_acceptance.py
@@ -54,7 +54,7 @@
         backend.announce("kassa", "127.0.0.1:1", 4, control_pb2.READY)
         self.admission = admission.Admission(
             backend,
-            fakes.Holder(builders.build_snapshot()),
+            fakes.FakeActiveVersion(builders.build_snapshot()),
             fakes.Table(),
             fakes.Clock().get_time,
         )
--- a/tests/requests/load/test_admission.py
+++ b/tests/requests/load/test_admission.py
@@ -42,7 +42,9 @@
     backend = backends.LocalBackend()
     backend.announce("kassa", "127.0.0.1:1", _SLOTS, control_pb2.READY)
     return admissions.Admission(
-        backend, fakes.Holder(builders.build_snapshot(named)), fakes.Table()
+        backend,
+        fakes.FakeActiveVersion(builders.build_snapshot(named)),
+        fakes.Table(),
     )
 
 
--- a/tests/requests/load/test_picking.py
+++ b/tests/requests/load/test_picking.py
@@ -61,7 +61,9 @@
             self.upstreams[number].member_id
         )
         observation.begin(self.now, _WORK_S)
-        observations.record(outcome, observation, self.now, self.now, _WORK_S)
+        observations.record_outcome(
+            outcome, observation, self.now, self.now, _WORK_S
+        )
         observation.end()
 
     def answer(self, number: int, latency_s: float) -> None:
@@ -141,7 +143,7 @@
         self.assertIn(1, self.count())
         observation = self.picker.get_observation(self.upstreams[1].member_id)
         for _ in range(3):
-            observation.record_doubt(self.now)
+            observation.record_overdue(self.now)
         self.assertNotIn(1, self.count())
         for _ in range(3):
             observation.record_answer(self.now, _WORK_S, _WORK_S)
--- a/tests/requests/reports/test_traffic.py
+++ b/tests/requests/reports/test_traffic.py
@@ -99,7 +99,7 @@
                     client, f"{local_node.url}/echo", "POST", data=body
                 )
             local_traffics, remote_traffics = (
-                node.proxy._traffics for node in (local_node, remote_node)
+                node.proxy._byte_counters for node in (local_node, remote_node)
             )
         for byte_count in (
             local_traffics.callers.received,
--- a/tests/requests/transport/test_connections.py
+++ b/tests/requests/transport/test_connections.py
@@ -12,9 +12,9 @@
 
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import connections
+from merlintrestle.requests.transport import exchange_outcomes
 from merlintrestle.requests.transport import headers
 from merlintrestle.requests.transport import pool as pools
-from merlintrestle.requests.transport import results
 from merlintrestle.requests.transport import watchdogs
 from tests.requests import builders
 
@@ -195,7 +195,7 @@
             builders.open_client() as client,
         ):
             retry = {headers.ATTEMPT: "1"}
-            with mock.patch.object(results, "_MIN_IDLE_S", 0.0):
+            with mock.patch.object(exchange_outcomes, "_MIN_IDLE_S", 0.0):
                 for _ in range(2):
                     answer = await client.get(node.url + "/x", headers=retry)
                     self.assertEqual(answer.status, 200)
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -232,7 +232,7 @@
                     )
                     await reader.read()
                 link = self.node.proxy._link
-                (means,) = link._means.values()
+                (means,) = link._answer_stats.values()
                 self.assertEqual(means.size, 0)
                 writer.close()
 
@@ -244,7 +244,7 @@
             reader, writer = await self.request("/download")
             await reader.read()
             link = self.node.proxy._link
-            (means,) = link._means.values()
+            (means,) = link._answer_stats.values()
             self.assertEqual(means.size, len(_BODY))
         writer.close()
 
@@ -302,7 +302,7 @@
         How much was sent before the abort is unknown. If all of it counted, the
         measured rate of the link would be far too high.
         """
-        with mock.patch.object(self.link, "note_sent") as note_sent:
+        with mock.patch.object(self.link, "record_sent") as note_sent:
             await self.send(200_000)
             self.transport.is_closing.return_value = True
             self.sender._update_transfers()
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_inquiries.py
@@ -141,7 +141,7 @@
                 del arguments
                 await asyncio.Event().wait()
 
-            claims = first.proxy.recalls._claims
+            claims = first.proxy.recall_servicer._claims
             with (
                 mock.patch.object(recall, "_REPLY_MARGIN_S", _REPLY_MARGIN_S),
                 mock.patch.object(claims, "answer_recall", never_answer),
--- a/tests/requests/unrepeatable/test_late_holder.py
+++ b/tests/requests/unrepeatable/test_late_holder.py
@@ -40,7 +40,7 @@
             )
             await started.wait()
             abandoned.cancel()
-            recalls = first.proxy.recalls
+            recalls = first.proxy.recall_servicer
             answer_recall = recalls._claims.answer_recall
 
             async def answer_late(*arguments: Any) -> Any:
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -43,7 +43,7 @@
         """Records calls at a rate of twenty per second."""
         for _ in range(calls):
             self.fixture.clock.now += 0.05
-            observer.record_answer("lookup", failed, duration_s)
+            observer.record_call("lookup", failed, duration_s)
 
     def set_baseline(self, calls: int = 100, bad: int = 0) -> None:
         """Sets the baseline, with a mean duration of 0.1 s."""
@@ -67,7 +67,7 @@
         """Guards against a rollback because the version has just started."""
         observer = self.start_rollout(_NEW, "v2")
         self.set_baseline()
-        self.backend.warm_at = self.fixture.clock.now + 10.0
+        self.backend.warmup_ends_at = self.fixture.clock.now + 10.0
         self.record_calls(observer, 30, duration_s=0.5)
         self.assertFalse(self.fixture.progress.is_suspect(_NEW))
 
@@ -226,7 +226,7 @@
         observer = observers.Observer(
             self.fixture.tracker, self.backend, lambda: _OLD, lambda: 0
         )
-        observer.record_answer("lookup", True, 1.0)
+        observer.record_call("lookup", True, 1.0)
         observer.update()
         self.assertTrue(observer.may_serve())
         self.assertEqual(self.fixture.tracker.list_reports(), [])
--- a/tests/rollouts/test_records.py
+++ b/tests/rollouts/test_records.py
@@ -62,7 +62,7 @@
 
     def test_final_state_is_never_replaced(self):
         """Guards against a rollback after the old version was stopped."""
-        for final_state in records.ENDED:
+        for final_state in records.FINAL_STATES:
             current = builders.build_rollout(state=final_state)
             for state in _STATES:
                 received = builders.build_rollout(state=state)
--- a/tests/rollouts/test_states.py
+++ b/tests/rollouts/test_states.py
@@ -167,7 +167,7 @@
 
     def record_final_state(self, rollout: control_pb2.Rollout) -> None:
         """Records a final state; an order must not have two."""
-        if rollout.state in records.ENDED:
+        if rollout.state in records.FINAL_STATES:
             final_states = self.final_states.setdefault(rollout.number, set())
             final_states.add(rollout.state)
             assert len(final_states) == 1, "two final states of one order"
--- a/tools/rollouts.py
+++ b/tools/rollouts.py
@@ -112,7 +112,7 @@
         backend = backends.LocalBackend()
         backend.service = _SERVICE
         backend.version = version
-        backend.warm_at = _COLD_S if version == _VERSION else 0.0
+        backend.warmup_ends_at = _COLD_S if version == _VERSION else 0.0
         self.observer = observers.Observer(
             play.book,
             backend,
@@ -245,7 +245,7 @@
     def _end_calls(self) -> None:
         while self._ends and self._ends[0][0] <= self.now:
             _, _, server, work, failed, took_s = heapq.heappop(self._ends)
-            server.observer.record_answer(work.name, failed, took_s)
+            server.observer.record_call(work.name, failed, took_s)
             self._bad += failed and server.version == _VERSION
 
 
