--- a/merlintrestle/connectors.py
+++ b/merlintrestle/connectors.py
@@ -1,4 +1,4 @@
-"""Connections of the HTTP client library, opened by the event loop alone."""
+"""Connector of the HTTP client that lets the event loop open sockets."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 import aiohttp
 
-# Longest time for one body to arrive, in seconds: one that comes byte by byte
-# holds up no caller for ever. A link of 0.4 MB/s carries 4 MB in it.
+# Bounds the time that a body which arrives byte by byte can block a caller. A
+# link of 0.4 MB/s transfers 4 MB within it.
 _BODY_TIMEOUT_S = 10.0
 
 
 class TcpKeepalive(NamedTuple):
-    """When a connection that gives no sign is broken by the operating system.
+    """TCP settings by which the operating system closes a dead connection.
 
     Attributes:
-        idle_s: Quiet time before the other end is first asked, in seconds.
-        interval_s: Time between two questions, in seconds.
-        probe_count: How many of them go without an answer.
-        user_timeout_ms: Longest time for which what was sent may stay
+        idle_s: Idle time before the first keep-alive probe, in seconds.
+        interval_s: Time between two probes, in seconds.
+        probe_count: Number of unanswered probes that close the connection.
+        user_timeout_ms: Longest time for which sent data may stay
             unacknowledged, in ms.
     """
 
@@ -31,21 +31,27 @@
 
 
 class Connector(aiohttp.TCPConnector):
-    """Opens plain connections to IP numbers, each a new one or a pooled one.
-
-    The library opens a socket itself and hands it to the event loop. If the
-    task is cancelled just then, uvloop closes the file and the socket object
-    closes it once more, when another connection may have its number: that
-    caller gets another's answer, or the process ends with EBADF. Connections
-    that the event loop opens itself have one owner.
+    """Opens unencrypted connections to IP addresses, pooled or one per call.
+
+    The library opens a socket itself and passes it to the event loop. If the
+    task is cancelled at that moment, uvloop closes the file descriptor and the
+    socket object closes it a second time, when it may already belong to another
+    connection: the caller of that connection gets the answer to another call,
+    or the process ends with EBADF. A connection that the event loop opens
+    itself has only one owner.
     """
 
     def __init__(
-        self, force_close: bool = False, silence: TcpKeepalive | None = None
+        self, force_close: bool = False, keepalive: TcpKeepalive | None = None
     ):
-        """Sets whether each call has a connection of its own."""
+        """Initializes the connector.
+
+        Args:
+            force_close: Whether to close each connection after one call.
+            keepalive: TCP settings of its connections; None: the defaults.
+        """
         super().__init__(limit=0, force_close=force_close, use_dns_cache=False)
-        self._silence = silence
+        self._keepalive = keepalive
 
     async def _wrap_create_connection(
         self,
@@ -61,52 +67,57 @@
         try:
             async with asyncio.timeout(timeout.sock_connect):
                 connect: Any = self._loop.create_connection
-                opened = await connect(*args, host, port)
+                connection = await connect(*args, host, port)
         except OSError as error:
             if isinstance(error, TimeoutError) and error.errno is None:
                 raise
             raise client_error(req.connection_key, error) from error
-        if self._silence is not None:
-            set_keepalive(opened[0], self._silence)
-        return opened
+        if self._keepalive is not None:
+            set_keepalive(connection[0], self._keepalive)
+        return connection
 
 
 def set_keepalive(
-    transport: asyncio.BaseTransport, silence: TcpKeepalive
+    transport: asyncio.BaseTransport, keepalive: TcpKeepalive
 ) -> None:
-    """Has the operating system break a connection that gives no sign."""
-    opened = transport.get_extra_info("socket")
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    """Makes the operating system close a connection whose peer is dead."""
+    sock = transport.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
-        (socket.TCP_KEEPIDLE, silence.idle_s),
-        (socket.TCP_KEEPINTVL, silence.interval_s),
-        (socket.TCP_KEEPCNT, silence.probe_count),
+        (socket.TCP_KEEPIDLE, keepalive.idle_s),
+        (socket.TCP_KEEPINTVL, keepalive.interval_s),
+        (socket.TCP_KEEPCNT, keepalive.probe_count),
     ):
-        opened.setsockopt(socket.IPPROTO_TCP, option, value)
-    set_user_timeout(transport, silence.user_timeout_ms)
+        sock.setsockopt(socket.IPPROTO_TCP, option, value)
+    set_user_timeout(transport, keepalive.user_timeout_ms)
+
 
+def set_user_timeout(transport: asyncio.BaseTransport, timeout_ms: int) -> None:
+    """Makes the operating system close a connection that acknowledges nothing.
 
-def set_user_timeout(transport: asyncio.BaseTransport, limit_ms: int) -> None:
-    """Has the operating system break a connection that takes nothing more."""
-    opened = transport.get_extra_info("socket")
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
+    Args:
+        transport: The connection.
+        timeout_ms: Longest time for which sent data may stay unacknowledged.
+    """
+    sock = transport.get_extra_info("socket")
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
 
 async def read_body(
-    answer: aiohttp.ClientResponse, limit: asyncio.Timeout, pause_s: float
+    response: aiohttp.ClientResponse, timeout: asyncio.Timeout, gap_s: float
 ) -> bytes:
-    """Reads a body for as long as its bytes keep coming.
+    """Reads a body as long as further bytes of it arrive in time.
 
     Args:
-        answer: The answer.
-        limit: Bounds the call; put off with each part that comes.
-        pause_s: Longest wait for the next part, in seconds.
+        response: The response that has the body.
+        timeout: Timeout of the call; postponed with each chunk.
+        gap_s: Longest wait for the next chunk, in seconds.
     """
     loop = asyncio.get_running_loop()
-    ends_at = loop.time() + _BODY_TIMEOUT_S
-    limit.reschedule(min(loop.time() + pause_s, ends_at))
-    parts = []
-    async for part in answer.content.iter_any():
-        parts.append(part)
-        limit.reschedule(min(loop.time() + pause_s, ends_at))
-    return b"".join(parts)
+    deadline = loop.time() + _BODY_TIMEOUT_S
+    timeout.reschedule(min(loop.time() + gap_s, deadline))
+    chunks = []
+    async for chunk in response.content.iter_any():
+        chunks.append(chunk)
+        timeout.reschedule(min(loop.time() + gap_s, deadline))
+    return b"".join(chunks)
--- a/merlintrestle/platform/store.py
+++ b/merlintrestle/platform/store.py
@@ -69,7 +69,7 @@
     async def start(self) -> None:
         """Opens the pool of connections; the store need not be up."""
         self._session = aiohttp.ClientSession(
-            connector=connectors.Connector(silence=_SILENCE),
+            connector=connectors.Connector(keepalive=_SILENCE),
             cookie_jar=aiohttp.DummyCookieJar(),
         )
 
--- a/tests/test_connectors.py
+++ b/tests/test_connectors.py
@@ -1,4 +1,4 @@
-"""Connections whose opening is given up at any moment."""
+"""Tests of connection attempts that are cancelled at any point."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from merlintrestle import connectors
 
 _ROOT = pathlib.Path(__file__).parents[1]
-_GUARD_S = 60
+_TEST_TIMEOUT_S = 60
 _ROUNDS = 20
-_CANCELS = 8
+_CANCELLATIONS = 8
 
 
 class CancelledConnectTest(unittest.TestCase):
-    def test_other_connections_stay_whole(self):
-        """A caller never gets another's answer.
-
-        Questions to peers are given up while their connections are being
-        opened, at every step of that. With the library's own way of opening
-        them, uvloop and the socket object both close the file: the second
-        close hits a connection that was opened since, or ends the process.
-        The scenario runs in a process of its own, for it ended there.
+    def test_other_connections_are_not_affected(self):
+        """No caller gets the answer to the call of another caller.
+
+        Requests to peers are cancelled at every step of opening a connection.
+        If the library opens the socket itself, uvloop and the socket object
+        both close the file descriptor: the second close affects a connection
+        that was opened since, or ends the process. The scenario runs in a
+        subprocess because of that.
         """
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "tests.test_connectors"],
             cwd=_ROOT,
             capture_output=True,
-            timeout=_GUARD_S,
+            timeout=_TEST_TIMEOUT_S,
             check=False,
         )
-        self.assertEqual(done.returncode, 0, done.stderr[-2000:])
+        self.assertEqual(completed.returncode, 0, completed.stderr[-2000:])
 
 
 async def _answer(request: web.BaseRequest) -> web.StreamResponse:
@@ -54,44 +54,49 @@
     writer.close()
 
 
-async def _talk(port: int, name: str, seen: collections.Counter[str]) -> None:
+async def _exchange_lines(
+    port: int, name: str, counts: collections.Counter[str]
+) -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for number in range(6):
         line = f"{name}-{number}\n".encode()
         writer.write(line)
         async with asyncio.timeout(3):
-            seen["whole" if await reader.readline() == line else "mixed"] += 1
+            counts["whole" if await reader.readline() == line else "mixed"] += 1
     writer.close()
 
 
-async def _give_up(
-    session: aiohttp.ClientSession, url: str, chance: random.Random
+async def _cancel_requests(
+    session: aiohttp.ClientSession, url: str, rng: random.Random
 ) -> None:
-    for _ in range(_CANCELS):
-        asking = asyncio.ensure_future(session.get(url))
-        for _ in range(chance.randrange(12)):
+    for _ in range(_CANCELLATIONS):
+        request = asyncio.ensure_future(session.get(url))
+        for _ in range(rng.randrange(12)):
             await asyncio.sleep(0)
-        asking.cancel()
-        await asyncio.gather(asking, return_exceptions=True)
+        request.cancel()
+        await asyncio.gather(request, return_exceptions=True)
 
 
 async def _run() -> int:
-    chance = random.Random(1)
-    seen: collections.Counter[str] = collections.Counter()
-    echo = await asyncio.start_server(_echo, "127.0.0.1", 0)
+    rng = random.Random(1)
+    counts: collections.Counter[str] = collections.Counter()
+    echo_server = await asyncio.start_server(_echo, "127.0.0.1", 0)
     loop = asyncio.get_running_loop()
-    asked = await loop.create_server(web.Server(_answer), "127.0.0.1", 0)
-    url = f"http://127.0.0.1:{asked.sockets[0].getsockname()[1]}/"
-    port = echo.sockets[0].getsockname()[1]
+    server = await loop.create_server(web.Server(_answer), "127.0.0.1", 0)
+    url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}/"
+    port = echo_server.sockets[0].getsockname()[1]
     connector = connectors.Connector(force_close=True)
     async with aiohttp.ClientSession(connector=connector) as session:
         for number in range(_ROUNDS):
             await asyncio.gather(
-                *(_give_up(session, url, chance) for _ in range(8)),
-                *(_talk(port, f"{number}.{i}", seen) for i in range(20)),
+                *(_cancel_requests(session, url, rng) for _ in range(8)),
+                *(
+                    _exchange_lines(port, f"{number}.{i}", counts)
+                    for i in range(20)
+                ),
             )
-    print(dict(seen))
-    return 0 if seen == {"whole": _ROUNDS * 20 * 6} else 1
+    print(dict(counts))
+    return 0 if counts == {"whole": _ROUNDS * 20 * 6} else 1
 
 
 if __name__ == "__main__":
