--- a/merlintrestle/events.py
+++ b/merlintrestle/events.py
@@ -1,8 +1,8 @@
-"""Events: what a process decides and what it comes to believe, one line each.
+"""Rate-limited log events for decisions and state changes of a process.
 
-Lines per second are bounded for each event, so that the heaviest day does not
-spend its processor time on writing. What was left out is counted in the next
-line of that event and in a counter.
+The lines per second of each event are limited, so that logging does not use up
+the processor time under heavy load. Omitted lines are counted in the next line
+of that event and in a metric.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
 
 import prometheus_client
 
-# Lines of one event per second, and at once after a quiet time. A daemon takes
-# in some hundred requests a second; a failure of all of them is told by these.
-RATE_PER_S = 20.0
-BURST = 100.0
+# Log lines per second of one event, and of a burst after an idle time. A daemon
+# receives about a hundred requests per second; if all of them fail, this many
+# lines are enough to show it.
+LINES_PER_S = 20.0
+BURST_LINES = 100.0
 
 _left_out = prometheus_client.Counter(
     "merlintrestle_log_lines_left_out",
@@ -26,26 +27,30 @@
 
 
 class TokenBucket:
-    """Bounds the lines of one event.
+    """Token bucket that limits the lines of one event.
 
     Attributes:
-        left_out: Lines left out since the last one that was written.
+        left_out: Lines omitted since the last written line.
     """
 
-    __slots__ = ("_at", "_burst", "_rate", "_tokens", "left_out")
+    __slots__ = ("_burst", "_rate", "_tokens", "_updated_at", "left_out")
 
-    def __init__(self, now: float, rate: float, burst: float = BURST):
+    def __init__(self, now: float, rate: float, burst: float = BURST_LINES):
         self.left_out = 0
-        self._at = now
+        self._updated_at = now
         self._rate = rate
         self._burst = burst
         self._tokens = burst
 
     def try_take(self, now: float) -> bool:
-        """Returns whether one more line may be written."""
-        earned = (now - self._at) * self._rate
-        self._tokens = min(self._burst, self._tokens + earned)
-        self._at = now
+        """Takes a token for one line; returns False if there is none.
+
+        Args:
+            now: The current monotonic time, in seconds.
+        """
+        refill = (now - self._updated_at) * self._rate
+        self._tokens = min(self._burst, self._tokens + refill)
+        self._updated_at = now
         if self._tokens < 1:
             self.left_out += 1
             return False
@@ -54,25 +59,30 @@
 
 
 class EventLog:
-    """The events of one part of the program."""
+    """Event logger of one part of the program."""
+
+    def __init__(self, part: str, rate: float = LINES_PER_S):
+        """Initializes the logger.
 
-    def __init__(self, part: str, rate: float = RATE_PER_S):
-        """Sets the prefix of its lines and the lines of one event a second."""
+        Args:
+            part: Name of the part; the prefix of each line.
+            rate: Maximum lines of one event, per second.
+        """
         self._part = part
         self._rate = rate
         self._logger = logging.getLogger(f"merlintrestle.{part}")
         self._buckets: dict[str, TokenBucket] = {}
 
     def note(self, event: str, **fields: Any) -> None:
-        """Writes an event at level info."""
+        """Writes an event at level INFO."""
         self.write(logging.INFO, event, fields)
 
     def warn(self, event: str, **fields: Any) -> None:
-        """Writes an event that asks for somebody's attention."""
+        """Writes an event that needs attention, at level WARNING."""
         self.write(logging.WARNING, event, fields)
 
     def fail(self, event: str, **fields: Any) -> None:
-        """Writes an event that keeps the program from doing its work."""
+        """Writes an event that blocks the program's work, at level ERROR."""
         self.write(logging.ERROR, event, fields)
 
     def write(
@@ -83,14 +93,17 @@
         at: float | None = None,
         exception: BaseException | None = None,
     ) -> bool:
-        """Writes an event if its rate allows; returns whether it did.
+        """Writes an event unless it exceeds its rate.
 
         Args:
             level: Level of `logging`.
-            event: Its name.
-            fields: What decided it, and what came of it.
-            at: When it happened, in s since 1970; None: now.
-            exception: What went wrong.
+            event: Name of the event.
+            fields: Causes and effects of the event.
+            at: Time of the event, in s since 1970; None: now.
+            exception: Exception that caused the event.
+
+        Returns:
+            Whether the event was written.
         """
         now = time.monotonic()
         bucket = self._buckets.get(event)
@@ -113,7 +126,7 @@
         at: float | None = None,
         exception: BaseException | None = None,
     ) -> None:
-        """Writes an event whose rate is bounded elsewhere; see `write`."""
+        """Writes an event whose rate is limited by the caller; see `write`."""
         extra: dict[str, Any] = {"fields": fields}
         if at is not None:
             extra["at"] = at
--- a/merlintrestle/logs.py
+++ b/merlintrestle/logs.py
@@ -1,4 +1,4 @@
-"""Set-up of logging: one line a record, text or JSON, on standard output."""
+"""Logging to standard output, with one line of text or JSON per record."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 import sys
 import time
 
-# Lines that wait for a reader of standard output, in bytes. At some 300 bytes
-# a line this is the story of over a thousand lines before the first is lost.
-MAX_WAITING_BYTES = 512 * 1024
-# Lines are written together after this time, in seconds: a system call each
-# would cost more than the line itself.
-_FLUSH_S = 0.05
-# What one write hands over at most, in bytes: a pipe usually holds as much.
-_WRITE_BYTES = 64 * 1024
-# `json.dumps` would make an encoder for each line.
+# Lines of about 300 bytes each: more than a thousand lines are buffered before
+# the first one is dropped.
+MAX_BUFFERED_BYTES = 512 * 1024
+# Lines are written in batches, as a system call for each line would cost more
+# than formatting it.
+_FLUSH_DELAY_S = 0.05
+# The usual capacity of a pipe.
+_MAX_WRITE_BYTES = 64 * 1024
+# `json.dumps` would create an encoder for each line.
 _encode = json.JSONEncoder(default=str).encode
 
 
 class TextFormatter(logging.Formatter):
-    """Writes each record as a line for people."""
+    """Formats each record as a human-readable line."""
 
     def __init__(self) -> None:
         super().__init__("%(asctime)s %(levelname)-7s %(message)s")
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns time, level, part, event and fields."""
+        """Returns the time, level, part, event and fields of a record."""
         line = super().format(record)
         fields = getattr(record, "fields", None)
         if not fields:
@@ -40,12 +40,12 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """Writes each record as one JSON object."""
+    """Formats each record as a JSON object."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the record's time, level, part, event and fields as JSON.
+        """Returns time, level, part, event and fields of a record as JSON.
 
-        A record of a library has its text as event.
+        For a record of a library, the event is the message.
         """
         part, _, event = record.getMessage().partition(": ")
         fields = {
@@ -61,106 +61,116 @@
 
 
 class LineHandler(logging.Handler):
-    """Writes lines without ever waiting for who reads them.
+    """Writes lines without blocking on the reader of the output.
 
-    A reader that stops reading would stop the process at its next line, with
-    all requests in flight. Here lines wait in memory up to a bound and are
-    dropped and counted beyond it.
+    With blocking writes, a reader that stops reading would block the process,
+    and with it all requests in flight. Lines are buffered in memory up to a
+    limit; beyond it they are dropped and counted.
 
     Attributes:
-        dropped: Lines that were dropped.
+        dropped: Number of dropped lines.
     """
 
     def __init__(self, descriptor: int):
-        """Sets the open file to write to; it no longer blocks."""
+        """Initializes the handler; sets the file descriptor non-blocking."""
         super().__init__()
         self.dropped = 0
         self._descriptor = descriptor
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._waiting_bytes = 0
-        self._untold = 0
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
+        self._unreported_drops = 0
         self._timer: asyncio.TimerHandle | None = None
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Takes a record in; writes it soon, at once outside an event loop."""
+        """Buffers a record; without a running event loop, writes it at once."""
         try:
             line = self.format(record).encode() + b"\n"
         except Exception:
             self.handleError(record)
             return
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
-            self._untold += 1
+            self._unreported_drops += 1
         else:
-            self._waiting.append(line)
-            self._waiting_bytes += len(line)
+            self._buffer.append(line)
+            self._buffered_bytes += len(line)
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
         if self._timer is None:
-            self._timer = loop.call_later(_FLUSH_S, self._flush_later, loop)
+            self._timer = loop.call_later(
+                _FLUSH_DELAY_S, self._flush_and_reschedule, loop
+            )
 
     def flush(self) -> None:
-        """Writes what the reader takes now; the rest waits on."""
-        while self._waiting:
-            batch = self._take_batch()
+        """Writes buffered lines until the output would block."""
+        while self._buffer:
+            batch = self._pop_batch()
             try:
                 written = os.write(self._descriptor, batch)
             except BlockingIOError:
                 written = 0
             except OSError:
-                # Nobody will ever read: the lines are dropped, not the work.
+                # Nobody reads the output any more. The process goes on without
+                # these lines.
                 self.dropped += 1
                 continue
             if written < len(batch):
-                self._waiting.appendleft(batch[written:])
-                self._waiting_bytes += len(batch) - written
+                self._buffer.appendleft(batch[written:])
+                self._buffered_bytes += len(batch) - written
                 return
-        if self._untold:
-            untold, self._untold = self._untold, 0
+        if self._unreported_drops:
+            count, self._unreported_drops = self._unreported_drops, 0
             logging.getLogger(__name__).warning(
-                "logs: lines dropped", extra={"fields": {"count": untold}}
+                "logs: lines dropped", extra={"fields": {"count": count}}
             )
 
-    def _take_batch(self) -> bytes:
-        pieces = []
+    def _pop_batch(self) -> bytes:
+        lines = []
         size = 0
-        while self._waiting and size < _WRITE_BYTES:
-            piece = self._waiting.popleft()
-            pieces.append(piece)
-            size += len(piece)
-        self._waiting_bytes -= size
-        return b"".join(pieces)
-
-    def _flush_later(self, loop: asyncio.AbstractEventLoop) -> None:
+        while self._buffer and size < _MAX_WRITE_BYTES:
+            line = self._buffer.popleft()
+            lines.append(line)
+            size += len(line)
+        self._buffered_bytes -= size
+        return b"".join(lines)
+
+    def _flush_and_reschedule(self, loop: asyncio.AbstractEventLoop) -> None:
         self._timer = None
         self.flush()
-        if self._waiting and self._timer is None:
-            self._timer = loop.call_later(_FLUSH_S, self._flush_later, loop)
+        if self._buffer and self._timer is None:
+            self._timer = loop.call_later(
+                _FLUSH_DELAY_S, self._flush_and_reschedule, loop
+            )
 
 
-def start_logging(level: str, form: str) -> LineHandler:
-    """Sends all records of a level and above to standard output.
+def start_logging(level: str, log_format: str) -> LineHandler:
+    """Configures logging to standard output.
 
     Args:
-        level: "debug", "info", "warning" or "error".
-        form: "text" or "json".
+        level: Minimum level: "debug", "info", "warning" or "error".
+        log_format: "text" or "json".
+
+    Returns:
+        The handler of all records.
     """
     handler = LineHandler(sys.stdout.fileno())
-    handler.setFormatter(JsonFormatter() if form == "json" else TextFormatter())
+    handler.setFormatter(
+        JsonFormatter() if log_format == "json" else TextFormatter()
+    )
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    # What no line here shows, and each record would look for: threads,
-    # processes, and the place in the code by way of the stack.
+    # Otherwise each record would look up its thread, process and source line,
+    # which no line shows.
     logging.logThreads = False
     logging.logProcesses = False
     logging.logMultiprocessing = False
     logging._srcfile = None
-    # These log each connection and each start of a task at info level.
+    # These libraries log each connection and each task start at INFO.
     for noisy in ("aiohttp", "mode", "asyncio"):
         logging.getLogger(noisy).setLevel(logging.WARNING)
     return handler
@@ -172,5 +182,5 @@
 
 @functools.lru_cache(maxsize=4)
 def _format_second(second: int) -> str:
-    """Returns a time without its parts of a second; lines come in bursts."""
+    """Formats whole seconds; cached, as lines come in bursts."""
     return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(second))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines as a process writes them to its standard output."""
+"""Tests of the log lines that a process writes to standard output."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 """
 
 
-def _run(form: str) -> list[str]:
-    ended = subprocess.run(
-        [sys.executable, "-c", _PROGRAM, form],
+def _run(log_format: str) -> list[str]:
+    completed = subprocess.run(
+        [sys.executable, "-c", _PROGRAM, log_format],
         capture_output=True,
         check=True,
         text=True,
         timeout=60,
     )
-    return ended.stdout.splitlines()
+    return completed.stdout.splitlines()
 
 
 class LinesTest(unittest.TestCase):
-    """On-call engineers find time, part, event and fields in each line."""
+    """Each line contains time, part, event and fields."""
 
-    def test_json_lines_have_all_of_an_event(self) -> None:
+    def test_json_lines_contain_the_whole_event(self) -> None:
         picked, refused, crashed, lost = map(json.loads, _run("json"))
         self.assertEqual(
             picked,
@@ -59,7 +59,7 @@
         self.assertIn("Traceback", crashed["exception"])
         self.assertEqual((lost["part"], lost["event"]), ("grpc", "lost a:2"))
 
-    def test_text_lines_have_it_too(self) -> None:
+    def test_text_lines_contain_the_whole_event(self) -> None:
         picked, refused = _run("text")[:2]
         self.assertRegex(
             picked,
@@ -67,14 +67,14 @@
         )
         self.assertIn("WARNING requests: reload refused", refused)
 
-    def test_times_of_one_second_differ_by_their_parts(self) -> None:
+    def test_times_of_one_second_differ_in_milliseconds(self) -> None:
         formatter = logs.JsonFormatter()
-        seen = []
+        times = []
         for at in (59.999, 60.0, 60.5, 59.25):
             record = logging.makeLogRecord({"msg": "a: b", "at": at})
-            seen.append(json.loads(formatter.format(record))["time"][-13:])
+            times.append(json.loads(formatter.format(record))["time"][-13:])
         self.assertEqual(
-            seen,
+            times,
             [
                 "00:00:59.999Z",
                 "00:01:00.000Z",
