--- a/merlintrestle/__init__.py
+++ b/merlintrestle/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration distribution for a service mesh, driven by targets."""
+"""Configuration distribution and request routing for a service mesh."""
--- a/merlintrestle/application.py
+++ b/merlintrestle/application.py
@@ -1,4 +1,4 @@
-"""Running a process: its event loop, its signals, its planned stop."""
+"""Event loop, signal handling and graceful stop of a process."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 EXIT_OK = 0
 EXIT_CRASHED = 1
 EXIT_SECOND_SIGNAL = 3
-# Objects made and not freed between two collections, and younger collections
-# before an older one. More than the defaults (700, 10), which collect every
-# few calls; but all that piles up in between is looked through at one stroke.
+# Net allocations before a collection, and collections of a younger generation
+# before one of the next older. The defaults (700, 10) cause a collection every
+# few calls. Higher values make each collection, and thus each pause, longer.
 _GC_THRESHOLDS = (5_000, 20, 20)
 _OPEN_FILES = pathlib.Path("/proc/self/fd")
 
 
 class IoUringError(errors.MerlintrestleError):
-    """The event loop opened an io_uring, which the instances forbid."""
+    """The event loop opened an io_uring, which instances do not allow."""
 
 
 class Program(mode.Service):
-    """A service that is a process of its own."""
+    """The root service of a process."""
 
     def reload(self) -> None:
-        """Takes over what changed in its settings; called on SIGHUP."""
+        """Applies changed settings; called on SIGHUP."""
         events.note("reload", changed=[])
 
 
 def run(create: Callable[[], Program]) -> int:
     """Runs a service until a signal stops it or it crashes.
 
-    SIGTERM or SIGINT begins the planned stop; a second one ends the process
-    without waiting for requests in flight. SIGHUP, which would end a process
-    that does not expect it, has the settings read again.
+    SIGTERM or SIGINT starts a graceful stop; a second one ends the process
+    without waiting for requests in flight. SIGHUP, which by default ends a
+    process, reloads the settings.
 
     Args:
-        create: Makes the service; called inside the running event loop.
+        create: Creates the service; called in the running event loop.
 
     Returns:
-        The process's exit status.
+        The exit status of the process.
     """
-    # libuv reads the variable when its loop is made. With uvloop 0.22.1 it
-    # opens two rings without it; check_io_uring proves that none is open.
+    # libuv reads the variable when it creates its loop. Without it, uvloop
+    # 0.22.1 opens two rings; check_io_uring makes sure that none is open.
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
@@ -64,10 +64,10 @@
 
 
 def check_io_uring() -> None:
-    """Refuses to go on if this process has an io_uring open.
+    """Checks that this process has no io_uring open.
 
     Raises:
-        IoUringError: One of the open files is a ring.
+        IoUringError: If one of the open files is an io_uring.
     """
     for link in _OPEN_FILES.iterdir():
         try:
@@ -79,21 +79,22 @@
 
 
 def pause_gc() -> None:
-    """Has the garbage collector wait until the start is over.
+    """Disables the garbage collector during startup.
 
-    What is imported stays. Looked through again and again while it grows, it
-    would take a part of the time for which callers find the daemon closed.
+    Imported modules are never freed. Traversing this growing heap repeatedly
+    would delay the time at which the daemon accepts calls.
     """
     gc.disable()
 
 
 def resume_gc() -> None:
-    """Has the garbage collector run rarely, and over new objects alone.
+    """Enables the garbage collector, with few runs and for new objects only.
 
-    Nearly all garbage of a call is freed by its reference counts. Collections
-    find only the cycles, such as tracebacks, yet each stops every call in
-    flight, the longest while it looks through all that start-up imported.
-    That is left out even once: it would stop the first calls, and finds little.
+    Reference counts free nearly all garbage of a call. Collections find only
+    cycles, such as those of tracebacks, yet each collection pauses all calls in
+    flight, and traversing the objects that were created during startup makes
+    the longest pause. These objects are frozen without a first collection: it
+    would pause the first calls and free little.
     """
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
@@ -105,8 +106,8 @@
     service = create()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, _receive_signal, stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, _handle_stop_signal, stop)
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     await service.start()
     resume_gc()
@@ -115,7 +116,7 @@
     return EXIT_CRASHED if result.stopped else EXIT_OK
 
 
-def _receive_signal(stop: asyncio.Event) -> None:
+def _handle_stop_signal(stop: asyncio.Event) -> None:
     if stop.is_set():
         events.warn("second stop signal")
         os._exit(EXIT_SECOND_SIGNAL)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of merlintrestle; the folders mirror the package."""
+"""Tests of merlintrestle, in the folder structure of the package."""
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of running a process."""
+"""Tests of process checks and garbage collection settings."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 class IoUringTest(unittest.TestCase):
     def test_the_event_loop_opens_no_ring(self):
-        """A process that opens an io_uring is not allowed on the instances.
+        """Instances do not allow a process to open an io_uring.
 
-        uvloop 0.23.0 opens one whatever the variable says; 0.22.1 opens two
-        unless UV_USE_IO_URING is 0 when its loop is made. The check sees the
-        rings as open files.
+        uvloop 0.23.0 opens one regardless of the variable; 0.22.1 opens two
+        unless UV_USE_IO_URING is 0 when its loop is created. The check finds
+        rings among the open files.
         """
         with mock.patch.dict(os.environ, {"UV_USE_IO_URING": "0"}):
             import uvloop
@@ -28,10 +28,10 @@
                 loop.close()
 
     def test_a_ring_is_refused(self):
-        """The check must not pass over a ring that a later release opens.
+        """The check detects a ring that a later release of uvloop opens.
 
-        An open file of that kind stands in for the ring of such a release;
-        the check has to raise, so that the process ends before it serves.
+        A mocked open file replaces the ring of such a release. The check has to
+        raise, so that the process ends before it serves calls.
         """
         ring = mock.Mock()
         ring.readlink.return_value.name = "anon_inode:[io_uring]"
@@ -41,12 +41,12 @@
                 application.check_io_uring()
 
 
-class GarbageTest(unittest.TestCase):
-    def test_what_start_up_made_is_left_out(self):
-        """A caller does not wait while all imported modules are looked through.
+class GarbageCollectionTest(unittest.TestCase):
+    def test_objects_of_the_startup_are_frozen(self):
+        """A full collection does not traverse the imported modules.
 
-        A full collection stops every call in flight. What is frozen is not
-        looked at any more, while new cycles still are freed.
+        It pauses all calls in flight. Frozen objects are not traversed any
+        more, while new cycles are still freed.
         """
         thresholds = gc.get_threshold()
         try:
@@ -60,12 +60,12 @@
             gc.unfreeze()
             gc.set_threshold(*thresholds)
 
-    def test_the_collector_rests_only_while_the_process_starts(self):
-        """Memory does not grow without bound after the start.
+    def test_the_collector_is_disabled_only_during_startup(self):
+        """Guards against memory that grows without bound after the start.
 
-        The collector is switched off while modules are imported. Were it not
-        switched on again, no cycle would ever be freed, and the process would
-        be killed for its memory some hours later.
+        The collector is disabled while modules are imported. If it stayed
+        disabled, no cycle would ever be freed, and the process would be killed
+        for its memory use some hours later.
         """
         thresholds = gc.get_threshold()
         try:
