--- a/merlintrestle/config.py
+++ b/merlintrestle/config.py
@@ -1,4 +1,4 @@
-"""Settings of the programs, derived from the schema and checked together."""
+"""Command-line settings, derived from the schema and validated together."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 _NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._/-]{0,62}$")
 _MAX_PORT = 65535
 _IP_VERSION = 4
-_INTEGERS = (
+_INTEGER_TYPES = (
     descriptors.FieldDescriptor.TYPE_UINT32,
     descriptors.FieldDescriptor.TYPE_UINT64,
 )
@@ -31,15 +31,15 @@
 
 
 class Setting(NamedTuple):
-    """One setting as people give it.
+    """One setting, as a command-line flag and an environment variable.
 
     Attributes:
         name: Field of the settings message.
         flag: Command-line flag.
         variable: Environment variable.
-        repeated: Several values, separated by commas.
+        repeated: Whether it has several values, separated by commas.
         kind: Protobuf type of the field.
-        rule: Help, default, unit and bounds from the schema.
+        rule: Help text, default, unit and bounds from the schema.
     """
 
     name: str
@@ -51,17 +51,17 @@
 
     @property
     def place(self) -> str:
-        """Where a finding about this setting points to."""
+        """The place of findings about this setting."""
         return f"{self.flag} ({self.variable})"
 
 
 def list_settings(kind: type[message.Message]) -> list[Setting]:
-    """Returns the settings of a settings message, in the schema's order."""
-    return [_describe(field) for field in kind.DESCRIPTOR.fields]
+    """Returns the settings of a message class, in the order of the schema."""
+    return [_build_setting(field) for field in kind.DESCRIPTOR.fields]
 
 
 def add_options(kind: type[message.Message]) -> Callable[[F], F]:
-    """Returns a decorator that gives a click command the settings' options."""
+    """Returns a decorator that adds the settings to a click command."""
 
     def decorate(command: F) -> F:
         for setting in reversed(list_settings(kind)):
@@ -69,7 +69,7 @@
                 setting.flag,
                 setting.name,
                 envvar=setting.variable,
-                metavar=_metavar(setting),
+                metavar=_build_metavar(setting),
                 help=describe_setting(setting),
             )(command)
         return command
@@ -78,32 +78,33 @@
 
 
 def describe_setting(setting: Setting) -> str:
-    """Returns the help text: meaning, default, unit, bounds, variable."""
+    """Returns the help text, with default, unit, bounds and variable."""
     rule = setting.rule
-    facts = []
+    details = []
     if rule.required:
-        facts.append("required")
+        details.append("required")
     elif rule.default:
-        facts.append(f"default: {rule.default}")
+        details.append(f"default: {rule.default}")
     if rule.unit:
-        facts.append(f"unit: {rule.unit}")
+        details.append(f"unit: {rule.unit}")
     if rule.choices:
-        facts.append(f"one of: {', '.join(rule.choices)}")
+        details.append(f"one of: {', '.join(rule.choices)}")
     if rule.max:
-        facts.append(f"{rule.min:g} to {rule.max:g}")
-    facts.append(f"variable: {setting.variable}")
-    return f"{rule.help} [{'; '.join(facts)}]"
+        details.append(f"{rule.min:g} to {rule.max:g}")
+    details.append(f"variable: {setting.variable}")
+    return f"{rule.help} [{'; '.join(details)}]"
 
 
 def read_settings(kind: type[M], values: Mapping[str, str | None]) -> M:
-    """Checks the given texts and returns the settings message.
+    """Parses and validates the settings.
 
     Args:
         kind: Class of the settings message.
-        values: Text of each setting by field name; None or absent: not given.
+        values: Unparsed value of each setting by field name; a setting that is
+            None, empty or absent has its default.
 
     Raises:
-        errors.InvalidInputError: With every finding, in the schema's order.
+        errors.InvalidInputError: With all findings, in the order of the schema.
     """
     settings = kind()
     findings: list[errors.Finding] = []
@@ -115,13 +116,13 @@
             if setting.rule.required:
                 findings.append(errors.Finding(setting.place, "is required."))
             continue
-        findings += _fill(settings, setting, text)
+        findings += _set_value(settings, setting, text)
     if findings:
         raise errors.InvalidInputError(findings)
     return settings
 
 
-def _describe(field: Any) -> Setting:
+def _build_setting(field: Any) -> Setting:
     return Setting(
         name=field.name,
         flag="--" + field.name.replace("_", "-"),
@@ -132,23 +133,23 @@
     )
 
 
-def _metavar(setting: Setting) -> str:
-    word = setting.rule.kind or ("NUMBER" if _is_number(setting) else "TEXT")
-    return word.upper() + (",..." if setting.repeated else "")
+def _build_metavar(setting: Setting) -> str:
+    name = setting.rule.kind or ("NUMBER" if _is_number(setting) else "TEXT")
+    return name.upper() + (",..." if setting.repeated else "")
 
 
 def _is_number(setting: Setting) -> bool:
     return setting.kind != descriptors.FieldDescriptor.TYPE_STRING
 
 
-def _fill(
+def _set_value(
     settings: message.Message, setting: Setting, text: str
 ) -> list[errors.Finding]:
-    parts = text.split(",") if setting.repeated else [text]
+    texts = text.split(",") if setting.repeated else [text]
     findings = []
     values: list[Any] = []
-    for part in parts:
-        value, problem = _parse(setting, part.strip())
+    for value_text in texts:
+        value, problem = _parse(setting, value_text.strip())
         if problem:
             findings.append(errors.Finding(setting.place, problem))
         values.append(value)
@@ -171,20 +172,20 @@
 
 
 def _parse_number(setting: Setting, text: str) -> tuple[float, str]:
-    whole = setting.kind in _INTEGERS
+    is_integer = setting.kind in _INTEGER_TYPES
     try:
-        number = int(text) if whole else float(text)
+        number = int(text) if is_integer else float(text)
     except ValueError:
-        kind = "a whole number" if whole else "a number"
+        kind = "a whole number" if is_integer else "a number"
         return 0, f"{text!r} is not {kind}."
     rule = setting.rule
-    # A comparison with nan is false, so nan is refused here too.
+    # NaN is rejected as well, as every comparison with it is false.
     if not rule.min <= number <= (rule.max or float("inf")):
         return 0, f"{text} is not within {rule.min:g} to {rule.max:g}."
     return number, ""
 
 
-def _check_any(text: str) -> str:
+def _accept_any(text: str) -> str:
     del text
     return ""
 
@@ -203,26 +204,27 @@
     return ""
 
 
-def _check_own_ip(text: str) -> str:
-    """Returns what is wrong with the number by which others reach this host.
+def _check_host_ip(text: str) -> str:
+    """Returns the problem of an address of this host; empty if valid.
 
-    It names the daemon in the fleet, so it must be its own.
+    It identifies the daemon in the fleet, so it must be the address of a single
+    host.
     """
     if problem := _check_ip(text):
         return problem
-    number = ipaddress.ip_address(text)
-    if number.is_unspecified or number.is_multicast:
+    address = ipaddress.ip_address(text)
+    if address.is_unspecified or address.is_multicast:
         return f"{text!r} is not the number of one host."
-    if number.version != _IP_VERSION:
+    if address.version != _IP_VERSION:
         return f"{text!r} is not an IPv4 number."
     return ""
 
 
 def check_address(text: str) -> str:
-    """Returns what is wrong with an "ip:port"; empty: nothing."""
+    """Returns the problem of an "ip:port"; empty if valid."""
     host, _, port = text.rpartition(":")
-    whole = port.isascii() and port.isdecimal()
-    if _check_ip(host.strip("[]")) or not whole:
+    is_decimal = port.isascii() and port.isdecimal()
+    if _check_ip(host.strip("[]")) or not is_decimal:
         return f"{text!r} is not an address (IP number:port)."
     if not 0 < int(port) <= _MAX_PORT:
         return f"{text!r} has no port from 1 to {_MAX_PORT}."
@@ -230,8 +232,8 @@
 
 
 _CHECKS: dict[str, Callable[[str], str]] = {
-    "": _check_any,
+    "": _accept_any,
     "name": _check_name,
-    "ip": _check_own_ip,
+    "ip": _check_host_ip,
     "address": check_address,
 }
--- a/merlintrestle/rows.py
+++ b/merlintrestle/rows.py
@@ -1,4 +1,4 @@
-"""Rows: objects of JSON whose values are checked as they are read."""
+"""JSON objects and tables whose values are checked on access."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Row:
-    """One row of a table; its values are checked as they are read."""
+    """One row of a table; its values are checked on access."""
 
     def __init__(
         self,
@@ -20,12 +20,12 @@
         fields: Any,
         error: type[errors.MerlintrestleError] = errors.SnapshotError,
     ):
-        """Sets the fields.
+        """Initializes the row.
 
         Args:
-            table: What it is a row of, for errors.
-            fields: What JSON has there.
-            error: Raised where a value is malformed.
+            table: Name of the table, for error messages.
+            fields: Decoded JSON value of the row.
+            error: Class of the error for malformed values.
         """
         if not isinstance(fields, dict):
             raise error(f"{table}: {fields!r} is not an object")
@@ -34,36 +34,36 @@
         self._error = error
 
     def get_text(self, name: str) -> str:
-        """Returns a text that is not empty."""
+        """Returns a non-empty string."""
         value = self._fields.get(name)
         if not isinstance(value, str) or not value:
-            raise self._fail(name)
+            raise self._build_error(name)
         return value
 
     def get_number(self, name: str) -> int:
-        """Returns a whole number, not negative."""
+        """Returns a non-negative integer."""
         value = self._fields.get(name)
         if type(value) is not int or value < 0:
-            raise self._fail(name)
+            raise self._build_error(name)
         return value
 
-    def get_seconds(self, name: str, most: float) -> float:
-        """Returns a time above 0, `most` seconds at most."""
+    def get_seconds(self, name: str, max_s: float) -> float:
+        """Returns a time in seconds, above 0 and at most `max_s`."""
         value = self._fields.get(name)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            raise self._fail(name)
-        if not 0 < value <= most:
-            raise self._fail(name)
+            raise self._build_error(name)
+        if not 0 < value <= max_s:
+            raise self._build_error(name)
         return value
 
     def get_list(self, name: str) -> list[Any] | None:
-        """Returns a list; None: it is left out."""
+        """Returns a list, or None if it is absent."""
         value = self._fields.get(name)
         if value is not None and not isinstance(value, list):
-            raise self._fail(name)
+            raise self._build_error(name)
         return value
 
-    def _fail(self, name: str) -> errors.MerlintrestleError:
+    def _build_error(self, name: str) -> errors.MerlintrestleError:
         row = self._fields.get("name", "")
         value = self._fields.get(name)
         return self._error(f"{self._table} {row}: {name} is {value!r}")
@@ -74,12 +74,12 @@
     name: str,
     error: type[errors.MerlintrestleError] = errors.SnapshotError,
 ) -> dict[str, Any]:
-    """Returns the object that a value holds as JSON.
+    """Decodes a JSON object.
 
     Args:
-        value: The text.
-        name: What it is, for errors.
-        error: Raised where it is none.
+        value: The encoded object.
+        name: Name of the value, for error messages.
+        error: Class of the error if it is not a JSON object.
     """
     try:
         fields = json.loads(value)
@@ -91,10 +91,11 @@
 
 
 def read_table(tables: Mapping[str, Any], name: str) -> list[dict[str, Any]]:
-    """Returns the rows of a table; a value that is null is left out.
+    """Returns the rows of a table, without the values that are null.
 
     Raises:
-        errors.SnapshotError: It does not consist of columns and fitting rows.
+        errors.SnapshotError: If the table has no lists of columns and rows, or
+            if the length of a row differs from that of the columns.
     """
     table = tables.get(name)
     if not isinstance(table, dict):
@@ -102,10 +103,12 @@
     columns, rows = table.get("columns"), table.get("rows")
     if not isinstance(columns, list) or not isinstance(rows, list):
         raise errors.SnapshotError(f"{name}: columns and rows are not lists")
-    found = []
+    row_fields = []
     for row in rows:
         if not isinstance(row, list) or len(row) != len(columns):
             raise errors.SnapshotError(f"{name}: {row!r} does not fit")
         pairs = zip(columns, row, strict=True)
-        found.append({key: value for key, value in pairs if value is not None})
-    return found
+        row_fields.append(
+            {key: value for key, value in pairs if value is not None}
+        )
+    return row_fields
--- a/merlintrestle/settings_reader.py
+++ b/merlintrestle/settings_reader.py
@@ -1,4 +1,4 @@
-"""Readings: values of a settings file, with all that is wrong with them."""
+"""Reader for the values of a settings file that collects all findings."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 
 
 class SettingsReader:
-    """Takes values out of the file and collects what is wrong with them.
+    """Parses the values of a settings file and collects findings.
 
     Attributes:
-        findings: What was wrong with those taken so far.
+        findings: Problems of the values that were read so far.
     """
 
     def __init__(self, values: Mapping[str, str]):
-        """Sets the texts, by name."""
+        """Initializes the reader with the unparsed values by name."""
         self.findings: list[errors.Finding] = []
         self._values = values
 
     def get_required(
-        self, name: str, parse: Callable[[str], _T], lacking: _T
+        self, name: str, parse: Callable[[str], _T], default: _T
     ) -> _T:
-        """Returns a value; `lacking` where it is not there or malformed."""
+        """Returns a value, or `default` if it is missing or malformed."""
         if name not in self._values:
             self.findings.append(errors.Finding(name, "is required."))
-        return self.get_optional(name, parse, lacking)
+        return self.get_optional(name, parse, default)
 
     def get_optional(
-        self, name: str, parse: Callable[[str], _T], lacking: _T
+        self, name: str, parse: Callable[[str], _T], default: _T
     ) -> _T:
-        """Returns a value that may be left out."""
+        """Returns an optional value, or `default`."""
         if name not in self._values:
-            return lacking
+            return default
         try:
             return parse(self._values[name])
         except ValueError as error:
             self.findings.append(errors.Finding(name, str(error)))
-            return lacking
+            return default
 
 
 def parse_ip(text: str) -> str:
-    """Returns an IP number.
+    """Returns an IP address.
 
     Raises:
-        ValueError: The text is none.
+        ValueError: If the text is not an IP address.
     """
     if problem := config.check_address(f"{text}:1"):
         raise ValueError(problem)
@@ -58,10 +58,10 @@
 
 
 def parse_number(text: str) -> float:
-    """Returns a number, not negative and finite.
+    """Returns a finite, non-negative number.
 
     Raises:
-        ValueError: The text is none.
+        ValueError: If the text is not such a number.
     """
     number = float(text)
     if not 0 <= number < float("inf"):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -21,19 +21,21 @@
         self.assertEqual(settings.spread, "fast")
         self.assertEqual(list(settings.seeds), [])
 
-    def test_address_that_tells_daemons_not_apart(self):
-        """The daemon does not start, and says why.
+    def test_address_that_does_not_identify_one_host(self):
+        """The daemon does not start and reports the reason.
 
-        Its address is its name in the fleet. With 0.0.0.0 all daemons would
-        have one name, and each would take the others' claims and marks for
-        its own. Names with IPv6 are not read yet by those who connect.
+        Its address is its name in the fleet. With 0.0.0.0, all daemons would
+        have the same name, and each would treat the claims and marks of the
+        others as its own. Clients do not support names with IPv6 yet.
         """
         for address in ("0.0.0.0", "::", "::1", "224.0.0.1"):
             with self.subTest(address):
                 values = {**REQUIRED, "address": address}
-                with self.assertRaises(errors.InvalidInputError) as caught:
+                with self.assertRaises(errors.InvalidInputError) as context:
                     config.read_settings(settings_pb2.DaemonSettings, values)
-                places = [one.place for one in caught.exception.findings]
+                places = [
+                    finding.place for finding in context.exception.findings
+                ]
                 self.assertEqual(places, ["--address (MERLINTRESTLE_ADDRESS)"])
 
     def test_every_finding_is_reported_with_flag_and_variable(self):
@@ -44,9 +46,9 @@
             "spread": "slow",
             "drain_limit_s": "nan",
         }
-        with self.assertRaises(errors.InvalidInputError) as caught:
+        with self.assertRaises(errors.InvalidInputError) as context:
             config.read_settings(settings_pb2.DaemonSettings, values)
-        places = [finding.place for finding in caught.exception.findings]
+        places = [finding.place for finding in context.exception.findings]
         self.assertEqual(
             places,
             [
@@ -83,8 +85,10 @@
 
     def test_help_shows_default_unit_and_variable(self):
         settings = config.list_settings(settings_pb2.DaemonSettings)
-        drain = next(s for s in settings if s.name == "drain_limit_s")
-        text = config.describe_setting(drain)
+        drain_limit = next(
+            setting for setting in settings if setting.name == "drain_limit_s"
+        )
+        text = config.describe_setting(drain_limit)
         self.assertIn("default: 900", text)
         self.assertIn("unit: s", text)
         self.assertIn("variable: MERLINTRESTLE_DRAIN_LIMIT_S", text)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Modules of the package import each other without a circle."""
+"""Test that the modules of the package have no circular imports."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 def _read_imports(path: pathlib.Path) -> set[str]:
     """Returns the modules of the package that a module imports.
 
-    Imports for annotations alone count: who reads one module has to read the
+    Imports for annotations count, as a reader of one module has to read the
     other as well.
     """
-    found = set()
+    imported = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or node.module is None:
             continue
         if node.module.split(".")[0] == "merlintrestle":
-            found |= {f"{node.module}.{one.name}" for one in node.names}
-    return found
+            imported |= {f"{node.module}.{alias.name}" for alias in node.names}
+    return imported
 
 
 class ImportsTest(unittest.TestCase):
-    def test_there_is_no_circle(self) -> None:
+    def test_there_is_no_circular_import(self) -> None:
         modules = {}
         for path in _PACKAGE.rglob("*.py"):
             parts = path.relative_to(_PACKAGE.parent).with_suffix("").parts
