--- a/merlintrestle/daemon/__init__.py
+++ b/merlintrestle/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each backend server instance."""
+"""The daemon of an instance, which runs next to its backend server."""
--- a/merlintrestle/daemon/admin.py
+++ b/merlintrestle/daemon/admin.py
@@ -1,4 +1,4 @@
-"""The loopback port of a daemon: announcements, health and metrics."""
+"""HTTP server on loopback for announcements, health and metrics."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from merlintrestle import config
 from merlintrestle import errors
 from merlintrestle.daemon import metrics
-from merlintrestle.documents import fields as names
+from merlintrestle.documents import fields as document_fields
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from merlintrestle.versions import active_version as holders
+    from merlintrestle.versions import active_version as active_versions
 
 logger = logging.getLogger(__name__)
 
-LOOPBACK = "127.0.0.1"
+_LOOPBACK_IP = "127.0.0.1"
 _MAX_BODY_BYTES = 4096
 _MAX_SLOTS = 100_000
 _STATES = {
@@ -34,14 +34,14 @@
 
 
 class Announcement(NamedTuple):
-    """What a backend server says of itself.
+    """State of a backend server, as it announces it.
 
     Attributes:
         service: Service that it serves.
-        address: Its own "ip:port".
-        slots: Calls it runs at once.
-        state: Whether it takes new work.
-        version: Version of its software; empty: not stated.
+        address: Its "ip:port".
+        slots: Number of calls that it runs at once.
+        state: Whether it accepts new calls.
+        version: Version of its software; empty: not announced.
     """
 
     service: str
@@ -52,34 +52,35 @@
 
 
 class AdminServer(mode.Service):
-    """Serves the loopback port.
+    """HTTP server on a loopback port.
 
-    `POST /announce` takes an `Announcement` as JSON, `GET /health` tells
-    whether this daemon serves, `GET /versions` what it took into use, and
-    `GET /metrics` its metrics.
+    `POST /announce` receives an `Announcement` as JSON. `GET /health` returns
+    whether this daemon serves calls, `GET /versions` the versions that it
+    activated, and `GET /metrics` its metrics.
 
     Attributes:
-        port: The bound port, once started.
+        port: The bound port, after the start.
     """
 
     def __init__(
         self,
         port: int,
-        holder: holders.ActiveVersion,
+        active_version: active_versions.ActiveVersion,
         announce: Callable[[Announcement], None],
         registry: prometheus_client.CollectorRegistry,
     ):
-        """Sets what is served.
+        """Initializes the server.
 
         Args:
-            port: Port to bind on loopback; 0 takes a free one.
-            holder: The versions of this daemon.
+            port: Loopback port to bind; 0: any free port.
+            active_version: The active version of this daemon and its history.
             announce: Called with each valid announcement.
-            registry: Metrics of this daemon, beside those of the process.
+            registry: Metrics of this daemon, in addition to those of the
+                process.
         """
         super().__init__()
         self.port = port
-        self._holder = holder
+        self._active_version = active_version
         self._announce = announce
         self._registry = registry
         self._runner: web.AppRunner | None = None
@@ -97,7 +98,7 @@
         )
         self._runner = web.AppRunner(application, access_log=None)
         await self._runner.setup()
-        site = web.TCPSite(self._runner, LOOPBACK, self.port)
+        site = web.TCPSite(self._runner, _LOOPBACK_IP, self.port)
         await site.start()
         self.port = self._runner.addresses[0][1]
 
@@ -117,8 +118,8 @@
 
     async def _handle_health(self, request: web.Request) -> web.Response:
         del request
-        reason = self._holder.closed_reason
-        running = self._holder.running
+        reason = self._active_version.closed_reason
+        running = self._active_version.running
         health = {
             "closed_reason": reason,
             "version": running.version if running else 0,
@@ -130,7 +131,7 @@
         return web.json_response(
             [
                 {"version": version, "at_ms": at_ms}
-                for version, at_ms in self._holder.history
+                for version, at_ms in self._active_version.history
             ]
         )
 
@@ -143,10 +144,10 @@
 
 
 def read_announcement(body: bytes) -> Announcement:
-    """Checks the JSON of an announcement.
+    """Decodes and validates an announcement in JSON.
 
     Raises:
-        errors.InvalidInputError: With every finding about it.
+        errors.InvalidInputError: With all findings.
     """
     try:
         fields = json.loads(body)
@@ -158,7 +159,7 @@
         raise errors.InvalidInputError(
             [errors.Finding("announcement", "is not a JSON object.")]
         )
-    findings = _check_texts(fields)
+    findings = _check_service_and_address(fields)
     slots = fields.get("slots")
     if type(slots) is not int or not 0 < slots <= _MAX_SLOTS:
         text = f"must be a whole number from 1 to {_MAX_SLOTS}."
@@ -177,15 +178,17 @@
     )
 
 
-def _check_texts(fields: dict[str, Any]) -> list[errors.Finding]:
-    """Returns what is wrong with service and address.
+def _check_service_and_address(fields: dict[str, Any]) -> list[errors.Finding]:
+    """Returns the findings about the service and the address.
 
-    A task connects to the address every second and other daemons are told of
-    the service: one that cannot be used there would end the whole daemon.
+    A task connects to the address every second, and the service is sent to
+    other daemons. A malformed value would crash the daemon.
     """
     findings = []
     service = fields.get("service")
-    if not isinstance(service, str) or not names.NAME.fullmatch(service):
+    if not isinstance(service, str) or not document_fields.NAME.fullmatch(
+        service
+    ):
         text = "must be a name (a-z, 0-9 and '-', 63 at most)."
         findings.append(errors.Finding("service", text))
     address = fields.get("address")
--- a/merlintrestle/daemon/command.py
+++ b/merlintrestle/daemon/command.py
@@ -1,4 +1,4 @@
-"""The command merlintrestle-daemon."""
+"""Command line of merlintrestle-daemon."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from merlintrestle import logs
 from merlintrestle.schema import settings_pb2
 
-_EXIT_USAGE = 2
+_EXIT_USAGE_ERROR = 2
 
 
 @click.command()
@@ -32,9 +32,9 @@
     except errors.InvalidInputError as error:
         for finding in error.findings:
             click.echo(str(finding), err=True)
-        sys.exit(_EXIT_USAGE)
+        sys.exit(_EXIT_USAGE_ERROR)
     logs.start_logging(settings.log_level, settings.log_format)
-    # Imported late, so that --help and findings do not wait for it.
+    # Imported here, as the import would delay --help and findings.
     from merlintrestle.daemon import service
 
     sys.exit(application.run(lambda: service.Daemon(settings)))
--- a/merlintrestle/daemon/metrics.py
+++ b/merlintrestle/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one daemon: what it runs, knows and has in flight."""
+"""Prometheus metrics of a daemon."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
     from merlintrestle.members import table as tables
     from merlintrestle.requests.serving import proxy as proxies
-    from merlintrestle.versions import active_version as holders
+    from merlintrestle.versions import active_version as active_versions
 
 
 class StateCollector:
-    """Reads the daemon's state when metrics are asked for."""
+    """Collects metrics of the state of the daemon."""
 
     def __init__(
         self,
-        holder: holders.ActiveVersion,
+        active_version: active_versions.ActiveVersion,
         table: tables.MemberTable,
         proxy: proxies.Proxy,
     ):
-        """Sets the parts that are read."""
-        self._holder = holder
+        """Initializes the collector with the sources of the metrics."""
+        self._active_version = active_version
         self._table = table
         self._proxy = proxy
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yields version, closed state, members by state and calls."""
+        """Yields the version, closed state, calls in flight and members."""
         yield metrics_core.GaugeMetricFamily(
             "merlintrestle_running_version",
             "Number of the configuration version that runs; 0: none.",
-            value=self._holder.version,
+            value=self._active_version.version,
         )
         yield metrics_core.GaugeMetricFamily(
             "merlintrestle_closed",
             "1 while every request is refused as not run.",
-            value=int(bool(self._holder.closed_reason)),
+            value=int(bool(self._active_version.closed_reason)),
         )
         yield metrics_core.GaugeMetricFamily(
             "merlintrestle_requests_in_flight",
@@ -55,7 +55,7 @@
             labels=("state",),
         )
         counts = collections.Counter(
-            m.state for m in self._table.list_members()
+            member.state for member in self._table.list_members()
         )
         for state, count in sorted(counts.items()):
             name = control_pb2.MemberState.Name(state).lower()
@@ -64,13 +64,13 @@
 
 
 def build_registry(
-    holder: holders.ActiveVersion,
+    active_version: active_versions.ActiveVersion,
     table: tables.MemberTable,
     proxy: proxies.Proxy,
 ) -> prometheus_client.CollectorRegistry:
-    """Returns a registry of one daemon's own metrics."""
+    """Returns a registry with the metrics of a daemon."""
     registry = prometheus_client.CollectorRegistry()
-    registry.register(StateCollector(holder, table, proxy))
+    registry.register(StateCollector(active_version, table, proxy))
     registry.register(proxy.statistics)
     registry.register(proxy.latencies)
     registry.register(proxy.traffic)
@@ -79,5 +79,5 @@
 
 def render_metrics(registry: prometheus_client.CollectorRegistry) -> bytes:
     """Returns the metrics of the process and of a daemon as text."""
-    of_process = prometheus_client.generate_latest()
-    return of_process + prometheus_client.generate_latest(registry)
+    process_metrics = prometheus_client.generate_latest()
+    return process_metrics + prometheus_client.generate_latest(registry)
--- a/merlintrestle/daemon/validation.py
+++ b/merlintrestle/daemon/validation.py
@@ -1,4 +1,4 @@
-"""Which values of a heartbeat can be used."""
+"""Validation of the values of a heartbeat."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from merlintrestle import config
 
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
+_SERVICE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 _MAX_SLOTS = 100_000
 _MAX_VERSION_CHARACTERS = 200
 
 
 def is_service_name(value: Any) -> bool:
-    """Returns whether a value is the name of a service."""
-    return isinstance(value, str) and _NAME.fullmatch(value) is not None
+    """Returns whether a value is a service name."""
+    return isinstance(value, str) and _SERVICE_NAME.fullmatch(value) is not None
 
 
 def is_version(value: Any) -> bool:
-    """Returns whether a version of software is one, or left out."""
+    """Returns whether a value is a software version or None."""
     return value is None or (
         isinstance(value, str) and len(value) <= _MAX_VERSION_CHARACTERS
     )
@@ -31,17 +31,17 @@
 
 
 def is_slot_count(value: Any) -> bool:
-    """Returns whether a value is a number of slots."""
+    """Returns whether a value is a valid number of slots."""
     return type(value) is int and 0 < value <= _MAX_SLOTS
 
 
 def is_non_negative_number(value: Any) -> bool:
-    """Returns whether a value is a number, not negative."""
+    """Returns whether a value is a finite, non-negative number."""
     if type(value) not in (int, float):
         return False
     return math.isfinite(value) and value >= 0
 
 
 def is_start_time(value: Any) -> bool:
-    """Returns whether a start in ms since 1970 is one, or left out."""
+    """Returns whether a value is a time in ms since 1970 or None."""
     return value is None or (type(value) is int and value > 0)
--- a/tests/daemon/test_admin.py
+++ b/tests/daemon/test_admin.py
@@ -1,4 +1,4 @@
-"""Tests of the loopback port."""
+"""Tests of the loopback server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from merlintrestle.daemon import admin
 from merlintrestle.schema import control_pb2
 
-GOOD = {
+VALID = {
     "service": "kassa",
     "address": "127.0.0.1:9000",
     "slots": 12,
@@ -18,8 +18,8 @@
 
 
 class ReadAnnouncementTest(unittest.TestCase):
-    def test_a_good_one_is_read(self):
-        announcement = admin.read_announcement(json.dumps(GOOD).encode())
+    def test_valid_announcement_is_read(self):
+        announcement = admin.read_announcement(json.dumps(VALID).encode())
         self.assertEqual(
             announcement,
             admin.Announcement(
@@ -27,14 +27,14 @@
             ),
         )
 
-    def test_every_fault_is_found(self):
-        bad = {"service": 3, "slots": True, "state": ["ready"]}
-        with self.assertRaises(errors.InvalidInputError) as caught:
-            admin.read_announcement(json.dumps(bad).encode())
-        places = [finding.place for finding in caught.exception.findings]
+    def test_all_findings_are_reported(self):
+        invalid = {"service": 3, "slots": True, "state": ["ready"]}
+        with self.assertRaises(errors.InvalidInputError) as context:
+            admin.read_announcement(json.dumps(invalid).encode())
+        places = [finding.place for finding in context.exception.findings]
         self.assertEqual(places, ["service", "address", "slots", "state"])
 
-    def test_what_is_not_an_object_is_refused(self):
+    def test_anything_but_an_object_is_refused(self):
         for body in (b"", b"[]", b"\xff", b"null"):
             with self.assertRaises(errors.InvalidInputError):
                 admin.read_announcement(body)
