--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts, in the order in which they start and stop."""
+"""The daemon, with the start and stop order of its services."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from merlintrestle import application
 from merlintrestle import events as event_logs
 from merlintrestle.daemon import admin
-from merlintrestle.daemon import heartbeats as heartbeats_lib
+from merlintrestle.daemon import heartbeats
 from merlintrestle.daemon import metrics
 from merlintrestle.members import membership as memberships
 from merlintrestle.members import service as control
@@ -18,45 +18,48 @@
 from merlintrestle.members import timing as timings
 from merlintrestle.requests.calls import dialect as dialects
 from merlintrestle.requests.serving import proxy as proxies
-from merlintrestle.rollouts import controller as keepers
+from merlintrestle.rollouts import controller as controllers
 from merlintrestle.rollouts import gossip
-from merlintrestle.rollouts import storage as registers
-from merlintrestle.rollouts import tracker as books
+from merlintrestle.rollouts import storage as storages
+from merlintrestle.rollouts import tracker as trackers
 from merlintrestle.schema import control_pb2
 from merlintrestle.schema import request_pb2_grpc
 from merlintrestle.schema import settings_pb2
 from merlintrestle.store import client
-from merlintrestle.versions import active_version as holders
+from merlintrestle.versions import active_version as active_versions
 from merlintrestle.versions import distribution as distributions
 from merlintrestle.versions import source as sources
 
 events = event_logs.EventLog("daemon")
 
-# Longest time for which callers find the port closed after a start, in s.
-READY_LIMIT_S = 3.0
-_READY_POLL_S = 0.05
-# Open, or closed until operators accept a first version.
-_SETTLED = ("", holders.NO_VERSION)
+# Maximum time for which the caller port stays closed after the start.
+READY_TIMEOUT_S = 3.0
+_READY_POLL_INTERVAL_S = 0.05
+# Values of `closed_reason` that end the wait for readiness: open, or closed
+# until an operator accepts the first version.
+_READY_REASONS = ("", active_versions.NO_VERSION)
 
-# Longest wait for neighbours to be told that this daemon leaves.
-_LEAVE_S = 0.5
-# Time for which other daemons are still served after they were told that this
-# one leaves: news take two or three hops of up to 0.1 s each.
-_NOTICE_S = 0.4
+# Maximum time to send the leave to the neighbours.
+_LEAVE_FLUSH_TIMEOUT_S = 0.5
+# Time for which other daemons are still served after the leave is announced: it
+# reaches them over two or three hops of up to 0.1 s each.
+_LEAVE_NOTICE_S = 0.4
 
 
 class Environment(NamedTuple):
-    """What a daemon needs of where it runs.
+    """Interfaces of the platform on which a daemon runs.
 
     Attributes:
-        store: Client of the platform's store.
-        source: Where versions come from.
-        dialect: How callers and backend servers speak.
-        timing: Intervals of membership and spreading.
-        use_witnesses: Whether other daemons record each version before it runs,
-            so that this daemon never goes back over a restart.
-        read_before_contact: Whether it asks the store before it met a peer.
-        rollout_format: How the store keeps the records of roll-outs.
+        store: Client of the store.
+        source: Source of configuration versions.
+        dialect: Protocol of callers and backend servers.
+        timing: Intervals of membership and gossip.
+        use_witnesses: Whether other daemons record each version before it is
+            activated, so that this daemon runs no earlier version after a
+            restart.
+        read_before_contact: Whether to read versions from the store before the
+            first contact with a peer.
+        rollout_format: Format of the roll-out records in the store.
     """
 
     store: Any
@@ -65,11 +68,11 @@
     timing: timings.Timing
     use_witnesses: bool = True
     read_before_contact: bool = False
-    rollout_format: registers.RecordFormat = registers.DefaultFormat()
+    rollout_format: storages.RecordFormat = storages.DefaultFormat()
 
 
 def build_environment(store_address: str) -> Environment:
-    """Returns the product's own store, records and headers."""
+    """Returns the default environment, with the given store."""
     store = client.StoreClient(store_address)
     return Environment(
         store,
@@ -80,31 +83,31 @@
 
 
 class Daemon(application.Program):
-    """One daemon, beside one backend server.
+    """The daemon of a backend server.
 
-    It starts with its ports, so that its own record tells where it is
-    reached, then joins the fleet. A planned stop announces the leave, waits
-    for requests in flight, and then closes the parts.
+    It opens its ports first, as its member record contains them, and then
+    joins the fleet. A graceful stop announces the leave, waits for requests in
+    flight, and then stops the services.
     """
 
     def __init__(
         self,
         settings: settings_pb2.DaemonSettings,
-        surroundings: Environment | None = None,
+        environment: Environment | None = None,
     ):
-        """Keeps the settings; everything opens in `start`."""
+        """Initializes the daemon without opening any port or connection."""
         super().__init__()
-        self._surroundings = surroundings or build_environment(settings.store)
-        self._heartbeats = heartbeats_lib.HeartbeatFilter()
+        self._environment = environment or build_environment(settings.store)
+        self._heartbeat_filter = heartbeats.HeartbeatFilter()
         self._settings = settings_pb2.DaemonSettings()
         self._settings.CopyFrom(settings)
-        self._active_version = holders.ActiveVersion()
-        self._store = self._surroundings.store
-        self._leaving = False
-        self._opened = False
+        self._active_version = active_versions.ActiveVersion()
+        self._store = self._environment.store
+        self._stopping = False
+        self._started_serving = False
 
     async def on_start(self) -> None:
-        """Starts the parts and prints the bound ports as one JSON line."""
+        """Starts the services and prints the bound ports as a line of JSON."""
         await self._store.start()
         settings = self._settings
         self._control = control.ControlServer(
@@ -112,14 +115,16 @@
         )
         settings.control_port = self._control.port
         self._table = tables.MemberTable(self._build_member())
-        self._book = books.RolloutTracker(self._table.get_upstreams)
+        self._rollout_tracker = trackers.RolloutTracker(
+            self._table.get_upstreams
+        )
         self._proxy = proxies.Proxy(
             settings,
             self._active_version,
             self._table,
             self._store,
-            self._surroundings.dialect,
-            self._book,
+            self._environment.dialect,
+            self._rollout_tracker,
         )
         self._proxy.defer_caller_port = True
         await self.add_runtime_dependency(self._proxy)
@@ -128,7 +133,7 @@
         await self.start_endpoints()
         await self._wait_until_ready()
         await self._proxy.open_caller_port()
-        self._opened = True
+        self._started_serving = True
         ports = self._describe_ports()
         events.note(
             "started",
@@ -141,7 +146,7 @@
         print(json.dumps(ports), flush=True)
 
     async def start_endpoints(self) -> None:
-        """Opens the ports for what is neither a caller nor a daemon."""
+        """Opens the ports other than those for callers and daemons."""
         self.registry = metrics.build_registry(
             self._active_version, self._table, self._proxy
         )
@@ -156,22 +161,28 @@
     def set_retry_bounds(
         self, ratio: float, slack: float, window_s: float
     ) -> None:
-        """Bounds the retries of the whole fleet anew; see the settings."""
+        """Sets the bounds of the retries of the whole fleet.
+
+        Args:
+            ratio: Setting `retry_ratio`.
+            slack: Setting `retry_slack`.
+            window_s: Setting `retry_window_s`, in seconds.
+        """
         self._proxy.set_retry_bounds(ratio, slack, window_s)
 
     def is_ready(self) -> bool:
-        """Returns whether callers may be sent to this daemon."""
+        """Returns whether this daemon serves new callers."""
         closed = bool(self._active_version.closed_reason)
-        return self._opened and not self._leaving and not closed
+        return self._started_serving and not self._stopping and not closed
 
     @property
     def has_seen_backend(self) -> bool:
-        """True once the backend server said anything."""
-        return self._heartbeats.has_seen_backend
+        """Whether a heartbeat or a leave of a backend server was recorded."""
+        return self._heartbeat_filter.has_seen_backend
 
-    def handle_heartbeat(self, heartbeat: heartbeats_lib.Heartbeat) -> None:
-        """Takes over what the backend server says, if it is news."""
-        if not self._heartbeats.accept(heartbeat):
+    def handle_heartbeat(self, heartbeat: heartbeats.Heartbeat) -> None:
+        """Applies a heartbeat of the backend server unless it is outdated."""
+        if not self._heartbeat_filter.accept(heartbeat):
             return
         self._proxy.backend.announce(
             heartbeat.service,
@@ -184,36 +195,36 @@
             heartbeat.version,
         )
 
-    def retire_backend(self, instance_id: str, born_ms: int = 0) -> None:
-        """Sends the backend server no new work, as it leaves."""
-        if self._heartbeats.retire(instance_id, born_ms):
+    def retire_backend(self, instance_id: str, started_ms: int = 0) -> None:
+        """Stops sending new calls to a backend server that leaves."""
+        if self._heartbeat_filter.retire(instance_id, started_ms):
             self._proxy.backend.retire()
 
     async def on_stop(self) -> None:
         """Leaves the fleet and waits for requests in flight.
 
-        Callers learn by and by that they are to go elsewhere; until they have
-        moved they are served as before. Other daemons are told last: without
-        this one the own backend server gets no work, and while the daemons of
-        a fleet are replaced in turn several would be idle at any time.
+        Callers move to other daemons gradually and are served until then. The
+        leave is announced to other daemons last: without this daemon, the local
+        backend server receives no calls, and during a rolling restart of the
+        fleet several backend servers would be idle at any time.
         """
-        self._leaving = True
+        self._stopping = True
         self._proxy.disable_caller_keep_alive()
         farewell_s = self._settings.farewell_s
-        notice_s = min(_NOTICE_S, farewell_s)
-        await asyncio.sleep(farewell_s - notice_s)
+        leave_notice_s = min(_LEAVE_NOTICE_S, farewell_s)
+        await asyncio.sleep(farewell_s - leave_notice_s)
         self._proxy.disable_keep_alive()
         self._table.leave()
-        await asyncio.sleep(notice_s)
+        await asyncio.sleep(leave_notice_s)
         drained, _ = await asyncio.gather(
             self._proxy.drain(self._settings.drain_limit_s),
-            self._membership.links.flush(_LEAVE_S),
+            self._membership.links.flush(_LEAVE_FLUSH_TIMEOUT_S),
         )
         if drained:
             events.note("drained", in_flight=0)
 
     async def on_shutdown(self) -> None:
-        """Closes what is not a service."""
+        """Closes the control server and the store client."""
         events.note("ended", in_flight=self._proxy.in_flight)
         await self._control.close()
         await self._store.close()
@@ -223,16 +234,16 @@
             self._table,
             self._store,
             self._settings.seeds,
-            self._surroundings.timing,
+            self._environment.timing,
         )
         self._membership = membership
         distribution = distributions.Distribution(
             self._active_version,
             membership,
-            self._surroundings.source,
+            self._environment.source,
             self._settings.spread,
-            self._surroundings.use_witnesses,
-            self._surroundings.read_before_contact,
+            self._environment.use_witnesses,
+            self._environment.read_before_contact,
         )
         servicer = control.ControlServicer(
             membership,
@@ -244,49 +255,52 @@
             self._proxy.recalls, self._control.server
         )
         await self._control.start(servicer)
-        self._proxy.backend.on_change = self._spread_backend
+        self._proxy.backend.on_change = self._publish_backend
         crashes = self._proxy.crashes
         crashes.send_strike = membership.links.send_strike
         membership.links.on_strike.append(crashes.strikes.add)
-        self._start_rollouts(membership, distribution)
+        self._connect_rollouts(membership, distribution)
         await self.add_runtime_dependency(membership)
         await self.add_runtime_dependency(distribution)
-        await self.add_runtime_dependency(self._keeper)
+        await self.add_runtime_dependency(self._rollout_controller)
 
-    def _start_rollouts(
+    def _connect_rollouts(
         self,
         membership: memberships.Membership,
         distribution: distributions.Distribution,
     ) -> None:
-        """Connects what is known of roll-outs with links and store."""
-        self._spreading = gossip.RolloutGossip(self._book, membership)
-        register = registers.RolloutStorage(
-            self._store, self._surroundings.rollout_format
+        """Connects roll-outs with the gossip and the store."""
+        self._rollout_gossip = gossip.RolloutGossip(
+            self._rollout_tracker, membership
+        )
+        storage = storages.RolloutStorage(
+            self._store, self._environment.rollout_format
         )
-        self._keeper = keepers.RolloutController(
-            self._book,
+        self._rollout_controller = controllers.RolloutController(
+            self._rollout_tracker,
             self._proxy.observer,
-            register,
+            storage,
             distribution.watcher.selection.get_rank,
         )
         distribution.watcher.on_orders.append(
-            lambda entries: self._keeper.handle_orders(
-                register.parse_orders(entries)
+            lambda entries: self._rollout_controller.handle_orders(
+                storage.parse_orders(entries)
             )
         )
 
     async def _wait_until_ready(self) -> None:
-        """Waits until a version runs, but not for long.
+        """Waits until a version is active, up to `READY_TIMEOUT_S`.
 
-        A daemon that is replaced would refuse each caller for the second in
-        which it learns its floor and its peers; while its port is closed they
-        go to another at once. The wait is bounded, for callers of a whole
-        fleet that cannot open must be told so and when to come back.
+        After a restart, a daemon needs about a second to learn its floor (the
+        lowest version that it may run) and its peers, and would refuse all
+        calls until then. While its port is closed, callers connect to another
+        daemon at once. The wait has a limit because callers need a refusal and
+        a retry time if the whole fleet cannot serve calls.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(READY_LIMIT_S):
-                while self._active_version.closed_reason not in _SETTLED:
-                    await asyncio.sleep(_READY_POLL_S)
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                while self._active_version.closed_reason not in _READY_REASONS:
+                    await asyncio.sleep(_READY_POLL_INTERVAL_S)
 
     def _build_member(self) -> control_pb2.Member:
         settings = self._settings
@@ -318,5 +332,5 @@
             version=announcement.version,
         )
 
-    def _spread_backend(self) -> None:
+    def _publish_backend(self) -> None:
         self._table.set_backend(self._proxy.backend.build_record())
--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -32,7 +32,7 @@
             seconds.
         instance_id: Id of its process; empty if not announced.
         state: State as announced, or DOWN while it refuses connections.
-        started_ms: Start of its process, in ms since 1970; 0 if not announced.
+        started_ms: Start of its process, in ms since 1970; 0: not announced.
         ready_since_ms: Time at which it became ready, in ms since 1970.
         reachable: False after it refused a connection, until it accepts one.
         on_change: Called after every change of the value of `build_record`.
@@ -67,7 +67,7 @@
         state: control_pb2.BackendState = control_pb2.READY,
         instance_id: str = "",
         cold_s: float = WARMUP_S,
-        born_ms: int = 0,
+        started_ms: int = 0,
         version: str = "",
     ) -> None:
         """Applies an announcement of the backend server.
@@ -81,20 +81,21 @@
             cold_s: Time for which it will still be slow after its start, in
                 seconds. Without it, a daemon that restarts would treat a warm
                 backend server as a cold one.
-            born_ms: Start of its process, in ms since 1970; 0 if not announced.
+            started_ms: Start of its process, in ms since 1970; 0 if not
+                announced.
             version: Version of its software; empty if not announced.
         """
         before = self.build_record()
         self._remaining_warmup_s = min(cold_s, WARMUP_S)
         self.warm_at = time.monotonic() + self._remaining_warmup_s
-        if self._is_other_process(instance_id, born_ms):
+        if self._is_other_process(instance_id, started_ms):
             # The state and the open connections belong to the previous process:
             # the new one is not warm, and nobody answers on these connections
             # any more.
             self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
             self.on_restart(self.address)
         self.instance_id = instance_id
-        self.started_ms = born_ms
+        self.started_ms = started_ms
         self.version = version
         self.service = service
         self.address = address
@@ -155,11 +156,11 @@
             version=self.version,
         )
 
-    def _is_other_process(self, instance_id: str, born_ms: int) -> bool:
+    def _is_other_process(self, instance_id: str, started_ms: int) -> bool:
         """Returns whether an announcement comes from another process."""
         if not self.instance_id:
             return False
-        restarted = 0 < self.started_ms < born_ms
+        restarted = 0 < self.started_ms < started_ms
         return restarted or instance_id != self.instance_id
 
     def _set_state(self, state: control_pb2.BackendState) -> None:
--- a/tests/daemon/test_heartbeats.py
+++ b/tests/daemon/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Which heartbeats and leaves of a backend server still say something."""
+"""Tests of outdated heartbeats and leaves, and of process restarts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def _build(
-    instance_id: str = "i-1", sequence: float = 1, born_ms: int = 0
+    instance_id: str = "i-1", sequence: float = 1, started_ms: int = 0
 ) -> heartbeats.Heartbeat:
     return heartbeats.Heartbeat(
         instance_id=instance_id,
@@ -20,106 +20,108 @@
         state=control_pb2.READY,
         cold_s=0.0,
         sequence=sequence,
-        started_ms=born_ms,
+        started_ms=started_ms,
     )
 
 
-class HeartbeatsTest(unittest.TestCase):
+class HeartbeatFilterTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.heard = heartbeats.HeartbeatFilter()
+        self.filter = heartbeats.HeartbeatFilter()
 
     def test_a_restart_under_the_same_id(self) -> None:
-        """Callers are served by a backend server that has just restarted.
+        """A backend server that restarts under its old id gets calls at once.
 
-        It keeps its id and counts from the beginning. Taken for late ones,
-        its heartbeats would be dropped until they had caught up: at one in
-        1.5 s it would get no work for as long as it had lived before.
+        Its sequence numbers restart too. If its heartbeats were treated as
+        outdated until the numbers had caught up, at one heartbeat every 1.5 s
+        it would get no calls for as long as the previous process had run.
         """
-        self.assertTrue(self.heard.accept(_build("i-1", 400, 1000)))
-        self.assertTrue(self.heard.accept(_build("i-1", 1, 2000)))
-        self.assertTrue(self.heard.accept(_build("i-1", 2, 2000)))
+        self.assertTrue(self.filter.accept(_build("i-1", 400, 1000)))
+        self.assertTrue(self.filter.accept(_build("i-1", 1, 2000)))
+        self.assertTrue(self.filter.accept(_build("i-1", 2, 2000)))
 
-    def test_a_late_heartbeat_of_the_earlier_life(self) -> None:
-        self.heard.accept(_build("i-1", 400, 1000))
-        self.heard.accept(_build("i-1", 1, 2000))
-        self.assertFalse(self.heard.accept(_build("i-1", 401, 1000)))
+    def test_a_late_heartbeat_from_before_a_restart(self) -> None:
+        self.filter.accept(_build("i-1", 400, 1000))
+        self.filter.accept(_build("i-1", 1, 2000))
+        self.assertFalse(self.filter.accept(_build("i-1", 401, 1000)))
 
     def test_a_late_heartbeat_of_another_earlier_process(self) -> None:
-        """A process that nobody here heard of started before the newest."""
-        self.heard.accept(_build("i-2", 1, 2000))
-        self.assertFalse(self.heard.accept(_build("i-1", 400, 1000)))
-        self.assertFalse(self.heard.accept(_build("i-2", 1, 2000)))
-
-    def test_a_late_leave_of_the_earlier_life(self) -> None:
-        """The new process goes on getting work."""
-        self.heard.accept(_build("i-1", 400, 1000))
-        self.heard.accept(_build("i-1", 1, 2000))
-        self.assertFalse(self.heard.retire("i-1", 1000))
-        self.assertTrue(self.heard.accept(_build("i-1", 2, 2000)))
-
-    def test_an_id_that_left_counts_again_after_a_restart(self) -> None:
-        self.heard.accept(_build("i-1", 400, 1000))
-        self.assertTrue(self.heard.retire("i-1", 1000))
-        self.assertFalse(self.heard.accept(_build("i-1", 401, 1000)))
-        self.assertTrue(self.heard.accept(_build("i-1", 1, 2000)))
-
-    def test_a_leave_that_does_not_say_of_which_life(self) -> None:
-        """It counts for the newest one: no new work may reach a leaver."""
-        self.heard.accept(_build("i-1", 400, 1000))
-        self.assertTrue(self.heard.retire("i-1"))
-        self.assertFalse(self.heard.accept(_build("i-1", 401, 1000)))
-
-    def test_a_status_says_nothing_of_the_start(self) -> None:
-        """The first heartbeat after it is of the same process."""
-        self.heard.accept(_build("i-1", heartbeats.INITIAL_SEQUENCE))
-        self.assertTrue(self.heard.accept(_build("i-1", 7, 1000)))
-        self.assertFalse(self.heard.accept(_build("i-1", 6)))
-        self.assertFalse(self.heard.accept(_build("i-1", 6, 1000)))
-
-    def test_without_a_start_the_count_alone_decides(self) -> None:
-        self.assertTrue(self.heard.accept(_build("i-1", 2)))
-        self.assertFalse(self.heard.accept(_build("i-1", 1)))
-        self.assertTrue(self.heard.accept(_build("i-2", 1)))
-        self.assertFalse(self.heard.accept(_build("i-1", 3)))
+        """An unknown process that started before the current one is ignored."""
+        self.filter.accept(_build("i-2", 1, 2000))
+        self.assertFalse(self.filter.accept(_build("i-1", 400, 1000)))
+        self.assertFalse(self.filter.accept(_build("i-2", 1, 2000)))
+
+    def test_a_late_leave_from_before_a_restart(self) -> None:
+        """The restarted process still gets calls."""
+        self.filter.accept(_build("i-1", 400, 1000))
+        self.filter.accept(_build("i-1", 1, 2000))
+        self.assertFalse(self.filter.retire("i-1", 1000))
+        self.assertTrue(self.filter.accept(_build("i-1", 2, 2000)))
+
+    def test_an_id_that_left_is_accepted_after_a_restart(self) -> None:
+        self.filter.accept(_build("i-1", 400, 1000))
+        self.assertTrue(self.filter.retire("i-1", 1000))
+        self.assertFalse(self.filter.accept(_build("i-1", 401, 1000)))
+        self.assertTrue(self.filter.accept(_build("i-1", 1, 2000)))
+
+    def test_a_leave_without_a_start_time(self) -> None:
+        """It applies to the current process, which must get no new calls."""
+        self.filter.accept(_build("i-1", 400, 1000))
+        self.assertTrue(self.filter.retire("i-1"))
+        self.assertFalse(self.filter.accept(_build("i-1", 401, 1000)))
+
+    def test_a_status_without_a_start_time(self) -> None:
+        """The first heartbeat after the status is of the same process."""
+        self.filter.accept(_build("i-1", heartbeats.INITIAL_SEQUENCE))
+        self.assertTrue(self.filter.accept(_build("i-1", 7, 1000)))
+        self.assertFalse(self.filter.accept(_build("i-1", 6)))
+        self.assertFalse(self.filter.accept(_build("i-1", 6, 1000)))
+
+    def test_without_start_times_the_sequence_decides(self) -> None:
+        self.assertTrue(self.filter.accept(_build("i-1", 2)))
+        self.assertFalse(self.filter.accept(_build("i-1", 1)))
+        self.assertTrue(self.filter.accept(_build("i-2", 1)))
+        self.assertFalse(self.filter.accept(_build("i-1", 3)))
 
 
 class RestartTest(unittest.TestCase):
-    """What the daemon knows of its backend server is of one process."""
+    """A restart of the backend server resets its state in the daemon."""
 
     def setUp(self) -> None:
         self.backend = backend.LocalBackend()
-        self.dropped: list[str] = []
-        self.backend.on_restart = self.dropped.append
+        self.restarted: list[str] = []
+        self.backend.on_restart = self.restarted.append
 
-    def announce(self, instance_id: str, cold_s: float, born_ms: int) -> None:
-        """Has a process announce itself as ready."""
+    def announce(
+        self, instance_id: str, cold_s: float, started_ms: int
+    ) -> None:
+        """Announces a process as ready."""
         self.backend.announce(
             "kassa",
             "127.0.0.1:1",
             12,
             instance_id=instance_id,
             cold_s=cold_s,
-            born_ms=born_ms,
+            started_ms=started_ms,
         )
 
     def test_a_restarted_process_is_cold(self) -> None:
-        """It gets a share of work that rises, on new connections.
+        """A restarted process gets a rising share of calls, on new connections.
 
-        Held for warm, it would get a full share while it is slow, and its
-        first calls would meet connections of the process before.
+        If it were treated as warm, it would get its full share while it is
+        slow, and its first calls would use connections of the previous process.
         """
-        for instance_id, born_ms in (("i-1", 2000), ("i-2", 0)):
+        for instance_id, started_ms in (("i-1", 2000), ("i-2", 0)):
             with self.subTest(instance_id=instance_id):
                 self.setUp()
                 self.announce("i-1", 0.0, 1000)
                 warm_since = self.backend.ready_since_ms
-                self.announce(instance_id, 5.0, born_ms)
+                self.announce(instance_id, 5.0, started_ms)
                 self.assertGreater(self.backend.ready_since_ms, warm_since)
-                self.assertEqual(self.dropped, ["127.0.0.1:1"])
+                self.assertEqual(self.restarted, ["127.0.0.1:1"])
 
     def test_the_same_process_stays_warm(self) -> None:
         self.announce("i-1", 0.0, 1000)
         warm_since = self.backend.ready_since_ms
         self.announce("i-1", 0.0, 1000)
         self.assertEqual(self.backend.ready_since_ms, warm_since)
-        self.assertEqual(self.dropped, [])
+        self.assertEqual(self.restarted, [])
