--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -1,4 +1,4 @@
-"""Whole daemons in one process, with a store and backend servers."""
+"""Fleets of complete daemons in one process, with a store stand-in."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def build_class(
     name: str, match: str, **fields: Any
 ) -> document_pb2.ClassTarget:
-    """Builds a class of work; repeatable and small unless told otherwise."""
+    """Builds a class of work, by default repeatable and small."""
     values: dict[str, Any] = {
         "latency_ms": 200,
         "share": 0.99,
@@ -53,7 +53,7 @@
 
 
 def build_document() -> document_pb2.Document:
-    """Builds the targets of kassa: lookups, payouts and an archive."""
+    """Builds a document with the service kassa and its three classes."""
     document = document_pb2.Document(organisation="zaanoever")
     kassa = document.services.add(name="kassa")
     kassa.classes.append(build_class("lookup", "* /"))
@@ -69,7 +69,11 @@
 
 
 class Daemon(service.Daemon):
-    """A whole daemon, and the backend server beside it."""
+    """A complete daemon with its backend server.
+
+    Attributes:
+        backend: The backend server, once started.
+    """
 
     def __init__(self, settings: settings_pb2.DaemonSettings):
         super().__init__(settings)
@@ -77,56 +81,58 @@
 
     @property
     def url(self) -> str:
-        """Where callers send requests for kassa."""
+        """URL for requests of callers to kassa."""
         return f"http://127.0.0.1:{self._proxy.caller_port}/kassa"
 
     @property
     def admin_url(self) -> str:
-        """Its loopback port."""
+        """URL of its loopback port."""
         return f"http://127.0.0.1:{self._admin.port}"
 
     @property
     def control_address(self) -> str:
-        """Its control port, "ip:port"."""
+        """Address of its control port, as "ip:port"."""
         return self._table.local_id
 
     @property
     def in_flight(self) -> int:
-        """Requests that it has not answered whole."""
+        """Number of requests without a complete answer."""
         return self._proxy.in_flight
 
     @property
-    def taken(self) -> list[int]:
-        """The versions that it took into use, in order."""
-        return [taken.version for taken in self._active_version.history]
+    def activated_versions(self) -> list[int]:
+        """The versions that it activated, in order."""
+        return [
+            activation.version for activation in self._active_version.history
+        ]
 
     def set_farewell(self, seconds: float) -> None:
-        """Sets for how long callers are still served after a stop began."""
+        """Sets the time for which callers are served after a stop began."""
         self._settings.farewell_s = seconds
 
     def record_states(self, other: Daemon) -> list[int]:
-        """Returns a list that grows with each state of another daemon."""
+        """Records the states of another daemon in the returned list."""
         states: list[int] = []
 
-        def note(member: control_pb2.Member) -> None:
+        def record_state(member: control_pb2.Member) -> None:
             if member.id == other.control_address:
                 states.append(member.state)
 
-        self._table.on_change.append(note)
+        self._table.on_change.append(record_state)
         return states
 
     async def wait_for_version(self, version: int) -> None:
-        """Waits until it runs a version."""
+        """Waits until a version is active."""
         while self._active_version.version != version:
             await asyncio.sleep(0.01)
 
     async def wait_until_open(self) -> None:
-        """Waits until it serves."""
+        """Waits until it serves calls."""
         while self._active_version.closed_reason:
             await asyncio.sleep(0.01)
 
     async def wait_for_upstreams(self, count: int) -> None:
-        """Waits until it knows so many upstreams of kassa."""
+        """Waits until it knows exactly `count` upstreams of kassa."""
         while len(self._table.get_upstreams("kassa")) != count:
             await asyncio.sleep(0.01)
 
@@ -135,8 +141,9 @@
     """Daemons in one process that share a store.
 
     Attributes:
-        store: The stand-in of the store.
-        daemons: The daemons, in the order of their start.
+        store: The store stand-in.
+        daemons: The daemons, in the order of their start unless a test
+            reorders them.
         client: An HTTP client for callers and backend servers.
     """
 
@@ -146,43 +153,47 @@
         self.client = client
 
     async def accept(self, document: document_pb2.Document) -> int:
-        """Has the next version accepted by the store; returns its number."""
+        """Writes a document to the store as the next version.
+
+        Returns:
+            The number of the version.
+        """
         store = clients.StoreClient(self.store.address)
         await store.start()
         try:
-            before, revision = await records.read_head(store)
+            head, revision = await records.read_head(store)
             digest = await records.write_document(store, document)
             documents = {document.organisation: digest}
-            version = before.version + 1
+            version = head.version + 1
             snapshot = compiler.compile_snapshot(
                 version, {document.organisation: document}
             )
-            head = acceptance.make_head(
-                before, str(version), documents, snapshot.digest
+            new_head = acceptance.make_head(
+                head, str(version), documents, snapshot.digest
             )
-            await acceptance.swap_head(store, head, revision)
+            await acceptance.swap_head(store, new_head, revision)
             return version
         finally:
             await store.close()
 
     def copy_store(self) -> dict[str, keyvalue.Entry]:
-        """Returns what the store holds now."""
+        """Returns a copy of the records of the store."""
         return self.store.servicer.data.copy()
 
-    async def answer_from(self, past: dict[str, keyvalue.Entry]) -> None:
-        """Has the store answer reads from a past, and its watches be silent."""
+    async def serve_stale_reads(self, past: dict[str, keyvalue.Entry]) -> None:
+        """Makes the store answer reads from a copy and silences watches."""
         await self.store.set_faults(faults.StoreFaults(stale=True))
         self.store.servicer._past = past
 
     async def restart_daemon(self, index: int) -> Daemon:
-        """Replaces a daemon by a new process at its control address."""
-        old = self.daemons.pop(index)
-        await old.stop()
-        port = int(old.control_address.rpartition(":")[2])
+        """Stops a daemon and starts a new one at its control address."""
+        daemon = self.daemons.pop(index)
+        await daemon.stop()
+        port = int(daemon.control_address.rpartition(":")[2])
         return await self.start_daemon(port)
 
     async def start_daemon(self, control_port: int = 0) -> Daemon:
-        """Starts a daemon; the first one is the seed of the others."""
+        """Starts a daemon; the first daemon is the seed of the others."""
         settings = settings_pb2.DaemonSettings(
             address="127.0.0.1",
             zone="noord",
@@ -192,10 +203,10 @@
             spread="fast",
             drain_limit_s=TEST_TIMEOUT_S,
             claims="claims/",
-            seeds=[one.control_address for one in self.daemons[:1]],
+            seeds=[seed.control_address for seed in self.daemons[:1]],
         )
         daemon = Daemon(settings)
-        # The line with the bound ports is for people and measurements.
+        # The printed line with the bound ports is not needed here.
         with contextlib.redirect_stdout(io.StringIO()):
             await daemon.start()
         self.daemons.append(daemon)
@@ -206,7 +217,7 @@
         daemon: Daemon,
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
     ) -> None:
-        """Starts a backend server of kassa, which announces itself."""
+        """Starts a backend server of kassa and announces it."""
         daemon.backend = server.Server(handler)
         await daemon.backend.start("127.0.0.1", 0)
         status = await self.announce(
@@ -223,14 +234,18 @@
     async def announce(
         self, daemon: Daemon, announcement: Mapping[str, Any]
     ) -> int:
-        """Announces to a daemon what a backend server says of itself."""
+        """Sends an announcement of a backend server to a daemon.
+
+        Returns:
+            The status of the response.
+        """
         async with self.client.post(
             daemon.admin_url + "/announce", json=announcement
-        ) as answer:
-            return answer.status
+        ) as response:
+            return response.status
 
     async def close(self) -> None:
-        """Ends backend servers, daemons and the store."""
+        """Stops the backend servers, the daemons and the store."""
         for daemon in self.daemons:
             if daemon.backend is not None:
                 await daemon.backend.close()
@@ -240,7 +255,7 @@
 
 @contextlib.asynccontextmanager
 async def run_fleet(count: int) -> AsyncIterator[Fleet]:
-    """Runs daemons with short intervals on one accepted version."""
+    """Runs daemons with short intervals, after they activated a version."""
     with mock.patch.object(
         timing, "Timing", lambda: member_builders.FAST_TIMING
     ):
--- a/tests/daemon/test_daemons.py
+++ b/tests/daemon/test_daemons.py
@@ -1,4 +1,4 @@
-"""Whole daemons: from the start to the first answer, stops, payouts."""
+"""Tests of complete daemons: start, stop, calls and new versions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from standins import faults
 from tests.daemon import builders
 
-_BAD_ADDRESSES = (
+_INVALID_ADDRESSES = (
     "localhost",
     "localhost:80",
     "127.0.0.1:99999",
@@ -22,49 +22,51 @@
     "[::1]:x",
     "a\0b:80",
 )
-_KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
+_KEY_HEADERS = {headers.IDEMPOTENCY_KEY: "ticket-7"}
 
 
 class DaemonsTest(unittest.IsolatedAsyncioTestCase):
-    """Daemons in one process over loopback, with the store stand-in."""
+    """Runs daemons in one process over loopback, with a store stand-in."""
 
     def setUp(self) -> None:
-        self.begun = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.download_started = asyncio.Event()
+        self.resume_download = asyncio.Event()
         self.runs = 0
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers with its path."""
+        """Responds with the path of the request."""
         await request.read()
         return web.Response(text=request.path)
 
     async def pay(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Books a payout."""
+        """Counts a run of a payout."""
         self.runs += 1
         return await self.answer(request)
 
     async def send_archive(
         self, request: web.BaseRequest
     ) -> web.StreamResponse:
-        """Sends half a download, and the rest when the test lets it."""
+        """Sends a download and pauses it until the test resumes it."""
         response = web.StreamResponse()
         await response.prepare(request)
         await response.write(b"first ")
-        self.begun.set()
-        await self.go_on.wait()
+        self.download_started.set()
+        await self.resume_download.wait()
         await response.write(b"second")
         await response.write_eof()
         return response
 
     async def test_start_to_first_answer(self) -> None:
         async with builders.run_fleet(2) as fleet:
-            near, far = fleet.daemons
-            await fleet.start_backend(far, self.answer)
-            await near.wait_for_upstreams(1)
-            async with fleet.client.get(near.url + "/x") as answer:
-                self.assertEqual(await answer.text(), "/x")
-            async with fleet.client.get(near.admin_url + "/metrics") as answer:
-                page = await answer.text()
+            caller_daemon, backend_daemon = fleet.daemons
+            await fleet.start_backend(backend_daemon, self.answer)
+            await caller_daemon.wait_for_upstreams(1)
+            async with fleet.client.get(caller_daemon.url + "/x") as response:
+                self.assertEqual(await response.text(), "/x")
+            async with fleet.client.get(
+                caller_daemon.admin_url + "/metrics"
+            ) as response:
+                page = await response.text()
         self.assertIn("merlintrestle_running_version 1.0", page)
         self.assertIn('merlintrestle_members{state="alive"} 2.0', page)
         self.assertRegex(
@@ -72,89 +74,98 @@
         )
 
     async def test_same_payout_through_two_daemons(self) -> None:
-        """The second sending gets the answer of the first; it runs once."""
+        """A retry at another daemon gets the first answer without a new run."""
         async with builders.run_fleet(2) as fleet:
             for daemon in fleet.daemons:
                 await fleet.start_backend(daemon, self.pay)
             for daemon in fleet.daemons:
                 async with fleet.client.post(
-                    daemon.url + "/payouts", headers=_KEY
-                ) as answer:
-                    self.assertEqual(await answer.text(), "/payouts")
+                    daemon.url + "/payouts", headers=_KEY_HEADERS
+                ) as response:
+                    self.assertEqual(await response.text(), "/payouts")
         self.assertEqual(self.runs, 1)
 
-    async def test_planned_stop_during_a_download(self) -> None:
-        """The clerk gets the whole bundle; later requests go elsewhere.
+    async def test_graceful_stop_during_a_download(self) -> None:
+        """A graceful stop lets a download finish but refuses new calls.
 
-        The daemon beside the backend server is stopped half-way. It announces
-        that it leaves, takes nothing new, and ends after the last byte.
+        The daemon of the backend server is stopped during the download. It
+        announces its leave, accepts no new calls, and ends after the last byte.
         """
         async with builders.run_fleet(2) as fleet:
-            near, far = fleet.daemons
-            await fleet.start_backend(far, self.send_archive)
-            await near.wait_for_upstreams(1)
-            async with fleet.client.get(near.url + "/archive/1") as answer:
-                await self.begun.wait()
-                stopping = asyncio.create_task(far.stop())
-                await near.wait_for_upstreams(0)
-                async with fleet.client.get(near.url + "/x") as refused:
+            caller_daemon, backend_daemon = fleet.daemons
+            await fleet.start_backend(backend_daemon, self.send_archive)
+            await caller_daemon.wait_for_upstreams(1)
+            async with fleet.client.get(
+                caller_daemon.url + "/archive/1"
+            ) as response:
+                await self.download_started.wait()
+                stop_task = asyncio.create_task(backend_daemon.stop())
+                await caller_daemon.wait_for_upstreams(0)
+                async with fleet.client.get(
+                    caller_daemon.url + "/x"
+                ) as refused:
                     outcome = refused.headers[headers.OUTCOME]
                     self.assertEqual(outcome, "not-run")
-                self.assertFalse(stopping.done())
-                self.go_on.set()
-                self.assertEqual(await answer.read(), b"first second")
-            await stopping
-
-    async def test_backend_server_works_on_while_callers_move(self) -> None:
-        """Callers of other daemons are still served by its backend server.
-
-        A daemon is stopped and waits until its own callers have moved. The
-        backend server beside it runs on and is reached through it alone:
-        withdrawn at once, it would be idle all the while, and a fleet whose
-        daemons are replaced in turn would lack several of them.
+                self.assertFalse(stop_task.done())
+                self.resume_download.set()
+                self.assertEqual(await response.read(), b"first second")
+            await stop_task
+
+    async def test_backend_server_gets_calls_while_callers_move(self) -> None:
+        """A stopping daemon still sends calls to its backend server.
+
+        The daemon waits until its callers have moved to other daemons. Its
+        backend server keeps running and can only be reached through it. If the
+        daemon announced its leave at once, the backend server would be idle
+        during the wait, and a rolling restart of the daemons would make several
+        backend servers idle at the same time.
         """
         async with builders.run_fleet(2) as fleet:
-            near, far = fleet.daemons
-            await fleet.start_backend(far, self.answer)
-            await near.wait_for_upstreams(1)
-            far.set_farewell(builders.TEST_TIMEOUT_S)
-            stopping = asyncio.create_task(far.on_stop())
-            while far.is_ready():
+            caller_daemon, backend_daemon = fleet.daemons
+            await fleet.start_backend(backend_daemon, self.answer)
+            await caller_daemon.wait_for_upstreams(1)
+            backend_daemon.set_farewell(builders.TEST_TIMEOUT_S)
+            stop_task = asyncio.create_task(backend_daemon.on_stop())
+            while backend_daemon.is_ready():
                 await asyncio.sleep(0)
-            async with fleet.client.get(near.url + "/x") as answer:
-                self.assertEqual(await answer.text(), "/x")
-            self.assertFalse(stopping.done())
-            stopping.cancel()
-            far.set_farewell(0.0)
-
-    async def test_log_tells_when_a_daemon_started_and_ended(self) -> None:
-        """An engineer tells a planned end from a kill by the log alone."""
+            async with fleet.client.get(caller_daemon.url + "/x") as response:
+                self.assertEqual(await response.text(), "/x")
+            self.assertFalse(stop_task.done())
+            stop_task.cancel()
+            backend_daemon.set_farewell(0.0)
+
+    async def test_start_and_end_are_logged(self) -> None:
+        """The log alone shows whether a daemon was stopped or killed."""
         with self.assertLogs("merlintrestle") as logs:
             async with builders.run_fleet(2) as fleet:
                 await fleet.daemons.pop().stop()
-        told = [record.getMessage() for record in logs.records]
+        messages = [record.getMessage() for record in logs.records]
         for event in ("daemon: started", "members: link open", "daemon: ended"):
-            self.assertIn(event, told)
+            self.assertIn(event, messages)
 
     async def test_stop_of_an_idle_daemon_is_announced(self) -> None:
-        """Others are told that it leaves, and need not find it dead.
+        """Other daemons receive the leave of a daemon without calls in flight.
 
-        Nothing is in flight, so the daemon ends at once. Were its links cut
-        before they carried the news, others would call a port that is closed
-        and hold the daemon for failed.
+        The daemon ends at once. If its links were closed before the leave was
+        sent, other daemons would send calls to a closed port and treat the
+        daemon as failed.
         """
         async with builders.run_fleet(3) as fleet:
             leaving = fleet.daemons.pop()
-            told = [daemon.record_states(leaving) for daemon in fleet.daemons]
+            recorded = [
+                daemon.record_states(leaving) for daemon in fleet.daemons
+            ]
             await leaving.stop()
-            for states in told:
+            for states in recorded:
                 while all(state == control_pb2.ALIVE for state in states):
                     await asyncio.sleep(0.01)
-                states = [one for one in states if one != control_pb2.ALIVE]
+                states = [
+                    state for state in states if state != control_pb2.ALIVE
+                ]
                 self.assertEqual(states[0], control_pb2.LEAVING)
 
     async def test_stop_while_the_store_hangs(self) -> None:
-        """The stop ends although no call to the store ever does."""
+        """A stop ends even if calls to the store never return."""
         async with builders.run_fleet(2) as fleet:
             hanging = faults.StoreFaults(faults.Outage.HANGING)
             await fleet.store.set_faults(hanging)
@@ -162,32 +173,33 @@
             await fleet.daemons[0].stop()
             await fleet.store.set_faults(faults.StoreFaults())
 
-    async def test_version_that_the_store_tells_nobody(self) -> None:
-        """The operator is told "accepted"; every daemon runs the version.
+    async def test_version_without_store_notification(self) -> None:
+        """All daemons activate a version although the store notifies nobody.
 
-        The store took the write and tells no watcher, as when it fails at
-        that moment. The operator's program has the version and hands it to
-        one daemon, which spreads it; else it would wait for the store.
+        The store accepted the write but notifies no watcher, as when it fails
+        at that moment. The operator sees "accepted". The operator's program
+        hands the version to one daemon, which distributes it; otherwise it
+        would not be activated before the store recovers.
         """
         async with builders.run_fleet(2) as fleet:
-            await fleet.answer_from(fleet.copy_store())
+            await fleet.serve_stale_reads(fleet.copy_store())
             document = builders.build_document()
             document.services[0].classes[0].latency_ms += 1
             version = await fleet.accept(document)
             snapshot = compiler.compile_snapshot(
                 version, {document.organisation: document}
             )
-            first = fleet.daemons[0]
-            await operators.hand_over(first.control_address, 5.0, snapshot)
+            receiver = fleet.daemons[0]
+            await operators.hand_over(receiver.control_address, 5.0, snapshot)
             for daemon in fleet.daemons:
                 await daemon.wait_for_version(version)
 
-    async def test_restart_while_the_store_answers_from_the_past(self) -> None:
-        """No daemon goes back, whatever the store says.
+    async def test_restart_while_the_store_answers_with_old_data(self) -> None:
+        """No daemon activates an earlier version when the store is restored.
 
-        Version 2 runs everywhere. The store is restored and answers reads
-        from before it was accepted, just when one daemon after the other is
-        replaced at its address. Each learns from its witnesses what ran.
+        All daemons run version 2. The store is restored to a state before it
+        was accepted, and then the daemons are restarted one after another at
+        their addresses. Each learns from its witnesses which version ran.
         """
         for size in (2, 3, 4):
             async with builders.run_fleet(size) as fleet:
@@ -197,24 +209,24 @@
                 version = await fleet.accept(document)
                 for daemon in fleet.daemons:
                     await daemon.wait_for_version(version)
-                await fleet.answer_from(past)
+                await fleet.serve_stale_reads(past)
                 for _ in range(size):
-                    # The last one, which has others as seeds.
+                    # The last daemon, which has another one as its seed.
                     daemon = await fleet.restart_daemon(-1)
                     await daemon.wait_until_open()
-                    self.assertEqual(daemon.taken, [version], size)
+                    self.assertEqual(daemon.activated_versions, [version], size)
                     fleet.daemons.insert(0, fleet.daemons.pop())
 
-    async def test_announcement_that_makes_no_sense(self) -> None:
-        """The announcement is refused; the daemon goes on serving.
+    async def test_malformed_announcement(self) -> None:
+        """A malformed announcement is refused, and the daemon keeps serving.
 
-        The address of a backend server is used by a task that looks whether
-        it is up, and its service goes into messages to all daemons. One that
-        cannot be read there would end the whole daemon.
+        A task uses the address to check whether the backend server is up, and
+        the service is part of messages to all daemons. A malformed value would
+        crash the daemon.
         """
-        good = {"service": "kassa", "slots": 12, "state": "ready"}
-        bad = (
-            *({"address": address} for address in _BAD_ADDRESSES),
+        valid = {"service": "kassa", "slots": 12, "state": "ready"}
+        invalid = (
+            *({"address": address} for address in _INVALID_ADDRESSES),
             *(
                 {"address": "127.0.0.1:9000", "service": service}
                 for service in ("\ud800", "kassa/../balie", "x" * 200)
@@ -222,10 +234,10 @@
         )
         async with builders.run_fleet(1) as fleet:
             daemon = fleet.daemons[0]
-            for fields in bad:
+            for fields in invalid:
                 with self.subTest(fields):
-                    status = await fleet.announce(daemon, good | fields)
+                    status = await fleet.announce(daemon, valid | fields)
                     self.assertEqual(status, 400)
             await fleet.start_backend(daemon, self.answer)
-            async with fleet.client.get(daemon.url + "/x") as answer:
-                self.assertEqual(await answer.text(), "/x")
+            async with fleet.client.get(daemon.url + "/x") as response:
+                self.assertEqual(await response.text(), "/x")
