--- a/merlintrestle/daemon/heartbeats.py
+++ b/merlintrestle/daemon/heartbeats.py
@@ -23,7 +23,7 @@
         address: Its "ip:port".
         slots: Number of calls that it runs at once.
         state: Whether it accepts new calls.
-        cold_s: Time for which it will still be slow after its start, in
+        remaining_warmup_s: Time for which it will still be slow after its start, in
             seconds.
         sequence: Sequence number, which increases with each heartbeat of a
             process.
@@ -36,7 +36,7 @@
     address: str
     slots: int
     state: control_pb2.BackendState
-    cold_s: float
+    remaining_warmup_s: float
     sequence: float
     started_ms: int = 0
     version: str = ""
--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -190,7 +190,7 @@
             heartbeat.slots,
             heartbeat.state,
             heartbeat.instance_id,
-            heartbeat.cold_s,
+            heartbeat.remaining_warmup_s,
             heartbeat.started_ms,
             heartbeat.version,
         )
--- a/tests/daemon/test_heartbeats.py
+++ b/tests/daemon/test_heartbeats.py
@@ -18,7 +18,7 @@
         address="127.0.0.1:1",
         slots=12,
         state=control_pb2.READY,
-        cold_s=0.0,
+        remaining_warmup_s=0.0,
         sequence=sequence,
         started_ms=started_ms,
     )
