--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -73,7 +73,7 @@
         state: control_pb2.BackendState = control_pb2.READY,
         instance_id: str = "",
         cold_s: float = WARMUP_S,
-        born_ms: int = 0,
+        started_ms: int = 0,
         version: str = "",
     ) -> None:
         """Applies an announcement of the backend server.
@@ -87,21 +87,21 @@
             cold_s: Remaining warm-up time of its process, in seconds. Without
                 it, a restarted daemon would assume that a warm backend server
                 has just started.
-            born_ms: Start time of its process, in ms since 1970; 0 if not
+            started_ms: Start time of its process, in ms since 1970; 0 if not
                 announced.
             version: Version of its software; empty if not announced.
         """
         previous_record = self.build_record()
         self._remaining_warmup_s = min(cold_s, WARMUP_S)
         self.warmup_ends_at = time.monotonic() + self._remaining_warmup_s
-        if self._is_new_process(instance_id, born_ms):
+        if self._is_new_process(instance_id, started_ms):
             # The state and the open connections belong to the previous process.
             # The new process is not warm yet, and requests on the open
             # connections would get no answer.
             self.state = control_pb2.BACKEND_STATE_UNSPECIFIED
             self.on_restart(self.address)
         self.instance_id = instance_id
-        self.started_ms = born_ms
+        self.started_ms = started_ms
         self.version = version
         self.service = service
         self.address = address
@@ -169,7 +169,7 @@
             version=self.version,
         )
 
-    def _is_new_process(self, instance_id: str, born_ms: int) -> bool:
+    def _is_new_process(self, instance_id: str, started_ms: int) -> bool:
         """Returns whether an announcement comes from a new process.
 
         A restarted process may keep its instance id, so the start times are
@@ -177,7 +177,7 @@
         """
         if not self.instance_id:
             return False
-        started_later = 0 < self.started_ms < born_ms
+        started_later = 0 < self.started_ms < started_ms
         return started_later or instance_id != self.instance_id
 
     def _set_state(self, state: control_pb2.BackendState) -> None:
