--- a/merlintrestle/documents/checks.py
+++ b/merlintrestle/documents/checks.py
@@ -138,19 +138,20 @@
     demand = list_demand(documents)
     # fsum is exact, so the verdict does not depend on the order.
     total = math.fsum(one.slots for one in demand)
-    if fields.MESH not in documents:
+    if fields.MESH_ORGANISATION not in documents:
         if total > 0:
             yield errors.Finding(
-                f"{fields.MESH}: budget_slots",
+                f"{fields.MESH_ORGANISATION}: budget_slots",
                 "no shared capacity budget is in force: apply the document"
-                f" of organisation {fields.MESH!r} first and withdraw it last.",
+                f" of organisation {fields.MESH_ORGANISATION!r} first and"
+                " withdraw it last.",
             )
         return
-    budget = documents[fields.MESH].budget_slots
+    budget = documents[fields.MESH_ORGANISATION].budget_slots
     if total <= budget:
         return
     yield errors.Finding(
-        f"{fields.MESH}: budget_slots",
+        f"{fields.MESH_ORGANISATION}: budget_slots",
         f"{total:.6g} slots are demanded; {budget} are in the budget.",
     )
     for one in demand:
--- a/merlintrestle/documents/compiler.py
+++ b/merlintrestle/documents/compiler.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle import errors
-from merlintrestle.documents import loading
+from merlintrestle.documents import loader
 from merlintrestle.documents import snapshot
 from merlintrestle.schema import document_pb2
 
@@ -70,7 +70,7 @@
         raise errors.SnapshotError(
             f"the snapshot has {size} bytes; {MAX_SNAPSHOT_BYTES} are allowed"
         )
-    return loading.load_snapshot(version, resources, base)
+    return loader.load_snapshot(version, resources, base)
 
 
 def _compile_classes(
@@ -97,7 +97,7 @@
     service: document_pb2.ServiceTarget,
     classes: Mapping[str, list[str]],
 ) -> None:
-    name = snapshot.name_service(service.name)
+    name = snapshot.build_service_name(service.name)
     if name in resources:
         raise errors.SnapshotError(f"service {service.name} has two owners")
     resources[name] = serialize_message(
--- a/merlintrestle/documents/fields.py
+++ b/merlintrestle/documents/fields.py
@@ -10,7 +10,7 @@
 from merlintrestle.schema import document_pb2
 from merlintrestle.schema import settings_pb2
 
-MESH = "mesh"
+MESH_ORGANISATION = "mesh"
 DEFAULT_IMPORTANCE = 3
 
 if TYPE_CHECKING:
--- a/merlintrestle/documents/loading.py
+++ b/merlintrestle/documents/loader.py
@@ -54,7 +54,7 @@
         name: _reuse_service(base, name, parts) or _build_service(name, parts)
         for name in services
     }
-    limits = parts.get(snapshot.LIMITS)
+    limits = parts.get(snapshot.LIMITS_RESOURCE)
     return snapshot.Snapshot(
         version,
         dict(resources),
@@ -74,16 +74,20 @@
     if name.startswith(snapshot.SERVICE):
         service = _parse(name, value, document_pb2.ServiceResource())
         _require(
-            name, name == snapshot.name_service(service.name), "is misnamed"
+            name,
+            name == snapshot.build_service_name(service.name),
+            "is misnamed",
         )
         return snapshot.Part(digest, service)
-    if name == snapshot.LIMITS:
+    if name == snapshot.LIMITS_RESOURCE:
         limits = _parse(name, value, document_pb2.LimitsResource())
         return snapshot.Part(digest, limits=_read_limits(limits))
     if name.startswith(snapshot.HOST_ROUTE):
         route = _parse(name, value, document_pb2.HostRouteResource())
         _require(
-            name, name == snapshot.name_host_route(route.name), "is misnamed"
+            name,
+            name == snapshot.build_host_route_name(route.name),
+            "is misnamed",
         )
         return snapshot.Part(digest, host_route=_read_host_route(name, route))
     _require(name, name.startswith(snapshot.CLASS), "is of no known kind")
@@ -115,7 +119,7 @@
 ) -> None:
     listed = set()
     for service in services.values():
-        name = snapshot.name_service(service.name)
+        name = snapshot.build_service_name(service.name)
         for called in service.calls:
             _require(name, called in services, f"calls unknown {called!r}")
         for wanted in service.classes:
@@ -164,14 +168,15 @@
         name, any(part.weight for part in route.parts), "has no weight at all"
     )
     parts = tuple(
-        snapshot.RoutePart(part.service, part.weight) for part in route.parts
+        snapshot.WeightedService(part.service, part.weight)
+        for part in route.parts
     )
     plan = _build_plan("", parts[0].service, route.target)
     return snapshot.HostRoute(
         name=route.name,
         host=route.host,
         prefix=route.prefix,
-        parts=parts,
+        destinations=parts,
         plan=plan._replace(max_attempts=route.max_attempts),
     )
 
@@ -195,7 +200,7 @@
         route = part.host_route
         if route is None:
             continue
-        for destination in route.parts:
+        for destination in route.destinations:
             known = destination.service in services
             _require(name, known, f"leads to unknown {destination.service!r}")
         hosts.setdefault(route.host, []).append(route)
@@ -225,9 +230,9 @@
     """Returns the base's plan of a service of which nothing has changed."""
     if base is None or name not in base.services:
         return None
-    service = parts[snapshot.name_service(name)].service
+    service = parts[snapshot.build_service_name(name)].service
     assert service is not None
-    for used in (snapshot.name_service(name), *service.classes):
+    for used in (snapshot.build_service_name(name), *service.classes):
         if base.parts.get(used) is not parts[used]:
             return None
     return base.services[name]
@@ -236,7 +241,7 @@
 def _build_service(
     name: str, parts: Mapping[str, snapshot.Part]
 ) -> snapshot.ServicePlan:
-    service = parts[snapshot.name_service(name)].service
+    service = parts[snapshot.build_service_name(name)].service
     assert service is not None
     plans = []
     by_organisation: dict[str, list[snapshot.Route]] = {}
--- a/merlintrestle/documents/reader.py
+++ b/merlintrestle/documents/reader.py
@@ -75,15 +75,21 @@
     )
     document.services.extend(_read_each(table, "services", _read_service))
     table.refuse_rest()
-    if document.budget_slots and document.organisation != fields.MESH:
+    if (
+        document.budget_slots
+        and document.organisation != fields.MESH_ORGANISATION
+    ):
         table.report(
-            "budget_slots", f"only organisation {fields.MESH!r} has a budget."
+            "budget_slots",
+            f"only organisation {fields.MESH_ORGANISATION!r} has a budget.",
         )
-    if document.organisation == fields.MESH:
+    if document.organisation == fields.MESH_ORGANISATION:
         if not document.budget_slots:
             table.report("budget_slots", "is required.")
         if document.services:
-            table.report("services", f"{fields.MESH!r} has no services.")
+            table.report(
+                "services", f"{fields.MESH_ORGANISATION!r} has no services."
+            )
     for service in document.services:
         if service.owner == document.organisation:
             # One form only, or equal documents would have two digests.
--- a/merlintrestle/documents/snapshot.py
+++ b/merlintrestle/documents/snapshot.py
@@ -11,7 +11,7 @@
     from merlintrestle.schema import document_pb2
 
 BUDGET = "budget"
-LIMITS = "limits"
+LIMITS_RESOURCE = "limits"
 SERVICE = "service/"
 CLASS = "class/"
 HOST_ROUTE = "route/"
@@ -67,7 +67,7 @@
     max_attempts: int = 0
 
 
-class RoutePart(NamedTuple):
+class WeightedService(NamedTuple):
     """One service that a host route leads to.
 
     Attributes:
@@ -86,14 +86,14 @@
         name: Name of the route.
         host: Host, in lower case and without port.
         prefix: Path prefix, beginning and ending with "/".
-        parts: The services that share its requests.
+        destinations: The services that share its requests.
         plan: Its class of work.
     """
 
     name: str
     host: str
     prefix: str
-    parts: tuple[RoutePart, ...]
+    destinations: tuple[WeightedService, ...]
     plan: ClassPlan
 
 
@@ -170,7 +170,7 @@
         resources: Serialized resources by name.
         services: What the proxy routes by, derived from the resources.
         parts: The resources as read, by name.
-        hosts: Host routes by host, each list with longer prefixes first.
+        host_routes: Host routes by host, each list with longer prefixes first.
         limits: What callers may send; None: not stated.
     """
 
@@ -185,9 +185,10 @@
         limits: Limits | None = None,
     ):
         self.version = version
-        self.hosts = hosts or {}
+        self.host_routes = hosts or {}
         self._prefixes = {
-            host: _index_prefixes(routes) for host, routes in self.hosts.items()
+            host: _index_prefixes(routes)
+            for host, routes in self.host_routes.items()
         }
         self.limits = limits
         self.resources = resources
@@ -244,7 +245,7 @@
     return digest.digest()
 
 
-def name_service(service: str) -> str:
+def build_service_name(service: str) -> str:
     """Returns the name of the resource of a service."""
     return f"{SERVICE}{service}"
 
@@ -254,7 +255,7 @@
     return f"{CLASS}{service}/{organisation}/{name}"
 
 
-def name_host_route(name: str) -> str:
+def build_host_route_name(name: str) -> str:
     """Returns the name of the resource of a host route."""
     return f"{HOST_ROUTE}{name}"
 
--- a/merlintrestle/requests/calls/routing.py
+++ b/merlintrestle/requests/calls/routing.py
@@ -107,10 +107,10 @@
 
 def choose_service(route: snapshot.HostRoute) -> str:
     """Returns a service of a route, chosen at random by weight."""
-    if len(route.parts) == 1:
-        return route.parts[0].service
-    weights = [part.weight for part in route.parts]
-    return random.choices(route.parts, weights)[0].service
+    if len(route.destinations) == 1:
+        return route.destinations[0].service
+    weights = [part.weight for part in route.destinations]
+    return random.choices(route.destinations, weights)[0].service
 
 
 def _refuse(reason: str, status: int) -> outcomes.NotRun:
--- a/tests/documents/builders.py
+++ b/tests/documents/builders.py
@@ -48,9 +48,11 @@
     return document_pb2.Document(organisation=organisation, services=services)
 
 
-def build_mesh(slots: int = BUDGET_SLOTS) -> document_pb2.Document:
+def build_mesh_document(slots: int = BUDGET_SLOTS) -> document_pb2.Document:
     """Returns the document of the mesh."""
-    return document_pb2.Document(organisation=fields.MESH, budget_slots=slots)
+    return document_pb2.Document(
+        organisation=fields.MESH_ORGANISATION, budget_slots=slots
+    )
 
 
 def draw_classes() -> st.SearchStrategy[document_pb2.ClassTarget]:
@@ -84,8 +86,8 @@
     organisation: str,
 ) -> st.SearchStrategy[document_pb2.Document]:
     """Draws documents of one organisation, in the reader's form."""
-    if organisation == fields.MESH:
-        return st.sampled_from([10, BUDGET_SLOTS]).map(build_mesh)
+    if organisation == fields.MESH_ORGANISATION:
+        return st.sampled_from([10, BUDGET_SLOTS]).map(build_mesh_document)
     return st.lists(
         draw_services(), max_size=3, unique_by=lambda service: service.name
     ).map(lambda services: _build_drawn_document(organisation, services))
--- a/tests/documents/test_checks.py
+++ b/tests/documents/test_checks.py
@@ -49,7 +49,7 @@
         self.assertEqual(_check(foreign), ["kochi: services.balie.owner"])
 
     def test_over_budget_names_each_figure(self) -> None:
-        mesh = builders.build_mesh(slots=1)
+        mesh = builders.build_mesh_document(slots=1)
         one = builders.build_document(
             "zaanoever",
             builders.build_service("balie", builders.build_class()),
--- a/tests/documents/test_compiler.py
+++ b/tests/documents/test_compiler.py
@@ -11,7 +11,7 @@
 from merlintrestle import errors
 from merlintrestle.documents import checks
 from merlintrestle.documents import compiler
-from merlintrestle.documents import loading
+from merlintrestle.documents import loader
 from merlintrestle.documents import snapshot
 from merlintrestle.schema import document_pb2
 from tests.documents import builders
@@ -27,7 +27,7 @@
 
 
 def _keep_fitting(drawn: Documents) -> Documents:
-    kept = {"mesh": builders.build_mesh()}
+    kept = {"mesh": builders.build_mesh_document()}
     for name, document in drawn.items():
         if not checks.check_documents({**kept, name: document}):
             kept[name] = document
@@ -76,7 +76,7 @@
         self, documents: Documents
     ) -> None:
         compiled = compiler.compile_snapshot(3, documents)
-        loaded = loading.load_snapshot(3, compiled.resources)
+        loaded = loader.load_snapshot(3, compiled.resources)
         self.assertEqual(loaded.digest, compiled.digest)
         self.assertEqual(loaded.services, compiled.services)
         for service in loaded.services.values():
@@ -97,7 +97,7 @@
         rest = {**compiled.resources}
         del rest[name]
         try:
-            loaded = loading.load_snapshot(3, rest)
+            loaded = loader.load_snapshot(3, rest)
         except errors.SnapshotError:
             return
         self.assertFalse(name.startswith("class/"))
@@ -114,7 +114,7 @@
         """
         base = compiler.compile_snapshot(3, before)
         whole = compiler.compile_snapshot(4, after)
-        loaded = loading.load_snapshot(
+        loaded = loader.load_snapshot(
             4,
             whole.resources,
             base,
@@ -128,7 +128,7 @@
         service = builders.build_service("balie", builders.build_class())
         documents = {"a": builders.build_document("a", service)}
         base = compiler.compile_snapshot(1, documents)
-        loaded = loading.load_snapshot(2, dict(base.resources), base)
+        loaded = loader.load_snapshot(2, dict(base.resources), base)
         self.assertIs(loaded.services["balie"], base.services["balie"])
 
     def test_changed_class_is_not_kept_from_the_base(self) -> None:
@@ -149,13 +149,13 @@
 
     def test_empty_digest_from_a_peer_is_refused(self) -> None:
         with self.assertRaises(errors.SnapshotError):
-            loading.load_snapshot(1, {}, None, b"")
+            loader.load_snapshot(1, {}, None, b"")
 
     @hypothesis.given(st.binary(max_size=60))
     def test_any_bytes_load_or_are_refused(self, noise: bytes) -> None:
         for name in ("budget", "service/balie", "class/balie/a/b", "route/x"):
             with self.assertRaises(errors.SnapshotError):
-                loading.load_snapshot(1, {name: noise, "class/": noise})
+                loader.load_snapshot(1, {name: noise, "class/": noise})
 
     def test_class_of_a_removed_service_is_refused(self) -> None:
         """An organisation withdraws a service that another's class is on.
@@ -191,7 +191,7 @@
         documents = {"a": builders.build_document("a", service)}
         bare = compiler.compile_snapshot(1, documents).resources
         with self.assertRaisesRegex(errors.SnapshotError, "not listed"):
-            loading.load_snapshot(1, {**whole, **bare})
+            loader.load_snapshot(1, {**whole, **bare})
 
     def test_too_large_is_refused(self) -> None:
         matches = [f"GET /{'x' * 150}/{i}" for i in range(1000)]
--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -37,7 +37,7 @@
         self.proposer = changes.Proposer(
             self.store, builders.build_make_id(), builders.build_clock(), 0
         )
-        await self._accept("mesh", documents.build_mesh())
+        await self._accept("mesh", documents.build_mesh_document())
 
     async def _propose(
         self,
@@ -275,7 +275,7 @@
     async def _check_refusals(self, drawn: list[document_pb2.Document]) -> None:
         store = fakes.FakeStore()
         proposer = changes.Proposer(store, pause_s=0)
-        mesh = documents.build_mesh()
+        mesh = documents.build_mesh_document()
         await proposer.propose(changes.Proposal("anna", "mesh", mesh))
         for document in drawn:
             before = store.entries[records.HEAD_KEY]
--- a/tests/operators/test_races.py
+++ b/tests/operators/test_races.py
@@ -96,7 +96,7 @@
 
     async def start_mesh(self) -> None:
         proposer = changes.Proposer(self.store, self._make_id, pause_s=0)
-        mesh = documents.build_mesh()
+        mesh = documents.build_mesh_document()
         self.outcomes.append(
             await proposer.propose(changes.Proposal("mesh", "mesh", mesh))
         )
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -30,7 +30,9 @@
                 builders.build_route("b", prefix="/x/y/"),
             )
         )
-        prefixes = [route.prefix for route in snapshot.hosts["desk.example"]]
+        prefixes = [
+            route.prefix for route in snapshot.host_routes["desk.example"]
+        ]
         self.assertEqual(prefixes, ["/x/y/", "/x/"])
 
     def test_a_kind_says_what_may_be_repeated(self):
@@ -45,7 +47,7 @@
                 snapshot = builders.load_configuration(
                     builders.build_configuration(1, route)
                 )
-                plan = snapshot.hosts["desk.example"][0].plan
+                plan = snapshot.host_routes["desk.example"][0].plan
                 self.assertEqual(plan.repeatable, repeatable)
                 # Each has a latency target, so none is judged by progress.
                 self.assertFalse(plan.large)
@@ -61,7 +63,7 @@
         snapshot = builders.load_configuration(
             builders.build_configuration(1, route)
         )
-        found = snapshot.hosts["desk.example"][0].parts
+        found = snapshot.host_routes["desk.example"][0].destinations
         self.assertEqual(
             [tuple(part) for part in found], [("balie", 90), ("kassa", 10)]
         )
@@ -111,7 +113,7 @@
         delta = deltas.make_delta(before, after)
         self.assertEqual([one.name for one in delta.changed], ["route/b"])
         applied = deltas.apply_delta(before, delta)
-        self.assertEqual(applied.hosts, after.hosts)
+        self.assertEqual(applied.host_routes, after.host_routes)
 
 
 class SourceTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/requests/calls/test_routing.py
+++ b/tests/requests/calls/test_routing.py
@@ -21,7 +21,7 @@
         name=name,
         host="desk.example",
         prefix=prefix,
-        parts=(snapshot.RoutePart("kassa", 1),),
+        destinations=(snapshot.WeightedService("kassa", 1),),
         plan=builders.build_plan(),
     )
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple, TYPE_CHECKING, TypeVar
 
 from merlintrestle.documents import compiler
-from merlintrestle.documents import loading
+from merlintrestle.documents import loader
 from merlintrestle.members import rendezvous
 from merlintrestle.members import table as tables
 from merlintrestle.schema import control_pb2
@@ -117,7 +117,7 @@
     delta = deltas.make_delta(base, compiler.compile_snapshot(2, documents))
     apply_s = _time_best(lambda: deltas.apply_delta(base, delta))
     _, memory_bytes = _trace_memory(
-        lambda: loading.load_snapshot(1, dict(base.resources))
+        lambda: loader.load_snapshot(1, dict(base.resources))
     )
     figures = SnapshotFigures(
         services,
