--- a/merlintrestle/daemon/__init__.py
+++ b/merlintrestle/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of an instance, which runs next to its backend server."""
+"""The daemon that runs on each instance with its backend server."""
--- a/merlintrestle/daemon/admin.py
+++ b/merlintrestle/daemon/admin.py
@@ -34,14 +34,18 @@
 
 
 class Announcement(NamedTuple):
-    """State of a backend server, as it announces it.
+    """State of a backend server, received through `POST /announce`.
+
+    `heartbeats.Heartbeat` contains the state of a backend server that sends
+    heartbeats instead.
 
     Attributes:
         service: Service that it serves.
         address: Its "ip:port".
         slots: Number of calls that it runs at once.
         state: Whether it accepts new calls.
-        version: Version of its software; empty: not announced.
+        version: Version of its software; empty, as `POST /announce` does not
+            contain it.
     """
 
     service: str
@@ -55,8 +59,8 @@
     """HTTP server on a loopback port.
 
     `POST /announce` receives an `Announcement` as JSON. `GET /health` returns
-    whether this daemon serves calls, `GET /versions` the versions that it
-    activated, and `GET /metrics` its metrics.
+    whether this daemon serves calls, `GET /versions` the configuration
+    versions that it activated, and `GET /metrics` its metrics.
 
     Attributes:
         port: The bound port, after the start.
@@ -66,7 +70,7 @@
         self,
         port: int,
         active_version: active_versions.ActiveVersion,
-        announce: Callable[[Announcement], None],
+        apply_announcement: Callable[[Announcement], None],
         registry: prometheus_client.CollectorRegistry,
     ):
         """Initializes the server.
@@ -74,14 +78,14 @@
         Args:
             port: Loopback port to bind; 0: any free port.
             active_version: The active version of this daemon and its history.
-            announce: Called with each valid announcement.
+            apply_announcement: Called with each valid announcement.
             registry: Metrics of this daemon, in addition to those of the
                 process.
         """
         super().__init__()
         self.port = port
         self._active_version = active_version
-        self._announce = announce
+        self._apply_announcement = apply_announcement
         self._registry = registry
         self._runner: web.AppRunner | None = None
 
@@ -113,7 +117,7 @@
         except errors.InvalidInputError as error:
             findings = [finding._asdict() for finding in error.findings]
             return web.json_response({"findings": findings}, status=400)
-        self._announce(announcement)
+        self._apply_announcement(announcement)
         return web.json_response({})
 
     async def _handle_health(self, request: web.Request) -> web.Response:
--- a/merlintrestle/daemon/heartbeats.py
+++ b/merlintrestle/daemon/heartbeats.py
@@ -7,15 +7,18 @@
 if TYPE_CHECKING:
     from merlintrestle.schema import control_pb2
 
-# Sequence number of a status read before the first heartbeat of a process; less
-# than that of any heartbeat.
+# Sequence number of the state that a daemon reads from the health endpoint of
+# its backend server at the start; less than that of any heartbeat.
 INITIAL_SEQUENCE = -1.0
-# Number of ended processes of the backend server that are remembered.
-_MAX_ENDED_PROCESSES = 64
+# Maximum number of retired processes of the backend server that are stored.
+_MAX_RETIRED_PROCESSES = 64
 
 
 class Heartbeat(NamedTuple):
-    """State of a backend server, sent periodically.
+    """State of a backend server, which it sends periodically.
+
+    `admin.Announcement` contains the state of a backend server that sends no
+    heartbeats.
 
     Attributes:
         instance_id: Id of its process; a restarted process may reuse it.
@@ -23,8 +26,8 @@
         address: Its "ip:port".
         slots: Number of calls that it runs at once.
         state: Whether it accepts new calls.
-        remaining_warmup_s: Time for which it will still be slow after its
-            start, in seconds.
+        remaining_warmup_s: Remaining time in which it is slow after its start,
+            in seconds.
         sequence: Sequence number, which increases with each heartbeat of a
             process.
         started_ms: Start of the process, in ms since 1970; 0: not announced.
@@ -45,16 +48,17 @@
 class HeartbeatFilter:
     """Rejects outdated heartbeats.
 
-    A heartbeat may arrive seconds late. If its process has since ended or begun
-    to leave, it would route calls to a backend server that does not run them.
-    Therefore heartbeats of a process that was replaced or has left are
-    rejected, and so are those of the current process that are out of order.
+    A process is retired when it begins to shut down, or when a heartbeat of
+    another process replaces it. A heartbeat may arrive seconds late, when its
+    process is already retired, and would route calls to a backend server that
+    does not run them. Therefore heartbeats of retired processes are rejected,
+    and so are those of the current process that are out of order.
 
     A restarted process may reuse its id and restart its sequence numbers. With
     the id alone, its heartbeats would be rejected until the sequence numbers
-    had caught up, and late heartbeats of the previous process would be taken
-    for those of the new one. Therefore a process is identified by its id and
-    its start time.
+    had caught up, and late heartbeats of the previous process would be treated
+    as heartbeats of the new one. Therefore a process is identified by its id
+    and its start time.
     """
 
     def __init__(self) -> None:
@@ -62,18 +66,18 @@
         self._instance_id = ""
         self._started_ms = 0
         self._sequence = INITIAL_SEQUENCE
-        # Latest start of an ended process by id, in ms since 1970.
-        self._ended: dict[str, int] = {}
+        # Latest start time of a retired process by id, in ms since 1970.
+        self._retired: dict[str, int] = {}
 
     @property
     def has_seen_backend(self) -> bool:
-        """Whether a heartbeat or a leave of a backend server was recorded."""
-        return bool(self._instance_id or self._ended)
+        """Whether a process has sent a heartbeat or was retired."""
+        return bool(self._instance_id or self._retired)
 
     def accept(self, heartbeat: Heartbeat) -> bool:
         """Records a heartbeat; returns False if it is outdated."""
-        ended_ms = self._ended.get(heartbeat.instance_id)
-        if ended_ms is not None and heartbeat.started_ms <= ended_ms:
+        retired_ms = self._retired.get(heartbeat.instance_id)
+        if retired_ms is not None and heartbeat.started_ms <= retired_ms:
             return False
         if self._started_earlier(heartbeat.started_ms):
             return False
@@ -83,18 +87,20 @@
         if is_current and heartbeat.sequence <= self._sequence:
             return False
         if heartbeat.instance_id != self._instance_id:
-            self._mark_ended(self._instance_id, self._started_ms)
+            # Before the first heartbeat, the current id is empty.
+            self._mark_retired(self._instance_id, self._started_ms)
             self._instance_id = heartbeat.instance_id
             self._started_ms = 0
+        # A heartbeat without a start time keeps the known one of its process.
         self._started_ms = heartbeat.started_ms or self._started_ms
         self._sequence = heartbeat.sequence
         return True
 
     def retire(self, instance_id: str, started_ms: int = 0) -> bool:
-        """Records that a process accepts no new calls.
+        """Retires a process, which accepts no new calls from now on.
 
-        After a restart of the daemon, this may be its first contact with the
-        process.
+        After a restart of the daemon, this may be the first message that it
+        receives from the process.
 
         Args:
             instance_id: Id of the process.
@@ -102,12 +108,14 @@
                 announced.
 
         Returns:
-            Whether the process is the current one, or no process is current.
+            Whether the daemon must stop sending new calls to its backend
+            server: the process is the current one, or none is current. False
+            if another process, or a later one with the same id, is current.
         """
         if instance_id != self._instance_id:
-            self._mark_ended(instance_id, started_ms)
+            self._mark_retired(instance_id, started_ms)
             return not self._instance_id
-        self._mark_ended(instance_id, started_ms or self._started_ms)
+        self._mark_retired(instance_id, started_ms or self._started_ms)
         return not self._started_earlier(started_ms)
 
     def _started_earlier(self, started_ms: int) -> bool:
@@ -124,9 +132,9 @@
             or started_ms == self._started_ms
         )
 
-    def _mark_ended(self, instance_id: str, started_ms: int) -> None:
-        self._ended[instance_id] = max(
-            started_ms, self._ended.pop(instance_id, started_ms)
+    def _mark_retired(self, instance_id: str, started_ms: int) -> None:
+        self._retired[instance_id] = max(
+            started_ms, self._retired.pop(instance_id, started_ms)
         )
-        while len(self._ended) > _MAX_ENDED_PROCESSES:
-            del self._ended[next(iter(self._ended))]
+        while len(self._retired) > _MAX_RETIRED_PROCESSES:
+            del self._retired[next(iter(self._retired))]
--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -1,4 +1,4 @@
-"""The daemon, with the start and stop order of its services."""
+"""The daemon of an instance: start, stop and connection of its components."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from merlintrestle.daemon import heartbeats
 from merlintrestle.daemon import metrics
 from merlintrestle.members import membership as memberships
-from merlintrestle.members import service as control
+from merlintrestle.members import service as control_server
 from merlintrestle.members import table as tables
 from merlintrestle.members import timing as timings
 from merlintrestle.requests.calls import dialect as dialects
@@ -32,33 +32,34 @@
 
 events = event_logs.EventLog("daemon")
 
-# Maximum time for which the caller port stays closed after the start.
-READY_TIMEOUT_S = 3.0
-_READY_POLL_INTERVAL_S = 0.05
-# Values of `closed_reason` that end the wait for readiness: open, or closed
-# until an operator accepts the first version.
-_READY_REASONS = ("", active_versions.NO_VERSION)
+# Maximum time for which the caller port stays closed at the start, while the
+# daemon determines which version it may run.
+VERSION_TIMEOUT_S = 3.0
+_VERSION_POLL_INTERVAL_S = 0.05
+# Values of `closed_reason` that end this wait: empty (a version is active), or
+# no version was ever accepted, so that waiting longer does not help.
+_VERSION_KNOWN_REASONS = ("", active_versions.NO_VERSION)
 
-# Maximum time to send the leave to the neighbours.
+# Maximum time to send the leave message to the connected daemons.
 _LEAVE_FLUSH_TIMEOUT_S = 0.5
-# Time for which other daemons are still served after the leave is announced: it
-# reaches them over two or three hops of up to 0.1 s each.
-_LEAVE_NOTICE_S = 0.4
+# Time between the announcement of the leave and the drain. The leave message
+# reaches the other daemons over two or three hops of up to 0.1 s each.
+_LEAVE_PROPAGATION_S = 0.4
 
 
 class Environment(NamedTuple):
-    """Interfaces of the platform on which a daemon runs.
+    """Components and options of a daemon that depend on the platform.
 
     Attributes:
         store: Client of the store.
         source: Source of configuration versions.
         dialect: Protocol of callers and backend servers.
         timing: Intervals of membership and gossip.
-        use_witnesses: Whether other daemons record each version before it is
-            activated, so that this daemon runs no earlier version after a
-            restart.
-        read_before_contact: Whether to read versions from the store before the
-            first contact with a peer.
+        use_witnesses: Whether peers (the witnesses) record each version before
+            this daemon activates it. After a restart, it asks them for this
+            version and runs no earlier one.
+        read_before_contact: Whether to read versions from the store before a
+            peer has answered.
         rollout_format: Format of the roll-out records in the store.
     """
 
@@ -110,7 +111,7 @@
         """Starts the services and prints the bound ports as a line of JSON."""
         await self._store.start()
         settings = self._settings
-        self._control = control.ControlServer(
+        self._control = control_server.ControlServer(
             settings.address, settings.control_port
         )
         settings.control_port = self._control.port
@@ -131,7 +132,7 @@
         self._table.set_peer_port(self._proxy.peer_port)
         await self._start_control()
         await self.start_endpoints()
-        await self._wait_until_ready()
+        await self._wait_until_version_known()
         await self._proxy.open_caller_port()
         self._started_serving = True
         ports = self._describe_ports()
@@ -146,14 +147,14 @@
         print(json.dumps(ports), flush=True)
 
     async def start_endpoints(self) -> None:
-        """Opens the ports other than those for callers and daemons."""
+        """Opens the loopback port; subclasses may open further ports."""
         self.registry = metrics.build_registry(
             self._active_version, self._table, self._proxy
         )
         self._admin = admin.AdminServer(
             self._settings.admin_port,
             self._active_version,
-            self._announce,
+            self._apply_announcement,
             self.registry,
         )
         await self.add_runtime_dependency(self._admin)
@@ -161,12 +162,13 @@
     def set_retry_bounds(
         self, ratio: float, slack: float, window_s: float
     ) -> None:
-        """Sets the bounds of the retries of the whole fleet.
+        """Sets the retry budget of each service for the whole fleet.
 
         Args:
-            ratio: Setting `retry_ratio`.
-            slack: Setting `retry_slack`.
-            window_s: Setting `retry_window_s`, in seconds.
+            ratio: Retries per call; 0: the default.
+            slack: Retries per window in addition to these; 0: the default.
+            window_s: Length of the window in which calls and retries are
+                counted, in seconds; 0: the default.
         """
         self._proxy.set_retry_bounds(ratio, slack, window_s)
 
@@ -177,7 +179,7 @@
 
     @property
     def has_seen_backend(self) -> bool:
-        """Whether a heartbeat or a leave of a backend server was recorded."""
+        """Whether a backend server has sent a heartbeat or was retired."""
         return self._heartbeat_filter.has_seen_backend
 
     def handle_heartbeat(self, heartbeat: heartbeats.Heartbeat) -> None:
@@ -196,26 +198,28 @@
         )
 
     def retire_backend(self, instance_id: str, started_ms: int = 0) -> None:
-        """Stops sending new calls to a backend server that leaves."""
+        """Stops sending new calls to a backend server that shuts down."""
         if self._heartbeat_filter.retire(instance_id, started_ms):
             self._proxy.backend.retire()
 
     async def on_stop(self) -> None:
-        """Leaves the fleet and waits for requests in flight.
-
-        Callers move to other daemons gradually and are served until then. The
-        leave is announced to other daemons last: without this daemon, the local
-        backend server receives no calls, and during a rolling restart of the
-        fleet several backend servers would be idle at any time.
+        """Serves callers until they have moved, leaves the fleet and drains.
+
+        The daemon serves its callers for `farewell_s`, while they move to other
+        daemons. It announces its leave to other daemons only shortly before the
+        end of this time, because they stop sending calls to the local backend
+        server as soon as they receive the leave message. With an earlier leave,
+        several backend servers would be idle at any time during a rolling
+        restart of the fleet. At last, the daemon waits for requests in flight.
         """
         self._stopping = True
         self._proxy.disable_caller_keep_alive()
         farewell_s = self._settings.farewell_s
-        leave_notice_s = min(_LEAVE_NOTICE_S, farewell_s)
-        await asyncio.sleep(farewell_s - leave_notice_s)
+        propagation_s = min(_LEAVE_PROPAGATION_S, farewell_s)
+        await asyncio.sleep(farewell_s - propagation_s)
         self._proxy.disable_keep_alive()
         self._table.leave()
-        await asyncio.sleep(leave_notice_s)
+        await asyncio.sleep(propagation_s)
         drained, _ = await asyncio.gather(
             self._proxy.drain(self._settings.drain_limit_s),
             self._membership.links.flush(_LEAVE_FLUSH_TIMEOUT_S),
@@ -245,7 +249,7 @@
             self._environment.use_witnesses,
             self._environment.read_before_contact,
         )
-        servicer = control.ControlServicer(
+        servicer = control_server.ControlServicer(
             membership,
             distribution,
             self._proxy.get_class_statuses,
@@ -288,19 +292,22 @@
             )
         )
 
-    async def _wait_until_ready(self) -> None:
-        """Waits until a version is active, up to `READY_TIMEOUT_S`.
+    async def _wait_until_version_known(self) -> None:
+        """Waits until a version is active or none exists, up to a limit.
 
-        After a restart, a daemon needs about a second to learn its floor (the
-        lowest version that it may run) and its peers, and would refuse all
+        After a restart, a daemon needs about a second to determine its floor
+        (the lowest version that it may run) and its peers, and would refuse all
         calls until then. While its port is closed, callers connect to another
         daemon at once. The wait has a limit because callers need a refusal and
         a retry time if the whole fleet cannot serve calls.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(READY_TIMEOUT_S):
-                while self._active_version.closed_reason not in _READY_REASONS:
-                    await asyncio.sleep(_READY_POLL_INTERVAL_S)
+            async with asyncio.timeout(VERSION_TIMEOUT_S):
+                while (
+                    self._active_version.closed_reason
+                    not in _VERSION_KNOWN_REASONS
+                ):
+                    await asyncio.sleep(_VERSION_POLL_INTERVAL_S)
 
     def _build_member(self) -> control_pb2.Member:
         settings = self._settings
@@ -323,7 +330,7 @@
             "admin_port": self._admin.port,
         }
 
-    def _announce(self, announcement: admin.Announcement) -> None:
+    def _apply_announcement(self, announcement: admin.Announcement) -> None:
         self._proxy.backend.announce(
             announcement.service,
             announcement.address,
--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -1,4 +1,4 @@
-"""Fleets of complete daemons in one process, with a store stand-in."""
+"""Builds fleets of complete daemons in one process, with a store stand-in."""
 
 from __future__ import annotations
 
@@ -106,16 +106,16 @@
             activation.version for activation in self._active_version.history
         ]
 
-    def set_farewell(self, seconds: float) -> None:
-        """Sets the time for which callers are served after a stop began."""
-        self._settings.farewell_s = seconds
+    def set_farewell_time(self, farewell_s: float) -> None:
+        """Sets the time for which a stopping daemon still serves callers."""
+        self._settings.farewell_s = farewell_s
 
-    def record_states(self, other: Daemon) -> list[int]:
-        """Records the states of another daemon in the returned list."""
+    def record_states(self, daemon: Daemon) -> list[int]:
+        """Returns a list to which the states of another daemon are appended."""
         states: list[int] = []
 
         def record_state(member: control_pb2.Member) -> None:
-            if member.id == other.control_address:
+            if member.id == daemon.control_address:
                 states.append(member.state)
 
         self._table.on_change.append(record_state)
@@ -152,8 +152,8 @@
         self.daemons: list[Daemon] = []
         self.client = client
 
-    async def accept(self, document: document_pb2.Document) -> int:
-        """Writes a document to the store as the next version.
+    async def accept_document(self, document: document_pb2.Document) -> int:
+        """Writes a document to the store as the next accepted version.
 
         Returns:
             The number of the version.
@@ -180,10 +180,16 @@
         """Returns a copy of the records of the store."""
         return self.store.servicer.data.copy()
 
-    async def serve_stale_reads(self, past: dict[str, keyvalue.Entry]) -> None:
-        """Makes the store answer reads from a copy and silences watches."""
+    async def serve_stale_data(
+        self, entries: dict[str, keyvalue.Entry]
+    ) -> None:
+        """Makes the store answer reads from a copy and send no watch events.
+
+        Args:
+            entries: A copy made by `copy_store`.
+        """
         await self.store.set_faults(faults.StoreFaults(stale=True))
-        self.store.servicer._past = past
+        self.store.servicer._past = entries
 
     async def restart_daemon(self, index: int) -> Daemon:
         """Stops a daemon and starts a new one at its control address."""
@@ -255,7 +261,11 @@
 
 @contextlib.asynccontextmanager
 async def run_fleet(count: int) -> AsyncIterator[Fleet]:
-    """Runs daemons with short intervals, after they activated a version."""
+    """Runs daemons with short intervals until the context is left.
+
+    Args:
+        count: Number of daemons, each of which has activated version 1.
+    """
     with mock.patch.object(
         timing, "Timing", lambda: member_builders.FAST_TIMING
     ):
@@ -266,7 +276,7 @@
             fleet = Fleet(client)
             await fleet.store.start()
             try:
-                await fleet.accept(build_document())
+                await fleet.accept_document(build_document())
                 for _ in range(count):
                     await fleet.start_daemon()
                 for daemon in fleet.daemons:
--- a/tests/daemon/test_admin.py
+++ b/tests/daemon/test_admin.py
@@ -9,7 +9,7 @@
 from merlintrestle.daemon import admin
 from merlintrestle.schema import control_pb2
 
-VALID = {
+_VALID_FIELDS = {
     "service": "kassa",
     "address": "127.0.0.1:9000",
     "slots": 12,
@@ -19,7 +19,9 @@
 
 class ReadAnnouncementTest(unittest.TestCase):
     def test_valid_announcement_is_read(self):
-        announcement = admin.read_announcement(json.dumps(VALID).encode())
+        announcement = admin.read_announcement(
+            json.dumps(_VALID_FIELDS).encode()
+        )
         self.assertEqual(
             announcement,
             admin.Announcement(
@@ -34,7 +36,7 @@
         places = [finding.place for finding in context.exception.findings]
         self.assertEqual(places, ["service", "address", "slots", "state"])
 
-    def test_anything_but_an_object_is_refused(self):
+    def test_a_body_without_an_object_is_rejected(self):
         for body in (b"", b"[]", b"\xff", b"null"):
             with self.assertRaises(errors.InvalidInputError):
                 admin.read_announcement(body)
--- a/tests/daemon/test_daemons.py
+++ b/tests/daemon/test_daemons.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from merlintrestle.documents import compiler
-from merlintrestle.operators import fleet as operators
+from merlintrestle.operators import fleet as operator_fleet
 from merlintrestle.requests.transport import headers
 from merlintrestle.schema import control_pb2
 from standins import faults
@@ -124,7 +124,7 @@
             caller_daemon, backend_daemon = fleet.daemons
             await fleet.start_backend(backend_daemon, self.answer)
             await caller_daemon.wait_for_upstreams(1)
-            backend_daemon.set_farewell(builders.TEST_TIMEOUT_S)
+            backend_daemon.set_farewell_time(builders.TEST_TIMEOUT_S)
             stop_task = asyncio.create_task(backend_daemon.on_stop())
             while backend_daemon.is_ready():
                 await asyncio.sleep(0)
@@ -132,7 +132,7 @@
                 self.assertEqual(await response.text(), "/x")
             self.assertFalse(stop_task.done())
             stop_task.cancel()
-            backend_daemon.set_farewell(0.0)
+            backend_daemon.set_farewell_time(0.0)
 
     async def test_start_and_end_are_logged(self) -> None:
         """The log alone shows whether a daemon was stopped or killed."""
@@ -151,12 +151,12 @@
         daemon as failed.
         """
         async with builders.run_fleet(3) as fleet:
-            leaving = fleet.daemons.pop()
-            recorded = [
-                daemon.record_states(leaving) for daemon in fleet.daemons
+            leaving_daemon = fleet.daemons.pop()
+            states_by_daemon = [
+                daemon.record_states(leaving_daemon) for daemon in fleet.daemons
             ]
-            await leaving.stop()
-            for states in recorded:
+            await leaving_daemon.stop()
+            for states in states_by_daemon:
                 while all(state == control_pb2.ALIVE for state in states):
                     await asyncio.sleep(0.01)
                 states = [
@@ -174,44 +174,48 @@
             await fleet.store.set_faults(faults.StoreFaults())
 
     async def test_version_without_store_notification(self) -> None:
-        """All daemons activate a version although the store notifies nobody.
+        """All daemons activate a version although the store sends no event.
 
-        The store accepted the write but notifies no watcher, as when it fails
+        The store accepts the write but sends no watch event, as when it fails
         at that moment. The operator sees "accepted". The operator's program
-        hands the version to one daemon, which distributes it; otherwise it
+        sends the version to one daemon, which distributes it; otherwise it
         would not be activated before the store recovers.
         """
         async with builders.run_fleet(2) as fleet:
-            await fleet.serve_stale_reads(fleet.copy_store())
+            await fleet.serve_stale_data(fleet.copy_store())
             document = builders.build_document()
             document.services[0].classes[0].latency_ms += 1
-            version = await fleet.accept(document)
+            version = await fleet.accept_document(document)
             snapshot = compiler.compile_snapshot(
                 version, {document.organisation: document}
             )
             receiver = fleet.daemons[0]
-            await operators.hand_over(receiver.control_address, 5.0, snapshot)
+            await operator_fleet.hand_over(
+                receiver.control_address, 5.0, snapshot
+            )
             for daemon in fleet.daemons:
                 await daemon.wait_for_version(version)
 
     async def test_restart_while_the_store_answers_with_old_data(self) -> None:
-        """No daemon activates an earlier version when the store is restored.
+        """No daemon activates an earlier version if the store has stale data.
 
-        All daemons run version 2. The store is restored to a state before it
-        was accepted, and then the daemons are restarted one after another at
-        their addresses. Each learns from its witnesses which version ran.
+        All daemons run version 2. The store then answers with data from before
+        this version was accepted, and the daemons are restarted one after
+        another at their addresses. Each daemon asks its witnesses, the daemons
+        that recorded the version before it was activated.
         """
         for size in (2, 3, 4):
             async with builders.run_fleet(size) as fleet:
-                past = fleet.copy_store()
+                stale_entries = fleet.copy_store()
                 document = builders.build_document()
                 document.services[0].classes[0].latency_ms += 1
-                version = await fleet.accept(document)
+                version = await fleet.accept_document(document)
                 for daemon in fleet.daemons:
                     await daemon.wait_for_version(version)
-                await fleet.serve_stale_reads(past)
+                await fleet.serve_stale_data(stale_entries)
                 for _ in range(size):
-                    # The last daemon, which has another one as its seed.
+                    # Restarts the last daemon of the list, so that the first
+                    # one is its seed, and then moves it to the front.
                     daemon = await fleet.restart_daemon(-1)
                     await daemon.wait_until_open()
                     self.assertEqual(daemon.activated_versions, [version], size)
--- a/tests/daemon/test_heartbeats.py
+++ b/tests/daemon/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Tests of outdated heartbeats and leaves, and of process restarts."""
+"""Tests of outdated heartbeats, retired processes and process restarts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from merlintrestle.schema import control_pb2
 
 
-def _build(
+def _build_heartbeat(
     instance_id: str = "i-1", sequence: float = 1, started_ms: int = 0
 ) -> heartbeats.Heartbeat:
     return heartbeats.Heartbeat(
@@ -35,56 +35,61 @@
         outdated until the numbers had caught up, at one heartbeat every 1.5 s
         it would get no calls for as long as the previous process had run.
         """
-        self.assertTrue(self.filter.accept(_build("i-1", 400, 1000)))
-        self.assertTrue(self.filter.accept(_build("i-1", 1, 2000)))
-        self.assertTrue(self.filter.accept(_build("i-1", 2, 2000)))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-1", 400, 1000)))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-1", 1, 2000)))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-1", 2, 2000)))
 
     def test_a_late_heartbeat_from_before_a_restart(self) -> None:
-        self.filter.accept(_build("i-1", 400, 1000))
-        self.filter.accept(_build("i-1", 1, 2000))
-        self.assertFalse(self.filter.accept(_build("i-1", 401, 1000)))
+        self.filter.accept(_build_heartbeat("i-1", 400, 1000))
+        self.filter.accept(_build_heartbeat("i-1", 1, 2000))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 401, 1000)))
 
     def test_a_late_heartbeat_of_another_earlier_process(self) -> None:
         """An unknown process that started before the current one is ignored."""
-        self.filter.accept(_build("i-2", 1, 2000))
-        self.assertFalse(self.filter.accept(_build("i-1", 400, 1000)))
-        self.assertFalse(self.filter.accept(_build("i-2", 1, 2000)))
-
-    def test_a_late_leave_from_before_a_restart(self) -> None:
-        """The restarted process still gets calls."""
-        self.filter.accept(_build("i-1", 400, 1000))
-        self.filter.accept(_build("i-1", 1, 2000))
+        self.filter.accept(_build_heartbeat("i-2", 1, 2000))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 400, 1000)))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-2", 1, 2000)))
+
+    def test_a_late_retirement_of_the_previous_process(self) -> None:
+        """The process after a restart still gets calls."""
+        self.filter.accept(_build_heartbeat("i-1", 400, 1000))
+        self.filter.accept(_build_heartbeat("i-1", 1, 2000))
         self.assertFalse(self.filter.retire("i-1", 1000))
-        self.assertTrue(self.filter.accept(_build("i-1", 2, 2000)))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-1", 2, 2000)))
 
-    def test_an_id_that_left_is_accepted_after_a_restart(self) -> None:
-        self.filter.accept(_build("i-1", 400, 1000))
+    def test_a_retired_id_is_accepted_after_a_restart(self) -> None:
+        self.filter.accept(_build_heartbeat("i-1", 400, 1000))
         self.assertTrue(self.filter.retire("i-1", 1000))
-        self.assertFalse(self.filter.accept(_build("i-1", 401, 1000)))
-        self.assertTrue(self.filter.accept(_build("i-1", 1, 2000)))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 401, 1000)))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-1", 1, 2000)))
 
-    def test_a_leave_without_a_start_time(self) -> None:
+    def test_a_retirement_without_a_start_time(self) -> None:
         """It applies to the current process, which must get no new calls."""
-        self.filter.accept(_build("i-1", 400, 1000))
+        self.filter.accept(_build_heartbeat("i-1", 400, 1000))
         self.assertTrue(self.filter.retire("i-1"))
-        self.assertFalse(self.filter.accept(_build("i-1", 401, 1000)))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 401, 1000)))
 
-    def test_a_status_without_a_start_time(self) -> None:
-        """The first heartbeat after the status is of the same process."""
-        self.filter.accept(_build("i-1", heartbeats.INITIAL_SEQUENCE))
-        self.assertTrue(self.filter.accept(_build("i-1", 7, 1000)))
-        self.assertFalse(self.filter.accept(_build("i-1", 6)))
-        self.assertFalse(self.filter.accept(_build("i-1", 6, 1000)))
+    def test_an_initial_state_without_a_start_time(self) -> None:
+        """The first heartbeat after the initial state is accepted.
+
+        The state that the daemon reads from the health endpoint at its start
+        has no start time. A later heartbeat is treated as one of the same
+        process, and the order of sequence numbers applies.
+        """
+        self.filter.accept(_build_heartbeat("i-1", heartbeats.INITIAL_SEQUENCE))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-1", 7, 1000)))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 6)))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 6, 1000)))
 
     def test_without_start_times_the_sequence_decides(self) -> None:
-        self.assertTrue(self.filter.accept(_build("i-1", 2)))
-        self.assertFalse(self.filter.accept(_build("i-1", 1)))
-        self.assertTrue(self.filter.accept(_build("i-2", 1)))
-        self.assertFalse(self.filter.accept(_build("i-1", 3)))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-1", 2)))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 1)))
+        self.assertTrue(self.filter.accept(_build_heartbeat("i-2", 1)))
+        self.assertFalse(self.filter.accept(_build_heartbeat("i-1", 3)))
 
 
 class RestartTest(unittest.TestCase):
-    """A restart of the backend server resets its state in the daemon."""
+    """Tests that `LocalBackend` resets its state when a process restarts."""
 
     def setUp(self) -> None:
         self.backend = backend.LocalBackend()
@@ -92,7 +97,7 @@
         self.backend.on_restart = self.restarted.append
 
     def announce(
-        self, instance_id: str, cold_s: float, started_ms: int
+        self, instance_id: str, remaining_warmup_s: float, started_ms: int
     ) -> None:
         """Announces a process as ready."""
         self.backend.announce(
@@ -100,28 +105,28 @@
             "127.0.0.1:1",
             12,
             instance_id=instance_id,
-            cold_s=cold_s,
+            cold_s=remaining_warmup_s,
             started_ms=started_ms,
         )
 
-    def test_a_restarted_process_is_cold(self) -> None:
+    def test_a_restarted_process_warms_up_again(self) -> None:
         """A restarted process gets a rising share of calls, on new connections.
 
-        If it were treated as warm, it would get its full share while it is
+        If it were treated as warmed up, it would get its full share while it is
         slow, and its first calls would use connections of the previous process.
         """
         for instance_id, started_ms in (("i-1", 2000), ("i-2", 0)):
             with self.subTest(instance_id=instance_id):
                 self.setUp()
                 self.announce("i-1", 0.0, 1000)
-                warm_since = self.backend.ready_since_ms
+                first_ready_ms = self.backend.ready_since_ms
                 self.announce(instance_id, 5.0, started_ms)
-                self.assertGreater(self.backend.ready_since_ms, warm_since)
+                self.assertGreater(self.backend.ready_since_ms, first_ready_ms)
                 self.assertEqual(self.restarted, ["127.0.0.1:1"])
 
-    def test_the_same_process_stays_warm(self) -> None:
+    def test_the_same_process_stays_warmed_up(self) -> None:
         self.announce("i-1", 0.0, 1000)
-        warm_since = self.backend.ready_since_ms
+        first_ready_ms = self.backend.ready_since_ms
         self.announce("i-1", 0.0, 1000)
-        self.assertEqual(self.backend.ready_since_ms, warm_since)
+        self.assertEqual(self.backend.ready_since_ms, first_ready_ms)
         self.assertEqual(self.restarted, [])
