--- a/merlintrestle/application.py
+++ b/merlintrestle/application.py
@@ -22,9 +22,11 @@
 EXIT_OK = 0
 EXIT_CRASHED = 1
 EXIT_SECOND_SIGNAL = 3
-# Net allocations before a collection, and collections of a younger generation
-# before one of the next older. The defaults (700, 10) cause a collection every
-# few calls. Higher values make each collection, and thus each pause, longer.
+# Thresholds of the three generations for gc.set_threshold(): the net number of
+# allocations before a collection of the youngest, and for each older generation
+# the number of collections of the next younger one. The defaults (700, 10)
+# cause a collection every few requests. Higher values make each collection, and
+# thus each pause, longer.
 _GC_THRESHOLDS = (5_000, 20, 20)
 _OPEN_FILES = pathlib.Path("/proc/self/fd")
 
@@ -34,33 +36,36 @@
 
 
 class Program(mode.Service):
-    """The root service of a process."""
+    """The root service of a process, which `run` starts and stops."""
 
     def reload(self) -> None:
-        """Applies changed settings; called on SIGHUP."""
+        """Logs that no setting changed; called on SIGHUP.
+
+        Subclasses with settings that can change override it.
+        """
         events.note("reload", changed=[])
 
 
-def run(create: Callable[[], Program]) -> int:
-    """Runs a service until a signal stops it or it crashes.
+def run(create_program: Callable[[], Program]) -> int:
+    """Runs a program until a signal stops it or it crashes.
 
     SIGTERM or SIGINT starts a graceful stop; a second one ends the process
     without waiting for requests in flight. SIGHUP, which by default ends a
     process, reloads the settings.
 
     Args:
-        create: Creates the service; called in the running event loop.
+        create_program: Called in the running event loop.
 
     Returns:
         The exit status of the process.
     """
-    # libuv reads the variable when it creates its loop. Without it, uvloop
-    # 0.22.1 opens two rings; check_io_uring makes sure that none is open.
+    # libuv reads this variable when it creates its loop. Without it, uvloop
+    # 0.22.1 opens two io_urings; check_io_uring() checks that none is open.
     os.environ["UV_USE_IO_URING"] = "0"
     import uvloop
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(_run(create))
+        return runner.run(_run(create_program))
 
 
 def check_io_uring() -> None:
@@ -69,9 +74,9 @@
     Raises:
         IoUringError: If one of the open files is an io_uring.
     """
-    for link in _OPEN_FILES.iterdir():
+    for symlink in _OPEN_FILES.iterdir():
         try:
-            target = link.readlink()
+            target = symlink.readlink()
         except FileNotFoundError:
             continue
         if "io_uring" in target.name:
@@ -88,7 +93,7 @@
 
 
 def resume_gc() -> None:
-    """Enables the garbage collector, with few runs and for new objects only.
+    """Enables the garbage collector with high thresholds, for new objects only.
 
     Reference counts free nearly all garbage of a call. Collections find only
     cycles, such as those of tracebacks, yet each collection pauses all calls in
@@ -101,18 +106,18 @@
     gc.enable()
 
 
-async def _run(create: Callable[[], Program]) -> int:
+async def _run(create_program: Callable[[], Program]) -> int:
     check_io_uring()
-    service = create()
+    program = create_program()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, _handle_stop_signal, stop)
-    loop.add_signal_handler(signal.SIGHUP, service.reload)
-    await service.start()
+    loop.add_signal_handler(signal.SIGHUP, program.reload)
+    await program.start()
     resume_gc()
-    result = await service.wait(stop)
-    await service.stop()
+    result = await program.wait(stop)
+    await program.stop()
     return EXIT_CRASHED if result.stopped else EXIT_OK
 
 
--- a/merlintrestle/config.py
+++ b/merlintrestle/config.py
@@ -1,4 +1,4 @@
-"""Command-line settings, derived from the schema and validated together."""
+"""Command-line settings, which are derived from the protobuf schema."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
     from google.protobuf import message
 
 VARIABLE_PREFIX = "MERLINTRESTLE_"
+# "/" occurs in key prefixes of the store.
 _NAME = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._/-]{0,62}$")
 _MAX_PORT = 65535
 _IP_VERSION = 4
@@ -38,33 +39,34 @@
         flag: Command-line flag.
         variable: Environment variable.
         repeated: Whether it has several values, separated by commas.
-        kind: Protobuf type of the field.
-        rule: Help text, default, unit and bounds from the schema.
+        field_type: Protobuf type of the field.
+        rule: Options of the field in the schema: help text, default, unit,
+            bounds, choices and `kind`, the format of its text.
     """
 
     name: str
     flag: str
     variable: str
     repeated: bool
-    kind: int
+    field_type: int
     rule: settings_pb2.Setting
 
     @property
     def place(self) -> str:
-        """The place of findings about this setting."""
+        """Flag and variable, as the `place` of a finding."""
         return f"{self.flag} ({self.variable})"
 
 
-def list_settings(kind: type[message.Message]) -> list[Setting]:
+def list_settings(message_class: type[message.Message]) -> list[Setting]:
     """Returns the settings of a message class, in the order of the schema."""
-    return [_build_setting(field) for field in kind.DESCRIPTOR.fields]
+    return [_build_setting(field) for field in message_class.DESCRIPTOR.fields]
 
 
-def add_options(kind: type[message.Message]) -> Callable[[F], F]:
+def add_options(message_class: type[message.Message]) -> Callable[[F], F]:
     """Returns a decorator that adds the settings to a click command."""
 
     def decorate(command: F) -> F:
-        for setting in reversed(list_settings(kind)):
+        for setting in reversed(list_settings(message_class)):
             command = click.option(
                 setting.flag,
                 setting.name,
@@ -95,20 +97,22 @@
     return f"{rule.help} [{'; '.join(details)}]"
 
 
-def read_settings(kind: type[M], values: Mapping[str, str | None]) -> M:
+def read_settings(
+    message_class: type[M], values: Mapping[str, str | None]
+) -> M:
     """Parses and validates the settings.
 
     Args:
-        kind: Class of the settings message.
+        message_class: Class of the settings message.
         values: Unparsed value of each setting by field name; a setting that is
             None, empty or absent has its default.
 
     Raises:
         errors.InvalidInputError: With all findings, in the order of the schema.
     """
-    settings = kind()
+    settings = message_class()
     findings: list[errors.Finding] = []
-    for setting in list_settings(kind):
+    for setting in list_settings(message_class):
         text = values.get(setting.name)
         if text is None or text == "":
             text = setting.rule.default
@@ -128,7 +132,7 @@
         flag="--" + field.name.replace("_", "-"),
         variable=VARIABLE_PREFIX + field.name.upper(),
         repeated=field.is_repeated,
-        kind=field.type,
+        field_type=field.type,
         rule=field.GetOptions().Extensions[settings_pb2.setting],
     )
 
@@ -139,7 +143,7 @@
 
 
 def _is_number(setting: Setting) -> bool:
-    return setting.kind != descriptors.FieldDescriptor.TYPE_STRING
+    return setting.field_type != descriptors.FieldDescriptor.TYPE_STRING
 
 
 def _set_value(
@@ -172,12 +176,12 @@
 
 
 def _parse_number(setting: Setting, text: str) -> tuple[float, str]:
-    is_integer = setting.kind in _INTEGER_TYPES
+    is_integer = setting.field_type in _INTEGER_TYPES
     try:
         number = int(text) if is_integer else float(text)
     except ValueError:
-        kind = "a whole number" if is_integer else "a number"
-        return 0, f"{text!r} is not {kind}."
+        expected = "a whole number" if is_integer else "a number"
+        return 0, f"{text!r} is not {expected}."
     rule = setting.rule
     # NaN is rejected as well, as every comparison with it is false.
     if not rule.min <= number <= (rule.max or float("inf")):
@@ -205,10 +209,10 @@
 
 
 def _check_host_ip(text: str) -> str:
-    """Returns the problem of an address of this host; empty if valid.
+    """Returns an error message for an IP address of this host; empty if valid.
 
-    It identifies the daemon in the fleet, so it must be the address of a single
-    host.
+    The IP address identifies the daemon in the fleet, so it must belong to a
+    single host.
     """
     if problem := _check_ip(text):
         return problem
@@ -221,7 +225,7 @@
 
 
 def check_address(text: str) -> str:
-    """Returns the problem of an "ip:port"; empty if valid."""
+    """Returns an error message for an "ip:port"; empty if valid."""
     host, _, port = text.rpartition(":")
     is_decimal = port.isascii() and port.isdecimal()
     if _check_ip(host.strip("[]")) or not is_decimal:
@@ -231,6 +235,7 @@
     return ""
 
 
+# Checks of the text formats that the schema names in `kind`.
 _CHECKS: dict[str, Callable[[str], str]] = {
     "": _accept_any,
     "name": _check_name,
--- a/merlintrestle/connectors.py
+++ b/merlintrestle/connectors.py
@@ -1,4 +1,4 @@
-"""Connector of the HTTP client that lets the event loop open sockets."""
+"""Connector, TCP keep-alive and body timeouts for the HTTP client."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import aiohttp
 
-# Bounds the time that a body which arrives byte by byte can block a caller. A
-# link of 0.4 MB/s transfers 4 MB within it.
+# Maximum time to read a body, so that a body that arrives byte by byte cannot
+# block a caller. It is enough for 4 MB at 0.4 MB/s.
 _BODY_TIMEOUT_S = 10.0
 
 
@@ -20,7 +20,7 @@
         idle_s: Idle time before the first keep-alive probe, in seconds.
         interval_s: Time between two probes, in seconds.
         probe_count: Number of unanswered probes that close the connection.
-        user_timeout_ms: Longest time for which sent data may stay
+        user_timeout_ms: Maximum time for which sent data may stay
             unacknowledged, in ms.
     """
 
@@ -62,6 +62,7 @@
         client_error: type[Exception] = aiohttp.ClientConnectorError,
         **kwargs: Any,
     ) -> tuple[Any, Any]:
+        """Opens a connection; overrides a private method of the library."""
         del kwargs
         host, port = addr_infos[0][4][:2]
         try:
@@ -69,6 +70,8 @@
                 connect: Any = self._loop.create_connection
                 connection = await connect(*args, host, port)
         except OSError as error:
+            # Without errno, it comes from asyncio.timeout(), and the library
+            # handles it as a timeout. ETIMEDOUT is a connection error.
             if isinstance(error, TimeoutError) and error.errno is None:
                 raise
             raise client_error(req.connection_key, error) from error
@@ -97,27 +100,35 @@
 
     Args:
         transport: The connection.
-        timeout_ms: Longest time for which sent data may stay unacknowledged.
+        timeout_ms: Maximum time for which sent data may stay
+            unacknowledged, in ms.
     """
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
 
 async def read_body(
-    response: aiohttp.ClientResponse, timeout: asyncio.Timeout, gap_s: float
+    response: aiohttp.ClientResponse,
+    timeout: asyncio.Timeout,
+    idle_timeout_s: float,
 ) -> bytes:
-    """Reads a body as long as further bytes of it arrive in time.
+    """Reads a body unless data arrives too slowly.
+
+    The timeout expires `idle_timeout_s` after the last chunk, and 10 s after
+    the call of this function at the latest; its context then raises
+    TimeoutError.
 
     Args:
         response: The response that has the body.
-        timeout: Timeout of the call; postponed with each chunk.
-        gap_s: Longest wait for the next chunk, in seconds.
+        timeout: An entered `asyncio.timeout` context; rescheduled with each
+            chunk.
+        idle_timeout_s: Maximum wait for the next chunk, in seconds.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + _BODY_TIMEOUT_S
-    timeout.reschedule(min(loop.time() + gap_s, deadline))
+    timeout.reschedule(min(loop.time() + idle_timeout_s, deadline))
     chunks = []
     async for chunk in response.content.iter_any():
         chunks.append(chunk)
-        timeout.reschedule(min(loop.time() + gap_s, deadline))
+        timeout.reschedule(min(loop.time() + idle_timeout_s, deadline))
     return b"".join(chunks)
--- a/merlintrestle/events.py
+++ b/merlintrestle/events.py
@@ -13,13 +13,13 @@
 
 import prometheus_client
 
-# Log lines per second of one event, and of a burst after an idle time. A daemon
-# receives about a hundred requests per second; if all of them fail, this many
-# lines are enough to show it.
-LINES_PER_S = 20.0
-BURST_LINES = 100.0
+# Maximum rate of the lines of one event. A daemon receives about a hundred
+# requests per second; if all of them fail, this rate is enough to show it.
+MAX_LINES_PER_S = 20.0
+# Maximum number of lines of one event that are written at once after a pause.
+MAX_BURST_LINES = 100.0
 
-_left_out = prometheus_client.Counter(
+_omitted_lines_counter = prometheus_client.Counter(
     "merlintrestle_log_lines_left_out",
     "Log lines left out to keep to the rate of their event.",
     ("event",),
@@ -30,12 +30,12 @@
     """Token bucket that limits the lines of one event.
 
     Attributes:
-        left_out: Lines omitted since the last written line.
+        left_out: Number of lines omitted since the last written line.
     """
 
     __slots__ = ("_burst", "_rate", "_tokens", "_updated_at", "left_out")
 
-    def __init__(self, now: float, rate: float, burst: float = BURST_LINES):
+    def __init__(self, now: float, rate: float, burst: float = MAX_BURST_LINES):
         self.left_out = 0
         self._updated_at = now
         self._rate = rate
@@ -59,18 +59,18 @@
 
 
 class EventLog:
-    """Event logger of one part of the program."""
+    """Event logger of one component of the program."""
 
-    def __init__(self, part: str, rate: float = LINES_PER_S):
+    def __init__(self, component: str, rate: float = MAX_LINES_PER_S):
         """Initializes the logger.
 
         Args:
-            part: Name of the part; the prefix of each line.
+            component: Name of the component; the prefix of each line.
             rate: Maximum lines of one event, per second.
         """
-        self._part = part
+        self._component = component
         self._rate = rate
-        self._logger = logging.getLogger(f"merlintrestle.{part}")
+        self._logger = logging.getLogger(f"merlintrestle.{component}")
         self._buckets: dict[str, TokenBucket] = {}
 
     def note(self, event: str, **fields: Any) -> None:
@@ -82,7 +82,7 @@
         self.write(logging.WARNING, event, fields)
 
     def fail(self, event: str, **fields: Any) -> None:
-        """Writes an event that blocks the program's work, at level ERROR."""
+        """Writes an event that prevents normal operation, at level ERROR."""
         self.write(logging.ERROR, event, fields)
 
     def write(
@@ -110,7 +110,7 @@
         if bucket is None:
             bucket = self._buckets[event] = TokenBucket(now, self._rate)
         if not bucket.try_take(now):
-            _left_out.labels(event).inc()
+            _omitted_lines_counter.labels(event).inc()
             return False
         if bucket.left_out:
             fields = {**fields, "left_out": bucket.left_out}
@@ -126,14 +126,17 @@
         at: float | None = None,
         exception: BaseException | None = None,
     ) -> None:
-        """Writes an event whose rate is limited by the caller; see `write`."""
+        """Writes an event without limiting its rate, which the caller does.
+
+        See `write` for the arguments.
+        """
         extra: dict[str, Any] = {"fields": fields}
         if at is not None:
             extra["at"] = at
         self._logger.log(
             level,
             "%s: %s",
-            self._part,
+            self._component,
             event,
             extra=extra,
             exc_info=exception,
--- a/merlintrestle/generics.py
+++ b/merlintrestle/generics.py
@@ -1,7 +1,7 @@
 """Generic functions that cache the implementation for each class.
 
-`functools.singledispatch` looks it up in a dictionary of weak references at
-each call, which would happen about eight times per request.
+`functools.singledispatch` looks up the implementation in a dictionary of weak
+references at each call. Each request makes about eight such calls.
 """
 
 from __future__ import annotations
--- a/merlintrestle/logs.py
+++ b/merlintrestle/logs.py
@@ -30,7 +30,7 @@
         super().__init__("%(asctime)s %(levelname)-7s %(message)s")
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the time, level, part, event and fields of a record."""
+        """Returns time, level, component, event and fields of a record."""
         line = super().format(record)
         fields = getattr(record, "fields", None)
         if not fields:
@@ -43,16 +43,17 @@
     """Formats each record as a JSON object."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns time, level, part, event and fields of a record as JSON.
+        """Returns time, level, component, event and fields as JSON.
 
-        For a record of a library, the event is the message.
+        For a record of a library, the component is the name of the logger, and
+        the event is the message.
         """
-        part, _, event = record.getMessage().partition(": ")
+        component, _, event = record.getMessage().partition(": ")
         fields = {
             "time": _format_time(getattr(record, "at", record.created)),
             "level": record.levelname.lower(),
-            "part": part if event else record.name,
-            "event": event or part,
+            "part": component if event else record.name,
+            "event": event or component,
             **getattr(record, "fields", {}),
         }
         if record.exc_info:
@@ -68,7 +69,8 @@
     limit; beyond it they are dropped and counted.
 
     Attributes:
-        dropped: Number of dropped lines.
+        dropped: Number of dropped lines. A batch that could not be written to
+            a broken output counts as one.
     """
 
     def __init__(self, descriptor: int):
@@ -114,8 +116,8 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                # Nobody reads the output any more. The process goes on without
-                # these lines.
+                # The output is broken, for example because its reader ended.
+                # The process continues without these lines.
                 self.dropped += 1
                 continue
             if written < len(batch):
@@ -164,15 +166,15 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    # Otherwise each record would look up its thread, process and source line,
-    # which no line shows.
+    # Disables the lookup of thread, process and source line for each record, as
+    # the formats do not contain them.
     logging.logThreads = False
     logging.logProcesses = False
     logging.logMultiprocessing = False
     logging._srcfile = None
     # These libraries log each connection and each task start at INFO.
-    for noisy in ("aiohttp", "mode", "asyncio"):
-        logging.getLogger(noisy).setLevel(logging.WARNING)
+    for library in ("aiohttp", "mode", "asyncio"):
+        logging.getLogger(library).setLevel(logging.WARNING)
     return handler
 
 
--- a/merlintrestle/rows.py
+++ b/merlintrestle/rows.py
@@ -1,4 +1,4 @@
-"""JSON objects and tables whose values are checked on access."""
+"""Decoding and type checks of JSON objects and tables."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class Row:
-    """One row of a table; its values are checked on access."""
+    """A JSON object, such as a row of a table, with type checks on access.
+
+    Its methods raise the given error if a value is malformed.
+    """
 
     def __init__(
         self,
@@ -23,8 +26,8 @@
         """Initializes the row.
 
         Args:
-            table: Name of the table, for error messages.
-            fields: Decoded JSON value of the row.
+            table: Name of the table or object, for error messages.
+            fields: Decoded JSON value.
             error: Class of the error for malformed values.
         """
         if not isinstance(fields, dict):
@@ -64,9 +67,9 @@
         return value
 
     def _build_error(self, name: str) -> errors.MerlintrestleError:
-        row = self._fields.get("name", "")
+        row_name = self._fields.get("name", "")
         value = self._fields.get(name)
-        return self._error(f"{self._table} {row}: {name} is {value!r}")
+        return self._error(f"{self._table} {row_name}: {name} is {value!r}")
 
 
 def parse_object(
@@ -91,7 +94,10 @@
 
 
 def read_table(tables: Mapping[str, Any], name: str) -> list[dict[str, Any]]:
-    """Returns the rows of a table, without the values that are null.
+    """Returns the rows of a table as objects, without values that are null.
+
+    A table is an object with a list of columns (names) and a list of rows, each
+    of which is a list of values in the order of the columns.
 
     Raises:
         errors.SnapshotError: If the table has no lists of columns and rows, or
@@ -103,12 +109,12 @@
     columns, rows = table.get("columns"), table.get("rows")
     if not isinstance(columns, list) or not isinstance(rows, list):
         raise errors.SnapshotError(f"{name}: columns and rows are not lists")
-    row_fields = []
+    objects = []
     for row in rows:
         if not isinstance(row, list) or len(row) != len(columns):
             raise errors.SnapshotError(f"{name}: {row!r} does not fit")
         pairs = zip(columns, row, strict=True)
-        row_fields.append(
+        objects.append(
             {key: value for key, value in pairs if value is not None}
         )
-    return row_fields
+    return objects
--- a/merlintrestle/settings_reader.py
+++ b/merlintrestle/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reader for the values of a settings file that collects all findings."""
+"""Parsing of the values of a settings file, with all findings collected."""
 
 from __future__ import annotations
 
@@ -52,6 +52,8 @@
     Raises:
         ValueError: If the text is not an IP address.
     """
+    # `check_address` needs a port. Port 1 is a placeholder, which also appears
+    # in the error message.
     if problem := config.check_address(f"{text}:1"):
         raise ValueError(problem)
     return text
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -11,12 +11,13 @@
 
 
 class IoUringTest(unittest.TestCase):
-    def test_the_event_loop_opens_no_ring(self):
-        """Instances do not allow a process to open an io_uring.
+    def test_the_event_loop_opens_no_io_uring(self):
+        """Fails if an upgrade of uvloop opens an io_uring.
 
-        uvloop 0.23.0 opens one regardless of the variable; 0.22.1 opens two
-        unless UV_USE_IO_URING is 0 when its loop is created. The check finds
-        rings among the open files.
+        Instances do not allow a process to open one. uvloop 0.22.1 opens two
+        unless the variable UV_USE_IO_URING is 0 when its loop is created;
+        0.23.0 opens one regardless of the variable. The check searches the open
+        files for an io_uring.
         """
         with mock.patch.dict(os.environ, {"UV_USE_IO_URING": "0"}):
             import uvloop
@@ -27,16 +28,16 @@
             finally:
                 loop.close()
 
-    def test_a_ring_is_refused(self):
-        """The check detects a ring that a later release of uvloop opens.
+    def test_an_io_uring_is_detected(self):
+        """The check detects an io_uring that a later uvloop opens.
 
-        A mocked open file replaces the ring of such a release. The check has to
-        raise, so that the process ends before it serves calls.
+        A mocked open file represents the io_uring. The check has to raise an
+        error, so that the process ends before it serves calls.
         """
-        ring = mock.Mock()
-        ring.readlink.return_value.name = "anon_inode:[io_uring]"
+        symlink = mock.Mock()
+        symlink.readlink.return_value.name = "anon_inode:[io_uring]"
         with mock.patch.object(application, "_OPEN_FILES") as files:
-            files.iterdir.return_value = [ring]
+            files.iterdir.return_value = [symlink]
             with self.assertRaises(application.IoUringError):
                 application.check_io_uring()
 
@@ -45,8 +46,8 @@
     def test_objects_of_the_startup_are_frozen(self):
         """A full collection does not traverse the imported modules.
 
-        It pauses all calls in flight. Frozen objects are not traversed any
-        more, while new cycles are still freed.
+        A collection pauses all calls in flight. It skips frozen objects, but
+        still frees new cycles.
         """
         thresholds = gc.get_threshold()
         try:
@@ -61,11 +62,11 @@
             gc.set_threshold(*thresholds)
 
     def test_the_collector_is_disabled_only_during_startup(self):
-        """Guards against memory that grows without bound after the start.
+        """Guards against unbounded memory growth after the start.
 
         The collector is disabled while modules are imported. If it stayed
-        disabled, no cycle would ever be freed, and the process would be killed
-        for its memory use some hours later.
+        disabled, no cycle would ever be freed, and after some hours the process
+        would be killed for its memory use.
         """
         thresholds = gc.get_threshold()
         try:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Tests of the settings derived from the schema."""
+"""Tests of the command-line settings."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 from merlintrestle import errors
 from merlintrestle.schema import settings_pb2
 
-REQUIRED = {"zone": "weeghal-noord", "store": "127.0.0.1:2379"}
+_REQUIRED_VALUES = {"zone": "weeghal-noord", "store": "127.0.0.1:2379"}
 
 
 class ReadSettingsTest(unittest.TestCase):
-    def test_defaults_of_the_schema_pass_their_own_checks(self):
-        settings = config.read_settings(settings_pb2.DaemonSettings, REQUIRED)
+    def test_defaults_of_the_schema_are_valid(self):
+        settings = config.read_settings(
+            settings_pb2.DaemonSettings, _REQUIRED_VALUES
+        )
         self.assertEqual(settings.port, 8080)
         self.assertEqual(settings.spread, "fast")
         self.assertEqual(list(settings.seeds), [])
@@ -24,13 +26,14 @@
     def test_address_that_does_not_identify_one_host(self):
         """The daemon does not start and reports the reason.
 
-        Its address is its name in the fleet. With 0.0.0.0, all daemons would
-        have the same name, and each would treat the claims and marks of the
-        others as its own. Clients do not support names with IPv6 yet.
+        Its IP address is part of its id in the fleet. With 0.0.0.0, several
+        daemons would have the same id, and each would treat the claims and
+        marks of the others in the store as its own. Clients of daemons do not
+        support ids with IPv6 addresses.
         """
         for address in ("0.0.0.0", "::", "::1", "224.0.0.1"):
             with self.subTest(address):
-                values = {**REQUIRED, "address": address}
+                values = {**_REQUIRED_VALUES, "address": address}
                 with self.assertRaises(errors.InvalidInputError) as context:
                     config.read_settings(settings_pb2.DaemonSettings, values)
                 places = [
--- a/tests/test_connectors.py
+++ b/tests/test_connectors.py
@@ -1,4 +1,4 @@
-"""Tests of connection attempts that are cancelled at any point."""
+"""Test of connection attempts that are cancelled at any point."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 _ROOT = pathlib.Path(__file__).parents[1]
 _TEST_TIMEOUT_S = 60
 _ROUNDS = 20
+# Number of requests that one task of a round cancels.
 _CANCELLATIONS = 8
 
 
@@ -26,10 +27,10 @@
         """No caller gets the answer to the call of another caller.
 
         Requests to peers are cancelled at every step of opening a connection.
-        If the library opens the socket itself, uvloop and the socket object
-        both close the file descriptor: the second close affects a connection
-        that was opened since, or ends the process. The scenario runs in a
-        subprocess because of that.
+        If the HTTP library opened the socket itself, uvloop and the socket
+        object would both close the file descriptor. The second close would
+        affect a connection that was opened in the meantime, or end the process;
+        therefore the scenario runs in a subprocess.
         """
         completed = subprocess.run(
             [sys.executable, "-m", "tests.test_connectors"],
@@ -57,6 +58,7 @@
 async def _exchange_lines(
     port: int, name: str, counts: collections.Counter[str]
 ) -> None:
+    """Counts echoed lines as whole, or as mixed with those of others."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for number in range(6):
         line = f"{name}-{number}\n".encode()
@@ -71,13 +73,15 @@
 ) -> None:
     for _ in range(_CANCELLATIONS):
         request = asyncio.ensure_future(session.get(url))
+        # Cancels the request after 0 to 11 steps of the event loop.
         for _ in range(rng.randrange(12)):
             await asyncio.sleep(0)
         request.cancel()
         await asyncio.gather(request, return_exceptions=True)
 
 
-async def _run() -> int:
+async def _run_scenario() -> int:
+    """Returns the exit status: 0 if every line was echoed correctly."""
     rng = random.Random(1)
     counts: collections.Counter[str] = collections.Counter()
     echo_server = await asyncio.start_server(_echo, "127.0.0.1", 0)
@@ -103,4 +107,4 @@
     import uvloop
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        sys.exit(runner.run(_run()))
+        sys.exit(runner.run(_run_scenario()))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -13,8 +13,8 @@
 def _read_imports(path: pathlib.Path) -> set[str]:
     """Returns the modules of the package that a module imports.
 
-    Imports for annotations count, as a reader of one module has to read the
-    other as well.
+    Imports for annotations count, as the reader of a module also has to read
+    the modules of its annotations.
     """
     imported = set()
     for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -26,7 +26,8 @@
 """
 
 
-def _run(log_format: str) -> list[str]:
+def _run_program(log_format: str) -> list[str]:
+    """Returns the lines that `_PROGRAM` writes in a log format."""
     completed = subprocess.run(
         [sys.executable, "-c", _PROGRAM, log_format],
         capture_output=True,
@@ -38,10 +39,10 @@
 
 
 class LinesTest(unittest.TestCase):
-    """Each line contains time, part, event and fields."""
+    """Each line contains time, component, event and fields."""
 
     def test_json_lines_contain_the_whole_event(self) -> None:
-        picked, refused, crashed, lost = map(json.loads, _run("json"))
+        picked, refused, crashed, lost = map(json.loads, _run_program("json"))
         self.assertEqual(
             picked,
             {
@@ -60,7 +61,7 @@
         self.assertEqual((lost["part"], lost["event"]), ("grpc", "lost a:2"))
 
     def test_text_lines_contain_the_whole_event(self) -> None:
-        picked, refused = _run("text")[:2]
+        picked, refused = _run_program("text")[:2]
         self.assertRegex(
             picked,
             r"^\d{4}-\S+ \S+ INFO    requests: picked upstream=a:1 left_ms=7$",
