--- a/merlintrestle/platform/__init__.py
+++ b/merlintrestle/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: it translates and decides nothing."""
+"""Adapter to the users' platform; it translates and makes no decisions."""
--- a/merlintrestle/platform/__main__.py
+++ b/merlintrestle/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The command that runs a daemon on an instance of the platform."""
+"""Command that runs a daemon on an instance of the platform."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from merlintrestle import logs
 from merlintrestle.platform import settings as settings_lib
 
-_EXIT_USAGE = 2
+_USAGE_EXIT_STATUS = 2
 
 
 @click.command()
@@ -23,7 +23,7 @@
     except errors.InvalidInputError as error:
         for finding in error.findings:
             click.echo(str(finding), err=True)
-        sys.exit(_EXIT_USAGE)
+        sys.exit(_USAGE_EXIT_STATUS)
     logs.start_logging("info", "json")
     from merlintrestle.platform import service
 
--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration on the platform, as versions of the product."""
+"""Compilation of the platform's configuration into versions of the product."""
 
 from __future__ import annotations
 
@@ -20,90 +20,87 @@
 
     from merlintrestle.store import client
 
-# Kinds of a route: which may run more than once. Downloads have latency targets
-# like the others, so they are no long transfers that hold a slot for minutes.
+# True for kinds of routes whose calls may run more than once. Downloads have
+# latency targets too, so they are not transfers that hold a slot for minutes.
 _REPEATABLE = {"idempotent": True, "download": True, "non_idempotent": False}
-# The product's importance goes up from 1, the platform's rank down from 0.
-_MOST_IMPORTANT = 5
-# All that operators write; roll-outs stand behind the configuration.
+# Importance of priority 0; it decreases by 1 with each further priority number.
+_MAX_IMPORTANCE = 5
+# Prefix of the operators' keys; those of roll-outs follow the configuration's.
 _OPERATORS_PREFIX = "op/"
-_HEXADECIMAL = 16
-# Shortest wait of a watch that asks what is in the history already.
-_ASK_MS = 1
+_HEXADECIMAL_BASE = 16
+# Minimum wait of a watch, for a query of events that have already occurred.
+_MIN_WAIT_MS = 1
 
 
 class ConfigurationSource:
-    """The record that the operators write, as a `versions.source.Source`."""
+    """Source of versions that reads the operators' configuration record."""
 
     def __init__(self, store: stores.PlatformStore):
-        """Starts with no version known."""
+        """Starts without a known version."""
         self._store = store
-        self._latest: dict[int, client.Entry] = {}
-        self._revision = 0
+        self._entries_by_version: dict[int, client.Entry] = {}
+        self._head_revision = 0
         self._orders: Sequence[client.Entry] = ()
         self._known = known_revision.KnownRevision()
         self._head = document_pb2.Head()
         self._compiled: snapshots.Snapshot | None = None
 
     async def read_head(self) -> document_pb2.Head:
-        """Reads the newest version; 0 where there is none.
+        """Reads the head of the newest version; version 0 if there is none.
 
-        The value is some hundred KB, which fills a thin link for half a
-        second. It is read only where the store's revision has moved and no
-        watch brings what moved it.
+        The value is some hundred KB, half a second of a slow link. It is only
+        read if the store's revision has increased and no watch delivers it.
 
         Raises:
             errors.StoreError: The store did not answer.
-            errors.SnapshotError: The record is malformed.
+            errors.SnapshotError: The configuration is malformed.
         """
         if self._known.revision:
-            self._orders, at = await self._store.read_after(
+            self._orders, revision = await self._store.read_after(
                 _OPERATORS_PREFIX, stores.CONFIGURATION_KEY
             )
-            if at <= self._known.revision or await self._learn_without_value(
-                at
-            ):
+            if revision <= self._known.revision or await self._update(revision):
                 return self._head
-        revision = self._revision
-        entries, at = await self._store.read_all(_OPERATORS_PREFIX)
+        previous_revision = self._head_revision
+        entries, revision = await self._store.read_all(_OPERATORS_PREFIX)
         head = self._head
         for entry in entries:
             if entry.key == stores.CONFIGURATION_KEY:
-                head = self._take(entry)
+                head = self._apply_entry(entry)
         self._orders = [
             entry for entry in entries if entry.key != stores.CONFIGURATION_KEY
         ]
-        self._known.record_read(self._revision != revision)
-        self._known.advance(at)
+        self._known.record_read(self._head_revision != previous_revision)
+        self._known.advance(revision)
         return head
 
     async def watch_head(self) -> AsyncIterator[document_pb2.Head]:
-        """Yields the newest version and each later one.
+        """Yields the heads of the newest version and of each later one.
 
         Raises:
             errors.StoreUnavailableError: The watch ended.
-            errors.SnapshotError: A record is malformed.
+            errors.SnapshotError: A configuration is malformed.
         """
         self._known.open_watches += 1
         try:
-            if self._revision:
+            if self._head_revision:
                 yield self._head
             async for entry in self._store.watch(
                 stores.CONFIGURATION_KEY, self._known.revision
             ):
-                head = self._take(entry)
+                head = self._apply_entry(entry)
                 self._known.advance(entry.revision)
                 yield head
         finally:
             self._known.open_watches -= 1
 
     async def compile_head(self, head: document_pb2.Head) -> snapshots.Snapshot:
-        """Compiles the version that a head names.
+        """Compiles the version of a head.
 
         Raises:
-            errors.SnapshotError: It is malformed.
+            errors.SnapshotError: The version is malformed or was replaced.
         """
-        entry = self._latest.get(head.version)
+        entry = self._entries_by_version.get(head.version)
         if entry is None:
             raise errors.SnapshotError(
                 f"version {head.version} was replaced by a later one"
@@ -118,11 +115,7 @@
         return snapshot
 
     async def read_orders(self) -> list[client.Entry]:
-        """Returns the orders of roll-outs, as the last read of the head saw.
-
-        They lie behind the configuration, so that no call of its own is made
-        for them.
-        """
+        """Returns roll-out orders, which `read_head` reads in the same call."""
         return [
             entry
             for entry in self._orders
@@ -130,55 +123,55 @@
         ]
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
-        """Names members of a zone; returns those named before.
+        """Writes the seeds of a zone; returns the addresses of all others.
 
         Raises:
             errors.StoreError: The store did not answer.
         """
         return await seeds_lib.write_seeds(self._store, zone, member_ids)
 
-    async def _learn_without_value(self, at: int) -> bool:
-        """Returns whether the head is known without a read of its value.
+    async def _update(self, revision: int) -> bool:
+        """Returns whether the head was updated without a read of its value.
 
-        The history is always asked from the last value on, so that one that
-        was dropped since then refuses and hides no change.
+        The history is always queried from the last value on, so the query
+        fails, and misses no change, if the history was dropped since then.
         """
-        delivering = self._store.is_delivering
-        if delivering() or not self._known.may_query_history():
-            return await self._known.wait_for_watch(at, delivering)
+        is_delivering = self._store.is_delivering
+        if is_delivering() or not self._known.may_query_history():
+            return await self._known.wait_for_watch(revision, is_delivering)
         try:
-            found, _ = await self._store.read_events(
-                stores.CONFIGURATION_KEY, self._known.revision, _ASK_MS
+            events, _ = await self._store.read_events(
+                stores.CONFIGURATION_KEY, self._known.revision, _MIN_WAIT_MS
             )
         except errors.StoreUnavailableError:
             return False
-        for entry in found[-1:]:
-            self._take(entry)
+        for entry in events[-1:]:
+            self._apply_entry(entry)
             self._known.record_read(news=True)
             self._known.advance(entry.revision)
         return True
 
-    def _take(self, entry: client.Entry) -> document_pb2.Head:
-        """Returns the head of an entry, unless a newer one was taken."""
-        if entry.revision > self._revision:
-            version = read_version(
+    def _apply_entry(self, entry: client.Entry) -> document_pb2.Head:
+        """Applies an entry unless a newer one is known; returns the head."""
+        if entry.revision > self._head_revision:
+            version = parse_version(
                 rows.parse_object(entry.value, "configuration")
             )
-            self._latest = {version: entry}
-            self._revision = entry.revision
+            self._entries_by_version = {version: entry}
+            self._head_revision = entry.revision
             self._head = document_pb2.Head(version=version)
         return self._head
 
 
-def read_version(configuration: Mapping[str, Any]) -> int:
-    """Returns the number of a version, written as hexadecimal digits.
+def parse_version(configuration: Mapping[str, Any]) -> int:
+    """Returns the number of a version, which is a hexadecimal string.
 
     Raises:
-        errors.SnapshotError: It is not a number above 0.
+        errors.SnapshotError: The version is not a number above 0.
     """
     text = configuration.get("version")
     try:
-        version = int(text, _HEXADECIMAL) if isinstance(text, str) else 0
+        version = int(text, _HEXADECIMAL_BASE) if isinstance(text, str) else 0
     except ValueError:
         version = 0
     if version <= 0:
@@ -187,10 +180,10 @@
 
 
 def build_resources(configuration: Mapping[str, Any]) -> dict[str, bytes]:
-    """Returns the resources of the snapshot that a configuration makes.
+    """Builds the resources of a configuration's snapshot.
 
     Raises:
-        errors.SnapshotError: Something in it is malformed.
+        errors.SnapshotError: The configuration is malformed.
     """
     resources: dict[str, bytes] = {}
     for row in rows.read_table(configuration, "services"):
@@ -219,14 +212,14 @@
             name=name,
             host=row.get_text("host").lower(),
             prefix=row.get_text("prefix"),
-            parts=_read_parts(row),
-            target=_read_target(row),
+            parts=_build_parts(row),
+            target=_build_target(row),
             max_attempts=row.get_number("maxAttempts"),
         )
     )
 
 
-def _read_parts(row: rows.Row) -> list[document_pb2.RoutePart]:
+def _build_parts(row: rows.Row) -> list[document_pb2.RoutePart]:
     split = row.get_list("split")
     if not split:
         service = row.get_text("service")
@@ -240,20 +233,20 @@
     ]
 
 
-def _read_target(row: rows.Row) -> document_pb2.ClassTarget:
+def _build_target(row: rows.Row) -> document_pb2.ClassTarget:
     kind = row.get_text("kind")
     if kind not in _REPEATABLE:
         raise errors.SnapshotError(f"routes: kind is {kind!r}")
-    rank = row.get_number("priority")
+    priority = row.get_number("priority")
     latency_ms = row.get_number("targetLatencyMs")
     deadline_ms = row.get_number("timeoutMs")
     return document_pb2.ClassTarget(
-        # Routes of one kind, rank and latency are one class of work.
-        name=f"{kind}-{rank}-{latency_ms}",
+        # Routes of equal kind, priority and latency share one class.
+        name=f"{kind}-{priority}-{latency_ms}",
         latency_ms=latency_ms,
         deadline_ms=deadline_ms,
         repeatable=_REPEATABLE[kind],
-        importance=max(1, _MOST_IMPORTANT - rank),
+        importance=max(1, _MAX_IMPORTANCE - priority),
         size=document_pb2.SMALL,
     )
 
--- a/merlintrestle/platform/endpoints.py
+++ b/merlintrestle/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""What the platform and the backend server ask of a daemon."""
+"""HTTP endpoints for the platform and the local backend server."""
 
 from __future__ import annotations
 
@@ -24,46 +24,46 @@
 _READY_PATH = "/merlintrestle/ready"
 _HEARTBEAT_PATH = "/merlintrestle/Instances.Heartbeat/{instance_id}"
 _LEAVE_PATH = "/merlintrestle/Instances.Leave/{instance_id}"
-# deploy/system.toml tells the platform the same.
+# deploy/system.toml states the same port.
 METRICS_PORT = 9464
 _MAX_BODY_BYTES = 16 * 1024
 _STATES = {"ready": control_pb2.READY, "draining": control_pb2.DRAINING}
 
 
 class Endpoints(mode.Service):
-    """Serves readiness to the platform and heartbeats to the backend server.
+    """Serves readiness, metrics and the heartbeats of the backend server.
 
     Attributes:
-        readiness: Where it tells whether callers may come; bound by `start`.
-        announcements: Where it takes heartbeats; bound by `start`.
+        readiness: Address of the readiness endpoint; bound by `start`.
+        announcements: Address that receives heartbeats; bound by `start`.
     """
 
     def __init__(
         self,
         settings: settings_lib.Settings,
         is_ready: Callable[[], bool],
-        announce: Callable[[heartbeats.Heartbeat], None],
-        leave: Callable[[str, int], None],
+        handle_heartbeat: Callable[[heartbeats.Heartbeat], None],
+        handle_leave: Callable[[str, int], None],
         knows_service: Callable[[str], bool],
         render_metrics: Callable[[], bytes],
     ):
-        """Sets what is served.
+        """Keeps the settings and callbacks; `start` binds the ports.
 
         Args:
-            settings: Where to listen.
-            is_ready: Returns whether callers may be sent here.
-            announce: Called with each heartbeat.
-            leave: Called with the id of a process that takes no new work, and
-                when it started, in ms since 1970; 0: it did not say.
+            settings: Settings with the addresses to listen on.
+            is_ready: Returns whether callers may use this daemon.
+            handle_heartbeat: Called with each heartbeat.
+            handle_leave: Called with the id of a process that accepts no new
+                calls, and its start, in ms since 1970; 0 if not stated.
             knows_service: Returns whether a service is known.
-            render_metrics: Returns the metrics as text.
+            render_metrics: Returns the metrics in Prometheus text format.
         """
         super().__init__()
         self.readiness = settings.readiness
         self.announcements = settings.announcements
         self._is_ready = is_ready
-        self._announce = announce
-        self._leave = leave
+        self._report_heartbeat = handle_heartbeat
+        self._report_leave = handle_leave
         self._knows_service = knows_service
         self._render_metrics = render_metrics
         self._metrics = settings_lib.Address(
@@ -98,7 +98,7 @@
         application = web.Application(client_max_size=_MAX_BODY_BYTES)
         application.add_routes(routes)
         runner = web.AppRunner(
-            application, access_log=None, shutdown_timeout=_SHUTDOWN_S
+            application, access_log=None, shutdown_timeout=_SHUTDOWN_TIMEOUT_S
         )
         await runner.setup()
         self._runners.append(runner)
@@ -119,31 +119,30 @@
     async def _handle_heartbeat(self, request: web.Request) -> web.Response:
         instance_id = request.match_info["instance_id"]
         try:
-            heartbeat = read_heartbeat(instance_id, await request.json())
+            heartbeat = parse_heartbeat(instance_id, await request.json())
             self._check_service(heartbeat.service)
         except (errors.InvalidInputError, ValueError) as error:
             events.warn(
                 "heartbeat refused", instance=instance_id, error=str(error)
             )
             return web.json_response({}, status=400)
-        self._announce(heartbeat)
+        self._report_heartbeat(heartbeat)
         return web.json_response({})
 
     async def _handle_leave(self, request: web.Request) -> web.Response:
         instance_id = request.match_info["instance_id"]
         try:
-            born_ms = read_leave(await request.read())
+            started_ms = parse_leave(await request.read())
         except (errors.InvalidInputError, ValueError) as error:
             events.warn("leave refused", instance=instance_id, error=str(error))
             return web.json_response({}, status=400)
-        self._leave(instance_id, born_ms)
+        self._report_leave(instance_id, started_ms)
         return web.json_response({})
 
     def _check_service(self, name: str) -> None:
-        """Refuses a heartbeat that names a service that nobody knows.
+        """Refuses a heartbeat for an unknown service, sent by another writer.
 
-        It is another writer's. Taken over, it would have the backend server
-        here vanish from its service.
+        If applied, the local backend server would vanish from its service.
         """
         if not self._knows_service(name):
             raise errors.InvalidInputError(
@@ -151,14 +150,14 @@
             )
 
 
-_SHUTDOWN_S = 0.1
+_SHUTDOWN_TIMEOUT_S = 0.1
 
 
-def read_heartbeat(instance_id: str, fields: Any) -> heartbeats.Heartbeat:
-    """Checks the body of a heartbeat.
+def parse_heartbeat(instance_id: str, fields: Any) -> heartbeats.Heartbeat:
+    """Parses the body of a heartbeat.
 
     Raises:
-        errors.InvalidInputError: With every finding about it.
+        errors.InvalidInputError: With all findings.
     """
     if not isinstance(fields, dict):
         raise errors.InvalidInputError(
@@ -166,7 +165,7 @@
         )
     findings = [
         errors.Finding(name, f"{fields.get(name)!r} is not allowed.")
-        for name, fits in (
+        for name, is_valid in (
             ("service", validation.is_service_name),
             ("address", validation.is_address),
             ("slots", validation.is_slot_count),
@@ -176,7 +175,7 @@
             ("born", validation.is_start_time),
             ("version", validation.is_version),
         )
-        if not fits(fields.get(name))
+        if not is_valid(fields.get(name))
     ]
     if findings:
         raise errors.InvalidInputError(findings)
@@ -193,23 +192,23 @@
     )
 
 
-def read_leave(body: bytes) -> int:
-    """Checks the body of a leave, which may be empty.
+def parse_leave(body: bytes) -> int:
+    """Parses the body of a leave request, which may be empty.
 
     Returns:
-        When the process started, in ms since 1970; 0: it does not say.
+        Start of the process, in ms since 1970; 0 if not stated.
 
     Raises:
-        errors.InvalidInputError: The start is not a whole number.
-        ValueError: It is not JSON.
+        errors.InvalidInputError: The start is not a positive integer.
+        ValueError: The body is not JSON.
     """
     fields = json.loads(body) if body else {}
-    born_ms = fields.get("born") if isinstance(fields, dict) else fields
-    if not validation.is_start_time(born_ms):
+    started_ms = fields.get("born") if isinstance(fields, dict) else fields
+    if not validation.is_start_time(started_ms):
         raise errors.InvalidInputError(
-            [errors.Finding("born", f"{born_ms!r} is not allowed.")]
+            [errors.Finding("born", f"{started_ms!r} is not allowed.")]
         )
-    return born_ms or 0
+    return started_ms or 0
 
 
 def _is_state(value: Any) -> bool:
--- a/merlintrestle/platform/health.py
+++ b/merlintrestle/platform/health.py
@@ -1,4 +1,4 @@
-"""The status of the backend server, asked when the daemon starts."""
+"""Health check of the backend server at the start of the daemon."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     from merlintrestle.platform import settings as settings_lib
 
 _PATH = "/health"
-# Id of the process that answers.
-_INSTANCE = "X-Served-By"
-# Calls that run, calls that wait, and slots.
-_LOAD = "X-Server-Load"
-# A full backend server has the question wait for a slot; its next heartbeat
-# comes in a second or two and tells the same.
+# Id of the process that responds.
+_INSTANCE_HEADER = "X-Served-By"
+# Running calls, waiting calls and slots, separated by commas.
+_LOAD_HEADER = "X-Server-Load"
+# A full backend server queues the request for a slot; its next heartbeat
+# arrives in one or two seconds and contains the same.
 _TIMEOUT_S = 0.5
 _LOAD_FIELDS = 3
 _OK = 200
 
 
-async def ask_backend(
+async def check_backend(
     settings: settings_lib.Settings,
 ) -> heartbeats.Heartbeat | None:
-    """Returns what the backend server's status says; None: it says nothing.
+    """Returns the backend server's status as a heartbeat, if available.
 
-    A daemon that restarts beside a running backend server would otherwise
-    refuse its calls until the next heartbeat.
+    Without it, a daemon that restarts while its backend server is running would
+    refuse that server's calls until the next heartbeat.
     """
     try:
         async with (
@@ -40,22 +40,22 @@
             aiohttp.ClientSession(
                 connector=connectors.Connector(force_close=True)
             ) as session,
-            session.get(f"http://{settings.backend}{_PATH}") as answer,
+            session.get(f"http://{settings.backend}{_PATH}") as response,
         ):
-            return read_status(settings, answer)
+            return parse_status(settings, response)
     except (aiohttp.ClientError, OSError, TimeoutError):
         return None
 
 
-def read_status(
-    settings: settings_lib.Settings, answer: aiohttp.ClientResponse
+def parse_status(
+    settings: settings_lib.Settings, response: aiohttp.ClientResponse
 ) -> heartbeats.Heartbeat | None:
-    """Returns a status as the first heartbeat of its process."""
-    instance_id = answer.headers.get(_INSTANCE, "")
-    figures = answer.headers.get(_LOAD, "").split(",")
-    if answer.status != _OK or not instance_id or len(figures) != _LOAD_FIELDS:
+    """Returns a status as the first heartbeat of its process, if valid."""
+    instance_id = response.headers.get(_INSTANCE_HEADER, "")
+    load = response.headers.get(_LOAD_HEADER, "").split(",")
+    if response.status != _OK or not instance_id or len(load) != _LOAD_FIELDS:
         return None
-    slots = figures[-1].strip()
+    slots = load[-1].strip()
     if not slots.isdecimal() or not int(slots):
         return None
     return heartbeats.Heartbeat(
--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -1,4 +1,4 @@
-"""Requests and answers in the platform's words."""
+"""Dialect of the platform's callers and backend servers."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
     from merlintrestle.requests import backend as backends
     from merlintrestle.requests.calls import call as calls
 
-# Id of one attempt of a caller; a retry of its own has another one.
+# Id of one attempt of a caller; each retry by the caller has a new one.
 _ATTEMPT_ID = multidict.istr("X-Attempt-Id")
-# Milliseconds that the caller waits.
+# Caller's remaining time, in ms.
 _DEADLINE = multidict.istr("X-Deadline-Ms")
-# Id of the backend server process that is to run the request.
-_INSTANCE = multidict.istr("X-Target-Instance")
-# Service of the instance at which the request began.
+# Id of the backend server process that should run the request.
+_TARGET_INSTANCE = multidict.istr("X-Target-Instance")
+# Service of the instance whose daemon received the request from the caller.
 _ORIGIN = multidict.istr("X-Caller-Service")
-# Digest by which callers know an answer of a backend server.
+# Digest by which callers recognize an answer of a backend server.
 _SIGNATURE = multidict.istr("X-Response-Signature")
 # Present in an answer to a request that the backend server did not run.
-_NOT_RUN = multidict.istr("X-Not-Executed")
+_NOT_EXECUTED = multidict.istr("X-Not-Executed")
 _RETRY_AFTER = "Retry-After"
-_WRONG_INSTANCE = 421
-_OVERLOADED = (429, 503)
+_MISDIRECTED = 421
+_OVERLOAD_STATUSES = (429, 503)
 _UNAVAILABLE = 503
-# Statuses that tell callers that a request was not run and never will be.
-_PROMISES = (408, 421, 429, 503)
-# Answers that count only with a signature.
-_SUCCESS = range(200, 300)
+# Statuses that promise callers that the request was not run and never will be.
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
+# Statuses whose answers require a signature.
+_SUCCESS_STATUSES = range(200, 300)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     """Routes by host and path, and the platform's headers.
 
     Attributes:
-        service: Service of the instance on which this daemon runs.
+        service: Service of the local instance.
     """
 
     service: str
@@ -59,16 +59,16 @@
 @dialects.match_caller.register(PlatformDialect)
 def _match_caller(
     dialect: PlatformDialect,
-    running: snapshot.Snapshot,
+    running_snapshot: snapshot.Snapshot,
     request: web.BaseRequest,
 ) -> routing.Match | outcomes.NotRun:
     return routing.match_host(
-        running, request.headers.get(hdrs.HOST, ""), request.raw_path
+        running_snapshot, request.headers.get(hdrs.HOST, ""), request.raw_path
     )
 
 
 @dialects.read_metadata.register(PlatformDialect)
-def _read_asked(
+def _read_metadata(
     dialect: PlatformDialect, request: web.BaseRequest
 ) -> parsing.CallMetadata:
     return parsing.CallMetadata(
@@ -81,10 +81,10 @@
 
 @dialects.may_be_nested.register(PlatformDialect)
 def _may_be_nested(
-    dialect: PlatformDialect, request: web.BaseRequest, working: bool
+    dialect: PlatformDialect, request: web.BaseRequest, backend_busy: bool
 ) -> bool:
-    # Its backend servers don't tell; any request may be theirs while they work.
-    return working
+    # Backend servers don't mark such requests; any may be one while they work.
+    return backend_busy
 
 
 @dialects.render.register(PlatformDialect)
@@ -105,10 +105,10 @@
 
 
 def _choose_status(outcome: outcomes.Failure) -> int:
-    """Returns the status; only those that promise "not run" say so.
+    """Returns the status to send to the caller.
 
-    A call that did not run before its deadline is refused by 503: 504 would
-    leave the caller of work that may not be repeated in doubt.
+    A call that did not run before its deadline is refused with 503: with 504,
+    a caller could not tell whether work that must not be repeated had run.
     """
     timed_out = outcome.status == outcomes.TIMEOUT_STATUS
     if isinstance(outcome, outcomes.NotRun) and timed_out:
@@ -118,58 +118,58 @@
 
 @dialects.build_backend_headers.register(PlatformDialect)
 def _build_backend_headers(
-    dialect: PlatformDialect, call: calls.Call, own: backends.LocalBackend
+    dialect: PlatformDialect, call: calls.Call, backend: backends.LocalBackend
 ) -> multidict.CIMultiDict[str]:
-    left_s = call.deadline - asyncio.get_running_loop().time()
-    sent = call.headers.copy()
-    sent[_ATTEMPT_ID] = call.request_id
-    sent[_DEADLINE] = str(max(1, int(left_s * 1000)))
-    sent[_ORIGIN] = call.origin
-    sent.popall(_INSTANCE, None)
-    if own.instance_id:
-        sent[_INSTANCE] = own.instance_id
-    return sent
+    remaining_s = call.deadline - asyncio.get_running_loop().time()
+    sent_headers = call.headers.copy()
+    sent_headers[_ATTEMPT_ID] = call.request_id
+    sent_headers[_DEADLINE] = str(max(1, int(remaining_s * 1000)))
+    sent_headers[_ORIGIN] = call.origin
+    sent_headers.popall(_TARGET_INSTANCE, None)
+    if backend.instance_id:
+        sent_headers[_TARGET_INSTANCE] = backend.instance_id
+    return sent_headers
 
 
 @dialects.is_answer_to.register(PlatformDialect)
 def _is_answer_to(
     dialect: PlatformDialect, answer: answers.Answer, call: calls.Call
 ) -> bool:
-    sent = answer.headers
-    if _ATTEMPT_ID in sent:
-        return sent[_ATTEMPT_ID] == call.request_id
-    # A second answer to an earlier request is one that was run. Without an id
-    # only a refusal can be about this request.
+    received = answer.headers
+    if _ATTEMPT_ID in received:
+        return received[_ATTEMPT_ID] == call.request_id
+    # A second answer to an earlier request belongs to one that was run, so
+    # without an id only a refusal can belong to this request.
     return not call.request_id or _is_refusal(answer)
 
 
 @dialects.check_answer.register(PlatformDialect)
-def _judge_answer(
+def _check_answer(
     dialect: PlatformDialect, answer: answers.Answer
 ) -> outcomes.Failure | None:
-    sent = answer.headers
+    received = answer.headers
     if _is_refusal(answer):
         return outcomes.NotRun(
             f"the backend server refused with {answer.status}",
             elsewhere=True,
-            overloaded=answer.status in _OVERLOADED,
+            overloaded=answer.status in _OVERLOAD_STATUSES,
             reached=True,
         )
-    if answer.status in _PROMISES:
-        # Passed on, its status would promise that the request was not run.
+    if answer.status in _NOT_RUN_STATUSES:
+        # If passed on, its status would promise that the request was not run.
         return outcomes.Ran(f"the backend server answered {answer.status}")
-    if answer.status not in _SUCCESS:
+    if answer.status not in _SUCCESS_STATUSES:
         return None
-    if _SIGNATURE not in sent or hdrs.CONTENT_ENCODING in sent:
+    if _SIGNATURE not in received or hdrs.CONTENT_ENCODING in received:
         return outcomes.Ran("the answer is not the backend server's own")
     return None
 
 
 def _is_refusal(answer: answers.Answer) -> bool:
     """Returns whether an answer proves that the request was not run."""
-    return answer.status == _WRONG_INSTANCE or _NOT_RUN in answer.headers
+    return answer.status == _MISDIRECTED or _NOT_EXECUTED in answer.headers
 
 
 @dialects.accepts_unframed_answers.register(PlatformDialect)
-def _accepts_unframed(dialect: PlatformDialect) -> bool:
+def _accepts_unframed_answers(dialect: PlatformDialect) -> bool:
     return True
--- a/merlintrestle/platform/rollouts.py
+++ b/merlintrestle/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs as the platform's operators order them and read their state."""
+"""Format of the platform's records of roll-out orders and states."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
     control_pb2.COMPLETE: "complete",
     control_pb2.ROLLED_BACK: "rolled_back",
 }
-_MS = 1000
+_MS_PER_S = 1000
 _ERROR = errors.CorruptRecordError
-# Longest time of a roll-out, in seconds: a week.
-_MAX_WITHIN_S = 604_800
+# One week.
+_MAX_DURATION_S = 604_800
 
 
 class OperatorsFormat:
-    """The records that operators write and read."""
+    """Records that the platform's operators write and read."""
 
     order_prefix = "op/rollout/"
 
     def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
-        """Returns the order that an entry holds."""
+        """Returns the order in an entry of the store."""
         fields = rows.parse_object(entry.value, entry.key, _ERROR)
         row = rows.Row(entry.key, fields, _ERROR)
         service = row.get_text("service")
         if entry.key != self.order_prefix + service:
             raise _ERROR(f"{entry.key}: it is of service {service!r}")
-        within_s = row.get_seconds("durationS", _MAX_WITHIN_S)
+        duration_s = row.get_seconds("durationS", _MAX_DURATION_S)
         return control_pb2.Rollout(
             service=service,
             version=row.get_text("targetVersion"),
             number=entry.revision,
-            within_ms=max(1, round(within_s * _MS)),
+            within_ms=max(1, round(duration_s * _MS_PER_S)),
         )
 
     def build_state_key(self, service: str) -> str:
@@ -52,7 +52,7 @@
     def encode_state(
         self, rollout: control_pb2.Rollout, state: control_pb2.RolloutState
     ) -> bytes:
-        """Returns a state as operators read it."""
+        """Encodes a state as JSON for the operators."""
         fields = {
             "service": rollout.service,
             "state": _STATES[state],
@@ -61,11 +61,11 @@
         return json.dumps(fields).encode()
 
     def decode_state(self, value: bytes) -> storage.RecordedState:
-        """Returns the state that a value holds."""
+        """Returns the state in a value of the store."""
         fields = rows.parse_object(value, "roll-out", _ERROR)
         row = rows.Row("roll-out", fields, _ERROR)
-        names = {name: state for state, name in _STATES.items()}
-        state = names.get(row.get_text("state"))
+        states_by_name = {name: state for state, name in _STATES.items()}
+        state = states_by_name.get(row.get_text("state"))
         if state is None:
             raise _ERROR(f"roll-out: its state is {fields['state']!r}")
         return storage.RecordedState(row.get_text("targetVersion"), state)
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -1,4 +1,4 @@
-"""The product's daemon on an instance of the platform."""
+"""Daemon on an instance of the platform."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 events = event_logs.EventLog("platform")
 
-# The platform asks once a second and sends callers elsewhere after two misses;
-# they need a moment more to be told.
-_FAREWELL_S = 2.6
-# What a stop needs after the requests in flight have ended, in seconds.
-_STOP_S = 0.8
-# Part of what a bad version may get in all that its trial uses. What is left is
-# for the seconds in which one shows itself only after the trial.
-_TRIAL_PART = 0.6
+# The platform checks readiness once a second and redirects callers after two
+# failures; callers learn of that a moment later.
+_MAX_FAREWELL_S = 2.6
+# Time that a stop needs after the requests in flight have ended.
+_CLEANUP_S = 0.8
+# Fraction of a bad version's total share that its trial uses. The rest is for
+# the seconds until a version that fails only after its trial is detected.
+_TRIAL_FRACTION = 0.6
 
 
 class PlatformDaemon(service.Daemon):
-    """A daemon that hears of its backend server by heartbeats."""
+    """Daemon whose backend server reports its state by heartbeats."""
 
     def __init__(self, settings: settings_lib.Settings):
-        """Translates the settings; everything opens in `start`."""
+        """Translates the settings; `start` opens all resources."""
         self._platform = settings
         store = stores.PlatformStore(str(settings.store))
         super().__init__(
@@ -49,21 +49,21 @@
         )
 
     def reload(self) -> None:
-        """Reads the settings file again and tells what differs.
+        """Reads the settings file again and logs what has changed.
 
-        Addresses and ports stay until the process starts anew; what bounds
-        retries is taken over at once.
+        Addresses and ports stay until the process restarts; the bounds of
+        retries apply at once.
         """
         try:
             settings = settings_lib.read_settings(settings_lib.find_path())
         except errors.InvalidInputError as error:
             events.warn("reload refused", error=str(error))
             return
-        before = self._platform._asdict()
+        previous = self._platform._asdict()
         changed = {
             name: str(value)
             for name, value in settings._asdict().items()
-            if value != before[name]
+            if value != previous[name]
         }
         events.note("reload", changed=changed)
         self._platform = settings
@@ -83,22 +83,22 @@
             lambda: metrics.render_metrics(self.registry),
         )
         await self.add_runtime_dependency(self._endpoints)
-        status = await health.ask_backend(self._platform)
+        status = await health.check_backend(self._platform)
         if status is not None and not self.has_seen_backend:
             self.handle_heartbeat(status)
 
     def _knows_service(self, name: str) -> bool:
         """Returns whether the settings or the running version name it."""
-        running = self._active_version.running
-        known = running is not None and name in running.services
+        snapshot = self._active_version.running
+        known = snapshot is not None and name in snapshot.services
         return known or name == self._platform.service
 
 
 def build_daemon_settings(
     settings: settings_lib.Settings,
 ) -> settings_pb2.DaemonSettings:
-    """Returns the settings of the product's daemon."""
-    farewell_s = min(_FAREWELL_S, settings.grace_s / 2)
+    """Translates the platform's settings into those of the daemon."""
+    farewell_s = min(_MAX_FAREWELL_S, settings.grace_s / 2)
     return settings_pb2.DaemonSettings(
         address=settings.address,
         zone=settings.zone,
@@ -109,7 +109,7 @@
         admin_port=settings.first_port and settings.first_port + 1,
         store=str(settings.store),
         spread="fast",
-        drain_limit_s=max(0.0, settings.grace_s - farewell_s - _STOP_S),
+        drain_limit_s=max(0.0, settings.grace_s - farewell_s - _CLEANUP_S),
         log_level="info",
         log_format="json",
         claims="claims/",
@@ -118,5 +118,5 @@
         retry_window_s=settings.retry_window_s,
         farewell_s=farewell_s,
         link_mbps=settings.link_mbps,
-        trial_share=settings.expose_share * _TRIAL_PART,
+        trial_share=settings.expose_share * _TRIAL_FRACTION,
     )
--- a/merlintrestle/platform/settings.py
+++ b/merlintrestle/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process as the platform writes them."""
+"""Parser of the settings file that the platform writes."""
 
 from __future__ import annotations
 
@@ -11,17 +11,12 @@
 from merlintrestle import settings_reader
 
 PATH_VARIABLE = "MERLINTRESTLE_CONFIG"
-_MS = 1000
+_MS_PER_S = 1000
 _MAX_PORT = 65535
 
 
 class Address(NamedTuple):
-    """Where a socket listens.
-
-    Attributes:
-        host: IP number.
-        port: Port.
-    """
+    """IP number and port number of a socket."""
 
     host: str
     port: int
@@ -31,31 +26,29 @@
 
 
 class Settings(NamedTuple):
-    """What the platform tells a process.
+    """Settings of a process on the platform.
 
     Attributes:
         address: IP number of the instance.
-        zone: Its availability zone.
-        region: Its region.
+        zone: Availability zone of the instance.
+        region: Region of the instance.
         service: Service of the backend server on the instance.
         backend: Address of that backend server.
-        callers: Where callers on the instance send requests.
-        peers: Where other daemons send calls for the backend server.
-        readiness: Where the platform asks whether the daemon serves.
-        announcements: Where the backend server announces itself.
-        first_port: First of the ports that are free for the daemon.
-        last_port: Last of them.
+        callers: Address to which callers on the instance send requests.
+        peers: Address to which other daemons send calls.
+        readiness: Address at which the platform checks readiness.
+        announcements: Address to which the backend server sends heartbeats.
+        first_port: First of the ports that are reserved for the daemon.
+        last_port: Last of these ports.
         store: Address of the platform's store.
-        heartbeat_s: Time between two announcements, in seconds.
-        drain_s: Time after which a leaving backend server gets no new work,
-            in seconds.
+        heartbeat_s: Interval of heartbeats, in seconds.
+        drain_s: Seconds after which a leaving backend server gets no new calls.
         grace_s: Time from the stop signal to the kill, in seconds.
-        retry_ratio: Retries that a service may get for each of its requests.
-        retry_slack: Retries that it may get beside these, in one window.
-        retry_window_s: Length of that window, in seconds.
-        expose_share: Part of a service's calls that a bad version may get; 0:
-            not stated.
-        link_mbps: Capacity of the instance's link in Mbit/s; 0: not known.
+        retry_ratio: Allowed retries of a service for each of its requests.
+        retry_slack: Further retries of a service allowed in one window.
+        retry_window_s: Length of the window, in seconds.
+        expose_share: Share of calls that a bad version may get; 0 if unstated.
+        link_mbps: Capacity of the instance's link in Mbit/s; 0 if unknown.
     """
 
     address: str
@@ -84,7 +77,7 @@
     """Returns the path of the settings file.
 
     Raises:
-        errors.InvalidInputError: The variable that names it is not set.
+        errors.InvalidInputError: `PATH_VARIABLE` is not set.
     """
     path = os.environ.get(PATH_VARIABLE, "")
     if not path:
@@ -98,7 +91,7 @@
     """Reads the settings file.
 
     Raises:
-        errors.InvalidInputError: With every finding about it.
+        errors.InvalidInputError: With all findings.
     """
     try:
         text = path.read_text()
@@ -110,38 +103,36 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Returns the settings in the text of a file, lines of `name=value`.
+    """Parses the text of a settings file, which has lines of `name=value`.
 
     Raises:
-        errors.InvalidInputError: With every finding about it.
+        errors.InvalidInputError: With all findings.
     """
-    reader = settings_reader.SettingsReader(_split(text))
+    reader = settings_reader.SettingsReader(_split_lines(text))
     ports = reader.get_required("internalPorts", _parse_ports, (0, 0))
     settings = Settings(
         address=reader.get_required("ip", settings_reader.parse_ip, ""),
         zone=reader.get_required("zone", str, ""),
         region=reader.get_required("region", str, ""),
         service=reader.get_required("service", str, ""),
-        backend=reader.get_required("app", _parse_address, _NOWHERE),
-        callers=reader.get_required(
-            "listen.outbound", _parse_address, _NOWHERE
-        ),
-        peers=reader.get_required("listen.inbound", _parse_address, _NOWHERE),
-        readiness=reader.get_required("listen.ready", _parse_address, _NOWHERE),
+        backend=reader.get_required("app", _parse_address, _UNSET),
+        callers=reader.get_required("listen.outbound", _parse_address, _UNSET),
+        peers=reader.get_required("listen.inbound", _parse_address, _UNSET),
+        readiness=reader.get_required("listen.ready", _parse_address, _UNSET),
         announcements=reader.get_required(
-            "listen.control", _parse_address, _NOWHERE
+            "listen.control", _parse_address, _UNSET
         ),
         first_port=ports[0],
         last_port=ports[1],
-        store=reader.get_required("platform.address", _parse_address, _NOWHERE),
+        store=reader.get_required("platform.address", _parse_address, _UNSET),
         heartbeat_s=reader.get_required(
             "heartbeatMs", settings_reader.parse_number, 0.0
         )
-        / _MS,
+        / _MS_PER_S,
         drain_s=reader.get_required(
             "bounds.drainMs", settings_reader.parse_number, 0.0
         )
-        / _MS,
+        / _MS_PER_S,
         grace_s=reader.get_required(
             "bounds.graceS", settings_reader.parse_number, 0.0
         ),
@@ -166,11 +157,11 @@
     return settings
 
 
-_NOWHERE = Address("", 0)
+_UNSET = Address("", 0)
 
 
-def _split(text: str) -> dict[str, str]:
-    """Returns the values by name; `bounds` holds names of its own."""
+def _split_lines(text: str) -> dict[str, str]:
+    """Returns the values by name; those within `bounds` as `bounds.NAME`."""
     values: dict[str, str] = {}
     for line in text.splitlines():
         name, _, value = line.partition("=")
@@ -178,8 +169,8 @@
             values[name.strip()] = value.strip()
             continue
         for bound in value.split(","):
-            bound_name, _, figure = bound.partition("=")
-            values[f"bounds.{bound_name.strip()}"] = figure.strip()
+            bound_name, _, bound_value = bound.partition("=")
+            values[f"bounds.{bound_name.strip()}"] = bound_value.strip()
     return values
 
 
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -42,13 +42,13 @@
 
 class HeartbeatTest(unittest.TestCase):
     def test_a_whole_heartbeat(self) -> None:
-        found = endpoints.read_heartbeat("i-1", _FIELDS)
+        found = endpoints.parse_heartbeat("i-1", _FIELDS)
         self.assertEqual(found.started_ms, 1_700_000_000_000)
 
     def test_the_start_may_be_left_out(self) -> None:
         fields = {**_FIELDS}
         del fields["born"]
-        self.assertEqual(endpoints.read_heartbeat("i-1", fields).started_ms, 0)
+        self.assertEqual(endpoints.parse_heartbeat("i-1", fields).started_ms, 0)
 
     @hypothesis.given(strategies.sampled_from(_READ), _ODD)
     def test_no_field_of_another_kind_is_taken_in(
@@ -57,14 +57,14 @@
         if name == "service" and value in ("lost", "10.0.0.1", "1"):
             return  # A name like any other; whether it is known comes later.
         with self.assertRaises(errors.InvalidInputError):
-            endpoints.read_heartbeat("i-1", {**_FIELDS, name: value})
+            endpoints.parse_heartbeat("i-1", {**_FIELDS, name: value})
 
     @hypothesis.given(strategies.sampled_from(_READ))
     def test_no_field_may_be_missing(self, name: str) -> None:
         fields = {**_FIELDS}
         del fields[name]
         with self.assertRaises(errors.InvalidInputError):
-            endpoints.read_heartbeat("i-1", fields)
+            endpoints.parse_heartbeat("i-1", fields)
 
     @hypothesis.given(
         _ODD.filter(lambda value: value is not None)
@@ -73,16 +73,16 @@
     )
     def test_a_start_that_is_no_whole_number(self, value: Any) -> None:
         with self.assertRaises(errors.InvalidInputError):
-            endpoints.read_heartbeat("i-1", {**_FIELDS, "born": value})
+            endpoints.parse_heartbeat("i-1", {**_FIELDS, "born": value})
         with self.assertRaises((errors.InvalidInputError, ValueError)):
-            endpoints.read_leave(json.dumps({"born": value}).encode())
+            endpoints.parse_leave(json.dumps({"born": value}).encode())
 
     @hypothesis.given(strategies.binary())
     def test_any_bytes_of_a_leave_are_read_or_refused(
         self, body: bytes
     ) -> None:
         with contextlib.suppress(errors.InvalidInputError, ValueError):
-            self.assertGreaterEqual(endpoints.read_leave(body), 0)
+            self.assertGreaterEqual(endpoints.parse_leave(body), 0)
 
 
 class ForeignHeartbeatTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -162,7 +162,7 @@
         waiting = asyncio.ensure_future(anext(watch))
         while "watch" not in self.standin.calls:
             await asyncio.sleep(0)
-        await self.standin.write(stores.OWN_PREFIX + "head", b"2")
+        await self.standin.write(stores.PRODUCT_PREFIX + "head", b"2")
         self.assertEqual((await asyncio.wait_for(waiting, 5)).value, b"2")
         self.assertEqual(self.standin.calls["range"], before["range"])
         assert isinstance(watch, AsyncGenerator)
@@ -181,7 +181,7 @@
         # The watch was under way with an earlier answer meanwhile.
         for number in range(1, 6):
             await self.standin.write(
-                stores.OWN_PREFIX + "head", str(number).encode()
+                stores.PRODUCT_PREFIX + "head", str(number).encode()
             )
         async with asyncio.timeout(5):
             self.assertEqual((await anext(watch)).value, b"5")
@@ -219,15 +219,15 @@
         daemon that starts would find another one until it is gone.
         """
         own = {
-            "key": stores.OWN_PREFIX + "seeds/noord",
+            "key": stores.PRODUCT_PREFIX + "seeds/noord",
             "value": "bm9kZS0x",
             "revision": 4,
         }
-        found = stores.read_items([*foreign, own])
+        found = stores.parse_entries([*foreign, own])
         self.assertEqual(found[-1].value, b"node-1")
 
     def test_a_value_that_cannot_be_read_can_be_written_anew(self) -> None:
         item = {"key": "merlintrestle/seeds/noord", "value": "?", "revision": 4}
         self.assertEqual(
-            stores.read_items([item]), [client.Entry("seeds/noord", b"", 4)]
+            stores.parse_entries([item]), [client.Entry("seeds/noord", b"", 4)]
         )
