--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the users' platform."""
+"""Tests for the adapter to the users' platform."""
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the adapter to the platform."""
+"""Builders of test data for the platform adapter."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def build_text(**changes: str | None) -> str:
-    """Builds the text of a settings file; None leaves a name out."""
+    """Builds the text of a settings file; a value of None omits the setting."""
     values = {**SETTINGS, **changes}
     return "".join(
         f"{name}={value}\n"
@@ -47,21 +47,21 @@
 
 
 def build_settings(**changes: Any) -> settings_lib.Settings:
-    """Builds settings whose ports are free ones."""
+    """Builds settings with free ports."""
     settings = settings_lib.parse_settings(build_text())
-    free = settings_lib.Address("127.0.0.1", 0)
+    free_address = settings_lib.Address("127.0.0.1", 0)
     settings = settings._replace(
-        callers=free,
-        peers=free,
-        readiness=free,
-        announcements=free,
+        callers=free_address,
+        peers=free_address,
+        readiness=free_address,
+        announcements=free_address,
         first_port=0,
     )
     return settings._replace(**changes)
 
 
 def build_route(name: str, **changes: Any) -> dict[str, Any]:
-    """Builds a route as the operators write it."""
+    """Builds a route in the operators' format."""
     route = {
         "name": name,
         "host": "desk.example",
@@ -79,15 +79,15 @@
 def build_configuration(
     version: int, *routes: dict[str, Any], **changes: Any
 ) -> bytes:
-    """Builds a configuration of the services balie and kassa."""
+    """Builds a configuration with the services balie and kassa."""
     services = [
         {"name": name, "healthPath": "/health", "maxConnections": 130}
         for name in ("balie", "kassa")
     ]
     configuration = {
         "version": f"{version:08x}",
-        "routes": _tabulate(routes or (build_route("tickets"),)),
-        "services": _tabulate(services),
+        "routes": _build_table(routes or (build_route("tickets"),)),
+        "services": _build_table(services),
         "limits": {
             "maxHeaderBytes": 16384,
             "maxBodyBytes": 67108864,
@@ -99,7 +99,7 @@
 
 
 def build_large_configuration(version: int) -> bytes:
-    """Builds a configuration of a thousand routes."""
+    """Builds a configuration with a thousand routes."""
     routes = [build_route(f"r{number}") for number in range(1000)]
     return build_configuration(version, *routes)
 
@@ -107,17 +107,17 @@
 def load_configuration(
     value: bytes,
     version: int = 1,
-    before: snapshots.Snapshot | None = None,
+    previous: snapshots.Snapshot | None = None,
 ) -> snapshots.Snapshot:
-    """Loads a configuration as a version, after the one before if given."""
+    """Loads a configuration as a version that follows another."""
     resources = configuration_lib.build_resources(json.loads(value))
-    return loading.load_snapshot(version, resources, before)
+    return loading.load_snapshot(version, resources, previous)
 
 
 async def start_store(
     case: unittest.IsolatedAsyncioTestCase,
 ) -> tuple[platform_store.PlatformStoreStandin, stores.PlatformStore]:
-    """Starts a store and a client of it that are closed after the test."""
+    """Starts a store and its client; both are closed after the test."""
     standin = platform_store.PlatformStoreStandin()
     await standin.start()
     case.addAsyncCleanup(standin.close)
@@ -127,7 +127,7 @@
     return standin, store
 
 
-def _tabulate(rows: Any) -> dict[str, Any]:
+def _build_table(rows: Any) -> dict[str, Any]:
     columns = list(dict.fromkeys(name for row in rows for name in row))
     return {
         "columns": columns,
--- a/tests/platform/fleets.py
+++ b/tests/platform/fleets.py
@@ -1,4 +1,4 @@
-"""A small fleet on a stand-in of the platform, in one process."""
+"""Fleet in one process, on stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 
 
 class Daemon(service.PlatformDaemon):
-    """A daemon whose ports the test can ask for."""
+    """Daemon whose addresses and state are accessible to tests."""
 
     @property
     def url(self) -> str:
-        """Where callers send requests."""
+        """URL to which callers send requests."""
         return f"http://127.0.0.1:{self._proxy.caller_port}"
 
     @property
-    def control(self) -> str:
-        """Where the backend server sends heartbeats, "ip:port"."""
+    def heartbeat_address(self) -> str:
+        """Address to which the backend server sends heartbeats, "ip:port"."""
         return str(self._endpoints.announcements)
 
     @property
     def ready_url(self) -> str:
-        """Where the platform asks whether it serves."""
+        """URL at which the platform checks readiness."""
         return f"http://{self._endpoints.readiness}/merlintrestle/ready"
 
     def skip_farewell(self) -> None:
-        """Has a stop not wait until callers have moved."""
+        """Makes a stop skip the wait for callers to leave."""
         self._settings.farewell_s = 0
 
     @property
     def version(self) -> int:
-        """The version that runs."""
+        """Running version of the configuration."""
         return self._active_version.version
 
     def count_upstreams(self, name: str) -> int:
-        """Returns how many upstreams of a service it knows."""
+        """Returns the number of known upstreams of a service."""
         return len(self._table.get_upstreams(name))
 
 
 class Fleet(contextlib.AsyncExitStack):
-    """A store, and daemons with a backend server each.
+    """A store, daemons, and one backend server for each daemon.
 
     Attributes:
-        store: The stand-in of the store.
-        daemons: The daemons.
-        backends: Their backend servers, in the same order.
-        client: Sends requests, each over a new connection.
-        expose_share: Part of the calls that a bad version may get.
+        store: Stand-in for the store.
+        daemons: Daemons.
+        backends: Backend servers of the daemons, in the same order.
+        client: HTTP client that uses a new connection for each request.
+        expose_share: Share of the calls that a bad version may get.
     """
 
     expose_share = 0.5
@@ -70,7 +70,7 @@
         self._attempts = 0
 
     async def start(self, *services: str, configuration: bytes = b"") -> None:
-        """Starts one daemon for each service named."""
+        """Starts the store and one daemon for each of the services."""
         await self.store.start()
         self.push_async_callback(self.store.close)
         await self.store.write(
@@ -80,20 +80,20 @@
         await self.start_daemons(*services)
 
     async def start_daemons(self, *services: str) -> None:
-        """Starts the daemons alone; the store runs already."""
+        """Starts only the daemons; the store must be running."""
         self.client = await self.enter_async_context(
             aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(force_close=True)
             )
         )
         for name in services:
-            await self.add(name)
-        await self.meet(services)
+            await self.add_daemon(name)
+        await self.wait_until_discovered(services)
 
-    async def add(
-        self, name: str, announced: bool = True, version: str = "v1"
+    async def add_daemon(
+        self, name: str, with_heartbeat: bool = True, version: str = "v1"
     ) -> None:
-        """Adds a daemon with a backend server, which may announce itself."""
+        """Adds a daemon with a backend server, which may send a heartbeat."""
         host, _, port = self.store.address.rpartition(":")
         backend = platform_backend.PlatformBackendStandin(name, version=version)
         await backend.start()
@@ -111,11 +111,11 @@
         daemon.skip_farewell()
         self.daemons.append(daemon)
         self.backends.append(backend)
-        if announced:
-            assert await backend.send_heartbeat(daemon.control) == 200
+        if with_heartbeat:
+            assert await backend.send_heartbeat(daemon.heartbeat_address) == 200
 
-    async def meet(self, services: tuple[str, ...]) -> None:
-        """Waits until every daemon knows every upstream."""
+    async def wait_until_discovered(self, services: tuple[str, ...]) -> None:
+        """Waits until every daemon knows all upstreams of the services."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             for daemon in self.daemons:
                 for name in set(services):
@@ -124,14 +124,14 @@
 
     async def send(
         self,
-        number: int = 0,
+        index: int = 0,
         path: str = "/tickets/1",
         method: str = "GET",
         deadline_ms: int = 1000,
         host: str = "desk.example",
         **options: Any,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Sends a request to a daemon; returns status, headers and body."""
+        """Sends a request to a daemon; returns the status, headers and body."""
         self._attempts += 1
         headers = {
             "Host": host,
@@ -140,8 +140,12 @@
         }
         async with self.client.request(
             method,
-            self.daemons[number].url + path,
+            self.daemons[index].url + path,
             headers={**headers, **options.pop("headers", {})},
             **options,
-        ) as answer:
-            return answer.status, dict(answer.headers), await answer.read()
+        ) as response:
+            return (
+                response.status,
+                dict(response.headers),
+                await response.read(),
+            )
--- a/tests/platform/processes.py
+++ b/tests/platform/processes.py
@@ -1,4 +1,4 @@
-"""A fleet on the platform whose daemons are processes of their own."""
+"""Fleet on the platform whose daemons are separate processes."""
 
 from __future__ import annotations
 
@@ -29,58 +29,58 @@
 _ROOT = pathlib.Path(__file__).parents[2]
 
 
-def _find_port() -> int:
-    """Returns a port whose next one is free on the loopback address.
+def _choose_port() -> int:
+    """Returns a port whose successor is free on the loopback address.
 
-    A daemon opens its own loopback port there, whatever its address is. It is
-    none that the operating system gives to connections: one of them could have
-    it while the daemon is restarted.
+    A daemon opens its loopback port there, whatever its own address is. The
+    port is not an ephemeral port of the operating system: otherwise a
+    connection could occupy it while the daemon restarts.
     """
     while True:
         port = secrets.choice(_INTERNAL_PORTS)
-        with socket.socket() as free, contextlib.suppress(OSError):
-            free.bind(("127.0.0.1", port + 1))
+        with socket.socket() as probe, contextlib.suppress(OSError):
+            probe.bind(("127.0.0.1", port + 1))
             return port
 
 
 class DaemonProcess:
-    """A daemon as the platform starts it, and the backend server beside it.
+    """A daemon as started by the platform, and its backend server.
 
     Attributes:
-        backend: The backend server.
-        lines: What the process wrote to standard output, over all its lives.
+        backend: Local backend server of the daemon.
+        lines: JSON lines on standard output, of all runs of the process.
     """
 
     def __init__(
         self, service: str, address: str, store: str, folder: pathlib.Path
     ):
-        """Sets where it listens; nothing is opened before `start`."""
+        """Sets the addresses; `start` opens all resources."""
         self.backend = platform_backend.PlatformBackendStandin(service)
         self.lines: list[dict[str, Any]] = []
         self._address = address
-        self._internal_port = _find_port()
+        self._internal_port = _choose_port()
         self._store = store
         self._path = folder / f"{address}.conf"
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._output_reader: asyncio.Task[None] | None = None
 
     @property
     def url(self) -> str:
-        """Where callers send requests."""
+        """URL to which callers send requests."""
         return f"http://{self._address}:8629"
 
     @property
-    def control(self) -> str:
-        """Where the backend server sends heartbeats, "ip:port"."""
+    def heartbeat_address(self) -> str:
+        """Address to which the backend server sends heartbeats, "ip:port"."""
         return f"{self._address}:8620"
 
     @property
     def ready_url(self) -> str:
-        """Where the platform asks whether it serves."""
+        """URL at which the platform checks readiness."""
         return f"http://{self._address}:8625/merlintrestle/ready"
 
     async def start(self) -> None:
-        """Starts the process with the settings file as it is now."""
+        """Writes the settings file and starts the process."""
         if not self.backend.port:
             await self.backend.start()
         self.write_settings()
@@ -92,7 +92,9 @@
             env={**os.environ, settings_lib.PATH_VARIABLE: str(self._path)},
             stdout=asyncio.subprocess.PIPE,
         )
-        self._reading = asyncio.create_task(self._read(self._process))
+        self._output_reader = asyncio.create_task(
+            self._read_output(self._process)
+        )
 
     def write_settings(self, **changes: str) -> None:
         """Writes the settings file."""
@@ -116,44 +118,44 @@
         )
         self._path.write_text(text)
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Sends a signal to the process."""
         assert self._process is not None
-        self._process.send_signal(number)
+        self._process.send_signal(signal_number)
 
     async def wait(self) -> int:
-        """Waits until the process has ended; returns its exit status."""
+        """Waits for the process to end; returns its exit status."""
         assert self._process is not None
-        assert self._reading is not None
-        await self._reading
+        assert self._output_reader is not None
+        await self._output_reader
         return await self._process.wait()
 
     async def close(self) -> None:
-        """Kills the process if it still runs, and ends the backend server."""
+        """Kills the process if it is running, and stops the backend server."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self.wait()
         await self.backend.close()
 
     def list_events(self) -> list[str]:
-        """Returns the events that the process logged, in order."""
+        """Returns the logged events, in order."""
         return [line["event"] for line in self.lines if "event" in line]
 
-    async def _read(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_output(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
         async for line in process.stdout:
             self.lines.append(json.loads(line))
 
 
 class ProcessFleet(contextlib.AsyncExitStack):
-    """A store, and daemons that are processes of their own.
+    """A store, and daemons that are separate processes.
 
-    Each daemon has an address of its own on loopback, so that all may use the
-    same ports, as on the platform.
+    Each daemon has its own loopback address, so that all can use the same
+    ports, as on the platform.
 
     Attributes:
-        store: The stand-in of the store.
-        daemons: The daemons.
+        store: Stand-in for the store.
+        daemons: Daemons.
     """
 
     def __init__(self) -> None:
@@ -163,7 +165,7 @@
         self._attempts = 0
 
     async def start(self, *services: str) -> None:
-        """Starts one daemon for each service named, and has them meet."""
+        """Starts the store and one ready daemon for each of the services."""
         await self.store.start()
         self.push_async_callback(self.store.close)
         await self.store.write(
@@ -185,41 +187,44 @@
             await daemon.start()
         for daemon in self.daemons:
             await self.wait_until_ready(daemon)
-            assert await daemon.backend.send_heartbeat(daemon.control) == 200
+            assert (
+                await daemon.backend.send_heartbeat(daemon.heartbeat_address)
+                == 200
+            )
 
     async def wait_until_ready(
         self, daemon: DaemonProcess, status: int = 200
     ) -> None:
-        """Waits until a daemon says that callers may come, or may not."""
-        while await self._ask_ready(daemon) != status:
+        """Waits until the readiness endpoint of a daemon returns a status."""
+        while await self._query_readiness(daemon) != status:
             await asyncio.sleep(0.05)
 
     async def wait_until_served(
-        self, number: int, path: str = "/tickets/1"
+        self, index: int, path: str = "/tickets/1"
     ) -> None:
-        """Waits until a daemon serves a request, which callers may retry."""
-        while await self.send(number, path) != 200:
+        """Repeats a request, which must be idempotent, until it is served."""
+        while await self.send(index, path) != 200:
             await asyncio.sleep(0.05)
 
-    async def send(self, number: int, path: str = "/tickets/1") -> int:
-        """Sends a request to a daemon; returns its status, 0 for none."""
+    async def send(self, index: int, path: str = "/tickets/1") -> int:
+        """Sends a request to a daemon; returns the status, 0 on failure."""
         self._attempts += 1
         headers = {
             "Host": "desk.example",
             "X-Attempt-Id": f"a{self._attempts}",
             "X-Deadline-Ms": "5000",
         }
-        url = self.daemons[number].url + path
+        url = self.daemons[index].url + path
         try:
-            async with self._client.get(url, headers=headers) as answer:
-                await answer.read()
-                return answer.status
+            async with self._client.get(url, headers=headers) as response:
+                await response.read()
+                return response.status
         except aiohttp.ClientError:
             return 0
 
-    async def _ask_ready(self, daemon: DaemonProcess) -> int:
+    async def _query_readiness(self, daemon: DaemonProcess) -> int:
         try:
-            async with self._client.get(daemon.ready_url) as answer:
-                return answer.status
+            async with self._client.get(daemon.ready_url) as response:
+                return response.status
         except aiohttp.ClientError:
             return 0
--- a/tests/platform/soaking.py
+++ b/tests/platform/soaking.py
@@ -1,7 +1,7 @@
-"""A soak: callers on open connections while daemons stop, start and change.
+"""Soak test with open caller connections during planned work on daemons.
 
-`python -m tests.platform.soaking --count 50` plays many seeds one after the
-other; CI plays a few.
+`python -m tests.platform.soaking --count 50` runs many seeds one after the
+other; CI runs a few.
 """
 
 from __future__ import annotations
@@ -29,40 +29,41 @@
 _SERVICES = ("balie", "kassa", "balie", "kassa")
 _CALLERS_PER_DAEMON = 4
 _HEARTBEAT_S = 0.5
-# Time in which planned work begins, in seconds, and how much of it.
-_LENGTH_S = 8.0
-_ACTIONS = 7
+# Period in which the planned work starts.
+_START_PERIOD_S = 8.0
+_ACTION_COUNT = 7
 _DEADLINE_MS = 5000
-# Routes give a call so much at the least and at the most, in ms.
-_TIMEOUTS_MS = (2000, 4500)
-# Work of a backend server lasts so long at the most, in ms: well within that.
-_MOST_WORK_MS = 600
+# Minimum and maximum timeout of a route.
+_TIMEOUT_RANGE_MS = (2000, 4500)
+# Well within the minimum timeout of a route.
+_MAX_WORK_MS = 600
 _REFUSED = (429, 503)
-# A caller that was refused waits no longer than this, in seconds.
-_PAUSE_S = 0.2
+# Maximum wait of a refused caller before its next call.
+_RETRY_DELAY_S = 0.2
 
 
-class Sent(NamedTuple):
-    """A request that a caller sent.
+class Request(NamedTuple):
+    """A request sent by a caller.
 
     Attributes:
-        attempt: Its id.
-        method: HTTP method; POST may run once at most.
-        began: When it was sent, in seconds.
+        attempt_id: Id of the attempt.
+        method: HTTP method; POST requests must run at most once.
+        started_s: Time when it was sent, in seconds of the monotonic clock.
     """
 
-    attempt: str
+    attempt_id: str
     method: str
-    began: float
+    started_s: float
 
 
 @dataclasses.dataclass
 class Findings:
-    """What callers got.
+    """Results of the callers.
 
     Attributes:
-        counts: Answers by status; "gone" for a connection that is refused.
-        faults: What must not happen, in words.
+        counts: Number of responses by status; "gone" if the connection was
+            refused, "broken" if it ended without a response.
+        faults: Descriptions of results that must not occur.
     """
 
     counts: collections.Counter[str] = dataclasses.field(
@@ -72,49 +73,50 @@
 
 
 class Soak:
-    """Four daemons, two beside each service, and callers at each of them.
+    """Four daemons, two for each service, with callers at each daemon.
 
     All work is planned: stops, restarts, changes of the configuration and of
-    the settings, in series and overlapping; the store may be away meanwhile.
+    the settings, in series and overlapping. Meanwhile, the store may be
+    unavailable.
     """
 
     def __init__(self, seed: int):
-        """Sets the seed of what happens when."""
-        self._chance = random.Random(seed)
+        """Sets the seed of the random generator."""
+        self._random = random.Random(seed)
         self.findings = Findings()
         self._fleet = processes.ProcessFleet()
         self._version = 5
         self._attempts = 0
-        self._over = asyncio.Event()
+        self._ended = asyncio.Event()
         self._stopping: set[int] = set()
         self._actions: dict[str, Callable[[], Awaitable[None]]] = {
             "stop": self._stop,
-            "stop in a row": self._stop_in_a_row,
+            "stop in a row": self._stop_repeatedly,
             "configure": self._configure,
             "reload": self._reload,
             "lose store": self._lose_store,
         }
 
     async def run(self) -> Findings:
-        """Plays the whole soak."""
+        """Runs the whole soak test."""
         async with asyncio.timeout(processes.TEST_TIMEOUT_S), self._fleet:
             await self._fleet.start(*_SERVICES)
             for daemon in self._fleet.daemons:
                 daemon.backend.handler = self._build_handler(daemon)
             await self._configure()
-            for number in range(len(_SERVICES)):
-                await self._fleet.wait_until_served(number, "/checks/1")
+            for index in range(len(_SERVICES)):
+                await self._fleet.wait_until_served(index, "/checks/1")
             async with asyncio.TaskGroup() as group:
-                beating = group.create_task(self._beat())
+                heartbeats = group.create_task(self._send_heartbeats())
                 callers = [
-                    group.create_task(self._call(number))
-                    for number in range(len(_SERVICES))
+                    group.create_task(self._send_calls(index))
+                    for index in range(len(_SERVICES))
                     for _ in range(_CALLERS_PER_DAEMON)
                 ]
-                await self._disturb()
-                self._over.set()
+                await self._run_actions()
+                self._ended.set()
                 await asyncio.wait(callers)
-                beating.cancel()
+                heartbeats.cancel()
         self._check_runs()
         return self.findings
 
@@ -122,82 +124,92 @@
         self, daemon: processes.DaemonProcess
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         async def work(request: web.Request) -> web.StreamResponse:
-            """Works for the time in the path; some work makes a call."""
+            """Works for the time in the path; some requests make a call."""
             await request.read()
             await asyncio.sleep(int(request.path.rsplit("/", 1)[1]) / 1000)
             if request.path.startswith("/nested/"):
-                await self._check(daemon, request)
+                await self._send_nested_call(daemon, request)
             return await daemon.backend.answer(request)
 
         return work
 
-    async def _check(
+    async def _send_nested_call(
         self, daemon: processes.DaemonProcess, request: web.Request
     ) -> None:
-        """Makes the call of some work by way of the daemon beside it."""
-        sent = self._take("GET")
-        headers = _build_headers(sent)
+        """Sends a nested call through the local daemon."""
+        nested_request = self._create_request("GET")
+        headers = _build_headers(nested_request)
         headers["X-Deadline-Ms"] = request.headers["X-Deadline-Ms"]
         try:
             async with (
                 aiohttp.ClientSession() as session,
                 session.get(
                     f"{daemon.url}/checks/10", headers=headers
-                ) as answer,
+                ) as response,
             ):
-                text = await answer.text()
+                text = await response.text()
         except aiohttp.ClientError as error:
-            self._note(sent, f"call of work in flight: {error!r}")
+            self._add_fault(
+                nested_request, f"call of work in flight: {error!r}"
+            )
             return
         if "stopping" in text:
-            self._note(sent, f"call of work in flight: {text.strip()}")
+            self._add_fault(
+                nested_request, f"call of work in flight: {text.strip()}"
+            )
 
-    async def _call(self, number: int) -> None:
-        """Calls over an open connection until the soak is over."""
+    async def _send_calls(self, index: int) -> None:
+        """Sends calls over an open connection until the soak test ends."""
         connector = aiohttp.TCPConnector(limit=1)
         async with aiohttp.ClientSession(connector=connector) as session:
-            # Sent again by the library, a request that was lost would not show.
+            # If the library retried requests, a lost one would not be detected.
             session._retry_connection = False
-            while not self._over.is_set():
-                await self._call_once(session, number)
+            while not self._ended.is_set():
+                await self._send_call(session, index)
 
-    async def _call_once(
-        self, session: aiohttp.ClientSession, number: int
+    async def _send_call(
+        self, session: aiohttp.ClientSession, index: int
     ) -> None:
-        name = self._chance.choice(("tickets", "nested", "payouts"))
-        work_ms = self._chance.randrange(_MOST_WORK_MS)
-        sent = self._take("POST" if name == "payouts" else "GET")
-        url = f"{self._fleet.daemons[number].url}/{name}/{work_ms}"
+        name = self._random.choice(("tickets", "nested", "payouts"))
+        work_ms = self._random.randrange(_MAX_WORK_MS)
+        request = self._create_request("POST" if name == "payouts" else "GET")
+        url = f"{self._fleet.daemons[index].url}/{name}/{work_ms}"
         try:
             async with session.request(
-                sent.method, url, headers=_build_headers(sent)
-            ) as answer:
-                await answer.read()
+                request.method, url, headers=_build_headers(request)
+            ) as response:
+                await response.read()
         except aiohttp.ClientConnectorError:
             self.findings.counts["gone"] += 1
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
             return
         except aiohttp.ClientError as error:
             self.findings.counts["broken"] += 1
-            if self._has_run(sent):
-                self._note(sent, f"ran, and its connection ended: {error!r}")
+            if self._has_run(request):
+                self._add_fault(
+                    request, f"ran, and its connection ended: {error!r}"
+                )
             return
-        self._judge(sent, answer)
-        if answer.status in _REFUSED:
-            await asyncio.sleep(_PAUSE_S)
+        self._check_response(request, response)
+        if response.status in _REFUSED:
+            await asyncio.sleep(_RETRY_DELAY_S)
 
-    def _judge(self, sent: Sent, answer: aiohttp.ClientResponse) -> None:
-        status = answer.status
+    def _check_response(
+        self, request: Request, response: aiohttp.ClientResponse
+    ) -> None:
+        status = response.status
         self.findings.counts[str(status)] += 1
-        took_ms = (time.monotonic() - sent.began) * 1000
+        elapsed_ms = (time.monotonic() - request.started_s) * 1000
         if status == 200:
-            if "X-Response-Signature" not in answer.headers:
-                self._note(sent, "answered 200 without a signature")
+            if "X-Response-Signature" not in response.headers:
+                self._add_fault(request, "answered 200 without a signature")
         elif status in _REFUSED:
-            if sent.method == "POST" and self._has_run(sent):
-                self._note(sent, f"ran, and was refused with {status}")
-        elif took_ms < _TIMEOUTS_MS[0]:
-            self._note(sent, f"answered {status} after {took_ms:.0f} ms")
+            if request.method == "POST" and self._has_run(request):
+                self._add_fault(request, f"ran, and was refused with {status}")
+        elif elapsed_ms < _TIMEOUT_RANGE_MS[0]:
+            self._add_fault(
+                request, f"answered {status} after {elapsed_ms:.0f} ms"
+            )
 
     def _check_runs(self) -> None:
         runs = collections.Counter(
@@ -211,42 +223,45 @@
             if count > 1 and attempt.startswith("POST")
         )
 
-    async def _disturb(self) -> None:
-        """Begins planned work at random times, some of it at once."""
-        starts = sorted(
-            self._chance.uniform(0, _LENGTH_S) for _ in range(_ACTIONS)
+    async def _run_actions(self) -> None:
+        """Starts planned work at random times, some of it concurrently."""
+        start_times_s = sorted(
+            self._random.uniform(0, _START_PERIOD_S)
+            for _ in range(_ACTION_COUNT)
         )
-        began = time.monotonic()
+        started_s = time.monotonic()
         async with asyncio.TaskGroup() as group:
-            for start in starts:
-                name = self._chance.choice(tuple(self._actions))
-                await asyncio.sleep(max(0.0, began + start - time.monotonic()))
+            for start_s in start_times_s:
+                name = self._random.choice(tuple(self._actions))
+                await asyncio.sleep(
+                    max(0.0, started_s + start_s - time.monotonic())
+                )
                 group.create_task(_run(self._actions[name]))
 
     async def _stop(self) -> None:
-        """Stops and starts one daemon, unless one beside its service stops."""
-        number = self._chance.randrange(len(_SERVICES))
-        beside = (number + 2) % len(_SERVICES)
-        if self._stopping & {number, beside}:
+        """Restarts a daemon unless either daemon of its service is stopping."""
+        index = self._random.randrange(len(_SERVICES))
+        peer_index = (index + 2) % len(_SERVICES)
+        if self._stopping & {index, peer_index}:
             return
-        self._stopping.add(number)
-        daemon = self._fleet.daemons[number]
+        self._stopping.add(index)
+        daemon = self._fleet.daemons[index]
         daemon.send_signal(signal.SIGTERM)
         status = await daemon.wait()
         if status:
-            self.findings.faults.append(f"daemon {number} ended by {status}")
+            self.findings.faults.append(f"daemon {index} ended by {status}")
         await daemon.start()
         await self._fleet.wait_until_ready(daemon)
-        self._stopping.discard(number)
+        self._stopping.discard(index)
 
-    async def _stop_in_a_row(self) -> None:
+    async def _stop_repeatedly(self) -> None:
         for _ in range(2):
             await self._stop()
 
     async def _configure(self) -> None:
-        """Gives the routes other timeouts."""
+        """Changes the timeouts of the routes."""
         self._version += 1
-        timeouts = [self._chance.randint(*_TIMEOUTS_MS) for _ in range(4)]
+        timeouts = [self._random.randint(*_TIMEOUT_RANGE_MS) for _ in range(4)]
         routes = (
             builders.build_route("tickets", timeoutMs=timeouts[0]),
             builders.build_route("nested", timeoutMs=timeouts[1]),
@@ -267,47 +282,50 @@
         )
 
     async def _reload(self) -> None:
-        number = self._chance.randrange(len(_SERVICES))
-        if number not in self._stopping:
-            daemon = self._fleet.daemons[number]
+        index = self._random.randrange(len(_SERVICES))
+        if index not in self._stopping:
+            daemon = self._fleet.daemons[index]
             daemon.write_settings(
-                heartbeatMs=str(self._chance.randint(500, 2000))
+                heartbeatMs=str(self._random.randint(500, 2000))
             )
             daemon.send_signal(signal.SIGHUP)
 
     async def _lose_store(self) -> None:
         self._fleet.store.faults.status = 503
-        await asyncio.sleep(self._chance.uniform(0.2, 1.5))
+        await asyncio.sleep(self._random.uniform(0.2, 1.5))
         self._fleet.store.faults.status = 0
 
-    async def _beat(self) -> None:
-        """Sends heartbeats of all backend servers."""
+    async def _send_heartbeats(self) -> None:
+        """Sends the heartbeats of all backend servers."""
         while True:
             for daemon in self._fleet.daemons:
                 try:
-                    await daemon.backend.send_heartbeat(daemon.control)
+                    await daemon.backend.send_heartbeat(
+                        daemon.heartbeat_address
+                    )
                 except (aiohttp.ClientError, TimeoutError):
-                    # It is stopped; it hears the next one.
+                    # The daemon is stopped; it receives a later heartbeat.
                     continue
             await asyncio.sleep(_HEARTBEAT_S)
 
-    def _take(self, method: str) -> Sent:
+    def _create_request(self, method: str) -> Request:
         self._attempts += 1
-        return Sent(f"{method}{self._attempts}", method, time.monotonic())
+        return Request(f"{method}{self._attempts}", method, time.monotonic())
 
-    def _has_run(self, sent: Sent) -> bool:
+    def _has_run(self, request: Request) -> bool:
         return any(
-            sent.attempt in daemon.backend.ran for daemon in self._fleet.daemons
+            request.attempt_id in daemon.backend.ran
+            for daemon in self._fleet.daemons
         )
 
-    def _note(self, sent: Sent, fault: str) -> None:
-        self.findings.faults.append(f"{sent.attempt}: {fault}")
+    def _add_fault(self, request: Request, fault: str) -> None:
+        self.findings.faults.append(f"{request.attempt_id}: {fault}")
 
 
-def _build_headers(sent: Sent) -> dict[str, str]:
+def _build_headers(request: Request) -> dict[str, str]:
     return {
         "Host": "desk.example",
-        "X-Attempt-Id": sent.attempt,
+        "X-Attempt-Id": request.attempt_id,
         "X-Deadline-Ms": str(_DEADLINE_MS),
     }
 
@@ -318,9 +336,11 @@
 
 @click.command()
 @click.option("--first", default=1, show_default=True, help="First seed.")
-@click.option("--count", default=50, show_default=True, help="Seeds to play.")
+@click.option(
+    "--count", default=50, show_default=True, help="Number of seeds to run."
+)
 def main(first: int, count: int) -> None:
-    """Plays seeds one after the other; fails if any shows a fault."""
+    """Runs seeds one after the other; fails if any has a fault."""
     failed = 0
     for seed in range(first, first + count):
         findings = asyncio.run(Soak(seed).run())
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' configuration."""
+"""Tests for `merlintrestle.platform.configuration`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ResourcesTest(unittest.TestCase):
-    def test_the_longest_prefix_comes_first(self):
+    def test_the_longest_prefix_is_first(self):
         snapshot = builders.load_configuration(
             builders.build_configuration(
                 1,
@@ -33,7 +33,7 @@
         prefixes = [route.prefix for route in snapshot.hosts["desk.example"]]
         self.assertEqual(prefixes, ["/x/y/", "/x/"])
 
-    def test_a_kind_says_what_may_be_repeated(self):
+    def test_the_kind_determines_repeatability(self):
         expected = {
             "idempotent": True,
             "download": True,
@@ -47,12 +47,12 @@
                 )
                 plan = snapshot.hosts["desk.example"][0].plan
                 self.assertEqual(plan.repeatable, repeatable)
-                # Each has a latency target, so none is judged by progress.
+                # All kinds have a latency target, so progress does not matter.
                 self.assertFalse(plan.large)
                 self.assertEqual(plan.importance, 5)
                 self.assertEqual(plan.max_attempts, 2)
 
-    def test_a_split_has_its_weights(self):
+    def test_a_split_keeps_its_weights(self):
         parts = [
             {"service": "balie", "weight": 90},
             {"service": "kassa", "weight": 10},
@@ -61,17 +61,19 @@
         snapshot = builders.load_configuration(
             builders.build_configuration(1, route)
         )
-        found = snapshot.hosts["desk.example"][0].parts
+        parsed_parts = snapshot.hosts["desk.example"][0].parts
         self.assertEqual(
-            [tuple(part) for part in found], [("balie", 90), ("kassa", 10)]
+            [tuple(part) for part in parsed_parts],
+            [("balie", 90), ("kassa", 10)],
         )
 
-    def test_a_route_to_an_unknown_service_refuses_the_whole(self):
-        """No caller meets a route that leads nowhere.
+    def test_a_route_to_an_unknown_service_invalidates_the_configuration(self):
+        """Guards against routes that lead to no service.
 
-        A configuration names a service that it does not have. Taken in part
-        it would serve the rest and drop one route; it is refused whole, and
-        what ran before goes on.
+        A route of the configuration names a service that is not defined. If
+        the rest were applied, that route would be dropped. The whole
+        configuration is refused instead, and the previous version keeps
+        running.
         """
         value = builders.build_configuration(
             1, builders.build_route("a", service="gone")
@@ -79,7 +81,7 @@
         with self.assertRaises(errors.SnapshotError):
             builders.load_configuration(value)
 
-    def test_malformed_values_are_named(self):
+    def test_errors_name_malformed_values(self):
         for change in (
             {"timeoutMs": "soon"},
             {"kind": "perhaps"},
@@ -93,8 +95,8 @@
                     builders.load_configuration(value)
                 self.assertIn(next(iter(change)), str(caught.exception))
 
-    def test_a_delta_carries_one_changed_route(self):
-        before = builders.load_configuration(
+    def test_a_delta_contains_only_the_changed_route(self):
+        previous = builders.load_configuration(
             builders.build_configuration(
                 1, builders.build_route("a"), builders.build_route("b")
             )
@@ -106,11 +108,13 @@
                 builders.build_route("b", timeoutMs=500),
             ),
             2,
-            before,
+            previous,
         )
-        delta = deltas.make_delta(before, after)
-        self.assertEqual([one.name for one in delta.changed], ["route/b"])
-        applied = deltas.apply_delta(before, delta)
+        delta = deltas.make_delta(previous, after)
+        self.assertEqual(
+            [resource.name for resource in delta.changed], ["route/b"]
+        )
+        applied = deltas.apply_delta(previous, delta)
         self.assertEqual(applied.hosts, after.hosts)
 
 
@@ -119,7 +123,7 @@
         self.standin, self.store = await builders.start_store(self)
         self.source = configuration.ConfigurationSource(self.store)
 
-    async def test_versions_come_in_uneven_steps(self):
+    async def test_version_numbers_may_skip(self):
         await self.write(builders.build_configuration(5))
         versions = []
         async for head in self.source.watch_head():
@@ -131,53 +135,53 @@
         self.assertEqual(versions, [5, 12])
 
     async def write(self, value: bytes) -> None:
-        """Writes a configuration as the operators do."""
+        """Writes a configuration in the role of the operators."""
         await self.standin.write(stores.CONFIGURATION_KEY, value)
 
     async def read(self) -> int:
         async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
             return (await self.source.read_head()).version
 
-    def count_sent(self) -> int:
+    def count_sent_bytes(self) -> int:
         """Returns the bytes that the store has sent so far."""
         return sum(self.standin.sent.values())
 
-    async def test_reads_cost_no_value_while_nothing_changed(self):
-        """Calls on a thin link do not wait behind reads that bring no news.
+    async def test_reads_without_a_change_transfer_no_value(self):
+        """Guards against calls on a slow link that wait behind needless reads.
 
-        Watchers ask every second whether the configuration changed. Each read
-        brought the whole of it, half a second of a link of 0.4 MB/s, and the
-        calls on that link missed their deadlines.
+        Watchers check every second whether the configuration has changed. If
+        each check read the whole value, which occupies a link of 0.4 MB/s for
+        half a second, the calls on that link would miss their deadlines.
         """
         value = builders.build_large_configuration(5)
         await self.write(value)
         await self.read()
-        before = self.count_sent()
+        bytes_before = self.count_sent_bytes()
         for _ in range(10):
             self.assertEqual(await self.read(), 5)
-        self.assertLess(self.count_sent() - before, len(value) / 10)
+        self.assertLess(self.count_sent_bytes() - bytes_before, len(value) / 10)
 
-    async def test_the_write_of_another_key_costs_one_value(self):
-        """Another writer's keys move the store's revision as well.
+    async def test_a_write_of_another_key_transfers_one_value(self):
+        """A write of another key increases the store's revision too.
 
-        Only the value shows that the configuration is not what moved it. It
-        is read once, not with each read from then on.
+        Only a read of the value shows that the configuration has not changed.
+        The value must be read once, not at each later check.
         """
         value = builders.build_large_configuration(5)
         await self.write(value)
         await self.read()
         await self.standin.write("foreign/key", b"x")
-        before = self.count_sent()
+        bytes_before = self.count_sent_bytes()
         for _ in range(10):
             self.assertEqual(await self.read(), 5)
-        self.assertLess(self.count_sent() - before, 2 * len(value))
+        self.assertLess(self.count_sent_bytes() - bytes_before, 2 * len(value))
 
-    async def test_ten_writes_of_other_keys_cost_one_value(self):
-        """Another writer does not fill the links of the watchers.
+    async def test_ten_writes_of_other_keys_transfer_one_value(self):
+        """Guards against another writer that fills the links of the watchers.
 
-        It writes between any two reads, so each finds the revision moved.
-        With a value for each, calls on a thin link waited behind them for
-        good, also where a watch was open and would have brought a change.
+        It writes between any two reads, so each read finds a new revision. If
+        each transferred the value, calls on a slow link would wait behind them
+        permanently, even with an open watch that would deliver a change.
         """
         value = builders.build_large_configuration(5)
         await self.write(value)
@@ -186,13 +190,15 @@
             with self.subTest(watched=watched):
                 if watched:
                     await self.open_watch()
-                before = self.count_sent()
+                bytes_before = self.count_sent_bytes()
                 await self.write_others(10)
-                self.assertLess(self.count_sent() - before, 2 * len(value))
+                self.assertLess(
+                    self.count_sent_bytes() - bytes_before, 2 * len(value)
+                )
 
     async def open_watch(self) -> asyncio.Future[document_pb2.Head]:
-        """Opens a watch; returns what it brings after what stands there."""
-        # Forgotten, it would end as soon as it has brought a version.
+        """Opens a watch; returns a future of the head after the current one."""
+        # Without a reference, the watch would end with its next version.
         self.heads = self.source.watch_head()
         await anext(self.heads)
         return await self.wait_for_watch(self.heads)
@@ -200,7 +206,7 @@
     async def wait_for_watch(
         self, heads: AsyncIterator[document_pb2.Head]
     ) -> asyncio.Future[document_pb2.Head]:
-        """Asks for the next version until the store has the watch."""
+        """Requests the next version; returns once the store has the watch."""
         waiting = asyncio.ensure_future(anext(heads))
         self.addCleanup(waiting.cancel)
         while "watch" not in self.standin.calls:
@@ -208,13 +214,13 @@
         return waiting
 
     async def write_others(self, count: int) -> None:
-        """Writes another key and reads the head, again and again."""
+        """Repeatedly writes another key and reads the head."""
         for number in range(count):
             await self.standin.write(f"foreign/{number}", b"x")
             self.assertEqual(await self.read(), 5)
 
-    async def write_unheard(self) -> None:
-        """Writes version 6, of which no history tells, as others write too."""
+    async def write_without_event(self) -> None:
+        """Writes version 6 without an event, among writes of other keys."""
         await self.write(builders.build_configuration(5))
         await self.read()
         await self.write_others(2)
@@ -222,49 +228,50 @@
         await self.write(builders.build_configuration(6))
 
     async def test_a_change_among_writes_of_other_keys_is_read(self):
-        """A version is in force although others write beside the operators.
+        """Guards against a version that is missed among other writes.
 
-        The reads before found other keys moved alone, so this one asks the
-        history first. It names the change.
+        The previous reads found only changes of other keys, so this one
+        queries the history first, which contains the change.
         """
         await self.write(builders.build_large_configuration(5))
         await self.read()
         await self.write_others(2)
         value = builders.build_large_configuration(6)
-        before = self.count_sent()
+        bytes_before = self.count_sent_bytes()
         await self.write(value)
         await self.standin.write("foreign/key", b"x")
         self.assertEqual(await self.read(), 6)
-        self.assertLess(self.count_sent() - before, 2 * len(value))
+        self.assertLess(self.count_sent_bytes() - bytes_before, 2 * len(value))
 
     async def test_a_change_that_the_history_dropped_is_read(self):
-        """A version is in force although nothing ever told of it.
+        """Guards against a version that is missed because it has no event.
 
-        Others write, so the history is asked. It hears nothing, and then is
-        dropped together with the change: the next question is refused.
+        Other keys are written, so the history is queried. It lacks the change
+        and is then dropped, so the store refuses the next query.
         """
-        await self.write_unheard()
+        await self.write_without_event()
         await self.read()
         await self.standin.compact()
         self.standin.faults.deaf = False
         self.assertEqual(await self.read(), 6)
 
-    async def test_a_history_that_stays_deaf_is_made_up_for(self):
-        """A version is in force although the history is never dropped.
+    async def test_a_change_that_the_history_lacks_is_read(self):
+        """Guards against a version that is missed if the history is kept.
 
-        Others write, so the history is asked, and names no change for good.
-        What rests on it ends a while after the last read of the value.
+        Other keys are written, so the history is queried, which never contains
+        the change. It is trusted only for a limited time after the last read
+        of the value.
         """
-        await self.write_unheard()
+        await self.write_without_event()
         with mock.patch.object(known_revision, "_QUESTIONS_S", 0.0):
             self.assertEqual(await self.read(), 6)
 
-    async def test_a_watch_that_hears_nothing_is_made_up_for(self):
-        """A version is in force in time though the watch is deaf.
+    async def test_a_change_that_a_watch_misses_is_read(self):
+        """Guards against a version that is late because a watch misses it.
 
-        The store tells watches of no change for a while before it drops its
-        history. The read sees that the revision moved, waits for the watch
-        for a moment and then reads for itself.
+        The store sends no events to watches for a while before it drops its
+        history. A read finds a new revision, waits briefly for the watch and
+        then reads the value itself.
         """
         await self.write(builders.build_configuration(5))
         heads = self.source.watch_head()
@@ -275,53 +282,53 @@
         await self.write(builders.build_configuration(6))
         self.assertEqual(await self.read(), 6)
 
-    async def test_what_a_watch_brings_is_not_read_as_well(self):
-        """A change travels once over the link of a watcher, not twice.
+    async def test_a_change_that_a_watch_delivers_is_not_read_again(self):
+        """Guards against transferring a change twice over a watcher's link.
 
-        The read learns of the change while the watch is bringing it.
+        A read detects the change while the watch is delivering it.
         """
         await self.write(builders.build_large_configuration(5))
         waiting = await self.open_watch()
         value = builders.build_large_configuration(6)
-        before = self.count_sent()
+        bytes_before = self.count_sent_bytes()
         await self.write(value)
         self.assertEqual(await self.read(), 6)
         self.assertEqual((await waiting).version, 6)
-        self.assertLess(self.count_sent() - before, 2 * len(value))
+        self.assertLess(self.count_sent_bytes() - bytes_before, 2 * len(value))
 
-    async def test_what_a_watch_is_bringing_is_waited_for(self):
-        """A change travels once, however long its bytes take.
+    async def test_a_read_waits_for_an_arriving_watch_response(self):
+        """Guards against transferring a change twice over a slow link.
 
-        The link is thin, so the answer of the watch has begun to arrive and
-        has not ended when the read has waited its moment.
+        The response of the watch has begun to arrive but is incomplete when
+        the read's wait for the watch ends.
         """
         await self.write(builders.build_large_configuration(5))
         waiting = await self.open_watch()
         self.standin.faults.pause_s = 0.1
         value = builders.build_large_configuration(6)
-        before = self.count_sent()
+        bytes_before = self.count_sent_bytes()
         await self.write(value)
         with mock.patch.object(known_revision, "_WATCH_LEAD_S", 0.1):
             self.assertEqual(await self.read(), 6)
         self.assertEqual((await waiting).version, 6)
-        self.assertLess(self.count_sent() - before, 2 * len(value))
+        self.assertLess(self.count_sent_bytes() - bytes_before, 2 * len(value))
 
-    async def test_a_watch_that_starts_again_reads_no_value(self):
-        """A watch that was cut costs no value while nothing changed.
+    async def test_a_restarted_watch_reads_no_value(self):
+        """Guards against a read of the value each time a watch is interrupted.
 
-        With one, a link that is too full for a read in time stayed full: each
-        read that was given up was followed by the next at once.
+        On a link too full for a read to complete in time, each aborted read
+        would be followed by the next at once and keep the link full.
         """
         await self.write(builders.build_large_configuration(5))
         await self.read()
-        before = self.standin.sent["range"]
+        bytes_before = self.standin.sent["range"]
         heads = self.source.watch_head()
         self.assertEqual((await anext(heads)).version, 5)
         waiting = await self.wait_for_watch(heads)
         waiting.cancel()
-        self.assertLess(self.standin.sent["range"] - before, 1000)
+        self.assertLess(self.standin.sent["range"] - bytes_before, 1000)
 
-    async def test_a_malformed_record_is_an_error_and_not_a_version(self):
+    async def test_a_malformed_record_is_an_error(self):
         await self.write(b"{}")
         with self.assertRaises(errors.SnapshotError):
             await self.source.read_head()
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Heartbeats and entries that another writer may have left."""
+"""Tests for `merlintrestle.platform.endpoints`."""
 
 from __future__ import annotations
 
@@ -26,8 +26,15 @@
     "seq": 4,
     "born": 1_700_000_000_000,
 }
-_READ = ("service", "address", "slots", "state", "coldRemainingMs", "seq")
-_ODD = strategies.one_of(
+_REQUIRED_FIELDS = (
+    "service",
+    "address",
+    "slots",
+    "state",
+    "coldRemainingMs",
+    "seq",
+)
+_INVALID_VALUES = strategies.one_of(
     strategies.none(),
     strategies.booleans(),
     strategies.floats(max_value=-0.5),
@@ -41,44 +48,48 @@
 
 
 class HeartbeatTest(unittest.TestCase):
-    def test_a_whole_heartbeat(self) -> None:
-        found = endpoints.parse_heartbeat("i-1", _FIELDS)
-        self.assertEqual(found.started_ms, 1_700_000_000_000)
+    def test_a_valid_heartbeat(self) -> None:
+        heartbeat = endpoints.parse_heartbeat("i-1", _FIELDS)
+        self.assertEqual(heartbeat.started_ms, 1_700_000_000_000)
 
-    def test_the_start_may_be_left_out(self) -> None:
+    def test_the_start_time_is_optional(self) -> None:
         fields = {**_FIELDS}
         del fields["born"]
         self.assertEqual(endpoints.parse_heartbeat("i-1", fields).started_ms, 0)
 
-    @hypothesis.given(strategies.sampled_from(_READ), _ODD)
-    def test_no_field_of_another_kind_is_taken_in(
+    @hypothesis.given(
+        strategies.sampled_from(_REQUIRED_FIELDS), _INVALID_VALUES
+    )
+    def test_invalid_values_of_fields_are_refused(
         self, name: str, value: Any
     ) -> None:
         if name == "service" and value in ("lost", "10.0.0.1", "1"):
-            return  # A name like any other; whether it is known comes later.
+            return  # Valid names; only a later check needs known ones.
         with self.assertRaises(errors.InvalidInputError):
             endpoints.parse_heartbeat("i-1", {**_FIELDS, name: value})
 
-    @hypothesis.given(strategies.sampled_from(_READ))
-    def test_no_field_may_be_missing(self, name: str) -> None:
+    @hypothesis.given(strategies.sampled_from(_REQUIRED_FIELDS))
+    def test_missing_fields_are_refused(self, name: str) -> None:
         fields = {**_FIELDS}
         del fields[name]
         with self.assertRaises(errors.InvalidInputError):
             endpoints.parse_heartbeat("i-1", fields)
 
     @hypothesis.given(
-        _ODD.filter(lambda value: value is not None)
+        _INVALID_VALUES.filter(lambda value: value is not None)
         | strategies.floats()
         | strategies.text()
     )
-    def test_a_start_that_is_no_whole_number(self, value: Any) -> None:
+    def test_start_times_that_are_not_integers_are_refused(
+        self, value: Any
+    ) -> None:
         with self.assertRaises(errors.InvalidInputError):
             endpoints.parse_heartbeat("i-1", {**_FIELDS, "born": value})
         with self.assertRaises((errors.InvalidInputError, ValueError)):
             endpoints.parse_leave(json.dumps({"born": value}).encode())
 
     @hypothesis.given(strategies.binary())
-    def test_any_bytes_of_a_leave_are_read_or_refused(
+    def test_any_bytes_of_a_leave_are_parsed_or_refused(
         self, body: bytes
     ) -> None:
         with contextlib.suppress(errors.InvalidInputError, ValueError):
@@ -86,30 +97,36 @@
 
 
 class ForeignHeartbeatTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_service_that_nobody_knows(self) -> None:
-        """Callers are served by the backend server that was there before.
+    async def test_a_heartbeat_for_an_unknown_service_is_refused(self) -> None:
+        """Guards against a foreign heartbeat that replaces the backend server.
 
         Another writer sends a heartbeat for a service that neither the
-        settings nor the configuration name. Taken over, it would take the
-        place of the backend server, and its service would have none.
+        settings nor the configuration name. If it were applied, it would
+        replace the local backend server, whose service would have none.
         """
         async with fleets.Fleet() as fleet:
             await fleet.start("balie")
             backend = fleet.backends[0]
             backend.service = "elsewhere"
             backend.instance_id = "i-other"
-            control = fleet.daemons[0].control
-            self.assertEqual(await backend.send_heartbeat(control), 400)
+            heartbeat_address = fleet.daemons[0].heartbeat_address
+            self.assertEqual(
+                await backend.send_heartbeat(heartbeat_address), 400
+            )
             self.assertEqual(fleet.daemons[0].count_upstreams("balie"), 1)
 
-    async def test_bytes_that_are_no_heartbeat(self) -> None:
+    async def test_malformed_bodies_are_refused(self) -> None:
         async with fleets.Fleet() as fleet:
             await fleet.start("balie")
-            base = f"http://{fleet.daemons[0].control}/merlintrestle/"
+            base_url = (
+                f"http://{fleet.daemons[0].heartbeat_address}/merlintrestle/"
+            )
             async with aiohttp.ClientSession() as session:
-                for call in ("Instances.Heartbeat", "Instances.Leave"):
+                for method in ("Instances.Heartbeat", "Instances.Leave"):
                     for body in (b"\xff\xfe{", b"{", b"[1]", b'"x"'):
-                        url = f"{base}{call}/i-9"
-                        async with session.post(url, data=body) as answer:
-                            self.assertEqual(answer.status, 400, (call, body))
+                        url = f"{base_url}{method}/i-9"
+                        async with session.post(url, data=body) as response:
+                            self.assertEqual(
+                                response.status, 400, (method, body)
+                            )
             self.assertEqual((await fleet.send())[0], 200)
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path of a request on the platform."""
+"""Tests for requests on the platform, from the caller to its response."""
 
 from __future__ import annotations
 
@@ -26,20 +26,22 @@
         self.assertEqual(
             headers["X-Response-Signature"], f"sig-{backend.instance_id}"
         )
-        seen = backend.seen[-1]
-        self.assertEqual(seen["X-Attempt-Id"], "a1")
-        self.assertEqual(seen["X-Caller-Service"], "kassa")
-        self.assertEqual(seen["X-Target-Instance"], backend.instance_id)
-        self.assertEqual(seen["Host"], "desk.example")
-        self.assertLessEqual(int(seen["X-Deadline-Ms"]), 1000)
+        received_headers = backend.seen[-1]
+        self.assertEqual(received_headers["X-Attempt-Id"], "a1")
+        self.assertEqual(received_headers["X-Caller-Service"], "kassa")
+        self.assertEqual(
+            received_headers["X-Target-Instance"], backend.instance_id
+        )
+        self.assertEqual(received_headers["Host"], "desk.example")
+        self.assertLessEqual(int(received_headers["X-Deadline-Ms"]), 1000)
 
     async def test_no_route(self):
         await self.fleet.start("balie")
         self.assertEqual((await self.fleet.send(path="/other/"))[0], 404)
         self.assertEqual((await self.fleet.send(host="else.example"))[0], 404)
 
-    async def test_refused_work_is_sent_elsewhere(self):
-        """The caller is served although one backend server is full.
+    async def test_refused_calls_are_retried_at_another_upstream(self):
+        """Guards against failed calls while one of the backend servers is full.
 
         It refuses the request as not run, and another one runs it once.
         """
@@ -55,10 +57,11 @@
         self.assertEqual(self.fleet.backends[1].ran, ["a1"])
 
     async def test_at_most_once(self):
-        """A payout whose answer is lost runs once; its caller is not lied to.
+        """Guards against a payout that is booked twice after a lost answer.
 
         The backend server runs it and the connection ends without an answer.
-        Sent again or called "not run" it would be booked twice.
+        The daemon must neither retry the call nor report it as not run, which
+        would let the caller retry it.
         """
         route = builders.build_route("tickets", kind="non_idempotent")
         await self.fleet.start(
@@ -71,47 +74,54 @@
         status, headers, _ = await self.fleet.send(method="POST", data=b"x")
         self.assertIn(status, (502, 504))
         self.assertNotIn("Retry-After", headers)
-        ran = [one for backend in self.fleet.backends for one in backend.ran]
+        ran = [
+            attempt_id
+            for backend in self.fleet.backends
+            for attempt_id in backend.ran
+        ]
         self.assertEqual(ran, ["a1"])
 
-    async def test_an_answer_without_signature_is_not_passed_on(self):
-        """The caller never takes spoilt bytes for an answer.
+    async def test_unsigned_answers_are_not_passed_on(self):
+        """Guards against corrupt answers that reach the caller.
 
-        A faulty backend server sends a success without its signature. A
-        lookup goes to another one instead.
+        A faulty backend server sends a success status without its signature.
+        An idempotent call is retried at another backend server.
         """
         await self.fleet.start("balie", "balie")
 
-        async def spoil(request: web.Request) -> web.StreamResponse:
+        async def send_unsigned(request: web.Request) -> web.StreamResponse:
             headers = {"X-Attempt-Id": request.headers["X-Attempt-Id"]}
             return web.Response(body=b"junk", headers=headers)
 
-        self.fleet.backends[0].handler = spoil
+        self.fleet.backends[0].handler = send_unsigned
         status, _, body = await self.fleet.send()
         self.assertEqual((status, body), (200, b"whole"))
 
-    async def test_a_late_answer_to_another_request_is_skipped(self):
-        """The caller gets the answer to its own request.
+    async def test_late_answers_to_other_requests_are_skipped(self):
+        """Guards against callers that get the answer to another request.
 
-        The backend server sends a second answer to an earlier request on a
-        kept connection, just where the next answer is expected. It names that
-        request, or none at all.
+        The backend server sends a second answer to an earlier request over a
+        persistent connection, where the next answer is expected. It contains
+        the id of that request, or no id.
         """
         await self.fleet.start("balie")
         backend = self.fleet.backends[0]
-        for name in (b"X-Attempt-Id: a0\r\n", b""):
-            with self.subTest(name=name):
+        for header_line in (b"X-Attempt-Id: a0\r\n", b""):
+            with self.subTest(header_line=header_line):
                 await self.fleet.send()
-                backend.handler = _build_doubled(backend, name)
+                backend.handler = _build_duplicate_answer_handler(
+                    backend, header_line
+                )
                 status, _, body = await self.fleet.send()
                 self.assertEqual((status, body), (200, b"whole"))
                 backend.handler = backend.answer
 
     async def test_a_refusal_status_of_a_run_request_is_not_passed_on(self):
-        """A caller that reads "not run" must be able to rely on it.
+        """Guards against a false "not run" to a caller.
 
-        A backend server answers 503 without saying that it did not run the
-        payout. Passed on, the status would promise just that.
+        A backend server answers 503 without the header that states that the
+        request was not run. If the status were passed on, it would promise
+        that.
         """
         await self.fleet.start("balie")
 
@@ -122,36 +132,41 @@
         self.fleet.backends[0].handler = fail
         self.assertEqual((await self.fleet.send())[0], 502)
 
-    async def test_a_leaving_backend_server_gets_no_new_work(self):
-        """New work goes elsewhere at once, though the leaver still serves.
+    async def test_leaving_backend_servers_get_no_new_calls(self):
+        """Guards against calls to a backend server that is about to stop.
 
-        It says that it leaves without having drained. A late heartbeat from
-        before that must not bring it back.
+        It announces its leave before it has drained, and keeps serving. A
+        late heartbeat from before the leave must not reactivate it.
         """
         await self.fleet.start("balie", "balie")
-        leaver = self.fleet.backends[0]
-        await leaver.leave(self.fleet.daemons[0].control)
-        await leaver.send_heartbeat(self.fleet.daemons[0].control)
-        for number in (0, 1, 0, 1):
-            self.assertEqual((await self.fleet.send(number))[0], 200)
-        self.assertEqual(leaver.ran, [])
+        leaving_backend = self.fleet.backends[0]
+        await leaving_backend.leave(self.fleet.daemons[0].heartbeat_address)
+        await leaving_backend.send_heartbeat(
+            self.fleet.daemons[0].heartbeat_address
+        )
+        for index in (0, 1, 0, 1):
+            self.assertEqual((await self.fleet.send(index))[0], 200)
+        self.assertEqual(leaving_backend.ran, [])
 
     async def test_a_restarted_daemon_knows_its_backend_server(self):
-        """Calls are served before the next heartbeat, which may take seconds.
+        """Guards against refused calls between a restart and a heartbeat.
 
-        A daemon starts beside a backend server that runs on and asks it once.
-        The heartbeat that comes later is news all the same.
+        A daemon starts while its backend server is running and requests its
+        status once, because the next heartbeat may take seconds. That next
+        heartbeat must still be applied.
         """
         await self.fleet.start("kassa")
-        await self.fleet.add("balie", announced=False)
-        await self.fleet.meet(("kassa", "balie"))
+        await self.fleet.add_daemon("balie", with_heartbeat=False)
+        await self.fleet.wait_until_discovered(("kassa", "balie"))
         self.assertEqual((await self.fleet.send())[0], 200)
-        leaver = self.fleet.backends[1]
-        control = self.fleet.daemons[1].control
-        await leaver.send_heartbeat(control, "draining", sequence=0)
+        leaving_backend = self.fleet.backends[1]
+        heartbeat_address = self.fleet.daemons[1].heartbeat_address
+        await leaving_backend.send_heartbeat(
+            heartbeat_address, "draining", sequence=0
+        )
         self.assertEqual((await self.fleet.send(1))[0], 503)
 
-    async def test_a_change_is_in_force(self):
+    async def test_a_change_takes_effect(self):
         await self.fleet.start("balie", "kassa")
         await self.fleet.store.write(
             stores.CONFIGURATION_KEY,
@@ -160,16 +175,17 @@
             ),
         )
         async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
-            while any(one.version != 9 for one in self.fleet.daemons):
+            while any(daemon.version != 9 for daemon in self.fleet.daemons):
                 await asyncio.sleep(0.01)
         self.assertEqual((await self.fleet.send())[0], 200)
         self.assertEqual(len(self.fleet.backends[1].ran), 1)
 
-    async def test_a_change_that_no_watch_hears_of(self):
-        """An accepted version is in force though no watch delivers it.
+    async def test_a_change_that_no_watch_delivers_takes_effect(self):
+        """Guards against an accepted version that no watch delivers.
 
-        The store tells its watches nothing for seconds before it drops its
-        history, while operators go on. Only a read finds the new version.
+        The store sends no events to its watches for seconds before it drops
+        its history, while operators keep writing. Only a read finds the new
+        version.
         """
         await self.fleet.start("balie", "kassa")
         self.fleet.store.faults.deaf = True
@@ -177,20 +193,23 @@
             stores.CONFIGURATION_KEY, builders.build_configuration(9)
         )
         async with asyncio.timeout(10):
-            while any(one.version != 9 for one in self.fleet.daemons):
+            while any(daemon.version != 9 for daemon in self.fleet.daemons):
                 await asyncio.sleep(0.01)
 
-    async def test_an_unframed_answer_stays_unframed(self):
-        """An answer without length never looks more whole than it came.
+    async def test_unframed_answers_stay_unframed(self):
+        """Guards against truncated answers that look complete.
 
-        Its end is the close of the connection, whoever broke it off. Given a
-        length or chunks on its way, half of it would pass for all; and where
-        the backend server's connection was reset, the caller's is as well.
+        An answer without a length ends when its connection is closed, by
+        either end. If the daemon added a length or chunks, half of an answer
+        would appear complete. If the backend server's connection was reset,
+        the caller's connection is reset too.
         """
         await self.fleet.start("kassa", "balie")
         for reset in (False, True):
             with self.subTest(reset=reset):
-                self.fleet.backends[1].handler = _build_unframed(reset)
+                self.fleet.backends[1].handler = _build_unframed_answer_handler(
+                    reset
+                )
                 head, body, was_reset = await self._send_raw()
                 self.assertNotIn(b"content-length", head.lower())
                 self.assertNotIn(b"transfer-encoding", head.lower())
@@ -199,7 +218,7 @@
                     self.assertEqual(body, b"unframed")
 
     async def _send_raw(self) -> tuple[bytes, bytes, bool]:
-        """Sends a request; returns head, body and whether a reset came."""
+        """Sends a request; returns head, body and whether it was reset."""
         host, _, port = self.fleet.daemons[0].url[7:].partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(
@@ -214,20 +233,21 @@
         finally:
             writer.close()
 
-    async def test_a_request_that_cannot_be_served_is_refused_at_once(self):
+    async def test_requests_without_an_upstream_are_refused_at_once(self):
         await self.fleet.start("kassa")
         status, headers, _ = await self.fleet.send()
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 0)
 
-    async def test_when_to_come_back_after_a_refusal_of_the_backend_server(
+    async def test_retry_delay_after_a_refusal_by_the_backend_server(
         self,
     ):
-        """The caller comes back while an answer is still in time.
+        """Guards against callers that retry too late after a refusal.
 
-        A backend server turns calls away though it has room, as a faulty one
-        does with every second. Told to come back after a second, its callers
-        waited until they were late; the next call may well be taken.
+        A backend server refuses calls although it has free slots, as a faulty
+        one does with every second call. With a `Retry-After` of one second,
+        its callers would miss their deadlines, although the next call may be
+        accepted.
         """
         await self.fleet.start("balie")
         self.fleet.backends[0].full = True
@@ -239,16 +259,16 @@
         await self.fleet.start("balie")
         async with self.fleet.client.get(
             self.fleet.daemons[0].ready_url
-        ) as one:
-            self.assertEqual(one.status, 200)
+        ) as response:
+            self.assertEqual(response.status, 200)
 
 
-def _build_doubled(backend, name: bytes):
+def _build_duplicate_answer_handler(backend, header_line: bytes):
     async def handle(request: web.Request) -> web.StreamResponse:
         assert request.transport is not None
         request.transport.write(
             b"HTTP/1.1 200 OK\r\nX-Response-Signature: old\r\n"
-            + name
+            + header_line
             + b"Content-Length: 3\r\n\r\nold"
         )
         return await backend.answer(request)
@@ -262,7 +282,7 @@
     return web.Response()
 
 
-def _build_unframed(reset: bool):
+def _build_unframed_answer_handler(reset: bool):
     async def handle(request: web.Request) -> web.StreamResponse:
         transport = request.transport
         assert transport is not None
@@ -273,7 +293,7 @@
             + b"\r\nConnection: close\r\n\r\nunframed"
         )
         if reset:
-            # What was sent arrives first; a reset may overtake it.
+            # A reset could overtake the data that was sent before it.
             await asyncio.sleep(0.05)
             streams.reset_connection(request)
         else:
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path over daemons that are processes of their own."""
+"""Tests for requests over daemons that are separate processes."""
 
 from __future__ import annotations
 
@@ -10,61 +10,67 @@
 
 
 class ProcessesTest(unittest.IsolatedAsyncioTestCase):
-    """Two daemons, beside a desk and beside a till; the route is the desk's."""
+    """Two daemons, of balie and of kassa; the route leads to balie."""
 
     async def asyncSetUp(self) -> None:
-        guard = asyncio.timeout(processes.TEST_TIMEOUT_S)
-        await self.enterAsyncContext(guard)
+        timeout = asyncio.timeout(processes.TEST_TIMEOUT_S)
+        await self.enterAsyncContext(timeout)
         self.fleet = await self.enterAsyncContext(processes.ProcessFleet())
         await self.fleet.start("balie", "kassa")
-        self.desk, self.till = self.fleet.daemons
+        self.balie_daemon, self.kassa_daemon = self.fleet.daemons
         await self.fleet.wait_until_served(1)
 
-    async def test_a_daemon_that_is_killed_and_restarted(self) -> None:
-        """Callers of the other daemon are served again without a heartbeat.
+    async def test_restart_after_a_kill(self) -> None:
+        """Guards against calls that fail after a restart until a heartbeat.
 
-        The daemon beside the desk is killed and started again. Its backend
-        server ran on and says nothing of its own, so the daemon asks it; the
-        other daemon hears of it over the fleet.
+        The daemon of balie is killed and restarted. Its backend server kept
+        running and sends no heartbeat, so the daemon requests its status. The
+        other daemon learns of it through gossip.
         """
-        self.desk.send_signal(signal.SIGKILL)
-        self.assertEqual(await self.desk.wait(), -signal.SIGKILL)
+        self.balie_daemon.send_signal(signal.SIGKILL)
+        self.assertEqual(await self.balie_daemon.wait(), -signal.SIGKILL)
         self.assertNotEqual(await self.fleet.send(1), 200)
-        await self.desk.start()
+        await self.balie_daemon.start()
         await self.fleet.wait_until_served(1)
         await self.fleet.wait_until_served(0)
 
-    async def test_a_planned_stop_serves_other_daemons_to_its_end(self) -> None:
-        """Callers of the other daemon notice nothing of the first seconds.
+    async def test_calls_of_other_daemons_are_served_during_a_planned_stop(
+        self,
+    ) -> None:
+        """Guards against calls that fail in the first seconds of a stop.
 
-        The daemon beside the desk is told to stop. It says at once that its
-        own callers are to go elsewhere, and serves the other daemon until they
-        have had the time.
+        The daemon of balie gets the stop signal. Its readiness endpoint fails
+        at once, so that its callers are redirected. Until they have had time
+        to move, it serves the other daemon's calls.
         """
-        self.desk.send_signal(signal.SIGTERM)
-        await self.fleet.wait_until_ready(self.desk, 503)
+        self.balie_daemon.send_signal(signal.SIGTERM)
+        await self.fleet.wait_until_ready(self.balie_daemon, 503)
         self.assertEqual(await self.fleet.send(1), 200)
         self.assertEqual(await self.fleet.send(0), 200)
-        self.assertEqual(await self.desk.wait(), 0)
-        events = self.desk.list_events()
-        order = [events.index(name) for name in ("started", "stop", "ended")]
-        self.assertEqual(order, sorted(order))
+        self.assertEqual(await self.balie_daemon.wait(), 0)
+        events = self.balie_daemon.list_events()
+        positions = [
+            events.index(name) for name in ("started", "stop", "ended")
+        ]
+        self.assertEqual(positions, sorted(positions))
 
-    async def test_a_changed_settings_file(self) -> None:
-        """A signal that ends other programs has the settings read again.
+    async def test_reload_of_a_changed_settings_file(self) -> None:
+        """SIGHUP, which ends other programs, makes a daemon reload settings.
 
-        A file that is malformed changes nothing, and the daemon serves on.
+        A malformed file changes nothing, and the daemon keeps serving.
         """
-        self.till.write_settings(zone="zuid", app="nowhere")
-        self.till.send_signal(signal.SIGHUP)
-        while "reload refused" not in self.till.list_events():
+        self.kassa_daemon.write_settings(zone="zuid", app="nowhere")
+        self.kassa_daemon.send_signal(signal.SIGHUP)
+        while "reload refused" not in self.kassa_daemon.list_events():
             await asyncio.sleep(0.05)
-        self.till.write_settings(heartbeatMs="2000")
-        self.till.send_signal(signal.SIGHUP)
-        while "reload" not in self.till.list_events():
+        self.kassa_daemon.write_settings(heartbeatMs="2000")
+        self.kassa_daemon.send_signal(signal.SIGHUP)
+        while "reload" not in self.kassa_daemon.list_events():
             await asyncio.sleep(0.05)
-        (line,) = (
-            one for one in self.till.lines if one.get("event") == "reload"
+        (reload_line,) = (
+            line
+            for line in self.kassa_daemon.lines
+            if line.get("event") == "reload"
         )
-        self.assertEqual(line["changed"], {"heartbeat_s": "2.0"})
+        self.assertEqual(reload_line["changed"], {"heartbeat_s": "2.0"})
         self.assertEqual(await self.fleet.send(1), 200)
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Tests of roll-outs on the platform, over real daemons."""
+"""Tests for roll-outs on the platform, with real daemons."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
         self.addAsyncCleanup(self.fleet.aclose)
         self.statuses: collections.Counter[int] = collections.Counter()
 
-    async def start(self, within_s: float = 6) -> None:
-        """Starts a fleet, orders a roll-out and starts the new version."""
+    async def start(self, duration_s: float = 6) -> None:
+        """Starts a fleet, orders a roll-out and adds the new version."""
         await self.fleet.start("kassa", "balie", "balie")
         order = {
             "service": "balie",
             "targetVersion": "v2",
-            "durationS": within_s,
+            "durationS": duration_s,
         }
         await self.fleet.store.write(_ORDER, json.dumps(order).encode())
         for _ in range(2):
-            await self.fleet.add("balie", version="v2")
-        await self.fleet.meet(("balie",) * 4)
+            await self.fleet.add_daemon("balie", version="v2")
+        await self.fleet.wait_until_discovered(("balie",) * 4)
 
-    def count(self, version: str) -> int:
-        """Returns how many requests the servers of a version were sent."""
+    def count_requests(self, version: str) -> int:
+        """Returns the number of requests sent to the servers of a version."""
         return sum(
-            len(one.seen)
-            for one in self.fleet.backends
-            if one.version == version
+            len(backend.seen)
+            for backend in self.fleet.backends
+            if backend.version == version
         )
 
-    async def load(self, until: str) -> str:
-        """Sends requests until the roll-out has a state; returns it."""
+    async def send_until(self, states: str) -> str:
+        """Sends requests until the roll-out has one of the states."""
         async with asyncio.timeout(3 * fleets.TEST_TIMEOUT_S):
             state = ""
-            while state not in until.split():
+            while state not in states.split():
                 sends = [self.fleet.send() for _ in range(_CALLERS)]
                 for status, _, _ in await asyncio.gather(*sends):
                     self.statuses[status] += 1
@@ -57,7 +57,7 @@
         return state
 
     async def read_state(self) -> str:
-        """Returns the state as operators read it; empty: there is none."""
+        """Returns the state that operators read; empty if there is none."""
         store = stores.PlatformStore(self.fleet.store.address)
         await store.start()
         entry = await store.get(_STATUS)
@@ -69,37 +69,39 @@
         return fields["state"]
 
     async def test_a_good_version_is_completed(self):
-        """Guards against a version that never serves."""
-        await self.start(within_s=20)
-        ends = "complete rolled_back"
-        self.assertEqual(await self.load(until=ends), "complete")
+        """Guards against a good version that never replaces the old one."""
+        await self.start(duration_s=20)
+        final_states = "complete rolled_back"
+        self.assertEqual(await self.send_until(states=final_states), "complete")
         self.assertEqual(set(self.statuses), {200})
-        before = self.count("v1")
+        count_before = self.count_requests("v1")
         await asyncio.gather(*[self.fleet.send() for _ in range(20)])
-        self.assertEqual(self.count("v1"), before)
+        self.assertEqual(self.count_requests("v1"), count_before)
 
     async def test_a_bad_version_is_rolled_back(self):
-        """Guards against a version that goes on failing its callers."""
+        """Guards against a bad version that continues to get calls."""
         await self.start()
         for backend in self.fleet.backends:
             if backend.version == "v2":
                 backend.handler = _fail
-        ends = "complete rolled_back"
-        self.assertEqual(await self.load(until=ends), "rolled_back")
-        seen = self.count("v2")
-        self.assertLess(seen, 40)
+        final_states = "complete rolled_back"
+        self.assertEqual(
+            await self.send_until(states=final_states), "rolled_back"
+        )
+        count_before = self.count_requests("v2")
+        self.assertLess(count_before, 40)
         await asyncio.gather(*[self.fleet.send() for _ in range(50)])
-        self.assertEqual(self.count("v2"), seen)
+        self.assertEqual(self.count_requests("v2"), count_before)
 
-    async def test_a_version_without_calls_goes_back(self):
-        """Guards against a roll-out that nobody can judge and never ends."""
-        await self.start(within_s=2)
+    async def test_a_version_without_calls_is_rolled_back(self):
+        """Guards against a roll-out that never ends for lack of calls."""
+        await self.start(duration_s=2)
         async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
             while await self.read_state() != "rolled_back":
                 await asyncio.sleep(0.1)
 
-    async def test_an_ended_roll_out_does_not_begin_anew(self):
-        """Guards against a bad version on trial again after a herd restart."""
+    async def test_an_ended_roll_out_does_not_restart(self):
+        """Guards against a new trial of a bad version after a fleet restart."""
         await self.fleet.store.start()
         self.fleet.push_async_callback(self.fleet.store.close)
         order = b'{"service":"balie","targetVersion":"v2","durationS":60}'
@@ -111,17 +113,17 @@
             stores.CONFIGURATION_KEY, builders.build_configuration(5)
         )
         await self.fleet.start_daemons("kassa", "balie")
-        await self.fleet.add("balie", version="v2")
-        await self.fleet.meet(("balie",) * 2)
+        await self.fleet.add_daemon("balie", version="v2")
+        await self.fleet.wait_until_discovered(("balie",) * 2)
         for _ in range(60):
             await self.fleet.send()
-        self.assertEqual(self.count("v2"), 0)
+        self.assertEqual(self.count_requests("v2"), 0)
 
 
 async def _fail(request: web.Request) -> web.StreamResponse:
-    """Fails two answers of three."""
-    number = int(request.headers["X-Attempt-Id"].removeprefix("a"))
-    status = 500 if number % 3 else 200
+    """Fails two of three requests."""
+    attempt_number = int(request.headers["X-Attempt-Id"].removeprefix("a"))
+    status = 500 if attempt_number % 3 else 200
     return web.Response(
         status=status,
         body=b"whole",
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of daemons that are processes of their own."""
+"""Short soak test with daemons that are separate processes."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 class SoakTest(unittest.IsolatedAsyncioTestCase):
-    async def test_planned_work_harms_no_caller(self) -> None:
-        """Guards against work lost, refused or run twice by planned work."""
+    async def test_planned_work_does_not_affect_callers(self) -> None:
+        """Guards against planned work that loses, refuses or repeats calls."""
         for seed in _SEEDS:
             with self.subTest(seed=seed):
                 findings = await soaking.Soak(seed).run()
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of daemons on the platform, with calls in flight."""
+"""Tests for planned stops of daemons on the platform, with calls in flight."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
     async def asyncSetUp(self) -> None:
         self.fleet = fleets.Fleet()
         self.addAsyncCleanup(self.fleet.aclose)
-        self.begun = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.call_started = asyncio.Event()
+        self.may_continue = asyncio.Event()
 
-    async def nest(self, request: web.Request) -> web.StreamResponse:
-        """Waits, and then makes a call of its own, as the platform's do."""
-        self.begun.set()
-        await self.go_on.wait()
-        sent = {
+    async def send_nested_call(
+        self, request: web.Request
+    ) -> web.StreamResponse:
+        """Waits, then sends a nested call, as the platform's servers do."""
+        self.call_started.set()
+        await self.may_continue.wait()
+        nested_headers = {
             "Host": "desk.example",
             "X-Attempt-Id": "n1",
             "X-Deadline-Ms": request.headers["X-Deadline-Ms"],
@@ -31,18 +33,18 @@
         url = self.fleet.daemons[0].url + "/checks/1"
         async with (
             aiohttp.ClientSession() as session,
-            session.get(url, headers=sent) as answer,
+            session.get(url, headers=nested_headers) as response,
         ):
-            self.nested = answer.status
-        status = 200 if self.nested == 200 else 500
+            self.nested_status = response.status
+        status = 200 if self.nested_status == 200 else 500
         return web.Response(
             status=status, headers=self.fleet.backends[0].sign(request)
         )
 
-    async def test_call_that_work_in_flight_makes_while_its_daemon_drains(
+    async def test_nested_call_while_the_daemon_drains(
         self,
     ) -> None:
-        """Guards against work in flight that fails by a stop of its daemon."""
+        """Guards against calls in flight that fail when their daemon stops."""
         await self.fleet.start(
             "balie",
             "kassa",
@@ -52,14 +54,14 @@
                 builders.build_route("checks", service="kassa"),
             ),
         )
-        self.fleet.backends[0].handler = self.nest
+        self.fleet.backends[0].handler = self.send_nested_call
         call = asyncio.create_task(self.fleet.send(1, deadline_ms=5000))
         async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
-            await self.begun.wait()
+            await self.call_started.wait()
             stopping = asyncio.create_task(self.fleet.daemons[0].stop())
             while not self.fleet.daemons[0]._proxy._state.draining:
                 await asyncio.sleep(0.01)
-            self.go_on.set()
+            self.may_continue.set()
             status, _, _ = await call
             await stopping
-        self.assertEqual((status, self.nested), (200, 200))
+        self.assertEqual((status, self.nested_status), (200, 200))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the client of the platform's store."""
+"""Tests for the client of the platform's store."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from standins import platform_store
 from tests.platform import builders
 
-# Six parts of an answer, as it travels over a full link.
-_LARGE = bytes(64 * 1024)
+# Sent by the stand-in in six parts, as over a full link.
+_LARGE_VALUE = bytes(64 * 1024)
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """The client against the stand-in."""
+    """Tests the client with the stand-in for the store."""
 
     async def asyncSetUp(self) -> None:
         self.standin, self.store = await builders.start_store(self)
@@ -30,11 +30,11 @@
     async def test_a_write_needs_the_expected_revision(self):
         written = await self.store.put("a", b"1", 0)
         self.assertTrue(written.written)
-        again = await self.store.put("a", b"2", 0)
-        self.assertFalse(again.written)
-        self.assertEqual(again.entry.value, b"1")
-        self.assertEqual(again.entry.revision, written.entry.revision)
-        self.assertTrue(await self.store.delete("a", again.entry.revision))
+        refused = await self.store.put("a", b"2", 0)
+        self.assertFalse(refused.written)
+        self.assertEqual(refused.entry.value, b"1")
+        self.assertEqual(refused.entry.revision, written.entry.revision)
+        self.assertTrue(await self.store.delete("a", refused.entry.revision))
         self.assertIsNone(await self.store.get("a"))
 
     async def test_a_range_has_pages(self):
@@ -52,12 +52,13 @@
         self.assertEqual(await self.store.keep_lease(lease), 1)
         self.assertEqual(await self.store.keep_lease(lease + 1), 0)
 
-    async def test_a_lost_answer_is_unknown(self):
-        """An operator's own change may have been made and must be looked up.
+    async def test_the_outcome_of_a_write_without_response_is_unknown(self):
+        """Guards against a writer that mistakes its record for another's.
 
-        The store does the write and the connection ends without an answer.
-        Reported as refused, the writer would take its own record for that of
-        another.
+        The store performs the write and the connection ends without a
+        response. The write may have succeeded, so the writer must look it up.
+        If it were reported as refused, the writer would attribute its own
+        record to another writer.
         """
         self.standin.faults.lose_answers = 1
         with self.assertRaises(errors.StoreUnknownOutcomeError):
@@ -72,7 +73,7 @@
             with self.assertRaises(errors.StoreUnavailableError):
                 await self.store.put("a", b"1", 0)
 
-    async def test_a_silent_store_is_given_up(self):
+    async def test_a_read_of_a_silent_store_times_out(self):
         self.standin.faults.silent = True
         with (
             mock.patch.object(stores, "_TIMEOUT_S", 0.05),
@@ -82,21 +83,22 @@
                 self.store._read("key", {"key": "a"}, 0.05), 5
             )
 
-    async def test_a_value_may_take_longer_than_a_pause_may(self):
-        """A watcher behind a thin link gets the version, if late.
+    async def test_a_value_may_take_longer_than_the_timeout(self):
+        """Guards against versions that never arrive over a slow link.
 
-        The value takes longer to arrive than the store may take to answer.
-        Given up for its whole time it was asked for again at once, and the
-        link stayed full of values that nobody took in.
+        The value takes longer to arrive than the store may take to respond.
+        With a timeout for the whole response, it would be aborted and
+        requested again at once, and the link would stay full of values that
+        are never used.
         """
-        await self.store.put("a", _LARGE, 0)
+        await self.store.put("a", _LARGE_VALUE, 0)
         self.standin.faults.pause_s = stores._TIMEOUT_S / 4
         entry = await asyncio.wait_for(self.store.get("a"), 20)
         assert entry is not None
-        self.assertEqual(len(entry.value), len(_LARGE))
+        self.assertEqual(len(entry.value), len(_LARGE_VALUE))
 
-    async def test_a_value_that_does_not_end_is_given_up(self):
-        await self.store.put("a", _LARGE, 0)
+    async def test_a_value_that_does_not_end_times_out(self):
+        await self.store.put("a", _LARGE_VALUE, 0)
         self.standin.faults.pause_s = 0.1
         with (
             mock.patch.object(connectors, "_BODY_TIMEOUT_S", 0.2),
@@ -104,8 +106,8 @@
         ):
             await asyncio.wait_for(self.store.get("a"), 20)
 
-    async def test_an_answer_that_stops_is_given_up(self):
-        await self.store.put("a", _LARGE, 0)
+    async def test_a_response_that_stops_times_out(self):
+        await self.store.put("a", _LARGE_VALUE, 0)
         self.standin.faults.pause_s = 3600
         with (
             mock.patch.object(stores, "_TIMEOUT_S", 0.2),
@@ -113,72 +115,73 @@
         ):
             await asyncio.wait_for(self.store.get("a"), 20)
 
-    async def test_a_cut_answer_is_an_error(self):
-        """The daemon goes on with what it has, and says what came.
+    async def test_a_truncated_response_is_an_error(self):
+        """Guards against truncated responses that end a task or are applied.
 
-        The store's answer is cut in the middle; half an object must neither
-        end a task nor be taken in part.
+        The response of the store is cut in the middle. The daemon must keep
+        its state and report the error.
         """
         await self.store.put("a", b"1", 0)
         self.standin.faults.cut = True
         with self.assertRaises(errors.StoreError):
             await self.store.get("a")
 
-    async def test_the_history_is_gone(self):
-        """A version written while the history was dropped is not missed.
+    async def test_a_watch_ends_when_the_history_is_dropped(self):
+        """Guards against a version that is missed while the history is dropped.
 
-        The store compacts and cuts the watch. The watch ends with an error,
-        and the one that follows begins with what stands in the store.
+        The store compacts its history and ends the watch. The watch raises an
+        error, and the next one starts with the current value.
         """
         watch = self.store.watch("head", 0)
         await self.store.put("head", b"1", 0)
         self.assertEqual((await anext(watch)).value, b"1")
-        waiting = asyncio.ensure_future(anext(watch))
+        next_entry = asyncio.ensure_future(anext(watch))
         await asyncio.sleep(0.05)
         entry = await self.store.get("head")
         assert entry is not None
         await self.standin.compact()
-        # The watch that waits is from before the compaction.
+        # The waiting watch started before the compaction.
         await self.standin.write("other", b"")
         await self.standin.compact()
         with self.assertRaises(errors.StoreUnavailableError):
-            await asyncio.wait_for(waiting, 5)
-        again = self.store.watch("head", 0)
-        self.assertEqual((await anext(again)).value, b"1")
-        assert isinstance(again, AsyncGenerator)
-        await again.aclose()
-
-    async def test_a_watch_of_what_was_just_read_reads_nothing(self):
-        """The watchers of a fleet that starts read the value once.
-
-        Others write their records meanwhile and move the revision. The watch
-        goes on from the read, and the history names no change of the key.
+            await asyncio.wait_for(next_entry, 5)
+        next_watch = self.store.watch("head", 0)
+        self.assertEqual((await anext(next_watch)).value, b"1")
+        assert isinstance(next_watch, AsyncGenerator)
+        await next_watch.aclose()
+
+    async def test_a_watch_after_a_read_does_not_read_again(self):
+        """Guards against watchers of a starting fleet that read a value twice.
+
+        Meanwhile, other daemons write their records and increase the revision.
+        The watch continues from the read, and the history contains no change
+        of the key.
         """
         await self.store.put("head", b"1", 0)
-        _, at = await self.store.read_newest("head")
+        _, revision = await self.store.read_newest("head")
         await self.standin.write("other", b"")
-        before = dict(self.standin.calls)
-        watch = self.store.watch("head", at)
-        waiting = asyncio.ensure_future(anext(watch))
+        calls_before = dict(self.standin.calls)
+        watch = self.store.watch("head", revision)
+        next_entry = asyncio.ensure_future(anext(watch))
         while "watch" not in self.standin.calls:
             await asyncio.sleep(0)
         await self.standin.write(stores.PRODUCT_PREFIX + "head", b"2")
-        self.assertEqual((await asyncio.wait_for(waiting, 5)).value, b"2")
-        self.assertEqual(self.standin.calls["range"], before["range"])
+        self.assertEqual((await asyncio.wait_for(next_entry, 5)).value, b"2")
+        self.assertEqual(self.standin.calls["range"], calls_before["range"])
         assert isinstance(watch, AsyncGenerator)
         await watch.aclose()
 
-    async def test_a_watch_that_falls_behind_takes_the_newest_alone(self):
-        """A storm of changes does not outgrow the link of a watcher.
+    async def test_a_watch_that_falls_behind_yields_only_the_newest(self):
+        """Guards against a watch that falls ever further behind on a slow link.
 
-        Changes come faster than the link carries them. An answer brings all
-        that came while the one before it travelled, so each takes longer than
-        the last and the newest version comes later and later.
+        Changes occur faster than the link transfers them. If a response
+        contained all changes since the previous one, each would take longer
+        than the last, and the newest version would arrive later and later.
         """
         watch = self.store.watch("head", 0)
         await self.store.put("head", b"0", 0)
         self.assertEqual((await anext(watch)).value, b"0")
-        # The watch was under way with an earlier answer meanwhile.
+        # Meanwhile, the watch was receiving an earlier response.
         for number in range(1, 6):
             await self.standin.write(
                 stores.PRODUCT_PREFIX + "head", str(number).encode()
@@ -190,7 +193,7 @@
         await watch.aclose()
 
 
-_FOREIGN = strategies.recursive(
+_FOREIGN_ENTRIES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
@@ -207,26 +210,26 @@
 
 
 class ForeignEntryTest(unittest.TestCase):
-    """Entries of another writer among those of the fleet's own."""
+    """Tests for entries of other writers among those of the fleet."""
 
-    @hypothesis.given(strategies.lists(_FOREIGN, max_size=4))
-    def test_whatever_is_among_them_the_others_hold(
-        self, foreign: list[object]
+    @hypothesis.given(strategies.lists(_FOREIGN_ENTRIES, max_size=4))
+    def test_malformed_entries_do_not_affect_the_others(
+        self, foreign_entries: list[object]
     ) -> None:
-        """A starting daemon still finds its fleet.
+        """Guards against daemons that cannot find their fleet at the start.
 
-        One entry cannot be read. Were the whole list given up for it, no
-        daemon that starts would find another one until it is gone.
+        One entry is malformed. If the whole list were discarded, no starting
+        daemon would find another until that entry is removed.
         """
-        own = {
+        local_entry = {
             "key": stores.PRODUCT_PREFIX + "seeds/noord",
             "value": "bm9kZS0x",
             "revision": 4,
         }
-        found = stores.parse_entries([*foreign, own])
+        found = stores.parse_entries([*foreign_entries, local_entry])
         self.assertEqual(found[-1].value, b"node-1")
 
-    def test_a_value_that_cannot_be_read_can_be_written_anew(self) -> None:
+    def test_a_malformed_value_can_be_overwritten(self) -> None:
         item = {"key": "merlintrestle/seeds/noord", "value": "?", "revision": 4}
         self.assertEqual(
             stores.parse_entries([item]), [client.Entry("seeds/noord", b"", 4)]
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -1,4 +1,4 @@
-"""The platform's words stand in the adapter alone."""
+"""Checks that terms of the platform only occur in the adapter."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 _PACKAGE = pathlib.Path(__file__).parents[2] / "merlintrestle"
 _ADAPTER = _PACKAGE / "platform"
-# Headers, calls, keys, fields and settings of the platform.
-_WORDS = re.compile(
+# Headers, methods, keys, fields and settings of the platform.
+_TERMS = re.compile(
     r"X-Attempt|X-Deadline|X-Target-Instance|X-Caller-Service|X-Not-Executed"
     r"|X-Response-Signature|X-Served-By|X-Server-Load"
     r"|kv-(key|range|watch|txn|lease|keep)|op/config|Instances\."
     r"|maxAttempts|timeoutMs|targetLatencyMs|coldRemainingMs|heartbeatMs"
     r"|non_idempotent|retryBudgetRatio|internalPorts|sidecar"
 )
-_MOST_LINES = 1500
+_MAX_LINES = 1500
 
 
 class WordsTest(unittest.TestCase):
     def test_no_word_of_the_platform_outside_the_adapter(self):
-        found = [
+        matches = [
             f"{path.relative_to(_PACKAGE)}: {match.group()}"
             for path in sorted(_PACKAGE.rglob("*.py"))
             if _ADAPTER not in path.parents
-            for match in _WORDS.finditer(path.read_text())
+            for match in _TERMS.finditer(path.read_text())
         ]
-        self.assertEqual(found, [])
+        self.assertEqual(matches, [])
 
     def test_the_adapter_is_small(self):
-        lines = sum(
+        line_count = sum(
             len(path.read_text().splitlines())
             for path in _ADAPTER.rglob("*.py")
         )
-        self.assertLess(lines, _MOST_LINES)
+        self.assertLess(line_count, _MAX_LINES)
