--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -33,7 +33,7 @@
 
     def __init__(self, settings: settings_lib.Settings):
         """Translates the settings; `start` opens all resources."""
-        self._platform = settings
+        self._platform_settings = settings
         store = stores.PlatformStore(str(settings.store))
         super().__init__(
             build_daemon_settings(settings),
@@ -59,14 +59,14 @@
         except errors.InvalidInputError as error:
             events.warn("reload refused", error=str(error))
             return
-        previous = self._platform._asdict()
+        previous = self._platform_settings._asdict()
         changed = {
             name: str(value)
             for name, value in settings._asdict().items()
             if value != previous[name]
         }
         events.note("reload", changed=changed)
-        self._platform = settings
+        self._platform_settings = settings
         self.set_retry_bounds(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_s
         )
@@ -75,7 +75,7 @@
         """Opens the ports for the platform and the backend server."""
         await super().start_endpoints()
         self._endpoints = endpoints.Endpoints(
-            self._platform,
+            self._platform_settings,
             self.is_ready,
             self.handle_heartbeat,
             self.retire_backend,
@@ -83,7 +83,7 @@
             lambda: metrics.render_metrics(self.registry),
         )
         await self.add_runtime_dependency(self._endpoints)
-        status = await health.check_backend(self._platform)
+        status = await health.check_backend(self._platform_settings)
         if status is not None and not self.has_seen_backend:
             self.handle_heartbeat(status)
 
@@ -91,7 +91,7 @@
         """Returns whether the settings or the running version name it."""
         snapshot = self._active_version.running
         known = snapshot is not None and name in snapshot.services
-        return known or name == self._platform.service
+        return known or name == self._platform_settings.service
 
 
 def build_daemon_settings(
