--- a/merlintrestle/platform/store.py
+++ b/merlintrestle/platform/store.py
@@ -67,7 +67,7 @@
     async def start(self) -> None:
         """Opens the connection pool; the store need not be available."""
         self._session = aiohttp.ClientSession(
-            connector=connectors.Connector(silence=_KEEPALIVE),
+            connector=connectors.Connector(keepalive=_KEEPALIVE),
             cookie_jar=aiohttp.DummyCookieJar(),
         )
 
