--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -7,7 +7,7 @@
 from merlintrestle import errors
 from merlintrestle import rows
 from merlintrestle.documents import compiler
-from merlintrestle.documents import loading
+from merlintrestle.documents import loader
 from merlintrestle.documents import snapshot as snapshots
 from merlintrestle.members import seeds as seeds_lib
 from merlintrestle.platform import rollouts
@@ -108,9 +108,7 @@
         resources = build_resources(
             rows.parse_object(entry.value, "configuration")
         )
-        snapshot = loading.load_snapshot(
-            head.version, resources, self._compiled
-        )
+        snapshot = loader.load_snapshot(head.version, resources, self._compiled)
         self._compiled = snapshot
         return snapshot
 
@@ -198,7 +196,7 @@
 
 def _add_service(resources: dict[str, bytes], row: rows.Row) -> None:
     name = row.get_text("name")
-    resources[snapshots.name_service(name)] = compiler.serialize_message(
+    resources[snapshots.build_service_name(name)] = compiler.serialize_message(
         document_pb2.ServiceResource(
             name=name, max_connections=row.get_number("maxConnections")
         )
@@ -207,14 +205,16 @@
 
 def _add_route(resources: dict[str, bytes], row: rows.Row) -> None:
     name = row.get_text("name")
-    resources[snapshots.name_host_route(name)] = compiler.serialize_message(
-        document_pb2.HostRouteResource(
-            name=name,
-            host=row.get_text("host").lower(),
-            prefix=row.get_text("prefix"),
-            parts=_build_parts(row),
-            target=_build_target(row),
-            max_attempts=row.get_number("maxAttempts"),
+    resources[snapshots.build_host_route_name(name)] = (
+        compiler.serialize_message(
+            document_pb2.HostRouteResource(
+                name=name,
+                host=row.get_text("host").lower(),
+                prefix=row.get_text("prefix"),
+                parts=_build_parts(row),
+                target=_build_target(row),
+                max_attempts=row.get_number("maxAttempts"),
+            )
         )
     )
 
@@ -252,7 +252,7 @@
 
 
 def _add_limits(resources: dict[str, bytes], row: rows.Row) -> None:
-    resources[snapshots.LIMITS] = compiler.serialize_message(
+    resources[snapshots.LIMITS_RESOURCE] = compiler.serialize_message(
         document_pb2.LimitsResource(
             max_header_bytes=row.get_number("maxHeaderBytes"),
             max_body_bytes=row.get_number("maxBodyBytes"),
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any, TYPE_CHECKING
 
-from merlintrestle.documents import loading
+from merlintrestle.documents import loader
 from merlintrestle.platform import configuration as configuration_lib
 from merlintrestle.platform import settings as settings_lib
 from merlintrestle.platform import store as stores
@@ -111,7 +111,7 @@
 ) -> snapshots.Snapshot:
     """Loads a configuration as a version that follows another."""
     resources = configuration_lib.build_resources(json.loads(value))
-    return loading.load_snapshot(version, resources, previous)
+    return loader.load_snapshot(version, resources, previous)
 
 
 async def start_store(
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -30,7 +30,9 @@
                 builders.build_route("b", prefix="/x/y/"),
             )
         )
-        prefixes = [route.prefix for route in snapshot.hosts["desk.example"]]
+        prefixes = [
+            route.prefix for route in snapshot.host_routes["desk.example"]
+        ]
         self.assertEqual(prefixes, ["/x/y/", "/x/"])
 
     def test_the_kind_determines_repeatability(self):
@@ -45,7 +47,7 @@
                 snapshot = builders.load_configuration(
                     builders.build_configuration(1, route)
                 )
-                plan = snapshot.hosts["desk.example"][0].plan
+                plan = snapshot.host_routes["desk.example"][0].plan
                 self.assertEqual(plan.repeatable, repeatable)
                 # All kinds have a latency target, so progress does not matter.
                 self.assertFalse(plan.large)
@@ -61,7 +63,7 @@
         snapshot = builders.load_configuration(
             builders.build_configuration(1, route)
         )
-        parsed_parts = snapshot.hosts["desk.example"][0].parts
+        parsed_parts = snapshot.host_routes["desk.example"][0].destinations
         self.assertEqual(
             [tuple(part) for part in parsed_parts],
             [("balie", 90), ("kassa", 10)],
@@ -115,7 +117,7 @@
             [resource.name for resource in delta.changed], ["route/b"]
         )
         applied = deltas.apply_delta(previous, delta)
-        self.assertEqual(applied.hosts, after.hosts)
+        self.assertEqual(applied.host_routes, after.host_routes)
 
 
 class SourceTest(unittest.IsolatedAsyncioTestCase):
