--- a/merlintrestle/store/__init__.py
+++ b/merlintrestle/store/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the platform store and the records stored in it."""
+"""Records of the configuration and the client of the native store (gRPC)."""
--- a/merlintrestle/store/acceptance.py
+++ b/merlintrestle/store/acceptance.py
@@ -13,13 +13,13 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-_MAX_ATTEMPTS = 4
+_MAX_HEAD_WRITE_ATTEMPTS = 4
 RETRY_DELAY_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The change was accepted and is on the chain.
+    """The change was accepted: it is on the chain of `records`.
 
     Attributes:
         version: The version that the change created.
@@ -43,7 +43,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Undecided:
-    """The store did not answer; the change may be or may become accepted.
+    """The store did not answer, so the outcome is unknown.
+
+    The change may already be accepted, or may still be accepted later.
 
     Attributes:
         reason: Error message of the store's client.
@@ -56,7 +58,7 @@
 
 
 def make_head(
-    before: document_pb2.Head,
+    base_head: document_pb2.Head,
     change_id: str,
     documents: Mapping[str, bytes],
     snapshot_digest: bytes,
@@ -64,14 +66,14 @@
     """Returns the head that a change proposes.
 
     Args:
-        before: The head that the change is based on.
+        base_head: The head that the change is based on.
         change_id: Id of the change.
         documents: Digest of each organisation's document.
         snapshot_digest: Digest of the compiled snapshot.
     """
-    earlier_ids = [before.change_id, *before.earlier_change_ids]
+    earlier_ids = [base_head.change_id, *base_head.earlier_change_ids]
     return document_pb2.Head(
-        version=before.version + 1,
+        version=base_head.version + 1,
         documents=documents,
         change_id=change_id,
         earlier_change_ids=[
@@ -87,7 +89,7 @@
     expected_revision: int,
     retry_delay_s: float = RETRY_DELAY_S,
 ) -> Outcome:
-    """Proposes a head and returns the outcome.
+    """Proposes a head by compare-and-swap and returns the outcome.
 
     The store's answer can be lost after the write took effect, and a write
     whose answer is late can take effect after a read. The same write is
@@ -103,7 +105,7 @@
     """
     value = head.SerializeToString(deterministic=True)
     reason = ""
-    for attempt in range(_MAX_ATTEMPTS):
+    for attempt in range(_MAX_HEAD_WRITE_ATTEMPTS):
         if attempt:
             await asyncio.sleep(retry_delay_s)
         try:
@@ -127,7 +129,7 @@
     current: document_pb2.Head,
     revision: int,
 ) -> Outcome:
-    """Returns the outcome of a proposed head that the store rejects.
+    """Returns the outcome of a head whose compare-and-swap failed.
 
     Args:
         store: The store.
--- a/merlintrestle/store/client.py
+++ b/merlintrestle/store/client.py
@@ -1,4 +1,7 @@
-"""Client of the platform store, the only module that uses its interface."""
+"""Client of the native store, the only module that uses its gRPC interface.
+
+The platform's HTTP store has its own client, `merlintrestle.platform.store`.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 
 
 class ReadResult(NamedTuple):
-    """Result of a read of a key.
+    """Result of a read of a key, for stores that return their revision.
 
     Attributes:
         entry: The entry; None if the key does not exist.
@@ -61,7 +64,7 @@
 
 
 class StoreClient:
-    """Calls the platform store.
+    """Calls the native store over gRPC.
 
     Every call has a timeout. A read that fails raises
     `errors.StoreUnavailableError`. A write that fails raises
@@ -157,14 +160,17 @@
         raise errors.StoreUnavailableError("the store ended the watch")
 
     async def grant_lease(self, seconds: int) -> int:
-        """Opens a lease; keys written under it are deleted when it ends."""
+        """Opens a lease of a duration in seconds and returns its id.
+
+        Keys written under the lease are deleted when it ends.
+        """
         reply = await self._write(
             self._stub.GrantLease, store_pb2.GrantLeaseRequest(seconds=seconds)
         )
         return reply.lease_id
 
     async def keep_lease(self, lease_id: int) -> int:
-        """Extends a lease; returns its seconds, or 0 if it has ended."""
+        """Extends a lease; returns its duration in seconds, 0 if it ended."""
         reply = await self._write(
             self._stub.KeepLease, store_pb2.KeepLeaseRequest(lease_id=lease_id)
         )
--- a/merlintrestle/store/records.py
+++ b/merlintrestle/store/records.py
@@ -24,8 +24,9 @@
 CHANGE_PREFIX = "changes/"
 # Earlier versions whose change ids are stored in `head` itself.
 MAX_EARLIER_IDS = 32
+# Audit records that `list_changes` reads with one call.
 _CHANGES_PER_PAGE = 200
-_MAX_ATTEMPTS = 3
+_MAX_WRITE_ATTEMPTS = 3
 
 MessageT = TypeVar("MessageT", bound=message.Message)
 
@@ -108,7 +109,7 @@
 
 
 async def write_change(store: Store, change: document_pb2.Change) -> None:
-    """Writes the audit record of a change before the change is attempted.
+    """Writes the audit record of a change, before its head is proposed.
 
     Raises:
         errors.StoreUnknownOutcomeError: The store did not answer; the head is
@@ -130,17 +131,17 @@
 
 
 async def list_changes(
-    store: Store, after: str
+    store: Store, after_id: str
 ) -> AsyncIterator[document_pb2.Change]:
-    """Yields the audit records whose ids sort after a text, ordered by id."""
-    position = CHANGE_PREFIX + after
+    """Yields the audit records whose ids sort after `after_id`, by id."""
+    last_key = CHANGE_PREFIX + after_id
     while True:
-        entries = await store.list(CHANGE_PREFIX, position, _CHANGES_PER_PAGE)
+        entries = await store.list(CHANGE_PREFIX, last_key, _CHANGES_PER_PAGE)
         for entry in entries:
             yield _parse(entry.key, entry.value, document_pb2.Change())
         if len(entries) < _CHANGES_PER_PAGE:
             return
-        position = entries[-1].key
+        last_key = entries[-1].key
 
 
 async def walk_chain(
@@ -167,14 +168,14 @@
 
     The ids of recent versions are in `head` and need no further read.
     """
-    ids = [head.change_id, *head.earlier_change_ids]
+    recent_ids = [head.change_id, *head.earlier_change_ids]
     distance = head.version - version
     if distance < 0:
         return ""
-    if distance < len(ids):
-        return ids[distance]
-    change_id = ids[-1]
-    for _ in range(distance - len(ids) + 1):
+    if distance < len(recent_ids):
+        return recent_ids[distance]
+    change_id = recent_ids[-1]
+    for _ in range(distance - len(recent_ids) + 1):
         change = await read_change(store, change_id)
         if change is None:
             raise errors.CorruptRecordError(
@@ -185,12 +186,12 @@
 
 
 async def _write_once(store: Store, key: str, value: bytes) -> None:
-    """Writes a key that never changes; repeating the write is harmless."""
-    for attempt in range(_MAX_ATTEMPTS):
+    """Writes a key whose value never changes; retries are harmless."""
+    for attempt in range(_MAX_WRITE_ATTEMPTS):
         try:
             reply = await store.put(key, value, 0)
         except errors.StoreUnknownOutcomeError:
-            if attempt == _MAX_ATTEMPTS - 1:
+            if attempt == _MAX_WRITE_ATTEMPTS - 1:
                 raise
             continue
         if reply.written or reply.entry.value == value:
--- a/tests/store/test_acceptance.py
+++ b/tests/store/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Tests for acceptance of versions with lost or late answers."""
+"""Tests for acceptance of versions whose answers are lost or late."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.store import fakes
 
 
-def _propose(before: document_pb2.Head, change_id: str) -> document_pb2.Head:
-    return acceptance.make_head(before, change_id, {}, b"digest")
+def _propose(base_head: document_pb2.Head, change_id: str) -> document_pb2.Head:
+    return acceptance.make_head(base_head, change_id, {}, b"digest")
 
 
 class SwapHeadTest(unittest.IsolatedAsyncioTestCase):
@@ -42,8 +42,8 @@
     async def test_answer_lost_after_the_write(self) -> None:
         """The store accepts a change and its answer is lost.
 
-        The operator would see a failure, retry the change, and get the answer
-        that another operator was faster, although that was the first attempt.
+        Otherwise the operator would see a failure, retry the change, and get a
+        conflict with a faster change, although that is the first attempt.
         """
         self.store.lost_answers[records.HEAD_KEY] = 1
         outcome = await self._swap(_propose(self.empty, "a"), 0)
@@ -54,8 +54,7 @@
         """The answer is lost, then another operator's change is accepted.
 
         The head no longer contains the first change, but the chain does.
-        Without the chain the first operator would be told that the change was
-        rejected.
+        Without the chain the first change would be reported as rejected.
         """
         first = _propose(self.empty, "a")
         self.store.lost_answers[records.HEAD_KEY] = 1
@@ -117,8 +116,8 @@
         head = await self._accept(*ids)
         self.assertEqual(len(head.earlier_change_ids), records.MAX_EARLIER_IDS)
         for version, change_id in enumerate(ids, start=1):
-            found = await records.find_accepted_id(self.store, head, version)
-            self.assertEqual(found, change_id)
+            found_id = await records.find_accepted_id(self.store, head, version)
+            self.assertEqual(found_id, change_id)
 
 
 class RecordsTest(unittest.IsolatedAsyncioTestCase):
@@ -132,8 +131,8 @@
         """
         document = document_pb2.Document(organisation="zaanoever")
         digest = await records.write_document(self.store, document)
-        found = await records.read_document(self.store, digest)
-        self.assertEqual(found, document)
+        stored_document = await records.read_document(self.store, digest)
+        self.assertEqual(stored_document, document)
         key = records.DOCUMENT_PREFIX + digest.hex()
         revision = self.store.entries[key].revision
         await self.store.put(key, b"\x0a\x01x", revision)
@@ -149,13 +148,13 @@
         digest = await records.write_document(self.store, document)
         key = records.DOCUMENT_PREFIX + digest.hex()
         self.store.lost_answers[key] = 2
-        again = await records.write_document(self.store, document)
-        self.assertEqual(again, digest)
+        second_digest = await records.write_document(self.store, document)
+        self.assertEqual(second_digest, digest)
 
     async def test_changes_are_listed_over_pages(self) -> None:
         for i in range(450):
             change = document_pb2.Change(change_id=f"{i:012d}-x")
             await records.write_change(self.store, change)
         listed = records.list_changes(self.store, f"{10:012d}")
-        found = [change.change_id async for change in listed]
-        self.assertEqual(found, [f"{i:012d}-x" for i in range(10, 450)])
+        change_ids = [change.change_id async for change in listed]
+        self.assertEqual(change_ids, [f"{i:012d}-x" for i in range(10, 450)])
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -1,4 +1,4 @@
-"""Tests for records and acceptance with the client and the stand-in."""
+"""Tests for the client with records, acceptance and the stand-in store."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from merlintrestle.store import acceptance
 from merlintrestle.store import records
 from standins import faults
-from tests.documents import builders as documents
-from tests.standins import builders as standins
+from tests.documents import builders as document_builders
+from tests.standins import builders as standin_builders
 
 
-class ThroughClientTest(unittest.IsolatedAsyncioTestCase):
+class ClientIntegrationTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.standin = await standins.start_store(self)
-        self.store = await standins.start_client(self, self.standin)
+        self.standin = await standin_builders.start_store(self)
+        self.store = await standin_builders.start_client(self, self.standin)
 
     async def test_answer_lost_after_the_write_of_head(self) -> None:
         """The store writes the head and its answer is lost.
@@ -29,19 +29,21 @@
         head = acceptance.make_head(document_pb2.Head(), "a", {}, b"")
         outcome = await acceptance.swap_head(self.store, head, 0, 0)
         self.assertEqual(outcome, acceptance.Accepted(1))
-        found, revision = await records.read_head(self.store)
-        self.assertEqual(found, head)
+        stored_head, revision = await records.read_head(self.store)
+        self.assertEqual(stored_head, head)
         self.assertEqual(revision, 1)
 
     async def test_calls_of_one_change(self) -> None:
         """The platform counts calls; a change makes a fixed number of them."""
         proposer = changes.Proposer(self.store, pause_s=0)
-        mesh = changes.Proposal("anna", "mesh", documents.build_mesh())
+        mesh = changes.Proposal("anna", "mesh", document_builders.build_mesh())
         outcome = await proposer.propose(mesh)
         self.assertIsInstance(outcome, outcomes.Accepted)
         calls_before = self._get_calls()
-        service = documents.build_service("balie", documents.build_class())
-        document = documents.build_document("zaanoever", service)
+        service = document_builders.build_service(
+            "balie", document_builders.build_class()
+        )
+        document = document_builders.build_document("zaanoever", service)
         outcome = await proposer.propose(
             changes.Proposal("anna", "zaanoever", document)
         )
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -9,7 +9,7 @@
 from merlintrestle import errors
 from standins import faults
 from tests.platform import builders as platform_builders
-from tests.standins import builders as standins
+from tests.standins import builders as standin_builders
 
 _TEST_TIMEOUT_S = 30.0
 
@@ -36,7 +36,7 @@
         self.assertEqual(await self.store.list("a"), [])
 
     async def test_a_write_creates_a_key_once(self: Any) -> None:
-        """If two writers found no key, the second write fails."""
+        """If two writers find that a key is missing, only one can create it."""
         first = await self.store.put("a", b"1", 0)
         second = await self.store.put("a", b"2", 0)
         self.assertTrue(first.written)
@@ -63,9 +63,9 @@
     async def test_keys_are_listed_in_order(self: Any) -> None:
         for name in ("seeds/b", "seeds/a", "seeds/c", "other"):
             await self.store.put(name, name.encode(), 0)
-        found = await self.store.list("seeds/")
+        entries = await self.store.list("seeds/")
         self.assertEqual(
-            [entry.key for entry in found], ["seeds/a", "seeds/b", "seeds/c"]
+            [entry.key for entry in entries], ["seeds/a", "seeds/b", "seeds/c"]
         )
         (after,) = await self.store.list("seeds/", after="seeds/a", limit=1)
         self.assertEqual(after.key, "seeds/b")
@@ -102,11 +102,11 @@
 
 
 class NativeStoreTest(Contract, unittest.IsolatedAsyncioTestCase):
-    """The project's native store."""
+    """The native store, over gRPC."""
 
     async def asyncSetUp(self) -> None:
-        self.standin = await standins.start_store(self)
-        self.store = await standins.start_client(self, self.standin)
+        self.standin = await standin_builders.start_store(self)
+        self.store = await standin_builders.start_client(self, self.standin)
 
     async def lose_answer(self) -> None:
         await self.standin.set_faults(faults.StoreFaults(lose_answers=1))
@@ -118,7 +118,7 @@
 
 
 class PlatformStoreTest(Contract, unittest.IsolatedAsyncioTestCase):
-    """The store of the platform."""
+    """The platform's store, over HTTP."""
 
     async def asyncSetUp(self) -> None:
         self.standin, self.store = await platform_builders.start_store(self)
