--- a/merlintrestle/versions/active_version.py
+++ b/merlintrestle/versions/active_version.py
@@ -28,12 +28,13 @@
 
 
 class ActiveVersion:
-    """The active snapshot, which the proxy reads for every request.
+    """Holder of the active snapshot, which the proxy reads for every request.
 
     Attributes:
-        running: The active snapshot; None before the first activation.
+        running: The active snapshot (not only its version); None before the
+            first activation.
         closed_reason: Why the daemon refuses requests as not run; empty while
-            it is open.
+            it is open, that is, accepts requests.
         history: The latest activations, oldest first.
     """
 
@@ -46,7 +47,7 @@
 
     @property
     def version(self) -> int:
-        """The active version; 0 before the first activation."""
+        """The version of `running`; 0 before the first activation."""
         return self.running.version if self.running is not None else 0
 
     def activate(self, snapshot: snapshot_lib.Snapshot) -> bool:
--- a/merlintrestle/versions/archive.py
+++ b/merlintrestle/versions/archive.py
@@ -32,7 +32,7 @@
 
     @property
     def version(self) -> int:
-        """The highest version held; 0 if there is none."""
+        """The version of `newest`; 0 if there is none."""
         return self.newest.version if self.newest is not None else 0
 
     def add(self, snapshot: snapshot_lib.Snapshot) -> bool:
@@ -56,15 +56,24 @@
         return deltas.make_offer(self.newest) if self.newest else None
 
     def get_delta(
-        self, held: control_pb2.Offer | None
+        self, peer_newest: control_pb2.Offer | None
     ) -> document_pb2.Delta | None:
-        """Returns the delta from a peer's version; None if the base is gone."""
-        if held is None or self.newest is None:
+        """Returns the delta from a peer's version to the newest version.
+
+        Args:
+            peer_newest: Version and digest of the peer's newest snapshot; None
+                if the peer has no snapshot.
+
+        Returns:
+            None if the peer has no snapshot or an equal or newer one, or if
+            the peer's snapshot is no longer kept here.
+        """
+        if peer_newest is None or self.newest is None:
             return None
-        if held.version >= self.newest.version:
+        if peer_newest.version >= self.newest.version:
             return None
         for base in self._snapshots:
-            if deltas.matches(base, held):
+            if deltas.matches(base, peer_newest):
                 return self._make_delta(base)
         return None
 
--- a/merlintrestle/versions/deltas.py
+++ b/merlintrestle/versions/deltas.py
@@ -10,12 +10,12 @@
 
 
 def make_offer(snapshot: snapshot_lib.Snapshot) -> control_pb2.Offer:
-    """Returns the offer of a snapshot."""
+    """Returns the version and digest of a snapshot, as sent to peers."""
     return control_pb2.Offer(version=snapshot.version, digest=snapshot.digest)
 
 
 def matches(snapshot: snapshot_lib.Snapshot, offer: control_pb2.Offer) -> bool:
-    """Returns whether an offer is of this snapshot."""
+    """Returns whether a snapshot has the version and digest of an offer."""
     same_version = snapshot.version == offer.version
     return same_version and snapshot.digest == offer.digest
 
@@ -77,7 +77,7 @@
     """Converts a message to a snapshot.
 
     Raises:
-        errors.SnapshotError: It has another digest, or is not valid.
+        errors.SnapshotError: The snapshot has another digest or is not valid.
     """
     resources = {item.name: item.value for item in snapshot_message.resources}
     return loading.load_snapshot(
--- a/merlintrestle/versions/discovery.py
+++ b/merlintrestle/versions/discovery.py
@@ -43,8 +43,8 @@
         """Contacts peers that started at the same time, before watching.
 
         When a whole fleet starts, each daemon finds the seed records empty
-        and is the only watcher it knows of, so every daemon would read the
-        value once more for itself and again for its watch. With the seeds
+        and knows of no other watcher, so every daemon would read the head and
+        then also watch it, which transfers the head again. With the seeds
         written first, the daemons find each other and few remain watchers. A
         failing store does not delay the watch: the seeds are written later.
         """
@@ -60,20 +60,22 @@
             events.warn("no seeds written", error=str(error))
 
     async def update_seeds(self) -> None:
-        """Writes seeds of the zone to the store if they changed or are old.
+        """Writes the zone's seeds if they changed or were written long ago.
+
+        Otherwise contacts the stored seeds if this is due.
 
         Raises:
             errors.MerlintrestleError: The store did not answer.
         """
         seeds = self._selection.get()
         age_s = self._clock() - self._seeds_written_at
-        changed = (
+        is_rewrite_due = (
             seeds != self._seeds
             and age_s >= self._timing.seeds_write_interval_s
         )
         if (
             self._seeds
-            and not changed
+            and not is_rewrite_due
             and age_s < self._timing.seeds_check_interval_s
         ):
             await self._search_peers(age_s)
@@ -85,11 +87,14 @@
         await self._membership.contact_unknown(previous_seeds)
 
     async def _search_peers(self, age_s: float) -> None:
-        """Contacts the stored seeds, soon after the start and rarely later.
+        """Contacts the stored seeds, at growing intervals after the start.
 
         When all daemons start at once, a few may find only each other; their
         callers would find no upstream for most services until the next check.
-        After 1, 2, 4 and 8 s the records of the others have been written.
+        Meanwhile the others write their records. The first contact is
+        `seeds_write_interval_s` after the write; the time then doubles until
+        it reaches `seeds_check_interval_s`: 1, 2, 4, 8 and 16 s with
+        `timing.QUICK`.
         """
         if (
             age_s < self._next_search_age_s
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -29,8 +29,9 @@
 
 events = event_logs.EventLog("versions")
 
-FAST = "fast"
-LEAN = "lean"
+# What a daemon pushes to its neighbours when it receives a new version.
+PUSH_DELTAS = "fast"
+PUSH_OFFERS = "lean"
 # Larger deltas are only offered, and fetched on demand: a push goes to every
 # neighbour, most of which already have it, and delays the heartbeats behind it.
 _MAX_PUSH_BYTES = 64 * 1024
@@ -51,7 +52,7 @@
         active_version: active_version_lib.ActiveVersion,
         membership: membership_lib.Membership,
         source: source_lib.Source,
-        spread: str = FAST,
+        spread: str = PUSH_DELTAS,
         use_witnesses: bool = True,
         read_before_contact: bool = False,
     ):
@@ -61,9 +62,10 @@
             active_version: Activates the versions that may run.
             membership: Provides the table, links, peers and intervals.
             source: The configuration in the store.
-            spread: `FAST` pushes deltas, `LEAN` pushes only offers.
+            spread: `PUSH_DELTAS` pushes new versions to peers as deltas;
+                `PUSH_OFFERS` pushes only offers, and peers fetch the versions.
             use_witnesses: Whether other daemons record each version before it
-                runs, and are asked for the floor at startup.
+                runs, and are queried for the floor at startup.
             read_before_contact: Whether to read the store before the first
                 contact with a peer.
         """
@@ -81,12 +83,14 @@
         self.watcher = watcher_lib.Watcher(
             membership,
             source,
-            self.hold,
+            self.add_snapshot,
             read_before_contact=read_before_contact,
         )
-        self._floor = floor_lib.Floor(membership, self._marker, self.watcher)
+        self._floor_resolver = floor_lib.FloorResolver(
+            membership, self._marker, self.watcher
+        )
         self._fetcher = fetcher_lib.Fetcher(
-            self.archive, membership.peers, self._timing, self.hold
+            self.archive, membership.peers, self._timing, self.add_snapshot
         )
         self._new_version = asyncio.Event()
         self._next_read_at = 0.0
@@ -98,8 +102,8 @@
         """Whether the last call of this daemon to the store succeeded."""
         return self.watcher.store_reachable
 
-    def hold(self, snapshot: snapshot_lib.Snapshot) -> None:
-        """Archives a checked snapshot, offers it to peers and schedules it."""
+    def add_snapshot(self, snapshot: snapshot_lib.Snapshot) -> None:
+        """Archives a checked snapshot, offers it and starts its activation."""
         if not self.archive.add(snapshot):
             return
         events.note("version held", version=snapshot.version)
@@ -109,11 +113,12 @@
         self._new_version.set()
 
     def hold_from_operator(self, request: control_pb2.HoldRequest) -> bool:
-        """Holds a version that an operator hands over; False if it is invalid.
+        """Adds a snapshot sent by an operator; returns False if it is invalid.
 
         The store may fail right after it accepted a head, before any watcher
-        receives it. The operator was told "accepted"; without the handover the
-        version would not run until the store is back.
+        receives it. The operator's command has already reported the change as
+        accepted; without this call the version would not run until the store
+        recovers.
         """
         try:
             snapshot = deltas.unpack_snapshot(
@@ -122,16 +127,16 @@
         except errors.SnapshotError as error:
             events.warn("version handed over refused", error=str(error))
             return False
-        self.hold(snapshot)
+        self.add_snapshot(snapshot)
         return True
 
     async def answer_floor(
         self, request: control_pb2.FloorRequest
     ) -> control_pb2.FloorReply:
-        """Answers a daemon that asks which versions it may run."""
+        """Answers a starting daemon that determines its floor."""
         highest_known = max(
             self.archive.version,
-            self._floor.version or 0,
+            self._floor_resolver.floor or 0,
             self.witness.get_highest_version(),
         )
         reply = self.witness.answer_floor(request, highest_known)
@@ -147,31 +152,33 @@
         await self.watcher.run()
 
     @mode.Service.task
-    async def _run_versions(self) -> None:
-        """Activates the newest version as soon as it may run."""
+    async def _activate_versions(self) -> None:
+        """Resolves the floor, then activates each new version that may run."""
         self.active_version.closed_reason = active_version_lib.NO_FLOOR
         if self._use_witnesses:
-            await self._floor.learn()
+            await self._floor_resolver.resolve()
         self._next_read_at = time.monotonic() + timing_lib.jitter(
             self._timing.store_fallback_delay_s
         )
         while not self.should_stop:
-            await self._run_newest()
-            await self._wait_for_work()
+            await self._activate_newest()
+            await self._wait_for_version_or_check()
 
     @mode.Service.task
     async def _fetch_versions(self) -> None:
         await self._fetcher.run()
 
-    async def _run_newest(self) -> None:
-        """Marks the newest version with the witnesses, then activates it.
+    async def _activate_newest(self) -> None:
+        """Records the newest version with the witnesses, then activates it.
 
-        The mark comes first: a daemon that restarts right after it ran a
-        version must find a witness that knows of it. Active versions are
-        marked again with witnesses that are new or were restarted.
+        It is recorded first: a daemon that restarts right after it ran a
+        version must find a witness that knows of it. The active version is
+        recorded again with witnesses that are new or were restarted. While the
+        newest version is below the floor, the missing version is read from the
+        store instead.
         """
         newest = self.archive.newest
-        floor = self._floor.version or 0
+        floor = self._floor_resolver.floor or 0
         if newest is None or newest.version < floor:
             self._update_closed_reason(floor)
             if floor:
@@ -186,6 +193,7 @@
         self.witness.set_open()
 
     def _update_closed_reason(self, floor: int) -> None:
+        """Sets why the daemon is closed, unless a version is active."""
         if self.active_version.running is not None:
             return
         if floor == 0:
@@ -196,19 +204,19 @@
             )
 
     async def _read_missing_version(self) -> None:
-        """Reads the missing version from the store if no peer delivers it."""
+        """Reads the head and its version if no peer delivers the version."""
         if time.monotonic() < self._next_read_at:
             return
         self._next_read_at = time.monotonic() + timing_lib.jitter(
             self._timing.head_refresh_interval_s
         )
         try:
-            await self.watcher.refresh()
+            await self.watcher.read_and_compile_head()
         except errors.MerlintrestleError as error:
             events.note("store gave nothing", error=str(error))
 
-    async def _wait_for_work(self) -> None:
-        """Waits for a new version or for the next check of the marks."""
+    async def _wait_for_version_or_check(self) -> None:
+        """Waits for a new version or until the witnesses are checked again."""
         try:
             async with asyncio.timeout(
                 timing_lib.jitter(self._timing.heartbeat_interval_s)
@@ -219,11 +227,12 @@
         self._new_version.clear()
 
     def _choose_delta(
-        self, held: control_pb2.Offer | None
+        self, peer_newest: control_pb2.Offer | None
     ) -> document_pb2.Delta | None:
-        if self._spread == LEAN:
+        """Returns the delta to push to a peer; None to push only the offer."""
+        if self._spread == PUSH_OFFERS:
             return None
-        delta = self.archive.get_delta(held)
+        delta = self.archive.get_delta(peer_newest)
         if delta is None or delta.ByteSize() > _MAX_PUSH_BYTES:
             return None
         return delta
@@ -239,10 +248,10 @@
         self._fetcher.add_offer(link.peer_id, version)
 
     def _apply_delta(self, delta: document_pb2.Delta) -> bool:
-        """Applies a pushed delta; False if the version must be fetched."""
+        """Applies a pushed delta; returns False if a fetch is needed."""
         base = self.archive.get(delta.base_version)
         try:
-            self.hold(deltas.apply_delta(base, delta))
+            self.add_snapshot(deltas.apply_delta(base, delta))
         except errors.SnapshotError as error:
             events.note(
                 "delta refused", version=delta.version, error=str(error)
--- a/merlintrestle/versions/fetcher.py
+++ b/merlintrestle/versions/fetcher.py
@@ -31,7 +31,7 @@
         archive: archive_lib.Archive,
         peers: peers_lib.PeerClient,
         timing: timing_lib.Timing,
-        hold: Callable[[snapshot_lib.Snapshot], object],
+        on_snapshot: Callable[[snapshot_lib.Snapshot], object],
     ):
         """Connects the components.
 
@@ -39,19 +39,19 @@
             archive: Snapshots of this daemon.
             peers: Client for calls to peers.
             timing: Intervals.
-            hold: Called with each snapshot that was fetched.
+            on_snapshot: Called with each snapshot that was fetched.
         """
         self._archive = archive
         self._peers = peers
         self._timing = timing
-        self._hold = hold
+        self._on_snapshot = on_snapshot
         self._offers: dict[str, int] = {}
         self._requested_version = 0
         self._part_received = False
         self._offer_added = asyncio.Event()
 
     def add_offer(self, peer_id: str, version: int) -> None:
-        """Adds the offer of a version that this daemon does not hold."""
+        """Adds the offer of a version that is not in the archive."""
         self._offers[peer_id] = version
         self._offer_added.set()
 
@@ -66,7 +66,7 @@
         """Fetches from peers in turn until no newer version is offered.
 
         Fetches are hedged: if nothing has arrived for the hedge delay, the
-        next peer is asked as well. A peer whose parts keep arriving over a
+        next peer is called as well. A peer whose parts keep arriving over a
         slow link is not hedged, because the bytes of a second peer would make
         both fetches take twice as long.
         """
@@ -122,7 +122,12 @@
             await self._try_fetch(peer_id, whole=True)
 
     async def _try_fetch(self, peer_id: str, whole: bool) -> bool:
-        """Fetches from a peer; False if fetching the whole one may help."""
+        """Fetches the newest version of a peer.
+
+        Returns:
+            False if the reply was invalid, so that the whole snapshot should
+            be fetched; True if it was valid or the peer did not reply.
+        """
         request = control_pb2.FetchRequest(whole=whole)
         offer = self._archive.get_offer()
         if offer is not None:
@@ -138,19 +143,20 @@
             events.note("not fetched", member=peer_id, error=str(error))
             return True
         try:
-            self._hold_reply(reply)
+            self._handle_reply(reply)
         except errors.SnapshotError as error:
             events.warn("fetch malformed", member=peer_id, error=str(error))
             return False
         return True
 
     def _record_part(self) -> None:
+        """Records that a part (`control_pb2.FetchPart`) has arrived."""
         self._part_received = True
 
-    def _hold_reply(self, reply: control_pb2.FetchReply) -> None:
+    def _handle_reply(self, reply: control_pb2.FetchReply) -> None:
         if reply.HasField("snapshot"):
             digest = reply.offer.digest
-            self._hold(deltas.unpack_snapshot(reply.snapshot, digest))
+            self._on_snapshot(deltas.unpack_snapshot(reply.snapshot, digest))
         elif reply.HasField("delta"):
             base = self._archive.get(reply.delta.base_version)
-            self._hold(deltas.apply_delta(base, reply.delta))
+            self._on_snapshot(deltas.apply_delta(base, reply.delta))
--- a/merlintrestle/versions/floor.py
+++ b/merlintrestle/versions/floor.py
@@ -24,18 +24,22 @@
 
 # Witness candidates that are queried, besides the watchers of the zone.
 _MAX_QUERIED_CANDIDATES = 5
-# Rounds, about 5 s in total, in which to wait for watchers to answer with the
-# head and for witnesses to confirm a floor.
-_MAX_WAITING_ROUNDS = 5
-# Reads of the head by the whole fleet while its watchers do not answer.
+# Attempts, about 5 s in total with the default timing, in which to wait for
+# watchers to answer with the head and for a quorum of witnesses to answer. In
+# later attempts other daemons may read the head too, and the head is accepted
+# without a quorum.
+_MAX_WAITING_ATTEMPTS = 5
+# Limit of the reads of the head by the whole fleet while its watchers do not
+# answer.
 MAX_FLEET_READS_PER_S = 500
 
 
-class Floor:
+class FloorResolver:
     """Determines the floor from the store and from the witnesses.
 
     Attributes:
-        version: The floor; None while it is unknown.
+        floor: The lowest version that this daemon may run; None while it is
+            unknown, 0 if no version has been accepted.
     """
 
     def __init__(
@@ -45,7 +49,7 @@
         watcher: watcher_lib.Watcher,
         clock: Callable[[], float] = time.monotonic,
     ):
-        self.version: int | None = None
+        self.floor: int | None = None
         self._membership = membership
         self._timing = membership.timing
         self._marker = marker
@@ -54,17 +58,17 @@
         self._started_at = clock()
         self._replies: dict[str, control_pb2.FloorReply] = {}
 
-    async def learn(self) -> None:
-        """Queries other daemons and the store until the floor is known."""
+    async def resolve(self) -> None:
+        """Queries other daemons and the store until the floor is determined."""
         await self._membership.wait_for_contact(self._timing.join_timeout_s)
         backoff = timing_lib.Backoff(0.2, self._timing.max_floor_retry_delay_s)
         attempt = 1
-        while not await self.try_learn(attempt):
+        while not await self.try_resolve(attempt):
             await asyncio.sleep(backoff.get_next_delay())
             attempt += 1
 
-    async def try_learn(self, attempt: int) -> bool:
-        """Queries once; returns whether the floor is known.
+    async def try_resolve(self, attempt: int) -> bool:
+        """Queries once; returns whether the floor is determined.
 
         The witnesses are queried even if the store answers: a store that
         returns data from before an outage must not downgrade this daemon.
@@ -74,16 +78,16 @@
         """
         await self._query_members()
         if self._is_confirmed():
-            self.version = self._get_highest_version()
+            self.floor = self._get_highest_version()
             return True
-        head = self._find_head()
-        if head is None and self._may_read_head(attempt):
-            head = await self._read_head()
-        if head is None:
+        head_version = self._find_head_version()
+        if head_version is None and self._may_read_head(attempt):
+            head_version = await self._read_head_version()
+        if head_version is None:
             return False
-        if attempt <= _MAX_WAITING_ROUNDS and not self._has_enough_replies():
+        if attempt <= _MAX_WAITING_ATTEMPTS and not self._has_enough_replies():
             return False
-        self.version = max(head, self._get_highest_version())
+        self.floor = max(head_version, self._get_highest_version())
         return True
 
     async def _query_members(self) -> None:
@@ -95,7 +99,7 @@
         self._replies.clear()
         candidates = self._marker.get_candidates()[:_MAX_QUERIED_CANDIDATES]
         await self._query_each(
-            [*candidates, *self._watcher.selection.get_watchers()]
+            [*candidates, *self._watcher.selection.get_local_zone_watchers()]
         )
         named_witnesses = {
             member_id
@@ -103,19 +107,21 @@
             for member_id in reply.witnesses
         }
         await self._query_each(named_witnesses)
-        if self._find_head() is None:
+        if self._find_head_version() is None:
             await self._query_each(
-                self._watcher.selection.list_other_watchers()
+                self._watcher.selection.list_remote_zone_watchers()
             )
 
     async def _query_each(self, member_ids: Iterable[str]) -> None:
         local_id = self._membership.table.local_id
-        missing = {
+        unanswered_ids = {
             member_id
             for member_id in member_ids
             if member_id not in self._replies and member_id != local_id
         }
-        await asyncio.gather(*(self._query(member_id) for member_id in missing))
+        await asyncio.gather(
+            *(self._query(member_id) for member_id in unanswered_ids)
+        )
 
     async def _query(self, member_id: str) -> None:
         request = control_pb2.FloorRequest(
@@ -146,16 +152,19 @@
     def _is_confirmed(self) -> bool:
         """Returns whether the replies prove the floor without the store.
 
-        Each reply names the witnesses, and two of these must have been open,
-        and therefore have kept marks, since long before this process began.
-        Any two of them include one of the two that recorded the last mark. A
-        witness that started later proves nothing: its marks may have been
-        lost with its previous process.
+        Each reply names up to three witnesses of this daemon. A reply counts
+        only if its sender has been open, and therefore has kept marks, since
+        at least `min_witness_uptime_s` before this process began. For every
+        list of witnesses in these replies, `marks.QUORUM` of the witnesses must
+        have sent such a reply (all of them if the list is shorter). Any two of
+        three witnesses include one of the two that recorded the last version. A
+        witness that opened later proves nothing: its marks may have been lost
+        with its previous process.
         """
         confirming = {
             member_id: reply
             for member_id, reply in self._replies.items()
-            if self._has_memory(reply)
+            if self._has_sufficient_uptime(reply)
         }
         return bool(confirming) and all(
             _count_replies(reply.witnesses, confirming)
@@ -163,20 +172,25 @@
             for reply in confirming.values()
         )
 
-    def _has_memory(self, reply: control_pb2.FloorReply) -> bool:
-        needed_ms = (
+    def _has_sufficient_uptime(self, reply: control_pb2.FloorReply) -> bool:
+        """Returns whether a witness opened long enough before this process."""
+        min_uptime_ms = (
             self._get_uptime_ms() + 1000 * self._timing.min_witness_uptime_s
         )
-        return reply.open and reply.memory_ms >= needed_ms
+        return reply.open and reply.memory_ms >= min_uptime_ms
 
     def _has_enough_replies(self) -> bool:
         """Returns whether enough witnesses answered, whatever their uptime."""
-        witnesses = self._marker.get_candidates()[: marks_lib.WITNESSES]
-        needed = min(marks_lib.QUORUM, len(witnesses))
-        return _count_replies(witnesses, self._replies) >= needed
+        witnesses = self._marker.get_candidates()[: marks_lib.WITNESS_COUNT]
+        min_replies = min(marks_lib.QUORUM, len(witnesses))
+        return _count_replies(witnesses, self._replies) >= min_replies
+
+    def _find_head_version(self) -> int | None:
+        """Returns the head version that watchers read after this process began.
 
-    def _find_head(self) -> int | None:
-        """Returns the head that a watcher read after this process began."""
+        Returns:
+            The highest one if several watchers answered; None if none did.
+        """
         return max(
             (
                 reply.head_version
@@ -189,9 +203,11 @@
     def _may_read_head(self, attempt: int) -> bool:
         """Returns whether this daemon may read the head from the store itself.
 
-        In the first rounds only watchers read. Afterwards a fraction of the
-        daemons reads in each round, so that the fleet does not exceed
-        `MAX_FLEET_READS_PER_S`; the others query the watchers again.
+        In the first attempts only watchers read. Afterwards a random fraction
+        of the daemons reads in each attempt, so that the fleet does not exceed
+        `MAX_FLEET_READS_PER_S`; the others query the watchers again. The
+        fraction is computed for the shortest delay between attempts, which is
+        half of `max_floor_retry_delay_s` at the maximum of the backoff.
         """
         if self._watcher.selection.is_watcher():
             return True
@@ -202,11 +218,13 @@
             / 2
             / fleet_size
         )
-        return attempt > _MAX_WAITING_ROUNDS and random.random() < read_fraction
+        return (
+            attempt > _MAX_WAITING_ATTEMPTS and random.random() < read_fraction
+        )
 
-    async def _read_head(self) -> int | None:
+    async def _read_head_version(self) -> int | None:
         try:
-            return await self._watcher.refresh()
+            return await self._watcher.read_and_compile_head()
         except errors.MerlintrestleError as error:
             events.note("store silent", error=str(error))
             return None
--- a/merlintrestle/versions/known_revision.py
+++ b/merlintrestle/versions/known_revision.py
@@ -1,4 +1,4 @@
-"""Revision of the store up to which a source knows the head."""
+"""Tracking of the store revision up to which the head is known."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A watch receives a change as early as a read does, including the value. An
-# immediate read would transfer each change twice over the same link. If the
-# watch delivers nothing, the read follows after this delay, well within the
-# time in which a change must take effect.
-_WATCH_LEAD_S = 0.3
-# How long the store's history is queried after a read without a new version. A
-# value of some hundred KB takes half a second on a slow link, a tenth of this.
-# The history may omit changes for about a second before it is dropped, which a
-# query then shows; it is not relied on for longer than this.
-_QUESTIONS_S = 5.0
+# How long to wait for the open watch before the head is read. The watch
+# receives the changed value as early as a read does, so an immediate read would
+# transfer it twice over the same link. The delay is well within the time in
+# which a change must take effect.
+_MAX_WATCH_WAIT_S = 0.3
+# Time after a read without a new head in which the store's history may be
+# queried instead of reading the head. A head of some hundred KB takes half a
+# second to read on a slow link, so such reads take at most a tenth of the time.
+# The period is limited because the history can omit changes for about a second
+# before the store drops it; only after that does a query fail.
+_HISTORY_QUERY_PERIOD_S = 5.0
 
 
 class KnownRevision:
-    """Store revision up to which the head is known.
+    """Tracks the store revision up to which the head is known.
 
     The revision also increases when other writers change their keys. If the
     head were read each time, their writes would fill the link of each watcher.
@@ -46,41 +47,43 @@
         self._advanced.set()
 
     def record_read(self, news: bool) -> None:
-        """Records whether a read at a new revision returned a new head.
+        """Records a read at a new revision.
 
         Args:
-            news: Whether the head was new.
+            news: Whether the read returned a new head.
         """
         self._unchanged_read_at = None if news else self._clock()
 
     def may_query_history(self) -> bool:
         """Returns whether the store's history may be queried for the head.
 
-        It may soon after a read without a new head, as then other writers
-        raised the revision. A read with a new head ends this, and at the next
-        revision the head is read whatever the history contains.
+        It may be queried for `_HISTORY_QUERY_PERIOD_S` after a read without a
+        new head, as then the writes of other keys raised the revision. After a
+        new head it may not: at the next revision the head itself is read,
+        whatever the history contains.
         """
         if self._unchanged_read_at is None:
             return False
-        return self._clock() - self._unchanged_read_at < _QUESTIONS_S
+        return self._clock() - self._unchanged_read_at < _HISTORY_QUERY_PERIOD_S
 
     async def wait_for_watch(
-        self, revision: int, is_delivering: Callable[[], bool]
+        self, revision: int, is_receiving: Callable[[], bool]
     ) -> bool:
         """Waits briefly for an open watch; returns whether the head is known.
 
-        If an answer has begun to arrive, it is awaited to its end.
+        While a response of the store is being received, the wait continues.
 
         Args:
             revision: Revision up to which the head must be known.
-            is_delivering: Whether an answer of the store is arriving.
+            is_receiving: Returns whether a response of the store to the watch
+                is partly received.
         """
         while self.open_watches and self.revision < revision:
             self._advanced.clear()
             try:
-                async with asyncio.timeout(_WATCH_LEAD_S):
+                async with asyncio.timeout(_MAX_WATCH_WAIT_S):
                     await self._advanced.wait()
             except TimeoutError:
-                if not is_delivering():
+                if not is_receiving():
                     break
         return self.revision >= revision
--- a/merlintrestle/versions/marks.py
+++ b/merlintrestle/versions/marks.py
@@ -1,8 +1,8 @@
-"""Marks with which other daemons record the versions that a daemon ran.
+"""Recording of the versions that a daemon ran, by other daemons.
 
 A daemon stores nothing across a restart. Before it first runs a version, some
-other daemons, its witnesses, record the version; see
-docs/design/0003-never-back.md.
+other daemons, its witnesses, record the version. Such a record is called a
+mark; see docs/design/0003-never-back.md.
 """
 
 from __future__ import annotations
@@ -26,18 +26,20 @@
 
 events = event_logs.EventLog("versions")
 
-WITNESSES = 3
+WITNESS_COUNT = 3
 # Witnesses that must record a version before it runs, and that must answer
 # before a floor is known: any two pairs of three have a witness in common.
 QUORUM = 2
-# Candidates for witnesses, including replacements for those that are gone.
+# Members that can be witnesses, including replacements for those that are gone.
 _MAX_CANDIDATES = 8
-# A witness usually keeps the marks of about 3 daemons.
+# Limits the memory of a witness if the members change often; the mark that was
+# updated longest ago is dropped. Usually a witness keeps the marks of about 3
+# daemons.
 _MAX_MARKS = 20_000
 
 
 class Witness:
-    """Keeps the versions that other daemons have marked with this daemon."""
+    """Keeps the highest version that each other daemon has recorded here."""
 
     def __init__(
         self,
@@ -46,39 +48,44 @@
     ):
         self._table = table
         self._clock = clock
-        self._marks: collections.OrderedDict[str, int] = (
+        self._versions_by_member: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
         self._open_since: float | None = None
 
     def set_open(self) -> None:
-        """Records that this daemon is open; its replies count from now on."""
+        """Records that this daemon now accepts requests.
+
+        Its uptime as a witness starts with the first call.
+        """
         if self._open_since is None:
             self._open_since = self._clock()
 
     def record(self, request: control_pb2.MarkRequest) -> control_pb2.MarkReply:
         """Records the version of a daemon; a lower one has no effect."""
-        marked = self._marks.pop(request.member_id, 0)
-        self._marks[request.member_id] = max(marked, request.version)
-        if len(self._marks) > _MAX_MARKS:
-            self._marks.popitem(last=False)
+        recorded_version = self._versions_by_member.pop(request.member_id, 0)
+        self._versions_by_member[request.member_id] = max(
+            recorded_version, request.version
+        )
+        if len(self._versions_by_member) > _MAX_MARKS:
+            self._versions_by_member.popitem(last=False)
         return control_pb2.MarkReply(recorded=True)
 
     def get_highest_version(self) -> int:
-        """Returns the highest version that any daemon marked with this one."""
-        return max(self._marks.values(), default=0)
+        """Returns the highest version that any daemon has recorded here."""
+        return max(self._versions_by_member.values(), default=0)
 
     def answer_floor(
         self, request: control_pb2.FloorRequest, highest_known: int
     ) -> control_pb2.FloorReply:
-        """Answers a daemon that asks which versions it may run.
+        """Answers a starting daemon that determines its floor.
 
         Args:
             request: The call.
             highest_known: The highest version that this daemon knows of.
         """
         reply = control_pb2.FloorReply(
-            marked=self._marks.get(request.member_id, 0),
+            marked=self._versions_by_member.get(request.member_id, 0),
             known=highest_known,
             witnesses=self._list_witnesses(request.member_id),
         )
@@ -90,9 +97,10 @@
     def _list_witnesses(self, member_id: str) -> list[str]:
         """Returns the witnesses of a daemon, including those that are dead.
 
-        The marks of a dead witness are lost and must be missed. If dead ones
-        were left out, the next candidates would confirm a floor for a daemon
-        that never marked its versions with them.
+        The marks of a dead witness are lost, so it must count as a witness
+        that does not answer. If dead witnesses were omitted, the next
+        candidates would confirm a floor for a daemon that never recorded its
+        versions with them.
         """
         candidates = [
             member.id
@@ -100,11 +108,11 @@
             if member.state != control_pb2.LEAVING and member.id != member_id
         ]
         key = rendezvous.build_neighbours_key(member_id)
-        return rendezvous.choose(key, candidates, WITNESSES)
+        return rendezvous.choose(key, candidates, WITNESS_COUNT)
 
 
 class Marker:
-    """Marks the versions of this daemon with its witnesses."""
+    """Records the versions of this daemon with its witnesses."""
 
     def __init__(
         self,
@@ -120,7 +128,7 @@
             rendezvous.build_neighbours_key(table.local_id),
             _MAX_CANDIDATES,
         )
-        self._marked: dict[tuple[str, int], int] = {}
+        self._confirmed_versions: dict[tuple[str, int], int] = {}
         self._calls: dict[str, asyncio.Task[bool]] = {}
 
     async def close(self) -> None:
@@ -135,14 +143,14 @@
         return self._selection.get()
 
     async def mark(self, version: int) -> bool:
-        """Marks a version with the witnesses that have not recorded it yet.
+        """Calls the witnesses that have not recorded a version yet.
 
         A witness whose host refuses the connection is gone, and so are the
         marks that it kept; the next candidate replaces it at once. A witness
         that is only silent is kept until it is considered dead.
 
         Returns:
-            True if enough witnesses have recorded the version. A daemon
+            True if a quorum of witnesses has recorded the version. A daemon
             without peers needs none and relies on the store.
         """
         refusing: set[str] = set()
@@ -161,17 +169,23 @@
             for witness in self._selection.get()
             if witness not in refusing
         ]
-        return usable[:WITNESSES]
+        return usable[:WITNESS_COUNT]
 
     async def _mark_with(self, witnesses: list[str], version: int) -> bool:
-        """Marks until enough have recorded; the other calls continue."""
-        needed = min(QUORUM, len(witnesses))
+        """Calls witnesses until a quorum has recorded a version.
+
+        Calls that are then still in flight are not cancelled.
+
+        Returns:
+            False if all calls ended without a quorum.
+        """
+        min_confirmed = min(QUORUM, len(witnesses))
         pending = {
             self._start_call(witness, version)
             for witness in witnesses
-            if not self._has_mark(witness, version)
+            if not self._has_confirmed(witness, version)
         }
-        while self._count_marks(witnesses, version) < needed:
+        while self._count_confirmed(witnesses, version) < min_confirmed:
             if not pending:
                 return False
             _, pending = await asyncio.wait(
@@ -185,7 +199,7 @@
         unmarked = [
             witness
             for witness in witnesses
-            if not self._has_mark(witness, version)
+            if not self._has_confirmed(witness, version)
         ]
         results = await asyncio.gather(
             *(
@@ -201,20 +215,25 @@
             if refuses
         }
 
-    def _count_marks(self, witnesses: list[str], version: int) -> int:
-        return sum(self._has_mark(witness, version) for witness in witnesses)
+    def _count_confirmed(self, witnesses: list[str], version: int) -> int:
+        return sum(
+            self._has_confirmed(witness, version) for witness in witnesses
+        )
 
-    def _has_mark(self, witness: str, version: int) -> bool:
-        return self._marked.get(self._get_process_key(witness), 0) >= version
+    def _has_confirmed(self, witness: str, version: int) -> bool:
+        return (
+            self._confirmed_versions.get(self._get_process_key(witness), 0)
+            >= version
+        )
 
     def _get_process_key(self, witness: str) -> tuple[str, int]:
         """Returns a key of a witness and its process.
 
         A restarted witness has lost its marks. The incarnation does not
         identify the process: it also increases when a witness that was only
-        late refutes that it is dead. When this was taken for a restart, marks
-        became invalid faster than a busy fleet could make them, and no daemon
-        opened. A witness of an earlier release sends only its incarnation.
+        late refutes that it is dead. If this were taken for a restart, a busy
+        fleet would lose marks faster than it records them, and no daemon would
+        open. A witness of an earlier release sends only its incarnation.
         """
         member = self._table.get(witness)
         if member is None:
@@ -243,11 +262,11 @@
             events.note("not marked", witness=witness, error=str(error))
             return False
         if reply.recorded:
-            self._remove_marks(witness)
-            self._marked[process_key] = version
+            self._remove_confirmed(witness)
+            self._confirmed_versions[process_key] = version
         return reply.recorded
 
-    def _remove_marks(self, witness: str) -> None:
-        for process_key in list(self._marked):
+    def _remove_confirmed(self, witness: str) -> None:
+        for process_key in list(self._confirmed_versions):
             if process_key[0] == witness:
-                del self._marked[process_key]
+                del self._confirmed_versions[process_key]
--- a/merlintrestle/versions/source.py
+++ b/merlintrestle/versions/source.py
@@ -1,4 +1,4 @@
-"""Source of versions from the configuration records in the store."""
+"""Access to the configuration in a store and compilation of its versions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Source(Protocol):
-    """A source of configuration versions."""
+    """Access to the configuration, roll-out orders and seeds in a store."""
 
     async def read_head(self) -> document_pb2.Head:
         """Reads the head; its version is 0 if there is none."""
@@ -33,14 +33,17 @@
         """Compiles the snapshot of a head."""
 
     async def read_orders(self) -> list[client.Entry]:
-        """Returns the roll-out orders, perhaps those read with the head."""
+        """Returns the roll-out orders.
+
+        An implementation may return those that its last `read_head` read.
+        """
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
-        """Writes the seeds of a zone; returns those stored before."""
+        """Writes a zone's seeds; returns the previous seeds of all zones."""
 
 
 class StoreSource:
-    """The platform's store as a source.
+    """Source that reads the native store.
 
     The document under a digest never changes, so each is read only once.
     """
@@ -76,8 +79,7 @@
 
         Raises:
             errors.StoreUnavailableError: A document could not be read.
-            errors.SnapshotError: It differs from the snapshot that was
-                accepted.
+            errors.SnapshotError: The snapshot differs from the accepted one.
         """
         self._cache_changed_document(head)
         documents = {
@@ -109,7 +111,7 @@
         return await self._store.list(storage.ORDER_PREFIX)
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
-        """Writes the seeds of a zone; returns those stored before.
+        """Writes a zone's seeds; returns the previous seeds of all zones.
 
         Raises:
             errors.StoreError: The store did not answer.
@@ -120,7 +122,7 @@
         """Caches the document in a head, so that it need not be read.
 
         The store may fail right after it accepted a head. The other documents
-        are known from the versions before.
+        are known from earlier versions.
         """
         if head.HasField("changed"):
             digest = compiler.compute_document_digest(head.changed)
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -11,7 +11,7 @@
 from merlintrestle.members import table as table_lib
 from merlintrestle.members import timing as timing_lib
 from merlintrestle.versions import discovery as discovery_lib
-from merlintrestle.versions import watcher_selection as selection_lib
+from merlintrestle.versions import watcher_selection as watcher_selection_lib
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -34,8 +34,10 @@
 class Watcher:
     """Watches the head while this daemon is selected as a watcher.
 
-    There is no lease. Two superfluous watchers cost two watches; one that was
-    frozen without noticing compiles versions that are no longer new.
+    Watchers are selected without a lease, so for a while there can be too many
+    of them, or one that was paused without noticing it. This is harmless: each
+    additional watcher costs only a watch, and a paused one compiles old
+    versions, which no daemon activates.
 
     Attributes:
         selection: Selects the daemons that watch.
@@ -47,7 +49,7 @@
         self,
         membership: membership_lib.Membership,
         source: source_lib.Source,
-        hold: Callable[[snapshot_lib.Snapshot], None],
+        on_snapshot: Callable[[snapshot_lib.Snapshot], None],
         clock: Callable[[], float] = time.monotonic,
         read_before_contact: bool = False,
     ):
@@ -56,7 +58,7 @@
         Args:
             membership: Members, links, peers and intervals.
             source: The configuration in the store.
-            hold: Called with each snapshot that was compiled.
+            on_snapshot: Called with each snapshot that was compiled.
             clock: Monotonic time in seconds.
             read_before_contact: Whether to read the head before the first
                 contact with a peer.
@@ -70,13 +72,15 @@
         self._membership = membership
         self._timing = membership.timing
         self._source = source
-        self._hold = hold
+        self._on_snapshot = on_snapshot
         self._clock = clock
         self._handled_version = 0
         self._head_version = 0
         self._head_read_at: float | None = None
         self._read_lock = asyncio.Lock()
-        self.selection = selection_lib.WatcherSelection(membership, clock)
+        self.selection = watcher_selection_lib.WatcherSelection(
+            membership, clock
+        )
         self._discovery = discovery_lib.PeerDiscovery(membership, source, clock)
 
     async def run(self) -> None:
@@ -123,7 +127,7 @@
         ):
             wait_s = timing_lib.jitter(self._timing.max_watch_retry_delay_s)
             try:
-                if await self.refresh():
+                if await self.read_and_compile_head():
                     return
             except errors.MerlintrestleError as error:
                 events.warn("store silent", error=str(error))
@@ -133,10 +137,10 @@
     def get_refresh_interval_s(self) -> float:
         """Returns the mean time between two reads of the head, in seconds.
 
-        Watchers share the reads, so that the reads do not grow with the number
-        of zones: with one per second each, the watchers of three zones made
-        300 of the 640 calls of a minute without changes. An isolated watcher
-        reads at the full rate.
+        Watchers share the reads, so that the load on the store does not grow
+        with the number of zones: if each watcher read every second, those of
+        three zones would make 300 of the 640 calls of a minute without changes.
+        An isolated watcher reads at the full rate.
         """
         refresh_s = self._timing.head_refresh_interval_s
         if self._membership.is_isolated():
@@ -148,12 +152,16 @@
         }
         return refresh_s * max(
             1.0,
-            len(zones) * selection_lib.WATCHERS_PER_ZONE / _FULL_RATE_WATCHERS,
+            len(zones)
+            * watcher_selection_lib.WATCHERS_PER_ZONE
+            / _FULL_RATE_WATCHERS,
         )
 
-    async def refresh(self) -> int:
+    async def read_and_compile_head(self) -> int:
         """Reads the head and compiles it if it is new; returns its version.
 
+        Then reads the roll-out orders and passes them to `on_orders`.
+
         Raises:
             errors.MerlintrestleError: The store did not answer.
         """
@@ -171,7 +179,9 @@
         return head.version
 
     async def _handle_orders(self) -> None:
-        """Reads and handles the roll-out orders, without delaying the version.
+        """Reads the roll-out orders and passes them to `on_orders`.
+
+        This follows the compilation, so that it does not delay the version.
 
         Raises:
             errors.StoreError: The store did not answer.
@@ -185,8 +195,9 @@
     ) -> None:
         """Adds the head to a reply if this daemon is a watcher.
 
-        One read serves all daemons that started before it, so a mass restart
-        costs the store no more reads than the watchers allow.
+        One read serves all daemons that started before it, and successive
+        reads are at least `flush_delay_s` apart, so a mass restart causes only
+        a few reads of the store.
 
         Args:
             reply: The reply to a daemon that is starting.
@@ -195,6 +206,7 @@
         if not self.selection.is_watcher():
             return
         try:
+            # Half of the caller's timeout, so that the reply still arrives.
             async with asyncio.timeout(self._timing.call_timeout_s / 2):
                 await self._read_if_older(uptime_ms / 1000)
         except (TimeoutError, errors.MerlintrestleError):
@@ -203,10 +215,11 @@
             reply.head_read = True
             reply.head_version = self._head_version
             age_s = self._clock() - self._head_read_at
+            # Rounded up, so that the head never seems newer than it is.
             reply.head_age_ms = int(1000 * age_s) + 1
 
     async def _read_if_older(self, age_s: float) -> None:
-        """Reads the head if the last read is older than an age."""
+        """Reads the head if the last read began more than `age_s` ago."""
         called_at = self._clock()
         async with self._read_lock:
             if (
@@ -214,24 +227,28 @@
                 or called_at - self._head_read_at > age_s
             ):
                 await self._wait_between_reads()
-                await self.refresh()
+                await self.read_and_compile_head()
 
     async def _wait_between_reads(self) -> None:
-        """Separates reads on behalf of other daemons by the flush delay."""
+        """Waits until the last read of the head is `flush_delay_s` old.
+
+        This separates reads on behalf of other daemons by the delay with which
+        member updates are batched.
+        """
         if self._head_read_at is not None:
             age_s = self._clock() - self._head_read_at
             await asyncio.sleep(max(0.0, self._timing.flush_delay_s - age_s))
 
     async def _watch(self) -> None:
-        """Watches while selected, and also reads the head from time to time.
+        """Watches while selected, and also reads the head at intervals.
 
         A watch whose connection went silent delivers nothing and does not
-        end. Neither does a watch to which the store has stopped sending
-        changes before it drops its history. The read has a deadline and
-        detects both. The first read precedes the watch, which would read the
-        same value if it were started at the same time.
+        end. A store that is about to drop its history may also stop sending
+        changes on an open watch without ending it. The read has a timeout and
+        detects both. The first read precedes the watch; if they were started
+        at the same time, both would transfer the same value.
         """
-        await self.refresh()
+        await self.read_and_compile_head()
         watch = asyncio.create_task(self._follow_head())
         refresh_at = self._clock() + timing_lib.jitter(
             self.get_refresh_interval_s()
@@ -240,7 +257,7 @@
             await self._discovery.update_seeds()
             while self.selection.is_watcher():
                 if self._clock() >= refresh_at:
-                    await self.refresh()
+                    await self.read_and_compile_head()
                     await self._discovery.update_seeds()
                     refresh_at = self._clock() + timing_lib.jitter(
                         self.get_refresh_interval_s()
@@ -277,7 +294,7 @@
         self.store_reachable = reachable
 
     async def _compile(self, head: document_pb2.Head) -> None:
-        """Compiles a new head; one that does not compile is refused whole."""
+        """Compiles a head if it is new; refuses it whole if this fails."""
         if head.version <= self._handled_version:
             return
         try:
@@ -289,4 +306,4 @@
             self._handled_version = max(self._handled_version, head.version)
             return
         self._handled_version = max(self._handled_version, head.version)
-        self._hold(snapshot)
+        self._on_snapshot(snapshot)
--- a/merlintrestle/versions/watcher_selection.py
+++ b/merlintrestle/versions/watcher_selection.py
@@ -33,11 +33,11 @@
             membership.table, "watch", WATCHERS_PER_ZONE
         )
 
-    def get_watchers(self) -> list[str]:
-        """Returns the ids of the watchers of this daemon's zone."""
+    def get_local_zone_watchers(self) -> list[str]:
+        """Returns the ids of the watchers of the local zone."""
         return self._watchers.get()
 
-    def list_other_watchers(self) -> list[str]:
+    def list_remote_zone_watchers(self) -> list[str]:
         """Returns the ids of the watchers of all other zones."""
         table = self._membership.table
         zones: dict[str, list[control_pb2.Member]] = {}
@@ -58,10 +58,16 @@
         ]
 
     def get_rank(self) -> int | None:
-        """Returns how many watchers precede this one; None if it is none."""
+        """Returns the index of this daemon among the watchers of all zones.
+
+        The watchers are sorted by id. Returns None if this daemon is not a
+        watcher.
+        """
         if not self.is_watcher():
             return None
-        watchers = sorted([*self.get_watchers(), *self.list_other_watchers()])
+        watchers = sorted(
+            [*self.get_local_zone_watchers(), *self.list_remote_zone_watchers()]
+        )
         local_id = self._membership.table.local_id
         return (
             watchers.index(local_id) if local_id in watchers else len(watchers)
@@ -71,13 +77,13 @@
         """Returns whether this daemon has been selected for a while.
 
         In a mass restart each member table initially holds only the local
-        daemon, which is therefore selected. If that counted at once, all
+        daemon, which is therefore selected. If it became a watcher at once, all
         daemons would read the store.
         """
         now = self._clock()
         local_id = self._membership.table.local_id
         if (
-            local_id not in self.get_watchers()
+            local_id not in self.get_local_zone_watchers()
             and not self._membership.is_isolated()
         ):
             self._selected_at = None
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -256,7 +256,7 @@
         What rests on it ends a while after the last read of the value.
         """
         await self.write_unheard()
-        with mock.patch.object(known_revision, "_QUESTIONS_S", 0.0):
+        with mock.patch.object(known_revision, "_HISTORY_QUERY_PERIOD_S", 0.0):
             self.assertEqual(await self.read(), 6)
 
     async def test_a_watch_that_hears_nothing_is_made_up_for(self):
@@ -301,7 +301,7 @@
         value = builders.build_large_configuration(6)
         before = self.count_sent()
         await self.write(value)
-        with mock.patch.object(known_revision, "_WATCH_LEAD_S", 0.1):
+        with mock.patch.object(known_revision, "_MAX_WATCH_WAIT_S", 0.1):
             self.assertEqual(await self.read(), 6)
         self.assertEqual((await waiting).version, 6)
         self.assertLess(self.count_sent() - before, 2 * len(value))
--- a/tests/versions/builders.py
+++ b/tests/versions/builders.py
@@ -76,7 +76,7 @@
 
 
 class FakeConfiguration:
-    """A fake source of versions for any number of daemons.
+    """Fake `source.Source` for any number of daemons.
 
     Attributes:
         down: Whether every call fails.
@@ -166,7 +166,7 @@
         return compiler.compile_snapshot(head.version, documents)
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
-        """Writes the seeds of a zone; returns those stored before."""
+        """Writes a zone's seeds; returns the previous seeds of all zones."""
         self._check_up()
         self.seed_writes += 1
         previous_seeds = [
@@ -195,7 +195,7 @@
         seeds: Sequence[str] = (),
         zone: str = "zone-a",
         port: int = 0,
-        spread: str = distribution_lib.FAST,
+        spread: str = distribution_lib.PUSH_DELTAS,
         timing: timing_lib.Timing = member_builders.FAST_TIMING,
         incarnation: int = 0,
     ):
--- a/tests/versions/sessions.py
+++ b/tests/versions/sessions.py
@@ -1,4 +1,4 @@
-"""Recording of the steps of three daemons, for golden files."""
+"""Recorder of the steps of three daemons, for tests with golden files."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 DAEMON_NAMES = "ABC"
 
 
-class Session:
-    """Three daemons and a record of their steps for each version.
+class StepRecorder:
+    """Runs three daemons and records their steps for each version.
 
     Within a phase the lines are grouped by daemon, as the daemons work
     concurrently; the lines of a daemon are in the order of its steps.
@@ -65,7 +65,10 @@
         )
 
     async def wait_for_version(self, version: int) -> None:
-        """Waits until all run a version, which both others have recorded."""
+        """Waits until all daemons have activated a version in this phase.
+
+        Each does so only after both others have recorded the version.
+        """
         step = f"run {version}"
         await builders.wait_until(
             lambda: all(
@@ -84,7 +87,7 @@
             for step in self._steps.get(name, ()):
                 self.lines.append(f"{name}: {step}")
 
-    def write_states(self) -> None:
+    def add_states(self) -> None:
         """Adds the active version of each daemon, or why it is closed."""
         for name, daemon in self.daemons.items():
             active_version = daemon.active_version
--- a/tests/versions/simulations.py
+++ b/tests/versions/simulations.py
@@ -78,9 +78,9 @@
         self.witness = marks_lib.Witness(self.table, fleet.get_time)
         self.marker = marks_lib.Marker(self.table, membership.peers, TIMING)
         self.watcher = watcher_lib.Watcher(
-            membership, fleet.configuration, self.hold, fleet.get_time
+            membership, fleet.configuration, self.add_snapshot, fleet.get_time
         )
-        self.floor = floor_lib.Floor(
+        self.floor_resolver = floor_lib.FloorResolver(
             membership, self.marker, self.watcher, fleet.get_time
         )
         fleet.network.handlers[local_member.id] = {
@@ -88,19 +88,24 @@
             "Floor": self._answer_floor,
         }
 
-    def hold(self, snapshot: snapshot_lib.Snapshot) -> None:
+    def add_snapshot(self, snapshot: snapshot_lib.Snapshot) -> None:
         """Archives a version."""
         self.archive.add(snapshot)
 
     async def step(self) -> None:
-        """Determines the floor if it is unknown, then runs the newest version.
+        """Resolves the floor if unknown, then activates the newest version.
 
-        These are the steps of `Distribution`, one at a time.
+        These are the steps of `Distribution`, one at a time. The floor is
+        resolved as in attempt 6, the first in which the daemon does not wait
+        for watchers and witnesses.
         """
-        if self.floor.version is None and not await self.floor.try_learn(6):
+        if (
+            self.floor_resolver.floor is None
+            and not await self.floor_resolver.try_resolve(6)
+        ):
             return
         newest = self.archive.newest
-        if newest is None or newest.version < (self.floor.version or 0):
+        if newest is None or newest.version < (self.floor_resolver.floor or 0):
             return
         if await self.marker.mark(newest.version):
             self.active_version.activate(newest)
@@ -111,7 +116,7 @@
     ) -> control_pb2.FloorReply:
         highest_known = max(
             self.archive.version,
-            self.floor.version or 0,
+            self.floor_resolver.floor or 0,
             self.witness.get_highest_version(),
         )
         reply = self.witness.answer_floor(request, highest_known)
@@ -171,26 +176,26 @@
         """Runs a step of a daemon; returns its active version."""
         daemon = self.daemons[number]
         await daemon.step()
-        running = daemon.active_version.version
+        version = daemon.active_version.version
         self.highest_versions[number] = max(
-            self.highest_versions.get(number, 0), running
+            self.highest_versions.get(number, 0), version
         )
-        return running
+        return version
 
     async def settle(self) -> None:
         """Distributes all versions, then skips the minimum witness uptime.
 
         Witnesses rely on this: within that time every version reaches every
-        daemon, and every mark is made again.
+        daemon, and every version is recorded again.
         """
         for daemon in self.daemons.values():
             if not self.configuration.down:
-                await daemon.watcher.refresh()
+                await daemon.watcher.read_and_compile_head()
         for _ in range(2):
             for daemon in self.daemons.values():
                 for peer in self.daemons.values():
                     if daemon.archive.newest is not None:
-                        peer.hold(daemon.archive.newest)
+                        peer.add_snapshot(daemon.archive.newest)
             for number in self.daemons:
                 await self.step(number)
         self.now += TIMING.min_witness_uptime_s + 1
@@ -199,6 +204,6 @@
 async def read_store(daemon: SimulatedDaemon) -> None:
     """Makes a daemon read the head, as a watcher does."""
     try:
-        await daemon.watcher.refresh()
+        await daemon.watcher.read_and_compile_head()
     except errors.MerlintrestleError:
         return
--- a/tests/versions/test_delayed_fleet.py
+++ b/tests/versions/test_delayed_fleet.py
@@ -25,10 +25,10 @@
     def test_accepted_version_runs_on_a_busy_machine(self) -> None:
         """Eight daemons start while other processes use most of the processor.
 
-        Each daemon is late itself and takes this for silence of its peers: it
-        closes links that are just being opened, together with the calls on
-        them, and opens them again. This work delays all daemons further. No
-        mark is answered, so every daemon stays closed for its callers.
+        A daemon that is late itself could take this for silence of its peers,
+        close links that are just being opened, together with the calls on
+        them, and open them again. This work would delay all daemons further,
+        no mark would be answered, and every daemon would stay closed.
         """
         for seed in (1, 2):
             self.start_with_delays(seed)
--- a/tests/versions/test_fetcher.py
+++ b/tests/versions/test_fetcher.py
@@ -50,7 +50,7 @@
     async def test_slow_peer_delays_no_fetch(self) -> None:
         """The peer with the highest offer never answers.
 
-        Another peer also offers a version and is asked after the hedge delay;
+        Another peer also offers a version and is called after the hedge delay;
         waiting for the timeout of the first call would take seconds.
         """
 
--- a/tests/versions/test_fleet.py
+++ b/tests/versions/test_fleet.py
@@ -47,13 +47,13 @@
     async def wait_for_state(
         self, member_id: str, *states: control_pb2.MemberState
     ) -> None:
-        """Waits until all other daemons see a member in one of the states."""
+        """Waits until a member has one of the states in all other tables."""
 
         def has_state() -> bool:
-            others = [
+            peers = [
                 daemon for daemon in self.daemons if daemon.id != member_id
             ]
-            members = [daemon.table.get(member_id) for daemon in others]
+            members = [daemon.table.get(member_id) for daemon in peers]
             return all(
                 member is not None and member.state in states
                 for member in members
@@ -80,11 +80,11 @@
     """Transfers of whole versions between daemons."""
 
     async def test_whole_version_is_compressed(self) -> None:
-        """Daemons that start do not delay calls on a slow link.
+        """A starting daemon fetches the whole version over a slow link.
 
-        Each of them fetches the whole version from a peer. The records of a
-        version are similar. Uncompressed, they filled the link for so long
-        that a second peer was asked for the same version.
+        An uncompressed version would fill the link, delay calls, and take so
+        long that the fetch would be hedged with a second peer. The records of
+        a version are similar and compress well.
         """
         services = [f"service-{number}" for number in range(1000)]
         await self.start_daemons(1)
@@ -154,8 +154,8 @@
     async def test_version_arrives_although_every_push_is_lost(self) -> None:
         """No offer and no delta is ever pushed.
 
-        The heartbeats also contain the offer, so each neighbour learns of the
-        newer version and fetches it.
+        The heartbeats also contain the offer, so each neighbour receives the
+        newer version number and fetches the version.
         """
         await self.configuration.accept(1, ["balie"])
         await self.start_daemons(5)
@@ -263,8 +263,8 @@
     async def test_daemon_declared_dead_by_mistake_comes_back(self) -> None:
         """A daemon was paused for so long that the fleet declared it dead.
 
-        It resumes with its old incarnation. A peer tells it that it is dead,
-        it refutes this, and receives calls again.
+        It resumes with its old incarnation. A peer sends it a record that
+        declares it dead; it refutes this and receives calls again.
         """
         await self.start_daemons(4)
         paused = self.daemons[1]
@@ -335,7 +335,7 @@
         """All daemons restart while the store is down, then it recovers.
 
         No daemon knows a floor, so all are closed. When the store recovers,
-        all open with its head, and only its watchers read it more than once.
+        all open with its head.
         """
         await self.configuration.accept(1, ["balie"])
         await self.start_daemons(6)
@@ -367,11 +367,12 @@
         await self.wait_for_version(1)
         await self.configuration.fail()
         request = control_pb2.FloorRequest(member_id=self.daemons[-1].id)
-        needed_ms = 2000 * member_builders.FAST_TIMING.min_witness_uptime_s
+        # Twice the minimum, in ms.
+        uptime_ms = 2000 * member_builders.FAST_TIMING.min_witness_uptime_s
         await builders.wait_until(
             lambda: all(
                 daemon.distribution.witness.answer_floor(request, 0).memory_ms
-                > needed_ms
+                > uptime_ms
                 for daemon in self.daemons
             )
         )
--- a/tests/versions/test_known_revision.py
+++ b/tests/versions/test_known_revision.py
@@ -13,16 +13,16 @@
         self.known_revision = known_revision.KnownRevision(lambda: self.now)
 
     def test_history_is_queried_for_a_while_after_an_unchanged_read(self):
-        """A change that the history omits takes effect in the end.
+        """A change that the history omits takes effect after a limited time.
 
         Other writers write continuously, so each read finds a new revision.
         The value is read again once the last read is old.
         """
         self.assertFalse(self.known_revision.may_query_history())
         self.known_revision.record_read(news=False)
-        self.now = known_revision._QUESTIONS_S - 0.1
+        self.now = known_revision._HISTORY_QUERY_PERIOD_S - 0.1
         self.assertTrue(self.known_revision.may_query_history())
-        self.now = known_revision._QUESTIONS_S
+        self.now = known_revision._HISTORY_QUERY_PERIOD_S
         self.assertFalse(self.known_revision.may_query_history())
 
     def test_no_history_query_follows_a_new_head(self):
@@ -32,7 +32,7 @@
         self.assertFalse(self.known_revision.may_query_history())
 
     def test_revision_does_not_decrease(self):
-        """A late answer causes no further read of what is known."""
+        """A late answer causes no further read of a known revision."""
         self.known_revision.advance(7)
         self.known_revision.advance(5)
         self.assertEqual(self.known_revision.revision, 7)
--- a/tests/versions/test_no_downgrade.py
+++ b/tests/versions/test_no_downgrade.py
@@ -21,6 +21,7 @@
 
 SIZE = 5
 numbers = strategies.integers(1, SIZE)
+# "work" only steps the daemon. "offer" occurs twice to be more frequent.
 steps = strategies.lists(
     strategies.one_of(
         strategies.tuples(strategies.just("work"), numbers, numbers),
@@ -45,9 +46,9 @@
     for action, number, peer_number in history:
         await act(fleet, action, number, peer_number)
         highest_version = fleet.highest_versions.get(number, 0)
-        running = await fleet.step(number)
-        assert running == 0 or running >= highest_version, (
-            f"daemon {number} ran {highest_version} and then {running}"
+        version = await fleet.step(number)
+        assert version == 0 or version >= highest_version, (
+            f"daemon {number} ran {highest_version} and then {version}"
         )
 
 
@@ -74,7 +75,7 @@
         case "offer":
             newest = fleet.daemons[peer_number].archive.newest
             if newest is not None:
-                fleet.daemons[number].hold(newest)
+                fleet.daemons[number].add_snapshot(newest)
 
 
 class NoDowngradeTest(unittest.IsolatedAsyncioTestCase):
@@ -113,7 +114,7 @@
         fleet.start(1)
         await simulations.read_store(fleet.daemons[1])
         self.assertEqual(await fleet.step(1), 0)
-        self.assertEqual(fleet.daemons[1].floor.version, 7)
+        self.assertEqual(fleet.daemons[1].floor_resolver.floor, 7)
 
     async def test_stale_store_downgrades_no_daemon(self) -> None:
         """The store returns data from before an outage.
@@ -124,7 +125,7 @@
         fleet = await self.build_running(5, 5)
         await self.check_stale_store(fleet)
 
-    async def test_stale_store_and_witnesses_without_memory(self) -> None:
+    async def test_stale_store_and_recently_opened_witnesses(self) -> None:
         """The store is stale and the witnesses opened only recently.
 
         They cannot confirm the floor, so the answer of the store counts; the
@@ -138,7 +139,7 @@
             self.assertEqual(await fleet.step(number), 5)
         await self.check_stale_store(fleet)
 
-    async def test_head_read_before_startup_is_no_floor(self) -> None:
+    async def test_head_read_before_startup_is_not_used(self) -> None:
         """A watcher answers with a head that it read before the restart.
 
         The previous process may have run versions accepted since that read.
@@ -153,9 +154,10 @@
                     head_read=True, head_version=3, head_age_ms=1500
                 )
             )
-        self.assertFalse(await daemon.floor.try_learn(6))
+        # The first attempt in which the daemon does not wait for watchers.
+        self.assertFalse(await daemon.floor_resolver.try_resolve(6))
         fleet.now += 1.0
-        self.assertTrue(await daemon.floor.try_learn(6))
+        self.assertTrue(await daemon.floor_resolver.try_resolve(6))
 
     async def test_mass_restart_without_watchers_limits_reads(self) -> None:
         """Thousands of daemons restart and no watcher answers.
@@ -169,11 +171,14 @@
         with mock.patch.object(floor, "MAX_FLEET_READS_PER_S", 0.1):
             with mock.patch("random.random", return_value=0.0):
                 first_rounds = [
-                    daemon.floor._may_read_head(number) for number in range(6)
+                    daemon.floor_resolver._may_read_head(number)
+                    for number in range(6)
                 ]
             self.assertFalse(any(first_rounds))
             rounds = 4000
-            reads = sum(daemon.floor._may_read_head(100) for _ in range(rounds))
+            reads = sum(
+                daemon.floor_resolver._may_read_head(100) for _ in range(rounds)
+            )
         expected = (
             rounds * 0.1 * simulations.TIMING.max_floor_retry_delay_s / 2 / 3
         )
@@ -193,7 +198,7 @@
         for number in range(1, 6):
             fleet.start(number)
         assert old_snapshot is not None
-        fleet.daemons[1].hold(old_snapshot)
+        fleet.daemons[1].add_snapshot(old_snapshot)
         for _ in range(3):
             for number in fleet.daemons:
                 self.assertEqual(await fleet.step(number), 0)
@@ -221,12 +226,12 @@
         expected: dict[int, int] = {}
         for number in restarted:
             daemon = fleet.daemons[number]
-            daemon.hold(snapshot)
-            others = [
+            daemon.add_snapshot(snapshot)
+            peer_ids = [
                 peer.id for peer in fleet.daemons.values() if peer is not daemon
             ]
             key = rendezvous.build_neighbours_key(daemon.id)
-            witnesses = rendezvous.choose(key, others, marks.WITNESSES)
+            witnesses = rendezvous.choose(key, peer_ids, marks.WITNESS_COUNT)
             is_confirmed = (
                 len(survivors.intersection(witnesses)) >= marks.QUORUM
             )
@@ -244,8 +249,8 @@
     async def test_dead_witnesses_count_as_missing(self) -> None:
         """A daemon and two of its witnesses die, and only the daemon restarts.
 
-        The next candidates never recorded its last version. If they were taken
-        for its witnesses, they would confirm an earlier version.
+        The next candidates never recorded its last version. If they replaced
+        the dead witnesses, they would confirm an earlier version.
         """
         fleet = await self.build_running(8, 3)
         await fleet.configuration.accept(4, ["balie"])
@@ -253,7 +258,7 @@
         await simulations.read_store(daemon)
         self.assertEqual(await fleet.step(1), 4)
         fleet.configuration.down = True
-        dead_witnesses = daemon.marker.get_candidates()[: marks.WITNESSES]
+        dead_witnesses = daemon.marker.get_candidates()[: marks.WITNESS_COUNT]
         for number in [
             number
             for number, peer in fleet.daemons.items()
@@ -263,7 +268,7 @@
         fleet.start(1)
         older_snapshot = fleet.daemons[max(fleet.daemons)].archive.newest
         assert older_snapshot is not None
-        fleet.daemons[1].hold(older_snapshot)
+        fleet.daemons[1].add_snapshot(older_snapshot)
         self.assertEqual(await fleet.step(1), 0)
 
     async def test_version_does_not_run_before_two_witnesses_recorded_it(
@@ -277,7 +282,7 @@
         await fleet.configuration.accept(2, ["balie"])
         daemon = fleet.daemons[1]
         await simulations.read_store(daemon)
-        witnesses = daemon.marker.get_candidates()[: marks.WITNESSES]
+        witnesses = daemon.marker.get_candidates()[: marks.WITNESS_COUNT]
         fleet.network.silent.update(witnesses[:2])
         self.assertEqual(await fleet.step(1), 1)
         fleet.network.silent.discard(witnesses[0])
@@ -288,14 +293,14 @@
         await fleet.configuration.accept(2, ["balie"])
         daemon = fleet.daemons[1]
         await simulations.read_store(daemon)
-        witnesses = daemon.marker.get_candidates()[: marks.WITNESSES]
+        witnesses = daemon.marker.get_candidates()[: marks.WITNESS_COUNT]
         fleet.network.refused.update(witnesses[:2])
         self.assertEqual(await fleet.step(1), 2)
 
-    async def test_restarted_witness_is_marked_again(self) -> None:
+    async def test_restarted_witness_records_the_version_again(self) -> None:
         """A witness restarts and has lost its marks.
 
-        The daemon marks its active version with the witness again; otherwise,
+        The daemon records its active version there again; otherwise,
         after enough restarts, no witness would know which version it ran.
         """
         fleet = await self.build_running(4, 3)
@@ -303,21 +308,21 @@
         for number in (2, 3, 4):
             fleet.start(number)
         await fleet.step(1)
-        marked_versions = [
-            peer.witness._marks.get(daemon.id, 0)
+        recorded_versions = [
+            peer.witness._versions_by_member.get(daemon.id, 0)
             for number, peer in fleet.daemons.items()
             if number != 1
         ]
-        self.assertGreaterEqual(marked_versions.count(3), marks.QUORUM)
+        self.assertGreaterEqual(recorded_versions.count(3), marks.QUORUM)
 
     async def test_witness_that_was_only_late_keeps_its_mark(self) -> None:
         """A busy daemon opens though its witnesses are sometimes declared dead.
 
         Each refutes this with a higher incarnation, which all daemons pass on.
         If this were treated as a restart, an existing mark would be discarded.
-        On a busy machine marks were discarded faster than they were made: all
-        eight daemons of a fleet held the version, and three of them never had
-        two marks.
+        On a busy machine marks would be discarded faster than they are
+        recorded: all eight daemons of a fleet would hold the version, but three
+        of them would never have two marks and would stay closed.
         """
         fleet = await self.build_running(4, 1)
         daemon = fleet.daemons[1]
@@ -345,7 +350,7 @@
         await fleet.settle()
         assert old_snapshot is not None
         for number, daemon in fleet.daemons.items():
-            daemon.hold(old_snapshot)
+            daemon.add_snapshot(old_snapshot)
             self.assertEqual(await fleet.step(number), 3)
             self.assertFalse(daemon.active_version.activate(old_snapshot))
 
--- a/tests/versions/test_sessions.py
+++ b/tests/versions/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden-file tests of whole sessions of three daemons."""
+"""Golden-file tests of the steps of three daemons."""
 
 from __future__ import annotations
 
@@ -9,59 +9,62 @@
 
 
 class SessionTest(unittest.IsolatedAsyncioTestCase):
-    """Steps from a new head to the last acknowledgement."""
+    """The steps and their order must not change unnoticed.
+
+    A version must be recorded with the witnesses before it runs.
+    """
 
     maxDiff = None
 
     async def asyncSetUp(self) -> None:
-        self.session = sessions.Session()
-        self.configuration = self.session.configuration
-        self.addAsyncCleanup(self.session.close)
+        self.recorder = sessions.StepRecorder()
+        self.configuration = self.recorder.configuration
+        self.addAsyncCleanup(self.recorder.close)
 
-    async def test_change_from_head_to_last_acknowledgement(self) -> None:
-        session = self.session
+    async def test_change_from_head_to_last_mark(self) -> None:
+        recorder = self.recorder
         await self.configuration.accept(1, ["balie"])
-        await session.start()
-        await session.wait_for_contact()
-        await session.wait_for_version(1)
+        await recorder.start()
+        await recorder.wait_for_contact()
+        await recorder.wait_for_version(1)
         for version in (2, 3):
-            session.begin_phase(f"version {version} is accepted")
+            recorder.begin_phase(f"version {version} is accepted")
             await self.configuration.accept(version, ["balie", "kassa"])
-            await session.wait_for_version(version)
-            session.end_phase()
-        session.lines.append("== last acknowledgement")
-        session.write_states()
-        self.assertEqual(session.lines, sessions.read_golden_file("change"))
+            await recorder.wait_for_version(version)
+            recorder.end_phase()
+        recorder.lines.append("== last acknowledgement")
+        recorder.add_states()
+        self.assertEqual(recorder.lines, sessions.read_golden_file("change"))
 
     async def test_mass_restart(self) -> None:
-        session = self.session
+        recorder = self.recorder
         await self.configuration.accept(1, ["balie"])
-        await session.start()
-        await session.wait_for_contact()
-        await session.wait_for_version(1)
-        session.begin_phase("the store fails and all daemons restart")
+        await recorder.start()
+        await recorder.wait_for_contact()
+        await recorder.wait_for_version(1)
+        recorder.begin_phase("the store fails and all daemons restart")
         await self.configuration.fail()
-        await session.close()
+        await recorder.close()
         reads = self.configuration.reads
-        await session.start()
-        await session.wait_for_contact()
+        await recorder.start()
+        await recorder.wait_for_contact()
         await builders.wait_until(lambda: self.configuration.reads > reads + 10)
-        session.write_states()
-        session.begin_phase("the store returns")
+        recorder.add_states()
+        recorder.begin_phase("the store returns")
         self.configuration.down = False
-        await session.wait_for_version(1)
-        session.end_phase()
+        await recorder.wait_for_version(1)
+        recorder.end_phase()
         await builders.wait_until(
             lambda: (
                 not any(
                     daemon.active_version.closed_reason
-                    for daemon in session.daemons.values()
+                    for daemon in recorder.daemons.values()
                 )
             )
         )
-        session.write_states()
+        recorder.add_states()
         self.assertEqual(
-            session.lines, sessions.read_golden_file("herd-restart")
+            recorder.lines, sessions.read_golden_file("herd-restart")
         )
 
 
--- a/tests/versions/test_watcher.py
+++ b/tests/versions/test_watcher.py
@@ -1,4 +1,4 @@
-"""Tests for watchers: their load on the store and what they refuse."""
+"""Tests for watchers, their load on the store, seeds and sources."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
         self.addAsyncCleanup(stop)
 
     async def test_mass_restart_takes_one_read(self) -> None:
-        """All daemons of a zone restart and ask their watcher for the head.
+        """All daemons of a zone restart and request the head from a watcher.
 
         One read after their start is enough for all of them. A read for each
-        would be thousands at once, when the store can bear them least.
+        would be thousands at once, while the store is under the highest load.
         """
         await self.configuration.accept(1, ["balie"])
         self.fleet.now += 10
@@ -66,10 +66,12 @@
         watcher = watcher_lib.Watcher(
             membership,
             self.configuration,
-            self.daemon.hold,
+            self.daemon.add_snapshot,
             self.fleet.get_time,
         )
-        self.assertIn(table.local_id, watcher.selection.get_watchers())
+        self.assertIn(
+            table.local_id, watcher.selection.get_local_zone_watchers()
+        )
         self.assertFalse(watcher.selection.is_watcher())
         self.fleet.now += member_builders.FAST_TIMING.watcher_settling_time_s
         self.assertTrue(watcher.selection.is_watcher())
@@ -123,10 +125,10 @@
             await builders.wait_until(lambda: daemon.archive.version == 1)
 
     async def test_slow_store_delays_no_floor(self) -> None:
-        """A watcher is asked for the head while the store does not answer.
+        """A watcher receives a floor request while the store does not answer.
 
-        It answers without the head before the call of the asking daemon times
-        out, as that daemon needs the marks of the watcher.
+        It answers without the head before the caller's timeout, as the caller
+        also needs the versions that the watcher has recorded.
         """
         self.configuration.reads_hang = True
         reply = control_pb2.FloorReply()
@@ -215,9 +217,8 @@
         """Useless reads during startup do not delay callers.
 
         All daemons start before the first version exists, and the store
-        answers at once. When it was read again at once, it answered hundreds
-        of calls per second over links that the first callers needed. The first
-        version is still received soon after it exists.
+        answers at once. A store that is read again at once would answer
+        hundreds of calls per second over links that the first callers need.
         """
         await self.start_without_contact(
             first_read_retry_delay_s=3600.0, max_watch_retry_delay_s=3600.0
@@ -230,9 +231,10 @@
     async def test_starting_fleet_reads_once_per_daemon(self) -> None:
         """Hundreds of daemons do not repeatedly read a head that is missing.
 
-        The first version is written seconds after they started. With reads
-        after 0.1 s, 0.2 s and so on until the first contact with a peer, each
-        of them made four useless calls to the store.
+        The first version is written seconds after they started. A store
+        without a version must be read with the long delay even if the delay
+        after a failed read is short; with reads after 0.1 s, 0.2 s and so on
+        until the first contact, each daemon would make four useless calls.
         """
         await self.start_without_contact(
             first_read_retry_delay_s=0.0, max_watch_retry_delay_s=3600.0
@@ -243,6 +245,7 @@
         self.assertEqual(self.configuration.reads, 1)
 
     async def test_first_version_is_read_after_a_delay(self) -> None:
+        """The first version is received soon after it exists."""
         await self.start_without_contact()
         await builders.wait_until(lambda: self.configuration.reads > 0)
         await self.configuration.accept(1, ["balie"])
@@ -255,18 +258,19 @@
         self.watcher = watcher_lib.Watcher(
             membership,
             self.configuration,
-            self.daemon.hold,
+            self.daemon.add_snapshot,
             self.fleet.get_time,
             read_before_contact=True,
         )
         await self.run_watcher()
 
     async def test_peers_are_searched_soon_after_startup(self) -> None:
-        """Callers of a part of the fleet do not miss services for long.
+        """A daemon that found only a few others finds the rest soon.
 
-        Daemons that found only each other during startup learn of the others
-        from the seed records. Reading these again after twenty seconds was too
-        late; reading them all the time would cost a call per second.
+        Daemons that found only each other during startup find the others
+        through the seed records. If these were read again only after twenty
+        seconds, calls would fail until then; if they were read all the time,
+        this would cost a call per second.
         """
         membership = self.daemon.membership
         membership.timing = membership.timing._replace(
@@ -275,7 +279,7 @@
         self.watcher = watcher_lib.Watcher(
             membership,
             self.configuration,
-            self.daemon.hold,
+            self.daemon.add_snapshot,
             self.fleet.get_time,
         )
         await self.run_watcher()
@@ -328,9 +332,9 @@
         head = await self.source.read_head()
         first = await self.source.compile_head(head)
         calls = self.store.calls["get"]
-        again = await self.source.compile_head(head)
+        second = await self.source.compile_head(head)
         self.assertEqual(self.store.calls["get"], calls)
-        self.assertEqual(first.digest, again.digest)
+        self.assertEqual(first.digest, second.digest)
 
     async def test_changed_document_needs_no_read(self) -> None:
         """The store fails right after it accepted a change.
