--- a/merlintrestle/versions/deltas.py
+++ b/merlintrestle/versions/deltas.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from merlintrestle import errors
-from merlintrestle.documents import loading
+from merlintrestle.documents import loader
 from merlintrestle.documents import snapshot as snapshot_lib
 from merlintrestle.schema import control_pb2
 from merlintrestle.schema import document_pb2
@@ -58,7 +58,7 @@
         resources.pop(name, None)
     for resource in delta.changed:
         resources[resource.name] = resource.value
-    return loading.load_snapshot(delta.version, resources, base, delta.digest)
+    return loader.load_snapshot(delta.version, resources, base, delta.digest)
 
 
 def pack_snapshot(snapshot: snapshot_lib.Snapshot) -> document_pb2.Snapshot:
@@ -80,6 +80,6 @@
         errors.SnapshotError: The snapshot has another digest or is not valid.
     """
     resources = {item.name: item.value for item in snapshot_message.resources}
-    return loading.load_snapshot(
+    return loader.load_snapshot(
         snapshot_message.version, resources, None, digest
     )
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -36,7 +36,9 @@
     async def test_calls_of_one_change(self) -> None:
         """The platform counts calls; a change makes a fixed number of them."""
         proposer = changes.Proposer(self.store, pause_s=0)
-        mesh = changes.Proposal("anna", "mesh", document_builders.build_mesh())
+        mesh = changes.Proposal(
+            "anna", "mesh", document_builders.build_mesh_document()
+        )
         outcome = await proposer.propose(mesh)
         self.assertIsInstance(outcome, outcomes.Accepted)
         calls_before = self._get_calls()
