--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -265,7 +265,7 @@
         of the value.
         """
         await self.write_without_event()
-        with mock.patch.object(known_revision, "_QUESTIONS_S", 0.0):
+        with mock.patch.object(known_revision, "_HISTORY_QUERY_PERIOD_S", 0.0):
             self.assertEqual(await self.read(), 6)
 
     async def test_a_change_that_a_watch_misses_is_read(self):
@@ -310,7 +310,7 @@
         value = builders.build_large_configuration(6)
         bytes_before = self.count_sent_bytes()
         await self.write(value)
-        with mock.patch.object(known_revision, "_WATCH_LEAD_S", 0.1):
+        with mock.patch.object(known_revision, "_MAX_WATCH_WAIT_S", 0.1):
             self.assertEqual(await self.read(), 6)
         self.assertEqual((await waiting).version, 6)
         self.assertLess(self.count_sent_bytes() - bytes_before, 2 * len(value))
