--- a/merlintrestle/documents/checks.py
+++ b/merlintrestle/documents/checks.py
@@ -1,4 +1,4 @@
-"""Checks that the documents of all organisations fit together."""
+"""Consistency checks across the documents of all organisations."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class Demand(NamedTuple):
-    """Slots that one class of work is expected to hold.
+    """Expected demand of a class of work for slots.
 
     Attributes:
-        place: Organisation and key of the class.
-        rate: Calls per second.
-        work_ms: Milliseconds that one call holds a slot.
-        slots: Their product, in slots.
+        place: Organisation and key of the class of work.
+        rate: Expected calls per second.
+        work_ms: Expected time in milliseconds for which a call holds a slot.
+        slots: Average number of slots held, the product of both.
     """
 
     place: str
@@ -33,26 +33,29 @@
 
 
 def check_documents(documents: Documents) -> list[errors.Finding]:
-    """Returns all findings about documents that are to hold together.
+    """Checks whether documents are consistent with each other.
 
-    Places are "<organisation>: <key>". The findings do not depend on the
-    order of the organisations.
+    The place of a finding is "<organisation>: <key>". The findings do not
+    depend on the order of the organisations.
 
     Args:
-        documents: The document of each organisation by its name.
+        documents: Documents by name of the organisation.
+
+    Returns:
+        All findings; empty if the documents are consistent.
     """
     owners = _list_owners(documents)
     return [
         *_check_owners(owners),
         *_check_calls(documents, owners),
-        *_check_foreign(documents, owners),
+        *_check_foreign_services(documents, owners),
         *_check_budget(documents),
     ]
 
 
-def list_demand(documents: Documents) -> list[Demand]:
-    """Returns the expected demand of each class, sorted by place."""
-    demand = [
+def list_demands(documents: Documents) -> list[Demand]:
+    """Returns the expected demand of each class of work, sorted by place."""
+    demands = [
         Demand(
             f"{organisation}: services.{service.name}.classes.{target.name}",
             target.rate,
@@ -62,7 +65,7 @@
         for organisation, service in _list_services(documents)
         for target in service.classes
     ]
-    return sorted(demand)
+    return sorted(demands)
 
 
 def _list_services(
@@ -85,7 +88,9 @@
     for service, organisations in sorted(owners.items()):
         if len(organisations) > 1:
             for organisation in organisations:
-                others = [one for one in organisations if one != organisation]
+                others = [
+                    other for other in organisations if other != organisation
+                ]
                 yield errors.Finding(
                     f"{organisation}: services.{service}",
                     f"is also a service of {', '.join(others)}.",
@@ -104,10 +109,10 @@
                 )
 
 
-def _check_foreign(
+def _check_foreign_services(
     documents: Documents, owners: dict[str, list[str]]
 ) -> Iterator[errors.Finding]:
-    """Checks declarations on the services of other organisations."""
+    """Checks declarations about services that other organisations own."""
     for organisation, service in _list_services(documents):
         if not service.owner:
             continue
@@ -135,9 +140,9 @@
 
 
 def _check_budget(documents: Documents) -> Iterator[errors.Finding]:
-    demand = list_demand(documents)
-    # fsum is exact, so the verdict does not depend on the order.
-    total = math.fsum(one.slots for one in demand)
+    demands = list_demands(documents)
+    # fsum rounds only once, so the result does not depend on the order.
+    total = math.fsum(demand.slots for demand in demands)
     if fields.MESH_ORGANISATION not in documents:
         if total > 0:
             yield errors.Finding(
@@ -154,9 +159,9 @@
         f"{fields.MESH_ORGANISATION}: budget_slots",
         f"{total:.6g} slots are demanded; {budget} are in the budget.",
     )
-    for one in demand:
+    for demand in demands:
         yield errors.Finding(
-            one.place,
-            f"demands {one.slots:.6g} slots"
-            f" ({one.rate:.6g} calls/s x {one.work_ms:.6g} ms).",
+            demand.place,
+            f"demands {demand.slots:.6g} slots"
+            f" ({demand.rate:.6g} calls/s x {demand.work_ms:.6g} ms).",
         )
--- a/merlintrestle/documents/compiler.py
+++ b/merlintrestle/documents/compiler.py
@@ -1,7 +1,7 @@
-"""Compiles the documents of all organisations into one snapshot.
+"""Compiler from the documents of all organisations to a snapshot.
 
-The result is a pure function of the version and the documents, so that every
-daemon derives the same bytes and proves it by the digest.
+The snapshot depends only on the version and the documents, so that every
+daemon derives the same bytes. The digest proves that it did.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
     from google.protobuf import message
 
-# A snapshot travels whole in one gRPC message (default limit 4 MiB).
+# A snapshot is sent as a single gRPC message (default limit: 4 MiB).
 MAX_SNAPSHOT_BYTES = 3_500_000
 
 
 def serialize_message(value: message.Message) -> bytes:
-    """Returns the bytes of a message, the same for equal messages."""
+    """Serializes a message; equal messages give the same bytes."""
     return value.SerializeToString(deterministic=True)
 
 
 def compute_document_digest(document: document_pb2.Document) -> bytes:
-    """Returns the SHA-256 under which a document is kept."""
+    """Returns the SHA-256 by which a stored document is identified."""
     return hashlib.sha256(serialize_message(document)).digest()
 
 
@@ -38,33 +38,34 @@
     documents: Mapping[str, document_pb2.Document],
     base: snapshot.Snapshot | None = None,
 ) -> snapshot.Snapshot:
-    """Compiles documents that passed `checks.check_documents`.
+    """Compiles documents that have passed `checks.check_documents`.
 
     Args:
         version: Number of the version.
         documents: The document of each organisation by its name.
-        base: An earlier snapshot, whose equal parts are not read again.
+        base: An earlier snapshot; its unchanged resources are not parsed
+            again.
 
     Raises:
-        errors.SnapshotError: The documents do not fit together, or the
-            snapshot is larger than `MAX_SNAPSHOT_BYTES`.
+        errors.SnapshotError: The documents are inconsistent, or the snapshot
+            is larger than `MAX_SNAPSHOT_BYTES`.
     """
     resources: dict[str, bytes] = {}
-    classes: dict[str, list[str]] = {}
+    class_names: dict[str, list[str]] = {}
     for organisation, document in documents.items():
         if document.budget_slots:
-            resources[snapshot.BUDGET] = serialize_message(
+            resources[snapshot.BUDGET_RESOURCE] = serialize_message(
                 document_pb2.BudgetResource(slots=document.budget_slots)
             )
         for service in document.services:
-            names = classes.setdefault(service.name, [])
+            names = class_names.setdefault(service.name, [])
             for name, value in _compile_classes(organisation, service):
                 names.append(name)
                 resources[name] = value
     for organisation, document in documents.items():
         for service in document.services:
             if not service.owner:
-                _add_service(resources, organisation, service, classes)
+                _add_service(resources, organisation, service, class_names)
     size = sum(len(name) + len(value) for name, value in resources.items())
     if size > MAX_SNAPSHOT_BYTES:
         raise errors.SnapshotError(
@@ -78,7 +79,7 @@
 ) -> list[tuple[str, bytes]]:
     return [
         (
-            snapshot.name_class(service.name, organisation, target.name),
+            snapshot.build_class_name(service.name, organisation, target.name),
             serialize_message(
                 document_pb2.ClassResource(
                     service=service.name,
@@ -95,7 +96,7 @@
     resources: dict[str, bytes],
     organisation: str,
     service: document_pb2.ServiceTarget,
-    classes: Mapping[str, list[str]],
+    class_names: Mapping[str, list[str]],
 ) -> None:
     name = snapshot.build_service_name(service.name)
     if name in resources:
@@ -106,6 +107,6 @@
             owner=organisation,
             shared=service.shared,
             calls=sorted(service.calls),
-            classes=sorted(classes[service.name]),
+            classes=sorted(class_names[service.name]),
         )
     )
--- a/merlintrestle/documents/differences.py
+++ b/merlintrestle/documents/differences.py
@@ -1,4 +1,4 @@
-"""What differs between two documents, as lines for people."""
+"""Human-readable differences between two documents."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 ) -> list[str]:
     """Returns a line for each key, service and class of work that differs.
 
-    A service or class that is new ("+") or gone ("-") is one line; of one that
-    changed ("~") each key that differs is a line.
+    An added ("+") or removed ("-") service or class is one line. A changed
+    service or class has a line ("~") for each key that differs.
 
     Args:
-        before: The older document; None: there was none.
-        after: The newer document; None: it was withdrawn.
+        before: The older document, or None if there was none.
+        after: The newer document, or None if it was withdrawn.
     """
     old = before or document_pb2.Document()
     new = after or document_pb2.Document()
@@ -39,16 +39,16 @@
 ) -> Iterator[str]:
     before = {service.name: service for service in old}
     after = {service.name: service for service in new}
-    none = document_pb2.ServiceTarget()
+    empty = document_pb2.ServiceTarget()
     for name in sorted(before.keys() | after.keys()):
         path = f"services.{name}"
         if name not in before:
             yield f"+ {path}"
         elif name not in after:
             yield f"- {path}"
-        one, other = before.get(name, none), after.get(name, none)
-        yield from _compare_keys(path + ".", one, other, skip=("name",))
-        yield from _compare_classes(path, one.classes, other.classes)
+        older, newer = before.get(name, empty), after.get(name, empty)
+        yield from _compare_keys(path + ".", older, newer, skip=("name",))
+        yield from _compare_classes(path, older.classes, newer.classes)
 
 
 def _compare_classes(
@@ -61,9 +61,9 @@
     for name in sorted(before.keys() | after.keys()):
         key = f"{path}.classes.{name}"
         if name not in before:
-            yield f"+ {key}: {_describe(after[name])}"
+            yield f"+ {key}: {_describe_class(after[name])}"
         elif name not in after:
-            yield f"- {key}: {_describe(before[name])}"
+            yield f"- {key}: {_describe_class(before[name])}"
         else:
             yield from _compare_keys(key + ".", before[name], after[name])
 
@@ -74,26 +74,26 @@
     new: message.Message,
     skip: tuple[str, ...] = (),
 ) -> Iterator[str]:
-    """Compares the keys of two messages that are not messages themselves."""
+    """Compares the fields of two messages, except nested messages."""
     for field in type(old).DESCRIPTOR.fields:
         if field.name in skip or field.message_type is not None:
             continue
-        before = _show(field, getattr(old, field.name))
-        after = _show(field, getattr(new, field.name))
+        before = _format_value(field, getattr(old, field.name))
+        after = _format_value(field, getattr(new, field.name))
         if before != after:
             yield f"~ {path}{field.name}: {before} -> {after}"
 
 
-def _describe(target: document_pb2.ClassTarget) -> str:
-    kind = "repeatable" if target.repeatable else "not repeatable"
+def _describe_class(target: document_pb2.ClassTarget) -> str:
+    repeatability = "repeatable" if target.repeatable else "not repeatable"
     return (
         f"{', '.join(target.match)}; {target.latency_ms} ms for"
-        f" {target.share:.15g}, {kind}, {target.rate:.15g} calls/s x"
+        f" {target.share:.15g}, {repeatability}, {target.rate:.15g} calls/s x"
         f" {target.work_ms:.15g} ms"
     )
 
 
-def _show(field: Any, value: Any) -> str:
+def _format_value(field: Any, value: Any) -> str:
     if field.is_repeated:
         return "[" + ", ".join(value) + "]"
     if field.enum_type is not None:
--- a/merlintrestle/documents/fields.py
+++ b/merlintrestle/documents/fields.py
@@ -1,4 +1,4 @@
-"""Typed reading of the keys of a target document, with their ranges."""
+"""Reader for typed keys of target documents, with checks of their ranges."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 if TYPE_CHECKING:
     from google.protobuf import message
 
-# Names of organisations, services and classes of work.
+# Pattern of the names of organisations, services and classes of work.
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 _METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "*")
 _PATH = re.compile(r"/[A-Za-z0-9._~!$&'()*+,;=:@/-]{0,199}")
-_MAX_LISTED = 1000
+_MAX_LIST_ENTRIES = 1000
 _MISSING: Any = object()
 
 T = TypeVar("T")
 
 
 class Range(NamedTuple):
-    """Inclusive bounds of a figure.
+    """Inclusive bounds of a number.
 
     Attributes:
-        low: Least value.
-        high: Greatest value.
-        unit: Unit, for people; empty: none.
+        low: Minimum value.
+        high: Maximum value.
+        unit: Unit to show in messages; empty for none.
     """
 
     low: float
@@ -46,18 +46,18 @@
 SIZES = {"small": document_pb2.SMALL, "large": document_pb2.LARGE}
 
 
-def read_range(kind: type[message.Message], key: str) -> Range:
-    """Returns the bounds that the schema gives a figure."""
-    options: Any = kind.DESCRIPTOR.fields_by_name[key].GetOptions()
-    rule = options.Extensions[settings_pb2.setting]
-    return Range(rule.min, rule.max, rule.unit)
+def read_range(message_type: type[message.Message], key: str) -> Range:
+    """Returns the bounds that the schema declares for a numeric key."""
+    options: Any = message_type.DESCRIPTOR.fields_by_name[key].GetOptions()
+    setting = options.Extensions[settings_pb2.setting]
+    return Range(setting.min, setting.max, setting.unit)
 
 
 class Table:
-    """One TOML table; reading a key reports what is wrong with it.
+    """A TOML table that checks each key when it is read.
 
-    A reader that meets a finding returns a neutral value and goes on, so that
-    one run reports every finding.
+    A method that finds a problem adds a finding and returns a neutral value,
+    so that a single pass reports every finding.
     """
 
     def __init__(
@@ -67,15 +67,15 @@
         path: str,
         findings: list[errors.Finding],
     ):
-        """Sets what is read.
+        """Initializes the table.
 
         Args:
-            values: The table as `tomllib` gives it.
+            values: The table as parsed by `tomllib`.
             file: Name of the file.
-            path: Dotted path of this table; empty: the root.
+            path: Dotted path of this table; empty for the root table.
             findings: List to which findings are added.
         """
-        self._rest = dict(values)
+        self._unread = dict(values)
         self._file = file
         self._path = path
         self._findings = findings
@@ -85,138 +85,154 @@
         path = ".".join(part for part in (self._path, key) if part)
         self._findings.append(errors.Finding(f"{self._file}: {path}", text))
 
-    def refuse_rest(self) -> None:
-        """Reports every key that nobody took."""
-        for key in self._rest:
-            self.report(_show_key(key), "unknown key.")
+    def report_unknown_keys(self) -> None:
+        """Reports each key that has not been read."""
+        for key in self._unread:
+            self.report(_format_key(key), "unknown key.")
 
-    def take_flag(self, key: str, default: bool | None = None) -> bool:
-        """Reads true or false."""
-        value = self._take(key, bool, "true or false", default)
+    def read_flag(self, key: str, default: bool | None = None) -> bool:
+        """Reads a boolean."""
+        value = self._read_value(key, bool, "true or false", default)
         return bool(value)
 
-    def take_integer(
+    def read_integer(
         self, key: str, allowed: Range, default: int | None = None
     ) -> int:
-        """Reads a whole number within a range."""
-        value = self._take(key, int, f"a whole number, {allowed}", default)
+        """Reads an integer within a range."""
+        value = self._read_value(
+            key, int, f"a whole number, {allowed}", default
+        )
         if value is None or value == default:
             return default or 0
-        return int(self._keep_range(key, value, allowed))
+        return int(self._check_range(key, value, allowed))
 
-    def take_number(self, key: str, allowed: Range) -> float:
-        """Reads a number within a range; whole numbers count too."""
-        value = self._take(key, (int, float), f"a number, {allowed}", None)
+    def read_number(self, key: str, allowed: Range) -> float:
+        """Reads a float or an integer within a range."""
+        value = self._read_value(
+            key, (int, float), f"a number, {allowed}", None
+        )
         if value is None:
             return 0.0
-        return float(self._keep_range(key, value, allowed))
+        return float(self._check_range(key, value, allowed))
 
-    def take_choice(self, key: str, choices: dict[str, T], default: str) -> T:
-        """Reads one of some words and returns what it stands for."""
+    def read_choice(self, key: str, choices: dict[str, T], default: str) -> T:
+        """Reads one of several words and returns the value of that choice."""
         words = " or ".join(repr(word) for word in choices)
-        value = self._take(key, str, words, default)
+        value = self._read_value(key, str, words, default)
         if value not in choices:
             if value is not None:
-                self.report(key, f"{_show(value)} is not {words}.")
+                self.report(key, f"{_format_value(value)} is not {words}.")
             return choices[default]
         return choices[value]
 
-    def take_name(self, key: str, default: str | None = None) -> str:
-        """Reads a name; empty where it is absent or wrong."""
-        value = self._take(key, str, "a name", default)
+    def read_name(self, key: str, default: str | None = None) -> str:
+        """Reads a name; returns an empty string if it is missing or invalid."""
+        value = self._read_value(key, str, "a name", default)
         if not value:
             if value == "" and default is None:
                 self.report(key, "is empty.")
             return ""
-        return value if self._keep_name(key, value) else ""
-
-    def take_names(self, key: str) -> list[str]:
-        """Reads a list of names; absent: empty."""
-        names = self._take_texts(key, "a list of names", [])
-        return [name for name in names if self._keep_name(key, name)]
-
-    def take_matches(self, key: str) -> list[str]:
-        """Reads the list of "METHOD /path-prefix" that a class has."""
-        wanted = 'a list such as ["GET /tickets"]'
-        given = key in self._rest
-        matches = self._take_texts(key, wanted, None)
-        if given and not matches:
-            self.report(key, f"is not {wanted}.")
-        return [match for match in matches if self._keep_match(key, match)]
-
-    def take_tables(self, key: str) -> dict[str, Table]:
-        """Reads a table of named tables; absent: empty."""
-        found = {}
-        for name, value in self._take(key, dict, "a table", {}).items():
-            path = f"{key}.{_show_key(name)}"
+        return value if self._check_name(key, value) else ""
+
+    def read_names(self, key: str) -> list[str]:
+        """Reads a list of names; returns an empty list if it is missing."""
+        names = self._read_strings(key, "a list of names", [])
+        return [name for name in names if self._check_name(key, name)]
+
+    def read_matches(self, key: str) -> list[str]:
+        """Reads the matches of a class, each as "METHOD /path-prefix"."""
+        expected = 'a list such as ["GET /tickets"]'
+        present = key in self._unread
+        matches = self._read_strings(key, expected, None)
+        if present and not matches:
+            self.report(key, f"is not {expected}.")
+        return [match for match in matches if self._check_match(key, match)]
+
+    def read_tables(self, key: str) -> dict[str, Table]:
+        """Reads a table of named tables; returns {} if it is missing."""
+        tables = {}
+        for name, value in self._read_value(key, dict, "a table", {}).items():
+            path = f"{key}.{_format_key(name)}"
             if not isinstance(value, dict):
                 self.report(path, "is not a table.")
-            elif self._keep_name(path, name):
-                inner = f"{self._path}.{path}" if self._path else path
-                found[name] = Table(value, self._file, inner, self._findings)
-        return found
-
-    def _take(self, key: str, kind: Any, wanted: str, default: Any) -> Any:
-        value = self._rest.pop(key, _MISSING)
+            elif self._check_name(path, name):
+                table_path = f"{self._path}.{path}" if self._path else path
+                tables[name] = Table(
+                    value, self._file, table_path, self._findings
+                )
+        return tables
+
+    def _read_value(
+        self, key: str, value_type: Any, expected: str, default: Any
+    ) -> Any:
+        value = self._unread.pop(key, _MISSING)
         if value is _MISSING:
             if default is None:
-                self.report(key, f"is required: {wanted}.")
+                self.report(key, f"is required: {expected}.")
             return default
-        # bool is a kind of int in Python, but never a figure here.
-        if isinstance(value, bool) is not (kind is bool) or not isinstance(
-            value, kind
-        ):
-            self.report(key, f"{_show(value)} is not {wanted}.")
+        # bool is a subclass of int in Python, but not a number here.
+        if isinstance(value, bool) is not (
+            value_type is bool
+        ) or not isinstance(value, value_type):
+            self.report(key, f"{_format_value(value)} is not {expected}.")
             return default
         return value
 
-    def _take_texts(
-        self, key: str, wanted: str, default: list[str] | None
+    def _read_strings(
+        self, key: str, expected: str, default: list[str] | None
     ) -> list[str]:
-        values = self._take(key, list, wanted, default) or []
-        if len(values) > _MAX_LISTED:
-            text = f"has {len(values)} entries; {_MAX_LISTED} are allowed."
+        values = self._read_value(key, list, expected, default) or []
+        if len(values) > _MAX_LIST_ENTRIES:
+            text = (
+                f"has {len(values)} entries; {_MAX_LIST_ENTRIES} are allowed."
+            )
             self.report(key, text)
             return []
         for value in values:
             if not isinstance(value, str):
-                self.report(key, f"{_show(value)} is not a text.")
+                self.report(key, f"{_format_value(value)} is not a text.")
         return [value for value in values if isinstance(value, str)]
 
-    def _keep_range(self, key: str, value: float, allowed: Range) -> float:
-        # A comparison with nan is false, so nan is refused here too.
+    def _check_range(self, key: str, value: float, allowed: Range) -> float:
+        # Comparisons with NaN are false, so NaN is also rejected here.
         if allowed.low <= value <= allowed.high and math.isfinite(value):
             return value
-        self.report(key, f"{_show(value)} is not within {allowed}.")
+        self.report(key, f"{_format_value(value)} is not within {allowed}.")
         return 0
 
-    def _keep_name(self, key: str, name: str) -> bool:
+    def _check_name(self, key: str, name: str) -> bool:
         if NAME.fullmatch(name):
             return True
-        text = f"{_show(name)} is not a name (a-z, 0-9 and '-', 63 at most)."
+        text = (
+            f"{_format_value(name)} is not a name"
+            " (a-z, 0-9 and '-', 63 at most)."
+        )
         self.report(key, text)
         return False
 
-    def _keep_match(self, key: str, match: str) -> bool:
+    def _check_match(self, key: str, match: str) -> bool:
         method, _, path = match.partition(" ")
         if method not in _METHODS:
-            text = f"{_show(match)} begins with none of {', '.join(_METHODS)}."
+            text = (
+                f"{_format_value(match)} begins with none of"
+                f" {', '.join(_METHODS)}."
+            )
         elif not _PATH.fullmatch(path) or "//" in path or "/." in path:
-            text = f"{_show(match)} has no plain path after its method."
+            text = f"{_format_value(match)} has no plain path after its method."
         else:
             return True
         self.report(key, text)
         return False
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     try:
         text = repr(value)
     except ValueError:
-        # Python refuses to write out integers of several thousand digits.
+        # Python does not convert integers with thousands of digits to text.
         return "a very large figure"
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def _show_key(key: str) -> str:
-    return key if NAME.fullmatch(key.replace("_", "-")) else _show(key)
+def _format_key(key: str) -> str:
+    return key if NAME.fullmatch(key.replace("_", "-")) else _format_value(key)
--- a/merlintrestle/documents/loader.py
+++ b/merlintrestle/documents/loader.py
@@ -1,4 +1,4 @@
-"""Loads snapshots from resources that may have come from a peer."""
+"""Loader of snapshots from resources that a peer may have sent."""
 
 from __future__ import annotations
 
@@ -22,90 +22,99 @@
     base: snapshot.Snapshot | None = None,
     digest: bytes | None = None,
 ) -> snapshot.Snapshot:
-    """Builds a snapshot from resources, which may have come from a peer.
+    """Builds a snapshot from resources that a peer may have sent.
 
     Args:
         version: Number of the version.
-        resources: Its resources.
-        base: What it has in common with this one is not read again: reading
-            all of it would hold up the event loop at each change.
-        digest: The digest that it must have; compared before anything is
-            read, for a lost or corrupted part would otherwise run as a
-            version that nobody accepted. None: resources of this process.
+        resources: Serialized resources by name.
+        base: Earlier snapshot whose unchanged resources are not parsed again.
+            Parsing all resources would block the event loop at each change.
+        digest: Expected digest, compared before any resource is parsed.
+            Otherwise a snapshot with a lost or corrupted resource would run
+            as a version that was never accepted. None if the resources come
+            from this process.
 
     Raises:
-        errors.SnapshotError: The digest differs, a resource cannot be read,
-            or a route or a service refers to one that is not there.
+        errors.SnapshotError: The digest differs, a resource cannot be parsed,
+            or a route or a service refers to a resource that is missing.
     """
-    found = snapshot.compute_digest(version, resources, base)
-    if digest is not None and found != digest:
+    actual_digest = snapshot.compute_digest(version, resources, base)
+    if digest is not None and actual_digest != digest:
         raise errors.SnapshotError(f"version {version} has another digest")
-    parts = {
-        name: snapshot.find_part(base, name, value) or _read_part(name, value)
+    parsed_resources = {
+        name: snapshot.find_parsed_resource(base, name, value)
+        or _parse_resource(name, value)
         for name, value in resources.items()
     }
     services = {
-        part.service.name: part.service
-        for part in parts.values()
-        if part.service is not None
+        parsed.service.name: parsed.service
+        for parsed in parsed_resources.values()
+        if parsed.service is not None
     }
-    _check_references(services, parts)
-    built = {
-        name: _reuse_service(base, name, parts) or _build_service(name, parts)
+    _check_references(services, parsed_resources)
+    service_plans = {
+        name: _reuse_service(base, name, parsed_resources)
+        or _build_service(name, parsed_resources)
         for name in services
     }
-    limits = parts.get(snapshot.LIMITS_RESOURCE)
+    limits = parsed_resources.get(snapshot.LIMITS_RESOURCE)
     return snapshot.Snapshot(
         version,
         dict(resources),
-        built,
-        parts,
-        found,
-        hosts=_build_hosts(services, parts),
+        service_plans,
+        parsed_resources,
+        actual_digest,
+        hosts=_group_host_routes(services, parsed_resources),
         limits=limits.limits if limits else None,
     )
 
 
-def _read_part(name: str, value: bytes) -> snapshot.Part:
-    digest = snapshot.hash_part(name, value)
-    if name == snapshot.BUDGET:
-        _parse(name, value, document_pb2.BudgetResource())
-        return snapshot.Part(digest)
-    if name.startswith(snapshot.SERVICE):
-        service = _parse(name, value, document_pb2.ServiceResource())
+def _parse_resource(name: str, value: bytes) -> snapshot.ParsedResource:
+    digest = snapshot.hash_resource(name, value)
+    if name == snapshot.BUDGET_RESOURCE:
+        _parse_message(name, value, document_pb2.BudgetResource())
+        return snapshot.ParsedResource(digest)
+    if name.startswith(snapshot.SERVICE_PREFIX):
+        service = _parse_message(name, value, document_pb2.ServiceResource())
         _require(
             name,
             name == snapshot.build_service_name(service.name),
             "is misnamed",
         )
-        return snapshot.Part(digest, service)
+        return snapshot.ParsedResource(digest, service)
     if name == snapshot.LIMITS_RESOURCE:
-        limits = _parse(name, value, document_pb2.LimitsResource())
-        return snapshot.Part(digest, limits=_read_limits(limits))
-    if name.startswith(snapshot.HOST_ROUTE):
-        route = _parse(name, value, document_pb2.HostRouteResource())
+        limits = _parse_message(name, value, document_pb2.LimitsResource())
+        return snapshot.ParsedResource(digest, limits=_build_limits(limits))
+    if name.startswith(snapshot.HOST_ROUTE_PREFIX):
+        route = _parse_message(name, value, document_pb2.HostRouteResource())
         _require(
             name,
             name == snapshot.build_host_route_name(route.name),
             "is misnamed",
         )
-        return snapshot.Part(digest, host_route=_read_host_route(name, route))
-    _require(name, name.startswith(snapshot.CLASS), "is of no known kind")
-    resource = _parse(name, value, document_pb2.ClassResource())
-    plan = _read_plan(resource)
-    full = snapshot.name_class(plan.service, plan.organisation, plan.name)
-    _require(name, name == full, "is misnamed")
+        return snapshot.ParsedResource(
+            digest, host_route=_build_host_route(name, route)
+        )
+    _require(
+        name, name.startswith(snapshot.CLASS_PREFIX), "is of no known kind"
+    )
+    resource = _parse_message(name, value, document_pb2.ClassResource())
+    plan = _build_class_plan(resource)
+    expected_name = snapshot.build_class_name(
+        plan.service, plan.organisation, plan.name
+    )
+    _require(name, name == expected_name, "is misnamed")
     matches = resource.target.match
-    routes = tuple(_read_route(name, match, plan) for match in matches)
-    return snapshot.Part(digest, None, plan, routes)
+    routes = tuple(_parse_route(name, match, plan) for match in matches)
+    return snapshot.ParsedResource(digest, None, plan, routes)
 
 
-def _require(name: str, holds: bool, problem: str) -> None:
-    if not holds:
+def _require(name: str, condition: bool, problem: str) -> None:
+    if not condition:
         raise errors.SnapshotError(f"resource {name!r} {problem}")
 
 
-def _parse(name: str, value: bytes, target: M) -> M:
+def _parse_message(name: str, value: bytes, target: M) -> M:
     try:
         target.ParseFromString(value)
     except message.DecodeError as error:
@@ -115,28 +124,33 @@
 
 def _check_references(
     services: Mapping[str, document_pb2.ServiceResource],
-    parts: Mapping[str, snapshot.Part],
+    parsed_resources: Mapping[str, snapshot.ParsedResource],
 ) -> None:
-    listed = set()
+    listed_classes = set()
     for service in services.values():
         name = snapshot.build_service_name(service.name)
         for called in service.calls:
             _require(name, called in services, f"calls unknown {called!r}")
-        for wanted in service.classes:
-            part = parts.get(wanted)
-            plan = part.plan if part else None
+        for class_name in service.classes:
+            parsed = parsed_resources.get(class_name)
+            plan = parsed.plan if parsed else None
             known = plan is not None and plan.service == service.name
-            _require(name, known, f"lists unknown {wanted!r}")
-            listed.add(wanted)
-    for name, part in parts.items():
-        # Both ways: a class that its service does not list has no route, and
-        # its calls would be refused though their targets are in force.
-        if part.plan is not None:
-            _require(name, name in listed, "is not listed by its service")
-
-
-def _read_plan(part: document_pb2.ClassResource) -> snapshot.ClassPlan:
-    return _build_plan(part.organisation, part.service, part.target)
+            _require(name, known, f"lists unknown {class_name!r}")
+            listed_classes.add(class_name)
+    for name, parsed in parsed_resources.items():
+        # References are checked in both directions: a class that its service
+        # does not list has no route, and its calls would be refused although
+        # their targets are in force.
+        if parsed.plan is not None:
+            _require(
+                name, name in listed_classes, "is not listed by its service"
+            )
+
+
+def _build_class_plan(
+    resource: document_pb2.ClassResource,
+) -> snapshot.ClassPlan:
+    return _build_plan(resource.organisation, resource.service, resource.target)
 
 
 def _build_plan(
@@ -159,29 +173,31 @@
     )
 
 
-def _read_host_route(
+def _build_host_route(
     name: str, route: document_pb2.HostRouteResource
 ) -> snapshot.HostRoute:
     _require(name, bool(route.parts), "leads to no service")
     _require(name, route.prefix.startswith("/"), "has a bad prefix")
     _require(
-        name, any(part.weight for part in route.parts), "has no weight at all"
+        name,
+        any(destination.weight for destination in route.parts),
+        "has no weight at all",
     )
-    parts = tuple(
-        snapshot.WeightedService(part.service, part.weight)
-        for part in route.parts
+    destinations = tuple(
+        snapshot.WeightedService(destination.service, destination.weight)
+        for destination in route.parts
     )
-    plan = _build_plan("", parts[0].service, route.target)
+    plan = _build_plan("", destinations[0].service, route.target)
     return snapshot.HostRoute(
         name=route.name,
         host=route.host,
         prefix=route.prefix,
-        destinations=parts,
+        destinations=destinations,
         plan=plan._replace(max_attempts=route.max_attempts),
     )
 
 
-def _read_limits(limits: document_pb2.LimitsResource) -> snapshot.Limits:
+def _build_limits(limits: document_pb2.LimitsResource) -> snapshot.Limits:
     return snapshot.Limits(
         max_header_bytes=limits.max_header_bytes,
         max_body_bytes=limits.max_body_bytes,
@@ -190,23 +206,23 @@
     )
 
 
-def _build_hosts(
+def _group_host_routes(
     services: Mapping[str, document_pb2.ServiceResource],
-    parts: Mapping[str, snapshot.Part],
+    parsed_resources: Mapping[str, snapshot.ParsedResource],
 ) -> dict[str, tuple[snapshot.HostRoute, ...]]:
-    """Returns the host routes by host, longer prefixes first."""
-    hosts: dict[str, list[snapshot.HostRoute]] = {}
-    for name, part in parts.items():
-        route = part.host_route
+    """Returns the host routes by host, longest prefix first."""
+    routes_by_host: dict[str, list[snapshot.HostRoute]] = {}
+    for name, parsed in parsed_resources.items():
+        route = parsed.host_route
         if route is None:
             continue
         for destination in route.destinations:
             known = destination.service in services
             _require(name, known, f"leads to unknown {destination.service!r}")
-        hosts.setdefault(route.host, []).append(route)
+        routes_by_host.setdefault(route.host, []).append(route)
     return {
-        host: tuple(sorted(found, key=_rank_host_route))
-        for host, found in hosts.items()
+        host: tuple(sorted(routes, key=_rank_host_route))
+        for host, routes in routes_by_host.items()
     }
 
 
@@ -214,7 +230,7 @@
     return -len(route.prefix), route.prefix
 
 
-def _read_route(
+def _parse_route(
     name: str, match: str, plan: snapshot.ClassPlan
 ) -> snapshot.Route:
     method, _, prefix = match.partition(" ")
@@ -225,44 +241,53 @@
 def _reuse_service(
     base: snapshot.Snapshot | None,
     name: str,
-    parts: Mapping[str, snapshot.Part],
+    parsed_resources: Mapping[str, snapshot.ParsedResource],
 ) -> snapshot.ServicePlan | None:
-    """Returns the base's plan of a service of which nothing has changed."""
+    """Returns the service plan of the base if nothing of it has changed."""
     if base is None or name not in base.services:
         return None
-    service = parts[snapshot.build_service_name(name)].service
+    service = parsed_resources[snapshot.build_service_name(name)].service
     assert service is not None
-    for used in (snapshot.build_service_name(name), *service.classes):
-        if base.parts.get(used) is not parts[used]:
+    for resource_name in (snapshot.build_service_name(name), *service.classes):
+        if (
+            base.parsed_resources.get(resource_name)
+            is not parsed_resources[resource_name]
+        ):
             return None
     return base.services[name]
 
 
 def _build_service(
-    name: str, parts: Mapping[str, snapshot.Part]
+    name: str, parsed_resources: Mapping[str, snapshot.ParsedResource]
 ) -> snapshot.ServicePlan:
-    service = parts[snapshot.build_service_name(name)].service
+    service = parsed_resources[snapshot.build_service_name(name)].service
     assert service is not None
     plans = []
-    by_organisation: dict[str, list[snapshot.Route]] = {}
-    for listed in sorted(service.classes):
-        part = parts[listed]
-        assert part.plan is not None
-        plans.append(part.plan)
-        own = by_organisation.setdefault(part.plan.organisation, [])
-        own.extend(part.routes)
+    routes_by_organisation: dict[str, list[snapshot.Route]] = {}
+    for class_name in sorted(service.classes):
+        parsed = parsed_resources[class_name]
+        assert parsed.plan is not None
+        plans.append(parsed.plan)
+        organisation_routes = routes_by_organisation.setdefault(
+            parsed.plan.organisation, []
+        )
+        organisation_routes.extend(parsed.routes)
     return snapshot.ServicePlan(
         name=service.name,
         owner=service.owner,
         calls=tuple(sorted(service.calls)),
         classes=tuple(plans),
         routes={
-            organisation: tuple(sorted(found, key=_rank_route))
-            for organisation, found in by_organisation.items()
+            organisation: tuple(sorted(routes, key=_rank_route))
+            for organisation, routes in routes_by_organisation.items()
         },
     )
 
 
 def _rank_route(route: snapshot.Route) -> tuple[int, bool, str, str]:
-    """Longer prefixes first; of equal ones, a named method before any."""
+    """Returns the sort key of a route.
+
+    Longer prefixes come first; of equal prefixes, a named method comes before
+    "*".
+    """
     return -len(route.prefix), route.method == "*", route.prefix, route.method
--- a/merlintrestle/documents/reader.py
+++ b/merlintrestle/documents/reader.py
@@ -1,4 +1,4 @@
-"""Reads target documents from TOML and collects what is wrong with them."""
+"""Reader for target documents in TOML, which collects all findings."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
     from merlintrestle.documents.fields import Table
 
-# The store takes values up to a megabyte; a document is kept as one value.
+# A document is stored as one value; the store accepts values of up to 1 MB.
 MAX_FILE_BYTES = 1_000_000
 
 _BUDGET_SLOTS = fields.read_range(document_pb2.Document, "budget_slots")
@@ -28,14 +28,15 @@
 
 
 def read_document(content: bytes, file: str) -> document_pb2.Document:
-    """Returns the document that a TOML file holds, in canonical order.
+    """Returns the document of a TOML file, in its canonical form.
 
     Args:
-        content: The file's bytes.
-        file: Its name, for the places of findings.
+        content: Content of the file.
+        file: Name of the file, for the places of findings.
 
     Raises:
-        errors.InvalidInputError: With every finding; nothing is returned.
+        errors.InvalidInputError: The document is invalid; the error has all
+            findings.
     """
     table = _parse(content, file)
     findings: list[errors.Finding] = []
@@ -46,7 +47,12 @@
 
 
 def _parse(content: bytes, file: str) -> dict[str, Any]:
-    """Returns the TOML root table, or raises one finding about the file."""
+    """Returns the root table of a TOML file.
+
+    Raises:
+        errors.InvalidInputError: The file cannot be parsed; the error has one
+            finding.
+    """
     if len(content) > MAX_FILE_BYTES:
         text = f"is larger than {MAX_FILE_BYTES} bytes."
         raise errors.InvalidInputError([errors.Finding(file, text)])
@@ -58,7 +64,7 @@
         finding = errors.Finding(f"{file}:{line}", text)
         raise errors.InvalidInputError([finding]) from error
     except ValueError as error:
-        # Besides tomllib's own error: an integer of too many digits.
+        # A TOMLDecodeError, or an integer with too many digits.
         finding = errors.Finding(file, f"is not TOML: {error}.")
         raise errors.InvalidInputError([finding]) from error
     except RecursionError as error:
@@ -68,13 +74,15 @@
 
 def _read_root(table: Table) -> document_pb2.Document:
     document = document_pb2.Document(
-        organisation=table.take_name("organisation"),
-        budget_slots=table.take_integer(
+        organisation=table.read_name("organisation"),
+        budget_slots=table.read_integer(
             "budget_slots", _BUDGET_SLOTS, default=0
         ),
     )
-    document.services.extend(_read_each(table, "services", _read_service))
-    table.refuse_rest()
+    document.services.extend(
+        _read_named_tables(table, "services", _read_service)
+    )
+    table.report_unknown_keys()
     if (
         document.budget_slots
         and document.organisation != fields.MESH_ORGANISATION
@@ -92,7 +100,8 @@
             )
     for service in document.services:
         if service.owner == document.organisation:
-            # One form only, or equal documents would have two digests.
+            # Stored in a single form; otherwise equal documents could have
+            # different digests.
             service.owner = ""
     return document
 
@@ -100,60 +109,60 @@
 def _read_service(name: str, table: Table) -> document_pb2.ServiceTarget:
     service = document_pb2.ServiceTarget(
         name=name,
-        owner=table.take_name("owner", default=""),
-        shared=table.take_flag("shared", default=False),
-        calls=sorted(set(table.take_names("calls"))),
+        owner=table.read_name("owner", default=""),
+        shared=table.read_flag("shared", default=False),
+        calls=sorted(set(table.read_names("calls"))),
     )
     if name in service.calls:
         table.report("calls", "a service does not call itself.")
-    service.classes.extend(_read_each(table, "classes", _read_class))
-    _refuse_equal_matches(table, service)
-    table.refuse_rest()
+    service.classes.extend(_read_named_tables(table, "classes", _read_class))
+    _report_duplicate_matches(table, service)
+    table.report_unknown_keys()
     return service
 
 
 def _read_class(name: str, table: Table) -> document_pb2.ClassTarget:
     target = document_pb2.ClassTarget(
         name=name,
-        latency_ms=table.take_integer("latency_ms", _LATENCY_MS),
-        share=table.take_number("share", _SHARE),
-        availability=table.take_number("availability", _AVAILABILITY),
-        repeatable=table.take_flag("repeatable"),
-        importance=table.take_integer(
+        latency_ms=table.read_integer("latency_ms", _LATENCY_MS),
+        share=table.read_number("share", _SHARE),
+        availability=table.read_number("availability", _AVAILABILITY),
+        repeatable=table.read_flag("repeatable"),
+        importance=table.read_integer(
             "importance", _IMPORTANCE, default=fields.DEFAULT_IMPORTANCE
         ),
-        rate=table.take_number("rate", _RATE),
-        work_ms=table.take_number("work_ms", _WORK_MS),
-        size=table.take_choice("size", fields.SIZES, default="small"),
-        deadline_ms=table.take_integer("deadline_ms", _DEADLINE_MS),
-        match=sorted(set(table.take_matches("match"))),
+        rate=table.read_number("rate", _RATE),
+        work_ms=table.read_number("work_ms", _WORK_MS),
+        size=table.read_choice("size", fields.SIZES, default="small"),
+        deadline_ms=table.read_integer("deadline_ms", _DEADLINE_MS),
+        match=sorted(set(table.read_matches("match"))),
     )
-    target.key_required = table.take_flag(
+    target.key_required = table.read_flag(
         "key_required", default=not target.repeatable
     )
     if target.key_required and target.repeatable:
         table.report("key_required", "is for classes that are not repeatable.")
     if 0 < target.deadline_ms < target.latency_ms:
         table.report("deadline_ms", "is less than latency_ms.")
-    table.refuse_rest()
+    table.report_unknown_keys()
     return target
 
 
-def _read_each(
+def _read_named_tables(
     table: Table, key: str, read: Callable[[str, Table], Any]
 ) -> list[Any]:
-    """Reads a table of named tables, sorted by name."""
-    named = table.take_tables(key)
-    return [read(name, named[name]) for name in sorted(named)]
+    """Reads each table of a table of named tables, sorted by name."""
+    tables = table.read_tables(key)
+    return [read(name, tables[name]) for name in sorted(tables)]
 
 
-def _refuse_equal_matches(
+def _report_duplicate_matches(
     table: Table, service: document_pb2.ServiceTarget
 ) -> None:
-    seen: dict[str, str] = {}
+    class_by_match: dict[str, str] = {}
     for target in service.classes:
         for match in target.match:
-            first = seen.setdefault(match, target.name)
-            if first != target.name:
-                text = f"{match!r} is also matched by class {first!r}."
+            first_class = class_by_match.setdefault(match, target.name)
+            if first_class != target.name:
+                text = f"{match!r} is also matched by class {first_class!r}."
                 table.report(f"classes.{target.name}.match", text)
--- a/merlintrestle/documents/snapshot.py
+++ b/merlintrestle/documents/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: one whole configuration version as a daemon runs it."""
+"""Snapshots of the complete configuration at one version."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 
     from merlintrestle.schema import document_pb2
 
-BUDGET = "budget"
+# Names of resources, and prefixes of such names.
+BUDGET_RESOURCE = "budget"
 LIMITS_RESOURCE = "limits"
-SERVICE = "service/"
-CLASS = "class/"
-HOST_ROUTE = "route/"
+SERVICE_PREFIX = "service/"
+CLASS_PREFIX = "class/"
+HOST_ROUTE_PREFIX = "route/"
 
 
 class Route(NamedTuple):
-    """Which class of work a request belongs to.
+    """A rule that assigns requests to a class of work.
 
     Attributes:
-        method: HTTP method; "*" for any.
-        prefix: Path prefix, beginning with "/".
-        plan: The class of work.
+        method: HTTP method; "*" matches any method.
+        prefix: Path prefix, starting with "/".
+        plan: Class of work of the matching requests.
     """
 
     method: str
@@ -38,17 +39,23 @@
         organisation: Organisation that declares the targets.
         service: Service that serves the class.
         name: Name of the class.
-        latency_s: Latency in seconds that `share` of the calls must keep.
-        share: Share of the calls within `latency_s`, 0 to 1.
-        availability: Share of calls answered without a failure, 0 to 1.
-        repeatable: True if a call may be run more than once (idempotent).
+        latency_s: Target latency in seconds.
+        share: Fraction of the answered calls that must be answered within
+            `latency_s`, 0 to 1.
+        availability: Fraction of calls that must be answered without a
+            failure, 0 to 1.
+        repeatable: Whether a call may be run more than once (idempotent).
         importance: 1 (shed first) to 5 (shed last).
-        rate: Expected calls per second over the whole mesh.
-        work_s: Expected seconds that one call holds a slot.
-        large: True for long transfers, judged by progress.
-        deadline_s: Seconds after which the caller has its final answer.
-        key_required: Calls without Idempotency-Key are refused.
-        max_attempts: Upstreams that one call may be sent to; 0: not stated.
+        rate: Expected calls per second in the whole mesh.
+        work_s: Expected time in seconds for which one call holds a slot.
+        large: Whether answers are long transfers, which are judged by their
+            progress.
+        deadline_s: Time in seconds within which the caller gets its final
+            answer.
+        key_required: Whether calls without an Idempotency-Key header are
+            refused.
+        max_attempts: Maximum number of upstreams that one call may be sent
+            to; 0 if not specified.
     """
 
     organisation: str
@@ -68,11 +75,12 @@
 
 
 class WeightedService(NamedTuple):
-    """One service that a host route leads to.
+    """A service that a host route sends requests to.
 
     Attributes:
         service: Name of the service.
-        weight: Its share of the requests, relative to the other parts.
+        weight: Share of the route's requests that this service gets, relative
+            to the weights of the other destinations.
     """
 
     service: str
@@ -80,14 +88,14 @@
 
 
 class HostRoute(NamedTuple):
-    """Where requests for a host and a path prefix go.
+    """Destinations of the requests for a host and a path prefix.
 
     Attributes:
         name: Name of the route.
-        host: Host, in lower case and without port.
-        prefix: Path prefix, beginning and ending with "/".
-        destinations: The services that share its requests.
-        plan: Its class of work.
+        host: Host name in lower case, without a port.
+        prefix: Path prefix, starting and ending with "/".
+        destinations: Services among which the requests are distributed.
+        plan: Class of work of the requests.
     """
 
     name: str
@@ -98,14 +106,15 @@
 
 
 class Limits(NamedTuple):
-    """What callers may send, and how long they may take.
+    """Limits and timeouts for the requests of callers.
 
     Attributes:
-        max_header_bytes: Size of the headers of one request.
-        max_body_bytes: Size of its body.
-        header_timeout_s: Time until its headers must be there, in seconds.
-        idle_timeout_s: Time after which an idle connection is closed, in
-            seconds.
+        max_header_bytes: Maximum size of the headers of a request.
+        max_body_bytes: Maximum size of the body of a request.
+        header_timeout_s: Time in seconds within which the headers of a
+            request must arrive.
+        idle_timeout_s: Time in seconds after which an idle connection is
+            closed.
     """
 
     max_header_bytes: int
@@ -115,14 +124,14 @@
 
 
 class ServicePlan(NamedTuple):
-    """One service with its classes of work.
+    """A service with its classes of work.
 
     Attributes:
         name: Name of the service, unique in the mesh.
-        owner: Organisation whose service it is.
-        calls: Services that it calls.
-        classes: All classes of work on it, of every organisation.
-        routes: Routes by organisation, each list with longer prefixes first.
+        owner: Organisation that owns the service.
+        calls: Names of the services that this service calls.
+        classes: All classes of work of the service, of every organisation.
+        routes: Routes by organisation, longest prefix first.
     """
 
     name: str
@@ -134,23 +143,32 @@
     def match(
         self, method: str, path: str, organisation: str = ""
     ) -> ClassPlan | None:
-        """Returns the class of work of a request; None: no route."""
+        """Returns the class of work of a request, or None without a route.
+
+        Args:
+            method: HTTP method of the request.
+            path: Path of the request.
+            organisation: Organisation of the caller; empty for the owner of
+                the service.
+        """
         for route in self.routes.get(organisation or self.owner, ()):
             if route.method in ("*", method) and path.startswith(route.prefix):
                 return route.plan
         return None
 
 
-class Part(NamedTuple):
-    """One resource as read; unchanged ones are shared between versions.
+class ParsedResource(NamedTuple):
+    """The parsed form of one resource.
+
+    Versions share the parsed form of a resource that did not change.
 
     Attributes:
-        digest: SHA-256 over name and value.
-        service: What a service resource says, else None.
-        plan: The class of work of a class resource, else None.
-        routes: Its routes.
-        host_route: What a host route resource says, else None.
-        limits: What the resource of the limits says, else None.
+        digest: SHA-256 of the name and the value.
+        service: The service, for a service resource; otherwise None.
+        plan: The class of work, for a class resource; otherwise None.
+        routes: The routes to the class of work, for a class resource.
+        host_route: The host route, for a host route resource; otherwise None.
+        limits: The limits, for the limits resource; otherwise None.
     """
 
     digest: bytes
@@ -162,16 +180,20 @@
 
 
 class Snapshot:
-    """A configuration version, closed under its references.
+    """The complete configuration at one version.
+
+    Every service and class that a resource refers to is in the snapshot.
 
     Attributes:
         version: Number of the version.
-        digest: SHA-256 over version and resources, see `compute_digest`.
+        digest: SHA-256 of the version and the resources, see
+            `compute_digest`.
         resources: Serialized resources by name.
-        services: What the proxy routes by, derived from the resources.
-        parts: The resources as read, by name.
-        host_routes: Host routes by host, each list with longer prefixes first.
-        limits: What callers may send; None: not stated.
+        services: Services by name, derived from the resources; the proxy
+            routes by them.
+        parsed_resources: Parsed resources by name.
+        host_routes: Host routes by host, longest prefix first.
+        limits: Limits for the requests of callers; None if not specified.
     """
 
     def __init__(
@@ -179,7 +201,7 @@
         version: int,
         resources: Mapping[str, bytes],
         services: Mapping[str, ServicePlan],
-        parts: Mapping[str, Part] | None = None,
+        parsed_resources: Mapping[str, ParsedResource] | None = None,
         digest: bytes = b"",
         hosts: Mapping[str, tuple[HostRoute, ...]] | None = None,
         limits: Limits | None = None,
@@ -193,20 +215,27 @@
         self.limits = limits
         self.resources = resources
         self.services = services
-        self.parts = parts or {}
+        self.parsed_resources = parsed_resources or {}
         self.digest = digest or compute_digest(version, resources)
 
     def find_host_route(self, host: str, path: str) -> HostRoute | None:
-        """Returns the route with the longest prefix of a path, or None.
+        """Returns the route with the longest prefix that matches a path.
 
-        It looks once for each length that a prefix of the host has. Looked at
-        one after the other, hundreds of routes would cost each call more than
-        all else that is decided about it.
+        Does one lookup for each distinct length of the prefixes of the host.
+        With hundreds of routes, comparing the path with each of them would
+        take longer than all other decisions about a call together.
+
+        Args:
+            host: Host of the request, in lower case and without a port.
+            path: Path of the request.
+
+        Returns:
+            The route, or None if no route matches.
         """
-        found = self._prefixes.get(host)
-        if found is None:
+        indexed = self._prefixes.get(host)
+        if indexed is None:
             return None
-        lengths, routes = found
+        lengths, routes = indexed
         for length in lengths:
             route = routes.get(path[:length])
             if route is not None:
@@ -217,8 +246,8 @@
 def _index_prefixes(
     routes: tuple[HostRoute, ...],
 ) -> tuple[tuple[int, ...], dict[str, HostRoute]]:
-    """Returns the lengths of prefixes, longest first, and routes by prefix."""
-    # Of two routes with one prefix the first one counts.
+    """Returns the prefix lengths, longest first, and the routes by prefix."""
+    # If several routes have the same prefix, the first route is used.
     by_prefix = {route.prefix: route for route in reversed(routes)}
     lengths = sorted({len(prefix) for prefix in by_prefix}, reverse=True)
     return tuple(lengths), by_prefix
@@ -229,44 +258,46 @@
     resources: Mapping[str, bytes],
     base: Snapshot | None = None,
 ) -> bytes:
-    """Returns the SHA-256 of a version and of its resources' digests.
+    """Returns the SHA-256 of a version and the digests of its resources.
 
     Args:
         version: Number of the version.
-        resources: Its resources.
-        base: Resources that it has as well are not hashed again.
+        resources: Serialized resources by name.
+        base: Snapshot whose digests of unchanged resources are reused.
     """
     digest = hashlib.sha256(str(version).encode())
     for name in sorted(resources):
-        known = find_part(base, name, resources[name])
+        parsed = find_parsed_resource(base, name, resources[name])
         digest.update(
-            known.digest if known else hash_part(name, resources[name])
+            parsed.digest if parsed else hash_resource(name, resources[name])
         )
     return digest.digest()
 
 
 def build_service_name(service: str) -> str:
-    """Returns the name of the resource of a service."""
-    return f"{SERVICE}{service}"
+    """Returns the name of the resource that holds a service."""
+    return f"{SERVICE_PREFIX}{service}"
 
 
-def name_class(service: str, organisation: str, name: str) -> str:
-    """Returns the name of the resource of a class of work."""
-    return f"{CLASS}{service}/{organisation}/{name}"
+def build_class_name(service: str, organisation: str, name: str) -> str:
+    """Returns the name of the resource that holds a class of work."""
+    return f"{CLASS_PREFIX}{service}/{organisation}/{name}"
 
 
 def build_host_route_name(name: str) -> str:
-    """Returns the name of the resource of a host route."""
-    return f"{HOST_ROUTE}{name}"
+    """Returns the name of the resource that holds a host route."""
+    return f"{HOST_ROUTE_PREFIX}{name}"
 
 
-def find_part(base: Snapshot | None, name: str, value: bytes) -> Part | None:
-    """Returns a resource of a base if it has this very value there."""
+def find_parsed_resource(
+    base: Snapshot | None, name: str, value: bytes
+) -> ParsedResource | None:
+    """Returns the parsed resource of a base if its value is unchanged."""
     if base is None or base.resources.get(name) != value:
         return None
-    return base.parts.get(name)
+    return base.parsed_resources.get(name)
 
 
-def hash_part(name: str, value: bytes) -> bytes:
-    """Returns the SHA-256 of a resource's name and value."""
+def hash_resource(name: str, value: bytes) -> bytes:
+    """Returns the SHA-256 of the name and the value of a resource."""
     return hashlib.sha256(f"{name}\0".encode() + value).digest()
