--- a/tests/documents/builders.py
+++ b/tests/documents/builders.py
@@ -1,4 +1,4 @@
-"""Builders and strategies of target documents."""
+"""Builders and Hypothesis strategies for target documents."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def build_class(
     name: str = "lookup", **values: Any
 ) -> document_pb2.ClassTarget:
-    """Returns a class of work that demands one slot."""
+    """Returns a class of work with an expected demand of one slot."""
     defaults: dict[str, Any] = {
         "name": name,
         "latency_ms": 250,
@@ -37,26 +37,26 @@
 def build_service(
     name: str = "balie", *classes: document_pb2.ClassTarget, **values: Any
 ) -> document_pb2.ServiceTarget:
-    """Returns a service with some classes of work."""
+    """Returns a service with the given classes of work."""
     return document_pb2.ServiceTarget(name=name, classes=classes, **values)
 
 
 def build_document(
     organisation: str = "zaanoever", *services: document_pb2.ServiceTarget
 ) -> document_pb2.Document:
-    """Returns a document with some services."""
+    """Returns a document with the given services."""
     return document_pb2.Document(organisation=organisation, services=services)
 
 
 def build_mesh_document(slots: int = BUDGET_SLOTS) -> document_pb2.Document:
-    """Returns the document of the mesh."""
+    """Returns the document of the mesh, which declares the budget."""
     return document_pb2.Document(
         organisation=fields.MESH_ORGANISATION, budget_slots=slots
     )
 
 
 def draw_classes() -> st.SearchStrategy[document_pb2.ClassTarget]:
-    """Draws classes of work, each within its ranges."""
+    """Draws valid classes of work."""
     return st.builds(
         build_class,
         st.sampled_from(["lookup", "payout", "download"]),
@@ -65,11 +65,11 @@
         work_ms=st.sampled_from([0.5, 10.0]),
         size=st.sampled_from([document_pb2.SMALL, document_pb2.LARGE]),
         importance=st.integers(1, 5),
-    ).map(_require_key)
+    ).map(_set_key_required)
 
 
 def draw_services() -> st.SearchStrategy[document_pb2.ServiceTarget]:
-    """Draws services, own or of others, that may refer to missing ones."""
+    """Draws services with any owner, which may call missing services."""
     return st.builds(
         _build_drawn_service,
         st.sampled_from(SERVICES),
@@ -85,7 +85,7 @@
 def draw_documents(
     organisation: str,
 ) -> st.SearchStrategy[document_pb2.Document]:
-    """Draws documents of one organisation, in the reader's form."""
+    """Draws documents of an organisation in their canonical form."""
     if organisation == fields.MESH_ORGANISATION:
         return st.sampled_from([10, BUDGET_SLOTS]).map(build_mesh_document)
     return st.lists(
@@ -93,7 +93,9 @@
     ).map(lambda services: _build_drawn_document(organisation, services))
 
 
-def _require_key(target: document_pb2.ClassTarget) -> document_pb2.ClassTarget:
+def _set_key_required(
+    target: document_pb2.ClassTarget,
+) -> document_pb2.ClassTarget:
     target.key_required = not target.repeatable
     return target
 
@@ -110,11 +112,11 @@
         owner=owner,
         shared=shared and not owner,
         calls=[] if owner else sorted(calls - {name}),
-        classes=_sort(classes),
+        classes=_sort_classes(classes),
     )
 
 
-def _sort(
+def _sort_classes(
     classes: list[document_pb2.ClassTarget],
 ) -> list[document_pb2.ClassTarget]:
     return sorted(classes, key=lambda target: target.name)
--- a/tests/documents/reference.py
+++ b/tests/documents/reference.py
@@ -1,4 +1,4 @@
-"""The tables of the target-document reference, made from the schema."""
+"""Tables of the target document reference, generated from the schema."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from google.protobuf import message
 
-_KINDS: dict[str, type[message.Message]] = {
+_MESSAGE_TYPES: dict[str, type[message.Message]] = {
     "document": document_pb2.Document,
     "service": document_pb2.ServiceTarget,
     "class": document_pb2.ClassTarget,
@@ -37,37 +37,39 @@
 
 
 def write_tables(page: str) -> str:
-    """Returns a page with the table after each marker written anew."""
-    for name, kind in _KINDS.items():
+    """Returns a page with the table after each marker regenerated."""
+    for name, message_type in _MESSAGE_TYPES.items():
         begin, end = f"<!-- keys: {name} -->\n", "<!-- end -->"
         before, _, rest = page.partition(begin)
         _, _, after = rest.partition(end)
-        page = before + begin + _write_table(kind) + end + after
+        page = before + begin + _write_table(message_type) + end + after
     return page
 
 
-def _write_table(kind: type[message.Message]) -> str:
+def _write_table(message_type: type[message.Message]) -> str:
     lines = [
         "| key | meaning | unit | allowed | if absent | example |",
         "|---|---|---|---|---|---|",
     ]
-    for field in kind.DESCRIPTOR.fields:
+    for field in message_type.DESCRIPTOR.fields:
         options: Any = field.GetOptions()
-        rule = options.Extensions[settings_pb2.setting]
-        if rule.help:
-            lines.append(_write_row(field.name, kind, rule))
+        setting = options.Extensions[settings_pb2.setting]
+        if setting.help:
+            lines.append(_write_row(field.name, message_type, setting))
     return "\n".join(lines) + "\n"
 
 
 def _write_row(
-    key: str, kind: type[message.Message], rule: settings_pb2.Setting
+    key: str,
+    message_type: type[message.Message],
+    setting: settings_pb2.Setting,
 ) -> str:
-    allowed = ", ".join(f'`"{word}"`' for word in rule.choices)
-    if rule.max:
-        bounds = fields.read_range(kind, key)._replace(unit="")
+    allowed = ", ".join(f'`"{word}"`' for word in setting.choices)
+    if setting.max:
+        bounds = fields.read_range(message_type, key)._replace(unit="")
         allowed = str(bounds)
-    absent = "(required)" if rule.required else rule.default
+    default = "(required)" if setting.required else setting.default
     return (
-        f"| `{key}` | {rule.help} | {rule.unit} | {allowed} | {absent}"
+        f"| `{key}` | {setting.help} | {setting.unit} | {allowed} | {default}"
         f" | `{_EXAMPLES[key]}` |"
     )
--- a/tests/documents/test_checks.py
+++ b/tests/documents/test_checks.py
@@ -1,4 +1,4 @@
-"""Tests of the checks across documents."""
+"""Tests of the consistency checks across documents."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 def _check(*documents: document_pb2.Document) -> list[str]:
-    found = checks.check_documents(
+    """Returns the places of the findings about some documents."""
+    findings = checks.check_documents(
         {document.organisation: document for document in documents}
     )
-    return [finding.place for finding in found]
+    return [finding.place for finding in findings]
 
 
 class CheckDocumentsTest(unittest.TestCase):
@@ -25,42 +26,46 @@
         document = builders.build_document("zaanoever", service)
         self.assertEqual(_check(document), ["zaanoever: services.balie.calls"])
 
-    def test_service_with_two_owners_names_both(self) -> None:
-        one = builders.build_document("zaanoever", builders.build_service())
-        other = builders.build_document("kochi", builders.build_service())
+    def test_two_owners_of_a_service_are_both_reported(self) -> None:
+        zaanoever = builders.build_document(
+            "zaanoever", builders.build_service()
+        )
+        kochi = builders.build_document("kochi", builders.build_service())
         self.assertEqual(
-            _check(one, other),
+            _check(zaanoever, kochi),
             ["kochi: services.balie", "zaanoever: services.balie"],
         )
 
     def test_class_on_a_service_that_is_not_shared(self) -> None:
-        own = builders.build_document("zaanoever", builders.build_service())
+        owning = builders.build_document("zaanoever", builders.build_service())
         foreign = builders.build_document(
             "kochi", builders.build_service(owner="zaanoever")
         )
-        self.assertEqual(_check(own, foreign), ["kochi: services.balie.owner"])
-        own.services[0].shared = True
-        self.assertEqual(_check(own, foreign), [])
+        self.assertEqual(
+            _check(owning, foreign), ["kochi: services.balie.owner"]
+        )
+        owning.services[0].shared = True
+        self.assertEqual(_check(owning, foreign), [])
 
-    def test_class_on_a_service_that_nobody_has(self) -> None:
+    def test_class_on_a_service_without_an_owner(self) -> None:
         foreign = builders.build_document(
             "kochi", builders.build_service(owner="zaanoever")
         )
         self.assertEqual(_check(foreign), ["kochi: services.balie.owner"])
 
-    def test_over_budget_names_each_figure(self) -> None:
+    def test_over_budget_reports_the_demand_of_each_class(self) -> None:
         mesh = builders.build_mesh_document(slots=1)
-        one = builders.build_document(
+        zaanoever = builders.build_document(
             "zaanoever",
             builders.build_service("balie", builders.build_class()),
         )
-        other = builders.build_document(
+        kochi = builders.build_document(
             "kochi",
             builders.build_service("dwell-desk", builders.build_class()),
         )
-        self.assertEqual(_check(mesh, one), [])
+        self.assertEqual(_check(mesh, zaanoever), [])
         self.assertEqual(
-            _check(mesh, one, other),
+            _check(mesh, zaanoever, kochi),
             [
                 "mesh: budget_slots",
                 "kochi: services.dwell-desk.classes.lookup",
--- a/tests/documents/test_compiler.py
+++ b/tests/documents/test_compiler.py
@@ -1,4 +1,4 @@
-"""Tests of compiling documents and loading snapshots."""
+"""Tests of the compiler of documents and the loader of snapshots."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 Documents = dict[str, document_pb2.Document]
 
 
-def _draw_accepted() -> st.SearchStrategy[Documents]:
-    """Draws documents that fit together, by giving up those that do not."""
+def _draw_consistent_documents() -> st.SearchStrategy[Documents]:
+    """Draws documents and drops those that are inconsistent with others."""
     return st.fixed_dictionaries(
         {name: builders.draw_documents(name) for name in builders.ORGANISATIONS}
-    ).map(_keep_fitting)
+    ).map(_keep_consistent)
 
 
-def _keep_fitting(drawn: Documents) -> Documents:
+def _keep_consistent(drawn: Documents) -> Documents:
     kept = {"mesh": builders.build_mesh_document()}
     for name, document in drawn.items():
         if not checks.check_documents({**kept, name: document}):
@@ -35,29 +35,33 @@
 
 
 class CompileSnapshotTest(unittest.TestCase):
-    @hypothesis.given(_draw_accepted(), st.randoms(use_true_random=False))
-    def test_order_of_organisations_does_not_matter(
+    @hypothesis.given(
+        _draw_consistent_documents(), st.randoms(use_true_random=False)
+    )
+    def test_snapshot_does_not_depend_on_order_of_organisations(
         self, documents: Documents, random: object
     ) -> None:
         names = list(documents)
         random.shuffle(names)  # type: ignore[attr-defined]
-        one = compiler.compile_snapshot(3, documents)
-        other = compiler.compile_snapshot(
+        ordered = compiler.compile_snapshot(3, documents)
+        shuffled = compiler.compile_snapshot(
             3, {name: documents[name] for name in names}
         )
-        self.assertEqual(one.digest, other.digest)
-        self.assertEqual(one.resources, other.resources)
+        self.assertEqual(ordered.digest, shuffled.digest)
+        self.assertEqual(ordered.resources, shuffled.resources)
 
-    def test_order_does_not_matter_on_a_shared_service(self) -> None:
+    def test_shared_service_does_not_depend_on_order_of_organisations(
+        self,
+    ) -> None:
         """Daemons read the documents of three organisations in any order.
 
-        All have classes on one service. If its resource listed them in the
-        order of reading, daemons would run other bytes under one version and
-        each would refuse the other's deltas.
+        All three have classes on the same service. If its resource listed the
+        classes in the order of reading, daemons would run different bytes for
+        the same version and reject each other's deltas.
         """
-        own = builders.build_service("balie", builders.build_class("a"))
-        own.shared = True
-        documents = {"zaanoever": builders.build_document("zaanoever", own)}
+        service = builders.build_service("balie", builders.build_class("a"))
+        service.shared = True
+        documents = {"zaanoever": builders.build_document("zaanoever", service)}
         for name in ("kochi", "haven"):
             documents[name] = builders.build_document(
                 name,
@@ -66,13 +70,13 @@
                 ),
             )
         digests = {
-            compiler.compile_snapshot(1, dict(ordered)).digest
-            for ordered in itertools.permutations(documents.items())
+            compiler.compile_snapshot(1, dict(permutation)).digest
+            for permutation in itertools.permutations(documents.items())
         }
         self.assertEqual(len(digests), 1)
 
-    @hypothesis.given(_draw_accepted())
-    def test_loading_gives_the_same_snapshot(
+    @hypothesis.given(_draw_consistent_documents())
+    def test_loaded_snapshot_equals_the_compiled_one(
         self, documents: Documents
     ) -> None:
         compiled = compiler.compile_snapshot(3, documents)
@@ -82,35 +86,38 @@
         for service in loaded.services.values():
             self.assertLessEqual({*service.calls}, {*loaded.services})
 
-    @hypothesis.given(_draw_accepted(), st.data())
-    def test_lost_resource_is_refused_or_gives_another_digest(
+    @hypothesis.given(_draw_consistent_documents(), st.data())
+    def test_missing_resource_is_rejected_or_changes_the_digest(
         self, documents: Documents, data: st.DataObject
     ) -> None:
-        """A proxy misses one resource of a snapshot, say by a bad delta.
+        """A proxy lacks a resource of a snapshot, such as after a bad delta.
 
-        Its routes would point at a service or class that it does not have,
-        and calls would fail though the version is in force. Loading refuses
-        it; a service that nothing refers to shows in the digest alone.
+        Its routes would refer to a missing service or class, and calls would
+        fail although the version is in force. The loader rejects such a
+        snapshot. A missing service that nothing refers to only changes the
+        digest.
         """
         compiled = compiler.compile_snapshot(3, documents)
         name = data.draw(st.sampled_from(sorted(compiled.resources)))
-        rest = {**compiled.resources}
-        del rest[name]
+        remaining = {**compiled.resources}
+        del remaining[name]
         try:
-            loaded = loader.load_snapshot(3, rest)
+            loaded = loader.load_snapshot(3, remaining)
         except errors.SnapshotError:
             return
         self.assertFalse(name.startswith("class/"))
         self.assertNotEqual(loaded.digest, compiled.digest)
 
-    @hypothesis.given(_draw_accepted(), _draw_accepted())
-    def test_base_changes_nothing_of_what_is_loaded(
+    @hypothesis.given(
+        _draw_consistent_documents(), _draw_consistent_documents()
+    )
+    def test_base_does_not_change_the_loaded_snapshot(
         self, before: Documents, after: Documents
     ) -> None:
-        """A daemon reads only what a version changed and keeps the rest.
+        """A daemon parses only the changed resources of a version.
 
-        A part kept though it changed would route calls by targets that are
-        no longer in force, while the digest still says that all is well.
+        If it reused a changed resource, it would route calls by targets that
+        are no longer in force, although the digest is correct.
         """
         base = compiler.compile_snapshot(3, before)
         whole = compiler.compile_snapshot(4, after)
@@ -124,18 +131,19 @@
         self.assertEqual(loaded.digest, whole.digest)
 
     def test_unchanged_service_is_shared_with_the_base(self) -> None:
-        """At 740 services reading all anew held the loop for 58 ms."""
+        """Parsing 740 services again blocked the event loop for 58 ms."""
         service = builders.build_service("balie", builders.build_class())
         documents = {"a": builders.build_document("a", service)}
         base = compiler.compile_snapshot(1, documents)
         loaded = loader.load_snapshot(2, dict(base.resources), base)
         self.assertIs(loaded.services["balie"], base.services["balie"])
 
-    def test_changed_class_is_not_kept_from_the_base(self) -> None:
+    def test_changed_class_is_not_reused_from_the_base(self) -> None:
         """An operator changes one latency target and nothing else.
 
-        The service's own resource stays the same; a service kept for that
-        would serve by the old target though the new version is in force.
+        The service resource itself does not change. If the service were
+        reused because of that, it would serve by the old target although the
+        new version is in force.
         """
         service = builders.build_service("balie", builders.build_class())
         documents = {"a": builders.build_document("a", service)}
@@ -147,21 +155,21 @@
         self.assertEqual(loaded.services, whole.services)
         self.assertNotEqual(loaded.services, base.services)
 
-    def test_empty_digest_from_a_peer_is_refused(self) -> None:
+    def test_empty_digest_from_a_peer_is_rejected(self) -> None:
         with self.assertRaises(errors.SnapshotError):
             loader.load_snapshot(1, {}, None, b"")
 
     @hypothesis.given(st.binary(max_size=60))
-    def test_any_bytes_load_or_are_refused(self, noise: bytes) -> None:
+    def test_any_bytes_are_rejected(self, value: bytes) -> None:
         for name in ("budget", "service/balie", "class/balie/a/b", "route/x"):
             with self.assertRaises(errors.SnapshotError):
-                loader.load_snapshot(1, {name: noise, "class/": noise})
+                loader.load_snapshot(1, {name: value, "class/": value})
 
-    def test_class_of_a_removed_service_is_refused(self) -> None:
-        """An organisation withdraws a service that another's class is on.
+    def test_class_of_a_removed_service_is_rejected(self) -> None:
+        """An organisation withdraws a service with a class of another one.
 
-        A route to a service that is not there would answer nothing; the
-        whole version is refused and the proxy stays where it is.
+        A route to a missing service could not answer any call. The whole
+        version is rejected and the proxy keeps its current version.
         """
         documents = {
             "zaanoever": builders.build_document(
@@ -179,21 +187,22 @@
         with self.assertRaises(errors.SnapshotError):
             compiler.compile_snapshot(2, documents)
 
-    def test_class_that_its_service_does_not_list_is_refused(self) -> None:
-        """A delta brings a class but not the service that lists it.
+    def test_class_that_its_service_does_not_list_is_rejected(self) -> None:
+        """A delta has a class but not the service that lists it.
 
-        Its calls would get no route though its targets are in force.
+        The calls of the class would have no route although its targets are in
+        force.
         """
         service = builders.build_service("balie", builders.build_class())
         documents = {"a": builders.build_document("a", service)}
-        whole = dict(compiler.compile_snapshot(1, documents).resources)
+        resources = dict(compiler.compile_snapshot(1, documents).resources)
         del service.classes[:]
         documents = {"a": builders.build_document("a", service)}
-        bare = compiler.compile_snapshot(1, documents).resources
+        without_class = compiler.compile_snapshot(1, documents).resources
         with self.assertRaisesRegex(errors.SnapshotError, "not listed"):
-            loader.load_snapshot(1, {**whole, **bare})
+            loader.load_snapshot(1, {**resources, **without_class})
 
-    def test_too_large_is_refused(self) -> None:
+    def test_too_large_snapshot_is_rejected(self) -> None:
         matches = [f"GET /{'x' * 150}/{i}" for i in range(1000)]
         services = [
             builders.build_service(f"s{i}", builders.build_class(match=matches))
--- a/tests/documents/test_reader.py
+++ b/tests/documents/test_reader.py
@@ -1,4 +1,4 @@
-"""Tests of reading target documents."""
+"""Tests of the reader of target documents."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from merlintrestle.schema import document_pb2
 
-_GOOD = {
+_VALID_CLASS = {
     "match": '["GET /tickets"]',
     "latency_ms": "250",
     "share": "0.99",
@@ -28,8 +28,8 @@
     "size": '"small"',
     "deadline_ms": "2000",
 }
-# For each key, values that are wrong in type, range or form.
-_BAD = {
+# Values of each key that have an invalid type, range or format.
+_INVALID_VALUES = {
     "match": ["[]", '"GET /a"', '["FETCH /a"]', '["GET a"]', "[1]"],
     "latency_ms": ["0", "600001", "1.5", '"fast"', "true", "-1"],
     "share": ["0", "1.01", "nan", "inf", '"most"', "[1]", "-0.5"],
@@ -54,16 +54,18 @@
     return "\n".join(lines).encode()
 
 
-def _plant_faults() -> st.SearchStrategy[dict[str, str]]:
-    return st.sets(st.sampled_from(sorted(_BAD)), min_size=1).flatmap(
+def _draw_invalid_values() -> st.SearchStrategy[dict[str, str]]:
+    return st.sets(
+        st.sampled_from(sorted(_INVALID_VALUES)), min_size=1
+    ).flatmap(
         lambda keys: st.fixed_dictionaries(
-            {key: st.sampled_from(_BAD[key]) for key in sorted(keys)}
+            {key: st.sampled_from(_INVALID_VALUES[key]) for key in sorted(keys)}
         )
     )
 
 
 class ReadDocumentTest(unittest.TestCase):
-    def _find(self, content: bytes) -> list[errors.Finding]:
+    def _list_findings(self, content: bytes) -> list[errors.Finding]:
         with self.assertRaises(errors.InvalidInputError) as caught:
             reader.read_document(content, "a.toml")
         return caught.exception.findings
@@ -77,64 +79,79 @@
         text = writer.write_document(document)
         self.assertEqual(reader.read_document(text.encode(), "a"), document)
 
-    @hypothesis.given(_plant_faults(), _plant_faults())
-    def test_reports_every_planted_finding(
+    @hypothesis.given(_draw_invalid_values(), _draw_invalid_values())
+    def test_reports_every_invalid_value(
         self, first: dict[str, str], second: dict[str, str]
     ) -> None:
         content = _write_file(
-            {"lookup": {**_GOOD, **first}, "payout": {**_GOOD, **second}}
+            {
+                "lookup": {**_VALID_CLASS, **first},
+                "payout": {**_VALID_CLASS, **second},
+            }
         )
-        places = {finding.place for finding in self._find(content)}
-        for name, planted in (("lookup", first), ("payout", second)):
-            for key in planted:
+        places = {finding.place for finding in self._list_findings(content)}
+        for name, invalid in (("lookup", first), ("payout", second)):
+            for key in invalid:
                 place = f"a.toml: services.balie.classes.{name}.{key}"
-                # key_required = true is a fault only beside repeatable = true.
-                if key != "key_required" or "repeatable" not in planted:
+                # key_required = true is only invalid with repeatable = true.
+                if key != "key_required" or "repeatable" not in invalid:
                     self.assertIn(place, places)
 
     @hypothesis.given(st.binary(max_size=200))
-    def test_any_bytes_give_a_document_or_findings(self, noise: bytes) -> None:
+    def test_any_bytes_give_a_document_or_findings(
+        self, content: bytes
+    ) -> None:
         try:
-            reader.read_document(noise, "a.toml")
+            reader.read_document(content, "a.toml")
         except errors.InvalidInputError as error:
             self.assertTrue(error.findings)
 
-    def test_missing_keys_are_all_named(self) -> None:
-        found = self._find(b"[services.balie.classes.lookup]")
-        keys = {finding.place.rpartition(".")[2] for finding in found}
-        self.assertLessEqual({*_GOOD} - {"importance", "size"}, keys)
-        self.assertIn("a.toml: organisation", [one.place for one in found])
+    def test_every_missing_key_is_reported(self) -> None:
+        findings = self._list_findings(b"[services.balie.classes.lookup]")
+        keys = {finding.place.rpartition(".")[2] for finding in findings}
+        self.assertLessEqual({*_VALID_CLASS} - {"importance", "size"}, keys)
+        self.assertIn(
+            "a.toml: organisation", [finding.place for finding in findings]
+        )
 
-    def test_not_utf8_names_the_line(self) -> None:
-        (finding,) = self._find(b'organisation = "a"\n# \xff')
+    def test_invalid_utf8_reports_the_line(self) -> None:
+        (finding,) = self._list_findings(b'organisation = "a"\n# \xff')
         self.assertEqual(finding.place, "a.toml:2")
         self.assertIn("UTF-8", finding.text)
 
-    def test_not_toml_names_line_and_column(self) -> None:
-        (finding,) = self._find(b'organisation = "a"\nservices = ]')
+    def test_invalid_toml_reports_line_and_column(self) -> None:
+        (finding,) = self._list_findings(b'organisation = "a"\nservices = ]')
         self.assertIn("line 2", finding.text)
 
-    def test_over_a_megabyte(self) -> None:
-        (finding,) = self._find(b"#" * (reader.MAX_FILE_BYTES + 1))
+    def test_file_over_a_megabyte(self) -> None:
+        (finding,) = self._list_findings(b"#" * (reader.MAX_FILE_BYTES + 1))
         self.assertIn("1000000 bytes", finding.text)
 
     def test_nested_too_deeply(self) -> None:
-        (finding,) = self._find(b"a = " + b"[" * 100_000)
+        (finding,) = self._list_findings(b"a = " + b"[" * 100_000)
         self.assertEqual(finding.place, "a.toml")
 
-    def test_budget_is_for_the_mesh_alone(self) -> None:
-        (finding,) = self._find(b'organisation = "a"\nbudget_slots = 5')
+    def test_only_the_mesh_declares_a_budget(self) -> None:
+        (finding,) = self._list_findings(
+            b'organisation = "a"\nbudget_slots = 5'
+        )
         self.assertEqual(finding.place, "a.toml: budget_slots")
-        (finding,) = self._find(b'organisation = "mesh"')
+        (finding,) = self._list_findings(b'organisation = "mesh"')
         self.assertEqual(finding.place, "a.toml: budget_slots")
 
     def test_two_classes_with_equal_match(self) -> None:
-        (finding,) = self._find(_write_file({"a": _GOOD, "b": _GOOD}))
+        (finding,) = self._list_findings(
+            _write_file({"a": _VALID_CLASS, "b": _VALID_CLASS})
+        )
         self.assertEqual(
             finding.place, "a.toml: services.balie.classes.b.match"
         )
 
-    def test_payout_needs_a_key_unless_said_otherwise(self) -> None:
-        content = _write_file({"payout": {**_GOOD, "repeatable": "false"}})
+    def test_class_that_is_not_repeatable_requires_a_key_by_default(
+        self,
+    ) -> None:
+        content = _write_file(
+            {"payout": {**_VALID_CLASS, "repeatable": "false"}}
+        )
         document = reader.read_document(content, "a.toml")
         self.assertTrue(document.services[0].classes[0].key_required)
--- a/tests/documents/test_reference.py
+++ b/tests/documents/test_reference.py
@@ -1,6 +1,6 @@
-"""Compares the target-document reference with the schema.
+"""Tests of the target document reference against the schema.
 
-`python -m tests.documents.test_reference write` writes its tables anew.
+`python -m tests.documents.test_reference write` regenerates its tables.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     def setUp(self) -> None:
         self.page = _PAGE.read_text(encoding="utf-8")
 
-    def test_tables_are_as_in_the_schema(self) -> None:
+    def test_tables_match_the_schema(self) -> None:
         self.assertEqual(reference.write_tables(self.page), self.page)
 
     def test_examples_on_the_page_are_valid(self) -> None:
