--- a/merlintrestle/documents/checks.py
+++ b/merlintrestle/documents/checks.py
@@ -19,11 +19,15 @@
 class Demand(NamedTuple):
     """Expected demand of a class of work for slots.
 
+    A call holds a slot of a backend server while it is in progress there.
+
     Attributes:
-        place: Organisation and key of the class of work.
+        place: Location of the class of work, in the format of
+            `errors.Finding.place` in this module: "<organisation>: <key>".
         rate: Expected calls per second.
         work_ms: Expected time in milliseconds for which a call holds a slot.
-        slots: Average number of slots held, the product of both.
+        slots: Expected average number of slots in use: `rate` x `work_ms` in
+            seconds.
     """
 
     place: str
@@ -35,8 +39,8 @@
 def check_documents(documents: Documents) -> list[errors.Finding]:
     """Checks whether documents are consistent with each other.
 
-    The place of a finding is "<organisation>: <key>". The findings do not
-    depend on the order of the organisations.
+    The format of `place` in a finding is "<organisation>: <key>". The findings
+    do not depend on the order of the organisations.
 
     Args:
         documents: Documents by name of the organisation.
@@ -88,12 +92,12 @@
     for service, organisations in sorted(owners.items()):
         if len(organisations) > 1:
             for organisation in organisations:
-                others = [
-                    other for other in organisations if other != organisation
+                other_owners = [
+                    owner for owner in organisations if owner != organisation
                 ]
                 yield errors.Finding(
                     f"{organisation}: services.{service}",
-                    f"is also a service of {', '.join(others)}.",
+                    f"is also a service of {', '.join(other_owners)}.",
                 )
 
 
@@ -101,11 +105,11 @@
     documents: Documents, owners: dict[str, list[str]]
 ) -> Iterator[errors.Finding]:
     for organisation, service in _list_services(documents):
-        for called in service.calls:
-            if called not in owners:
+        for called_service in service.calls:
+            if called_service not in owners:
                 yield errors.Finding(
                     f"{organisation}: services.{service.name}.calls",
-                    f"no organisation has a service {called!r}.",
+                    f"no organisation has a service {called_service!r}.",
                 )
 
 
@@ -141,7 +145,7 @@
 
 def _check_budget(documents: Documents) -> Iterator[errors.Finding]:
     demands = list_demands(documents)
-    # fsum rounds only once, so the result does not depend on the order.
+    # fsum rounds only once, so the sum does not depend on the order.
     total = math.fsum(demand.slots for demand in demands)
     if fields.MESH_ORGANISATION not in documents:
         if total > 0:
--- a/merlintrestle/documents/compiler.py
+++ b/merlintrestle/documents/compiler.py
@@ -1,7 +1,7 @@
 """Compiler from the documents of all organisations to a snapshot.
 
-The snapshot depends only on the version and the documents, so that every
-daemon derives the same bytes. The digest proves that it did.
+The snapshot depends only on the version and the documents, so every daemon
+that compiles them gets the same bytes. Daemons compare digests to verify this.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 
     from google.protobuf import message
 
-# A snapshot is sent as a single gRPC message (default limit: 4 MiB).
+# A snapshot is sent as a single gRPC message, which may have 4 MiB by default.
+# This limit counts only names and values, not the encoding around them.
 MAX_SNAPSHOT_BYTES = 3_500_000
 
 
@@ -29,7 +30,7 @@
 
 
 def compute_document_digest(document: document_pb2.Document) -> bytes:
-    """Returns the SHA-256 by which a stored document is identified."""
+    """Returns the SHA-256 that identifies a stored document."""
     return hashlib.sha256(serialize_message(document)).digest()
 
 
--- a/merlintrestle/documents/differences.py
+++ b/merlintrestle/documents/differences.py
@@ -14,7 +14,7 @@
 
 
 def list_differences(
-    before: document_pb2.Document | None, after: document_pb2.Document | None
+    old: document_pb2.Document | None, new: document_pb2.Document | None
 ) -> list[str]:
     """Returns a line for each key, service and class of work that differs.
 
@@ -22,14 +22,14 @@
     service or class has a line ("~") for each key that differs.
 
     Args:
-        before: The older document, or None if there was none.
-        after: The newer document, or None if it was withdrawn.
+        old: The old document, or None if the organisation had none.
+        new: The new document, or None if the document was withdrawn.
     """
-    old = before or document_pb2.Document()
-    new = after or document_pb2.Document()
+    old_document = old or document_pb2.Document()
+    new_document = new or document_pb2.Document()
     return [
-        *_compare_keys("", old, new, skip=("organisation",)),
-        *_compare_services(old.services, new.services),
+        *_compare_keys("", old_document, new_document, skip=("organisation",)),
+        *_compare_services(old_document.services, new_document.services),
     ]
 
 
@@ -37,18 +37,25 @@
     old: Iterable[document_pb2.ServiceTarget],
     new: Iterable[document_pb2.ServiceTarget],
 ) -> Iterator[str]:
-    before = {service.name: service for service in old}
-    after = {service.name: service for service in new}
+    old_by_name = {service.name: service for service in old}
+    new_by_name = {service.name: service for service in new}
     empty = document_pb2.ServiceTarget()
-    for name in sorted(before.keys() | after.keys()):
+    for name in sorted(old_by_name.keys() | new_by_name.keys()):
         path = f"services.{name}"
-        if name not in before:
+        if name not in old_by_name:
             yield f"+ {path}"
-        elif name not in after:
+        elif name not in new_by_name:
             yield f"- {path}"
-        older, newer = before.get(name, empty), after.get(name, empty)
-        yield from _compare_keys(path + ".", older, newer, skip=("name",))
-        yield from _compare_classes(path, older.classes, newer.classes)
+        old_service, new_service = (
+            old_by_name.get(name, empty),
+            new_by_name.get(name, empty),
+        )
+        yield from _compare_keys(
+            path + ".", old_service, new_service, skip=("name",)
+        )
+        yield from _compare_classes(
+            path, old_service.classes, new_service.classes
+        )
 
 
 def _compare_classes(
@@ -56,16 +63,18 @@
     old: Iterable[document_pb2.ClassTarget],
     new: Iterable[document_pb2.ClassTarget],
 ) -> Iterator[str]:
-    before = {target.name: target for target in old}
-    after = {target.name: target for target in new}
-    for name in sorted(before.keys() | after.keys()):
+    old_by_name = {target.name: target for target in old}
+    new_by_name = {target.name: target for target in new}
+    for name in sorted(old_by_name.keys() | new_by_name.keys()):
         key = f"{path}.classes.{name}"
-        if name not in before:
-            yield f"+ {key}: {_describe_class(after[name])}"
-        elif name not in after:
-            yield f"- {key}: {_describe_class(before[name])}"
+        if name not in old_by_name:
+            yield f"+ {key}: {_describe_class(new_by_name[name])}"
+        elif name not in new_by_name:
+            yield f"- {key}: {_describe_class(old_by_name[name])}"
         else:
-            yield from _compare_keys(key + ".", before[name], after[name])
+            yield from _compare_keys(
+                key + ".", old_by_name[name], new_by_name[name]
+            )
 
 
 def _compare_keys(
@@ -78,10 +87,10 @@
     for field in type(old).DESCRIPTOR.fields:
         if field.name in skip or field.message_type is not None:
             continue
-        before = _format_value(field, getattr(old, field.name))
-        after = _format_value(field, getattr(new, field.name))
-        if before != after:
-            yield f"~ {path}{field.name}: {before} -> {after}"
+        old_text = _format_value(field, getattr(old, field.name))
+        new_text = _format_value(field, getattr(new, field.name))
+        if old_text != new_text:
+            yield f"~ {path}{field.name}: {old_text} -> {new_text}"
 
 
 def _describe_class(target: document_pb2.ClassTarget) -> str:
--- a/merlintrestle/documents/fields.py
+++ b/merlintrestle/documents/fields.py
@@ -1,4 +1,4 @@
-"""Reader for typed keys of target documents, with checks of their ranges."""
+"""TOML tables that check the types and ranges of their keys."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 from merlintrestle.schema import document_pb2
 from merlintrestle.schema import settings_pb2
 
+# Reserved organisation; its document only declares the shared capacity budget.
 MESH_ORGANISATION = "mesh"
+# Importance of a class of work that declares none: 1 is shed first, 5 last.
 DEFAULT_IMPORTANCE = 3
 
 if TYPE_CHECKING:
@@ -19,6 +21,7 @@
 # Pattern of the names of organisations, services and classes of work.
 NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 _METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "*")
+# A path prefix of up to 200 characters.
 _PATH = re.compile(r"/[A-Za-z0-9._~!$&'()*+,;=:@/-]{0,199}")
 _MAX_LIST_ENTRIES = 1000
 _MISSING: Any = object()
@@ -43,10 +46,11 @@
         return f"{self.low:.15g} to {self.high:.15g} {self.unit}".rstrip()
 
 
+# Values of the key "size" by the word in the document.
 SIZES = {"small": document_pb2.SMALL, "large": document_pb2.LARGE}
 
 
-def read_range(message_type: type[message.Message], key: str) -> Range:
+def get_declared_range(message_type: type[message.Message], key: str) -> Range:
     """Returns the bounds that the schema declares for a numeric key."""
     options: Any = message_type.DESCRIPTOR.fields_by_name[key].GetOptions()
     setting = options.Extensions[settings_pb2.setting]
@@ -56,8 +60,9 @@
 class Table:
     """A TOML table that checks each key when it is read.
 
-    A method that finds a problem adds a finding and returns a neutral value,
-    so that a single pass reports every finding.
+    A method that finds a problem adds a finding and returns a placeholder (the
+    default, or an empty or zero value), so that a single pass reports every
+    finding. The values must not be used if there are findings.
     """
 
     def __init__(
@@ -82,7 +87,7 @@
 
     def report(self, key: str, text: str) -> None:
         """Adds a finding about a key of this table."""
-        path = ".".join(part for part in (self._path, key) if part)
+        path = ".".join(name for name in (self._path, key) if name)
         self._findings.append(errors.Finding(f"{self._file}: {path}", text))
 
     def report_unknown_keys(self) -> None:
@@ -116,7 +121,7 @@
         return float(self._check_range(key, value, allowed))
 
     def read_choice(self, key: str, choices: dict[str, T], default: str) -> T:
-        """Reads one of several words and returns the value of that choice."""
+        """Reads a word and returns the value that `choices` has for it."""
         words = " or ".join(repr(word) for word in choices)
         value = self._read_value(key, str, words, default)
         if value not in choices:
@@ -139,14 +144,16 @@
         names = self._read_strings(key, "a list of names", [])
         return [name for name in names if self._check_name(key, name)]
 
-    def read_matches(self, key: str) -> list[str]:
-        """Reads the matches of a class, each as "METHOD /path-prefix"."""
+    def read_patterns(self, key: str) -> list[str]:
+        """Reads request patterns, each in the form "METHOD /path-prefix"."""
         expected = 'a list such as ["GET /tickets"]'
         present = key in self._unread
-        matches = self._read_strings(key, expected, None)
-        if present and not matches:
+        patterns = self._read_strings(key, expected, None)
+        if present and not patterns:
             self.report(key, f"is not {expected}.")
-        return [match for match in matches if self._check_match(key, match)]
+        return [
+            pattern for pattern in patterns if self._check_pattern(key, pattern)
+        ]
 
     def read_tables(self, key: str) -> dict[str, Table]:
         """Reads a table of named tables; returns {} if it is missing."""
@@ -210,15 +217,17 @@
         self.report(key, text)
         return False
 
-    def _check_match(self, key: str, match: str) -> bool:
-        method, _, path = match.partition(" ")
+    def _check_pattern(self, key: str, pattern: str) -> bool:
+        method, _, path = pattern.partition(" ")
         if method not in _METHODS:
             text = (
-                f"{_format_value(match)} begins with none of"
+                f"{_format_value(pattern)} begins with none of"
                 f" {', '.join(_METHODS)}."
             )
         elif not _PATH.fullmatch(path) or "//" in path or "/." in path:
-            text = f"{_format_value(match)} has no plain path after its method."
+            text = (
+                f"{_format_value(pattern)} has no plain path after its method."
+            )
         else:
             return True
         self.report(key, text)
@@ -226,6 +235,7 @@
 
 
 def _format_value(value: Any) -> str:
+    """Returns a value as shown in a finding, at most 60 characters long."""
     try:
         text = repr(value)
     except ValueError:
--- a/merlintrestle/documents/loader.py
+++ b/merlintrestle/documents/loader.py
@@ -1,4 +1,4 @@
-"""Loader of snapshots from resources that a peer may have sent."""
+"""Loader of snapshots from serialized resources."""
 
 from __future__ import annotations
 
@@ -22,17 +22,19 @@
     base: snapshot.Snapshot | None = None,
     digest: bytes | None = None,
 ) -> snapshot.Snapshot:
-    """Builds a snapshot from resources that a peer may have sent.
+    """Builds a snapshot from resources and validates them.
+
+    The resources come from this process or from a peer.
 
     Args:
         version: Number of the version.
         resources: Serialized resources by name.
         base: Earlier snapshot whose unchanged resources are not parsed again.
             Parsing all resources would block the event loop at each change.
-        digest: Expected digest, compared before any resource is parsed.
-            Otherwise a snapshot with a lost or corrupted resource would run
-            as a version that was never accepted. None if the resources come
-            from this process.
+        digest: Expected digest, compared before any resource is parsed; None
+            if the resources come from this process. Without this check, a
+            snapshot with a missing or corrupted resource from a peer would
+            run as a version that was never accepted.
 
     Raises:
         errors.SnapshotError: The digest differs, a resource cannot be parsed,
@@ -99,13 +101,13 @@
         name, name.startswith(snapshot.CLASS_PREFIX), "is of no known kind"
     )
     resource = _parse_message(name, value, document_pb2.ClassResource())
-    plan = _build_class_plan(resource)
+    plan = _build_plan_from_resource(resource)
     expected_name = snapshot.build_class_name(
         plan.service, plan.organisation, plan.name
     )
     _require(name, name == expected_name, "is misnamed")
-    matches = resource.target.match
-    routes = tuple(_parse_route(name, match, plan) for match in matches)
+    patterns = resource.target.match
+    routes = tuple(_parse_route(name, pattern, plan) for pattern in patterns)
     return snapshot.ParsedResource(digest, None, plan, routes)
 
 
@@ -114,12 +116,12 @@
         raise errors.SnapshotError(f"resource {name!r} {problem}")
 
 
-def _parse_message(name: str, value: bytes, target: M) -> M:
+def _parse_message(name: str, value: bytes, result: M) -> M:
     try:
-        target.ParseFromString(value)
+        result.ParseFromString(value)
     except message.DecodeError as error:
         raise errors.SnapshotError(f"resource {name!r}: {error}") from error
-    return target
+    return result
 
 
 def _check_references(
@@ -129,8 +131,12 @@
     listed_classes = set()
     for service in services.values():
         name = snapshot.build_service_name(service.name)
-        for called in service.calls:
-            _require(name, called in services, f"calls unknown {called!r}")
+        for called_service in service.calls:
+            _require(
+                name,
+                called_service in services,
+                f"calls unknown {called_service!r}",
+            )
         for class_name in service.classes:
             parsed = parsed_resources.get(class_name)
             plan = parsed.plan if parsed else None
@@ -138,22 +144,24 @@
             _require(name, known, f"lists unknown {class_name!r}")
             listed_classes.add(class_name)
     for name, parsed in parsed_resources.items():
-        # References are checked in both directions: a class that its service
-        # does not list has no route, and its calls would be refused although
-        # their targets are in force.
+        # The reverse direction must hold as well: a class that its service does
+        # not list has no route, so its calls would be refused although its
+        # targets are in force.
         if parsed.plan is not None:
             _require(
                 name, name in listed_classes, "is not listed by its service"
             )
 
 
-def _build_class_plan(
+def _build_plan_from_resource(
     resource: document_pb2.ClassResource,
 ) -> snapshot.ClassPlan:
-    return _build_plan(resource.organisation, resource.service, resource.target)
+    return _build_plan_from_target(
+        resource.organisation, resource.service, resource.target
+    )
 
 
-def _build_plan(
+def _build_plan_from_target(
     organisation: str, service: str, target: document_pb2.ClassTarget
 ) -> snapshot.ClassPlan:
     return snapshot.ClassPlan(
@@ -187,7 +195,9 @@
         snapshot.WeightedService(destination.service, destination.weight)
         for destination in route.parts
     )
-    plan = _build_plan("", destinations[0].service, route.target)
+    # No organisation declares the targets of a host route. The service of its
+    # first destination stands for all of them.
+    plan = _build_plan_from_target("", destinations[0].service, route.target)
     return snapshot.HostRoute(
         name=route.name,
         host=route.host,
@@ -210,7 +220,11 @@
     services: Mapping[str, document_pb2.ServiceResource],
     parsed_resources: Mapping[str, snapshot.ParsedResource],
 ) -> dict[str, tuple[snapshot.HostRoute, ...]]:
-    """Returns the host routes by host, longest prefix first."""
+    """Returns the host routes by host, longest prefix first.
+
+    Raises:
+        errors.SnapshotError: A route refers to an unknown service.
+    """
     routes_by_host: dict[str, list[snapshot.HostRoute]] = {}
     for name, parsed in parsed_resources.items():
         route = parsed.host_route
@@ -231,10 +245,10 @@
 
 
 def _parse_route(
-    name: str, match: str, plan: snapshot.ClassPlan
+    name: str, pattern: str, plan: snapshot.ClassPlan
 ) -> snapshot.Route:
-    method, _, prefix = match.partition(" ")
-    _require(name, prefix.startswith("/"), f"has a bad match {match!r}")
+    method, _, prefix = pattern.partition(" ")
+    _require(name, prefix.startswith("/"), f"has a bad match {pattern!r}")
     return snapshot.Route(method, prefix, plan)
 
 
@@ -243,7 +257,7 @@
     name: str,
     parsed_resources: Mapping[str, snapshot.ParsedResource],
 ) -> snapshot.ServicePlan | None:
-    """Returns the service plan of the base if nothing of it has changed."""
+    """Returns the service plan of the base if its resources are unchanged."""
     if base is None or name not in base.services:
         return None
     service = parsed_resources[snapshot.build_service_name(name)].service
--- a/merlintrestle/documents/reader.py
+++ b/merlintrestle/documents/reader.py
@@ -1,4 +1,4 @@
-"""Reader for target documents in TOML, which collects all findings."""
+"""Reader for target documents in TOML."""
 
 from __future__ import annotations
 
@@ -14,25 +14,33 @@
 
     from merlintrestle.documents.fields import Table
 
-# A document is stored as one value; the store accepts values of up to 1 MB.
+# A document is stored as a single value; the store accepts values of up to 1 MB
+# (`MAX_VALUE_BYTES` of `merlintrestle.store.client`).
 MAX_FILE_BYTES = 1_000_000
 
-_BUDGET_SLOTS = fields.read_range(document_pb2.Document, "budget_slots")
-_LATENCY_MS = fields.read_range(document_pb2.ClassTarget, "latency_ms")
-_DEADLINE_MS = fields.read_range(document_pb2.ClassTarget, "deadline_ms")
-_WORK_MS = fields.read_range(document_pb2.ClassTarget, "work_ms")
-_RATE = fields.read_range(document_pb2.ClassTarget, "rate")
-_SHARE = fields.read_range(document_pb2.ClassTarget, "share")
-_AVAILABILITY = fields.read_range(document_pb2.ClassTarget, "availability")
-_IMPORTANCE = fields.read_range(document_pb2.ClassTarget, "importance")
+_BUDGET_SLOTS = fields.get_declared_range(document_pb2.Document, "budget_slots")
+_LATENCY_MS = fields.get_declared_range(document_pb2.ClassTarget, "latency_ms")
+_DEADLINE_MS = fields.get_declared_range(
+    document_pb2.ClassTarget, "deadline_ms"
+)
+_WORK_MS = fields.get_declared_range(document_pb2.ClassTarget, "work_ms")
+_RATE = fields.get_declared_range(document_pb2.ClassTarget, "rate")
+_SHARE = fields.get_declared_range(document_pb2.ClassTarget, "share")
+_AVAILABILITY = fields.get_declared_range(
+    document_pb2.ClassTarget, "availability"
+)
+_IMPORTANCE = fields.get_declared_range(document_pb2.ClassTarget, "importance")
 
 
 def read_document(content: bytes, file: str) -> document_pb2.Document:
-    """Returns the document of a TOML file, in its canonical form.
+    """Returns the document of a TOML file in its canonical form.
+
+    If the file is valid TOML, all problems are collected before an error is
+    raised.
 
     Args:
         content: Content of the file.
-        file: Name of the file, for the places of findings.
+        file: Name of the file, shown in `Finding.place`.
 
     Raises:
         errors.InvalidInputError: The document is invalid; the error has all
@@ -100,8 +108,8 @@
             )
     for service in document.services:
         if service.owner == document.organisation:
-            # Stored in a single form; otherwise equal documents could have
-            # different digests.
+            # The owner is always stored in the same form; otherwise equal
+            # documents could have different digests.
             service.owner = ""
     return document
 
@@ -116,7 +124,7 @@
     if name in service.calls:
         table.report("calls", "a service does not call itself.")
     service.classes.extend(_read_named_tables(table, "classes", _read_class))
-    _report_duplicate_matches(table, service)
+    _report_duplicate_patterns(table, service)
     table.report_unknown_keys()
     return service
 
@@ -135,8 +143,9 @@
         work_ms=table.read_number("work_ms", _WORK_MS),
         size=table.read_choice("size", fields.SIZES, default="small"),
         deadline_ms=table.read_integer("deadline_ms", _DEADLINE_MS),
-        match=sorted(set(table.read_matches("match"))),
+        match=sorted(set(table.read_patterns("match"))),
     )
+    # Whether calls of the class need an Idempotency-Key header.
     target.key_required = table.read_flag(
         "key_required", default=not target.repeatable
     )
@@ -156,13 +165,13 @@
     return [read(name, tables[name]) for name in sorted(tables)]
 
 
-def _report_duplicate_matches(
+def _report_duplicate_patterns(
     table: Table, service: document_pb2.ServiceTarget
 ) -> None:
-    class_by_match: dict[str, str] = {}
+    class_by_pattern: dict[str, str] = {}
     for target in service.classes:
-        for match in target.match:
-            first_class = class_by_match.setdefault(match, target.name)
+        for pattern in target.match:
+            first_class = class_by_pattern.setdefault(pattern, target.name)
             if first_class != target.name:
-                text = f"{match!r} is also matched by class {first_class!r}."
+                text = f"{pattern!r} is also matched by class {first_class!r}."
                 table.report(f"classes.{target.name}.match", text)
--- a/merlintrestle/documents/snapshot.py
+++ b/merlintrestle/documents/snapshot.py
@@ -33,11 +33,13 @@
 
 
 class ClassPlan(NamedTuple):
-    """The targets of one class of work, in the units the daemon uses.
+    """The parsed targets of one class of work, with times in seconds.
 
     Attributes:
-        organisation: Organisation that declares the targets.
-        service: Service that serves the class.
+        organisation: Organisation that declares the targets; empty for a host
+            route.
+        service: Service that serves the class; for a host route, the service
+            of its first destination.
         name: Name of the class.
         latency_s: Target latency in seconds.
         share: Fraction of the answered calls that must be answered within
@@ -48,8 +50,8 @@
         importance: 1 (shed first) to 5 (shed last).
         rate: Expected calls per second in the whole mesh.
         work_s: Expected time in seconds for which one call holds a slot.
-        large: Whether answers are long transfers, which are judged by their
-            progress.
+        large: Whether answers are long transfers, which are monitored by
+            their progress instead of a latency target.
         deadline_s: Time in seconds within which the caller gets its final
             answer.
         key_required: Whether calls without an Idempotency-Key header are
@@ -93,7 +95,8 @@
     Attributes:
         name: Name of the route.
         host: Host name in lower case, without a port.
-        prefix: Path prefix, starting and ending with "/".
+        prefix: Path prefix, starting and ending with "/". The loader does not
+            check the end; without it, "/a" would also match "/ab".
         destinations: Services among which the requests are distributed.
         plan: Class of work of the requests.
     """
@@ -189,8 +192,8 @@
         digest: SHA-256 of the version and the resources, see
             `compute_digest`.
         resources: Serialized resources by name.
-        services: Services by name, derived from the resources; the proxy
-            routes by them.
+        services: Services by name, derived from the resources; the daemon
+            uses them to route calls.
         parsed_resources: Parsed resources by name.
         host_routes: Host routes by host, longest prefix first.
         limits: Limits for the requests of callers; None if not specified.
@@ -206,6 +209,17 @@
         hosts: Mapping[str, tuple[HostRoute, ...]] | None = None,
         limits: Limits | None = None,
     ):
+        """Initializes the snapshot.
+
+        Args:
+            version: Number of the version.
+            resources: Serialized resources by name.
+            services: Services by name.
+            parsed_resources: Parsed resources by name; empty if omitted.
+            digest: Digest of the snapshot; computed if empty.
+            hosts: Host routes by host, longest prefix first.
+            limits: Limits for the requests of callers; None if not specified.
+        """
         self.version = version
         self.host_routes = hosts or {}
         self._prefixes = {
--- a/merlintrestle/documents/writer.py
+++ b/merlintrestle/documents/writer.py
@@ -44,6 +44,7 @@
         _format_pair("size", sizes[target.size]),
         _format_pair("deadline_ms", target.deadline_ms),
     ]
+    # The reader's default is the opposite of `repeatable`.
     if target.key_required is target.repeatable:
         lines.append(_format_pair("key_required", target.key_required))
     return lines
@@ -54,7 +55,7 @@
 
 
 def _format_value(value: Any) -> str:
-    # Strings are names and matches, which contain nothing to escape.
+    # Strings are names and request patterns, which need no escaping.
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, list):
--- a/tests/documents/reference.py
+++ b/tests/documents/reference.py
@@ -66,7 +66,7 @@
 ) -> str:
     allowed = ", ".join(f'`"{word}"`' for word in setting.choices)
     if setting.max:
-        bounds = fields.read_range(message_type, key)._replace(unit="")
+        bounds = fields.get_declared_range(message_type, key)._replace(unit="")
         allowed = str(bounds)
     default = "(required)" if setting.required else setting.default
     return (
