--- a/tests/documents/test_checks.py
+++ b/tests/documents/test_checks.py
@@ -13,7 +13,7 @@
 
 
 def _check(*documents: document_pb2.Document) -> list[str]:
-    """Returns the places of the findings about some documents."""
+    """Returns the `place` of each finding about the documents."""
     findings = checks.check_documents(
         {document.organisation: document for document in documents}
     )
@@ -21,7 +21,7 @@
 
 
 class CheckDocumentsTest(unittest.TestCase):
-    def test_unknown_service_in_calls(self) -> None:
+    def test_call_to_unknown_service_is_reported(self) -> None:
         service = builders.build_service("balie", calls=["kassa"])
         document = builders.build_document("zaanoever", service)
         self.assertEqual(_check(document), ["zaanoever: services.balie.calls"])
@@ -36,7 +36,7 @@
             ["kochi: services.balie", "zaanoever: services.balie"],
         )
 
-    def test_class_on_a_service_that_is_not_shared(self) -> None:
+    def test_declaration_for_unshared_service_is_reported(self) -> None:
         owning = builders.build_document("zaanoever", builders.build_service())
         foreign = builders.build_document(
             "kochi", builders.build_service(owner="zaanoever")
@@ -47,7 +47,7 @@
         owning.services[0].shared = True
         self.assertEqual(_check(owning, foreign), [])
 
-    def test_class_on_a_service_without_an_owner(self) -> None:
+    def test_declaration_for_unowned_service_is_reported(self) -> None:
         foreign = builders.build_document(
             "kochi", builders.build_service(owner="zaanoever")
         )
@@ -73,7 +73,7 @@
             ],
         )
 
-    def test_demand_without_a_budget(self) -> None:
+    def test_demand_without_a_budget_is_reported(self) -> None:
         document = builders.build_document(
             "zaanoever",
             builders.build_service("balie", builders.build_class()),
--- a/tests/documents/test_compiler.py
+++ b/tests/documents/test_compiler.py
@@ -20,18 +20,18 @@
 
 
 def _draw_consistent_documents() -> st.SearchStrategy[Documents]:
-    """Draws documents and drops those that are inconsistent with others."""
+    """Draws documents and drops each that is inconsistent with earlier ones."""
     return st.fixed_dictionaries(
         {name: builders.draw_documents(name) for name in builders.ORGANISATIONS}
-    ).map(_keep_consistent)
+    ).map(_drop_inconsistent)
 
 
-def _keep_consistent(drawn: Documents) -> Documents:
-    kept = {"mesh": builders.build_mesh_document()}
+def _drop_inconsistent(drawn: Documents) -> Documents:
+    consistent = {"mesh": builders.build_mesh_document()}
     for name, document in drawn.items():
-        if not checks.check_documents({**kept, name: document}):
-            kept[name] = document
-    return kept
+        if not checks.check_documents({**consistent, name: document}):
+            consistent[name] = document
+    return consistent
 
 
 class CompileSnapshotTest(unittest.TestCase):
@@ -57,7 +57,7 @@
 
         All three have classes on the same service. If its resource listed the
         classes in the order of reading, daemons would run different bytes for
-        the same version and reject each other's deltas.
+        the same version and reject each other's incremental updates (deltas).
         """
         service = builders.build_service("balie", builders.build_class("a"))
         service.shared = True
@@ -90,12 +90,11 @@
     def test_missing_resource_is_rejected_or_changes_the_digest(
         self, documents: Documents, data: st.DataObject
     ) -> None:
-        """A proxy lacks a resource of a snapshot, such as after a bad delta.
+        """A resource is missing, for example from a peer's incremental update.
 
-        Its routes would refer to a missing service or class, and calls would
-        fail although the version is in force. The loader rejects such a
-        snapshot. A missing service that nothing refers to only changes the
-        digest.
+        Routes would refer to a missing service or class, and calls would fail
+        although the version is in force. The loader rejects such a snapshot.
+        If nothing refers to the missing resource, only the digest changes.
         """
         compiled = compiler.compile_snapshot(3, documents)
         name = data.draw(st.sampled_from(sorted(compiled.resources)))
@@ -112,26 +111,29 @@
         _draw_consistent_documents(), _draw_consistent_documents()
     )
     def test_base_does_not_change_the_loaded_snapshot(
-        self, before: Documents, after: Documents
+        self, old: Documents, new: Documents
     ) -> None:
         """A daemon parses only the changed resources of a version.
 
-        If it reused a changed resource, it would route calls by targets that
-        are no longer in force, although the digest is correct.
+        If it reused the parsed form of a changed resource, it would apply
+        targets that are no longer in force, although the digest is correct.
         """
-        base = compiler.compile_snapshot(3, before)
-        whole = compiler.compile_snapshot(4, after)
+        base = compiler.compile_snapshot(3, old)
+        expected = compiler.compile_snapshot(4, new)
         loaded = loader.load_snapshot(
             4,
-            whole.resources,
+            expected.resources,
             base,
-            snapshot.compute_digest(4, whole.resources),
+            snapshot.compute_digest(4, expected.resources),
         )
-        self.assertEqual(loaded.services, whole.services)
-        self.assertEqual(loaded.digest, whole.digest)
+        self.assertEqual(loaded.services, expected.services)
+        self.assertEqual(loaded.digest, expected.digest)
 
     def test_unchanged_service_is_shared_with_the_base(self) -> None:
-        """Parsing 740 services again blocked the event loop for 58 ms."""
+        """A new version must not parse unchanged services again.
+
+        Parsing 740 services again blocked the event loop for 58 ms.
+        """
         service = builders.build_service("balie", builders.build_class())
         documents = {"a": builders.build_document("a", service)}
         base = compiler.compile_snapshot(1, documents)
@@ -142,7 +144,7 @@
         """An operator changes one latency target and nothing else.
 
         The service resource itself does not change. If the service were
-        reused because of that, it would serve by the old target although the
+        reused because of that, the old target would be applied although the
         new version is in force.
         """
         service = builders.build_service("balie", builders.build_class())
@@ -150,9 +152,9 @@
         base = compiler.compile_snapshot(1, documents)
         service.classes[0].latency_ms += 1
         documents = {"a": builders.build_document("a", service)}
-        whole = compiler.compile_snapshot(2, documents)
+        expected = compiler.compile_snapshot(2, documents)
         loaded = compiler.compile_snapshot(2, documents, base)
-        self.assertEqual(loaded.services, whole.services)
+        self.assertEqual(loaded.services, expected.services)
         self.assertNotEqual(loaded.services, base.services)
 
     def test_empty_digest_from_a_peer_is_rejected(self) -> None:
@@ -160,16 +162,21 @@
             loader.load_snapshot(1, {}, None, b"")
 
     @hypothesis.given(st.binary(max_size=60))
-    def test_any_bytes_are_rejected(self, value: bytes) -> None:
+    def test_malformed_resource_raises_only_snapshot_error(
+        self, value: bytes
+    ) -> None:
+        """A peer sends arbitrary bytes; no other exception may be raised."""
+        # Some bytes are a valid resource. "class/" has no valid name, so the
+        # snapshot is always rejected.
         for name in ("budget", "service/balie", "class/balie/a/b", "route/x"):
             with self.assertRaises(errors.SnapshotError):
                 loader.load_snapshot(1, {name: value, "class/": value})
 
     def test_class_of_a_removed_service_is_rejected(self) -> None:
-        """An organisation withdraws a service with a class of another one.
+        """An organisation withdraws a service on which another has a class.
 
-        A route to a missing service could not answer any call. The whole
-        version is rejected and the proxy keeps its current version.
+        No call could be answered through a route to a missing service. The
+        entire version is rejected and the daemon keeps its current version.
         """
         documents = {
             "zaanoever": builders.build_document(
@@ -188,7 +195,7 @@
             compiler.compile_snapshot(2, documents)
 
     def test_class_that_its_service_does_not_list_is_rejected(self) -> None:
-        """A delta has a class but not the service that lists it.
+        """An incremental update has a class but not the service that lists it.
 
         The calls of the class would have no route although its targets are in
         force.
@@ -216,10 +223,10 @@
 class MatchTest(unittest.TestCase):
     def setUp(self) -> None:
         classes = [
-            builders.build_class("any", match=["* /"]),
-            builders.build_class("all", match=["GET /tickets"]),
-            builders.build_class("one", match=["GET /tickets/one"]),
-            builders.build_class("open", match=["* /tickets"]),
+            builders.build_class("fallback", match=["* /"]),
+            builders.build_class("get-tickets", match=["GET /tickets"]),
+            builders.build_class("get-ticket-one", match=["GET /tickets/one"]),
+            builders.build_class("any-method-tickets", match=["* /tickets"]),
         ]
         document = builders.build_document(
             "zaanoever", builders.build_service("balie", *classes)
@@ -231,11 +238,13 @@
         plan = self.service.match(method, path, organisation)
         return plan.name if plan else ""
 
-    def test_longest_prefix_then_named_method(self) -> None:
-        self.assertEqual(self._match("GET", "/tickets/one/2"), "one")
-        self.assertEqual(self._match("GET", "/tickets/2"), "all")
-        self.assertEqual(self._match("PUT", "/tickets/one"), "open")
-        self.assertEqual(self._match("GET", "/other"), "any")
+    def test_longest_prefix_precedes_named_method(self) -> None:
+        self.assertEqual(self._match("GET", "/tickets/one/2"), "get-ticket-one")
+        self.assertEqual(self._match("GET", "/tickets/2"), "get-tickets")
+        self.assertEqual(
+            self._match("PUT", "/tickets/one"), "any-method-tickets"
+        )
+        self.assertEqual(self._match("GET", "/other"), "fallback")
 
     def test_other_organisation_has_no_route(self) -> None:
         self.assertEqual(self._match("GET", "/tickets", "kochi"), "")
--- a/tests/documents/test_reader.py
+++ b/tests/documents/test_reader.py
@@ -123,11 +123,11 @@
         (finding,) = self._list_findings(b'organisation = "a"\nservices = ]')
         self.assertIn("line 2", finding.text)
 
-    def test_file_over_a_megabyte(self) -> None:
+    def test_file_larger_than_a_megabyte_is_reported(self) -> None:
         (finding,) = self._list_findings(b"#" * (reader.MAX_FILE_BYTES + 1))
         self.assertIn("1000000 bytes", finding.text)
 
-    def test_nested_too_deeply(self) -> None:
+    def test_too_deep_nesting_is_reported(self) -> None:
         (finding,) = self._list_findings(b"a = " + b"[" * 100_000)
         self.assertEqual(finding.place, "a.toml")
 
@@ -139,7 +139,7 @@
         (finding,) = self._list_findings(b'organisation = "mesh"')
         self.assertEqual(finding.place, "a.toml: budget_slots")
 
-    def test_two_classes_with_equal_match(self) -> None:
+    def test_equal_match_of_two_classes_is_reported(self) -> None:
         (finding,) = self._list_findings(
             _write_file({"a": _VALID_CLASS, "b": _VALID_CLASS})
         )
