--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -20,13 +20,12 @@
 
     from merlintrestle.store import client
 
-# True for kinds of routes whose calls may run more than once. Downloads have
-# latency targets too, so they are not transfers that hold a slot for minutes.
-_REPEATABLE = {"idempotent": True, "download": True, "non_idempotent": False}
+# Whether calls of a route may run more than once, by the kind of the route.
+_REPEATABILITY = {"idempotent": True, "download": True, "non_idempotent": False}
 # Importance of priority 0; it decreases by 1 with each further priority number.
 _MAX_IMPORTANCE = 5
-# Prefix of the operators' keys; those of roll-outs follow the configuration's.
-_OPERATORS_PREFIX = "op/"
+# Prefix of the operators' keys. Roll-out keys sort after the configuration key.
+_OPERATOR_PREFIX = "op/"
 _HEXADECIMAL_BASE = 16
 # Minimum wait of a watch, for a query of events that have already occurred.
 _MIN_WAIT_MS = 1
@@ -38,7 +37,7 @@
     def __init__(self, store: stores.PlatformStore):
         """Starts without a known version."""
         self._store = store
-        self._entries_by_version: dict[int, client.Entry] = {}
+        self._newest_entry_by_version: dict[int, client.Entry] = {}
         self._head_revision = 0
         self._orders: Sequence[client.Entry] = ()
         self._known = known_revision.KnownRevision()
@@ -48,8 +47,8 @@
     async def read_head(self) -> document_pb2.Head:
         """Reads the head of the newest version; version 0 if there is none.
 
-        The value is some hundred KB, half a second of a slow link. It is only
-        read if the store's revision has increased and no watch delivers it.
+        The value of some hundred KB takes half a second over a slow link. It is
+        read only if neither a watch nor the history explains a new revision.
 
         Raises:
             errors.StoreError: The store did not answer.
@@ -57,12 +56,12 @@
         """
         if self._known.revision:
             self._orders, revision = await self._store.read_after(
-                _OPERATORS_PREFIX, stores.CONFIGURATION_KEY
+                _OPERATOR_PREFIX, stores.CONFIGURATION_KEY
             )
             if revision <= self._known.revision or await self._update(revision):
                 return self._head
         previous_revision = self._head_revision
-        entries, revision = await self._store.read_all(_OPERATORS_PREFIX)
+        entries, revision = await self._store.read_all(_OPERATOR_PREFIX)
         head = self._head
         for entry in entries:
             if entry.key == stores.CONFIGURATION_KEY:
@@ -100,7 +99,7 @@
         Raises:
             errors.SnapshotError: The version is malformed or was replaced.
         """
-        entry = self._entries_by_version.get(head.version)
+        entry = self._newest_entry_by_version.get(head.version)
         if entry is None:
             raise errors.SnapshotError(
                 f"version {head.version} was replaced by a later one"
@@ -129,10 +128,10 @@
         return await seeds_lib.write_seeds(self._store, zone, member_ids)
 
     async def _update(self, revision: int) -> bool:
-        """Returns whether the head was updated without a read of its value.
+        """Returns whether the head is current, without a read of its value.
 
-        The history is always queried from the last value on, so the query
-        fails, and misses no change, if the history was dropped since then.
+        The history is queried from the last known revision, so the query fails,
+        and misses no change, if the store has dropped the history since then.
         """
         is_delivering = self._store.is_delivering
         if is_delivering() or not self._known.may_query_history():
@@ -155,7 +154,7 @@
             version = parse_version(
                 rows.parse_object(entry.value, "configuration")
             )
-            self._entries_by_version = {version: entry}
+            self._newest_entry_by_version = {version: entry}
             self._head_revision = entry.revision
             self._head = document_pb2.Head(version=version)
         return self._head
@@ -235,7 +234,7 @@
 
 def _build_target(row: rows.Row) -> document_pb2.ClassTarget:
     kind = row.get_text("kind")
-    if kind not in _REPEATABLE:
+    if kind not in _REPEATABILITY:
         raise errors.SnapshotError(f"routes: kind is {kind!r}")
     priority = row.get_number("priority")
     latency_ms = row.get_number("targetLatencyMs")
@@ -245,8 +244,9 @@
         name=f"{kind}-{priority}-{latency_ms}",
         latency_ms=latency_ms,
         deadline_ms=deadline_ms,
-        repeatable=_REPEATABLE[kind],
+        repeatable=_REPEATABILITY[kind],
         importance=max(1, _MAX_IMPORTANCE - priority),
+        # Downloads have latency targets too, so none holds a slot for minutes.
         size=document_pb2.SMALL,
     )
 
--- a/merlintrestle/platform/endpoints.py
+++ b/merlintrestle/platform/endpoints.py
@@ -24,7 +24,7 @@
 _READY_PATH = "/merlintrestle/ready"
 _HEARTBEAT_PATH = "/merlintrestle/Instances.Heartbeat/{instance_id}"
 _LEAVE_PATH = "/merlintrestle/Instances.Leave/{instance_id}"
-# deploy/system.toml states the same port.
+# Port of the Prometheus endpoint; deploy/system.toml states it too.
 METRICS_PORT = 9464
 _MAX_BODY_BYTES = 16 * 1024
 _STATES = {"ready": control_pb2.READY, "draining": control_pb2.DRAINING}
@@ -62,8 +62,8 @@
         self.readiness = settings.readiness
         self.announcements = settings.announcements
         self._is_ready = is_ready
-        self._report_heartbeat = handle_heartbeat
-        self._report_leave = handle_leave
+        self._on_heartbeat = handle_heartbeat
+        self._on_leave = handle_leave
         self._knows_service = knows_service
         self._render_metrics = render_metrics
         self._metrics = settings_lib.Address(
@@ -126,7 +126,7 @@
                 "heartbeat refused", instance=instance_id, error=str(error)
             )
             return web.json_response({}, status=400)
-        self._report_heartbeat(heartbeat)
+        self._on_heartbeat(heartbeat)
         return web.json_response({})
 
     async def _handle_leave(self, request: web.Request) -> web.Response:
@@ -136,7 +136,7 @@
         except (errors.InvalidInputError, ValueError) as error:
             events.warn("leave refused", instance=instance_id, error=str(error))
             return web.json_response({}, status=400)
-        self._report_leave(instance_id, started_ms)
+        self._on_leave(instance_id, started_ms)
         return web.json_response({})
 
     def _check_service(self, name: str) -> None:
--- a/merlintrestle/platform/health.py
+++ b/merlintrestle/platform/health.py
@@ -15,12 +15,12 @@
     from merlintrestle.platform import settings as settings_lib
 
 _PATH = "/health"
-# Id of the process that responds.
+# Id of the backend server process, which the platform calls an instance.
 _INSTANCE_HEADER = "X-Served-By"
 # Running calls, waiting calls and slots, separated by commas.
 _LOAD_HEADER = "X-Server-Load"
-# A full backend server queues the request for a slot; its next heartbeat
-# arrives in one or two seconds and contains the same.
+# A backend server without a free slot responds later. The daemon then uses the
+# next heartbeat, which contains the same status and arrives in 1 to 2 seconds.
 _TIMEOUT_S = 0.5
 _LOAD_FIELDS = 3
 _OK = 200
--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -27,11 +27,11 @@
 _ATTEMPT_ID = multidict.istr("X-Attempt-Id")
 # Caller's remaining time, in ms.
 _DEADLINE = multidict.istr("X-Deadline-Ms")
-# Id of the backend server process that should run the request.
+# Id of the backend server process (platform: instance) to run the request.
 _TARGET_INSTANCE = multidict.istr("X-Target-Instance")
 # Service of the instance whose daemon received the request from the caller.
 _ORIGIN = multidict.istr("X-Caller-Service")
-# Digest by which callers recognize an answer of a backend server.
+# Digest by which callers recognize the answer of a backend server.
 _SIGNATURE = multidict.istr("X-Response-Signature")
 # Present in an answer to a request that the backend server did not run.
 _NOT_EXECUTED = multidict.istr("X-Not-Executed")
@@ -83,7 +83,7 @@
 def _may_be_nested(
     dialect: PlatformDialect, request: web.BaseRequest, backend_busy: bool
 ) -> bool:
-    # Backend servers don't mark such requests; any may be one while they work.
+    # Nested calls are not marked: a busy backend server may have sent any call.
     return backend_busy
 
 
@@ -138,8 +138,8 @@
     received = answer.headers
     if _ATTEMPT_ID in received:
         return received[_ATTEMPT_ID] == call.request_id
-    # A second answer to an earlier request belongs to one that was run, so
-    # without an id only a refusal can belong to this request.
+    # A duplicate answer without an id belongs to an earlier request that was
+    # run. Only a refusal without an id is certain to belong to this request.
     return not call.request_id or _is_refusal(answer)
 
 
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -19,12 +19,12 @@
 events = event_logs.EventLog("platform")
 
 # The platform checks readiness once a second and redirects callers after two
-# failures; callers learn of that a moment later.
+# failures; the redirection takes effect shortly afterwards.
 _MAX_FAREWELL_S = 2.6
-# Time that a stop needs after the requests in flight have ended.
+# Part of the grace period in which resources close, after the last request.
 _CLEANUP_S = 0.8
-# Fraction of a bad version's total share that its trial uses. The rest is for
-# the seconds until a version that fails only after its trial is detected.
+# Fraction of `expose_share` that a version on trial gets. The rest is for calls
+# in the seconds until a failure after the trial is detected.
 _TRIAL_FRACTION = 0.6
 
 
@@ -83,9 +83,9 @@
             lambda: metrics.render_metrics(self.registry),
         )
         await self.add_runtime_dependency(self._endpoints)
-        status = await health.check_backend(self._platform_settings)
-        if status is not None and not self.has_seen_backend:
-            self.handle_heartbeat(status)
+        heartbeat = await health.check_backend(self._platform_settings)
+        if heartbeat is not None and not self.has_seen_backend:
+            self.handle_heartbeat(heartbeat)
 
     def _knows_service(self, name: str) -> bool:
         """Returns whether the settings or the running version name it."""
--- a/merlintrestle/platform/settings.py
+++ b/merlintrestle/platform/settings.py
@@ -37,15 +37,15 @@
         callers: Address to which callers on the instance send requests.
         peers: Address to which other daemons send calls.
         readiness: Address at which the platform checks readiness.
-        announcements: Address to which the backend server sends heartbeats.
-        first_port: First of the ports that are reserved for the daemon.
+        announcements: Address that gets heartbeats (setting `listen.control`).
+        first_port: First port reserved for the daemon; 0 (in tests): any free.
         last_port: Last of these ports.
         store: Address of the platform's store.
-        heartbeat_s: Interval of heartbeats, in seconds.
-        drain_s: Seconds after which a leaving backend server gets no new calls.
+        heartbeat_s: Interval of heartbeats, in seconds; not used.
+        drain_s: Seconds until a leaving backend server gets no calls; not used.
         grace_s: Time from the stop signal to the kill, in seconds.
-        retry_ratio: Allowed retries of a service for each of its requests.
-        retry_slack: Further retries of a service allowed in one window.
+        retry_ratio: Allowed retries per request of a service in one window.
+        retry_slack: Retries allowed in one window in addition to the ratio's.
         retry_window_s: Length of the window, in seconds.
         expose_share: Share of calls that a bad version may get; 0 if unstated.
         link_mbps: Capacity of the instance's link in Mbit/s; 0 if unknown.
@@ -157,7 +157,7 @@
     return settings
 
 
-_UNSET = Address("", 0)
+_UNSET = Address("", 0)  # Placeholder for a missing or malformed address.
 
 
 def _split_lines(text: str) -> dict[str, str]:
--- a/merlintrestle/platform/store.py
+++ b/merlintrestle/platform/store.py
@@ -1,6 +1,7 @@
 """HTTP client for the platform's store, with the interface of `StoreClient`.
 
-In responses, `revision` is that of an item's last change, `at` the store's.
+In responses, `revision` is the revision of an item's last change and `at` the
+store's current revision.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 PRODUCT_PREFIX = "merlintrestle/"
 # Key of the newest configuration, written by operators.
 CONFIGURATION_KEY = "op/config"
-# Prefixes of keys that operators write, and from which they read the results.
-_OPERATORS_PREFIXES = ("op/", "status/")
+# Prefixes of the keys that operators write, and of the results that they read.
+_OPERATOR_PREFIXES = ("op/", "status/")
 _BASE_PATH = "/merlintrestle/kv-"
 # The store allows no longer wait.
 _MAX_WATCH_WAIT_MS = 30_000
-# The store responds within milliseconds, or within this time if it is slowed
-# sixtyfold. This is also the longest pause within a response: a large value
-# takes longer in total over a slow link. If it were aborted, it would be
-# requested again at once, which would keep the link full permanently.
+# Longest wait for a response, and longest pause within one. The store responds
+# within milliseconds, or within this time while it is slowed sixtyfold. A whole
+# response may take longer: a large value needs more time over a slow link, and
+# an aborted read would be repeated at once, keeping the link full permanently.
 _TIMEOUT_S = 1.0
 # A waiting watch receives nothing for up to 30 s. Keep-alive probes detect a
 # silent connection within three seconds.
@@ -62,7 +63,7 @@
         """Sets the store's "ip:port"; `start` opens the connection pool."""
         self._address = address
         self._session: aiohttp.ClientSession | None = None
-        self._arriving: list[str] = []
+        self._arriving_paths: list[str] = []
 
     async def start(self) -> None:
         """Opens the connection pool; the store need not be available."""
@@ -72,14 +73,14 @@
         )
 
     async def close(self) -> None:
-        """Closes all connections; calls in flight fail."""
+        """Closes all connections; requests in flight fail."""
         if self._session is not None:
             await self._session.close()
 
     async def get(self, key: str) -> client.Entry | None:
         """Reads one key; None if it does not exist."""
-        status, answer = await self._read("key", {"key": _add_prefix(key)})
-        return None if status == _NOT_FOUND else _parse_entry(answer)
+        status, fields = await self._read("key", {"key": _add_prefix(key)})
+        return None if status == _NOT_FOUND else _parse_entry(fields)
 
     async def list(
         self, prefix: str, after: str = "", limit: int = 1000
@@ -90,11 +91,11 @@
         if after:
             query["after"] = _add_prefix(after)
         while True:
-            _, answer = await self._read("range", query)
-            items = _get_field(answer, "items", list)
+            _, fields = await self._read("range", query)
+            items = _get_field(fields, "items", list)
             found = parse_entries(items)
             entries += found
-            more = bool(answer.get("hasMore")) and bool(found)
+            more = bool(fields.get("hasMore")) and bool(found)
             if not more or len(entries) >= limit:
                 return entries[:limit]
             query["after"] = _add_prefix(found[-1].key)
@@ -108,9 +109,9 @@
         the revision is the same, nothing that was read before has changed.
         """
         query = {"prefix": _add_prefix(prefix), "after": _add_prefix(key)}
-        _, answer = await self._read("range", query)
-        entries = parse_entries(_get_field(answer, "items", list))
-        return entries, _get_field(answer, "at", int)
+        _, fields = await self._read("range", query)
+        entries = parse_entries(_get_field(fields, "items", list))
+        return entries, _get_field(fields, "at", int)
 
     async def read_newest(self, key: str) -> client.ReadResult:
         """Reads one key and the store's revision at that time."""
@@ -123,9 +124,9 @@
 
         The revision is returned even if no key has the prefix.
         """
-        _, answer = await self._read("range", {"prefix": _add_prefix(prefix)})
-        entries = parse_entries(_get_field(answer, "items", list))
-        return entries, _get_field(answer, "at", int)
+        _, fields = await self._read("range", {"prefix": _add_prefix(prefix)})
+        entries = parse_entries(_get_field(fields, "items", list))
+        return entries, _get_field(fields, "at", int)
 
     async def watch(
         self, key: str, after_revision: int
@@ -140,26 +141,26 @@
         Raises:
             errors.StoreUnavailableError: The store closed or broke the watch.
         """
-        revision = known = after_revision
-        is_behind = not after_revision
+        revision = last_yielded = after_revision
+        must_read = not after_revision
         while True:
-            if is_behind:
-                newest, revision = await self.read_newest(key)
+            if must_read:
+                entry, revision = await self.read_newest(key)
                 # The change may have been of another key.
-                is_behind = newest is not None and newest.revision > known
-                if newest is not None and is_behind:
-                    known = newest.revision
-                    yield newest
+                must_read = entry is not None and entry.revision > last_yielded
+                if entry is not None and must_read:
+                    last_yielded = entry.revision
+                    yield entry
                 continue
-            found, revision = await self.read_events(key, revision)
-            is_behind = len(found) > 1
-            if found:
-                known = found[-1].revision
-                yield found[-1]
+            entries, revision = await self.read_events(key, revision)
+            must_read = len(entries) > 1
+            if entries:
+                last_yielded = entries[-1].revision
+                yield entries[-1]
 
     def is_delivering(self) -> bool:
         """Returns whether the response of a watch has begun to arrive."""
-        return "watch" in self._arriving
+        return "watch" in self._arriving_paths
 
     async def read_events(
         self, key: str, after: int, wait_ms: int = _MAX_WATCH_WAIT_MS
@@ -171,7 +172,7 @@
         """
         query = {"prefix": _add_prefix(key), "after": str(after)}
         query["waitMs"] = str(wait_ms)
-        status, answer = await self._read(
+        status, fields = await self._read(
             "watch", query, wait_ms / 1000 + _TIMEOUT_S
         )
         if status == _GONE:
@@ -180,17 +181,17 @@
             )
         found = [
             _parse_entry(event)
-            for event in _get_field(answer, "events", list)
+            for event in _get_field(fields, "events", list)
             if not event.get("deleted") and event.get("key") == _add_prefix(key)
         ]
-        return found, _get_field(answer, "at", int)
+        return found, _get_field(fields, "at", int)
 
     async def put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int = 0
     ) -> client.WriteReply:
         """Writes a key if it has the expected revision; 0 means absent."""
         text = base64.b64encode(value).decode()
-        status, answer = await self._write(
+        status, fields = await self._write(
             "txn",
             {
                 "expectedRev": [
@@ -202,10 +203,10 @@
             },
         )
         if status == _PRECONDITION_FAILED:
-            return client.WriteReply(False, _parse_conflict(answer, key))
+            return client.WriteReply(False, _parse_conflict(fields, key))
         if status == _NOT_FOUND:
             raise errors.StoreUnavailableError("store: the lease has ended")
-        revision = _get_field(answer, "revision", int)
+        revision = _get_field(fields, "revision", int)
         return client.WriteReply(True, client.Entry(key, value, revision))
 
     async def delete(self, key: str, expected_revision: int) -> bool:
@@ -223,64 +224,64 @@
 
     async def grant_lease(self, seconds: int) -> int:
         """Creates a lease; keys written with it are deleted when it ends."""
-        _, answer = await self._write("lease", {"ttlMs": seconds * 1000})
-        return _get_field(answer, "lease", int)
+        _, fields = await self._write("lease", {"ttlMs": seconds * 1000})
+        return _get_field(fields, "lease", int)
 
     async def keep_lease(self, lease_id: int) -> int:
         """Renews a lease; returns its duration in seconds, 0 if it ended."""
-        status, answer = await self._write(f"keep/{lease_id}", {})
+        status, fields = await self._write(f"keep/{lease_id}", {})
         if status == _NOT_FOUND:
             return 0
-        return max(1, _get_field(answer, "ttlMs", int) // 1000)
+        return max(1, _get_field(fields, "ttlMs", int) // 1000)
 
     async def _read(
-        self, call: str, query: dict[str, str], timeout_s: float = _TIMEOUT_S
+        self, path: str, query: dict[str, str], timeout_s: float = _TIMEOUT_S
     ) -> tuple[int, dict[str, Any]]:
         try:
-            return await self._call("GET", call, query, None, timeout_s)
+            return await self._request("GET", path, query, None, timeout_s)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise errors.StoreUnavailableError(_describe(error)) from error
 
     async def _write(
-        self, call: str, body: dict[str, Any]
+        self, path: str, body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
         try:
-            return await self._call("POST", call, {}, body, _TIMEOUT_S)
+            return await self._request("POST", path, {}, body, _TIMEOUT_S)
         except aiohttp.ClientConnectorError as error:
             raise errors.StoreUnavailableError(_describe(error)) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise errors.StoreUnknownOutcomeError(_describe(error)) from error
 
-    async def _call(
+    async def _request(
         self,
         method: str,
-        call: str,
+        path: str,
         query: dict[str, str],
         body: dict[str, Any] | None,
         timeout_s: float,
     ) -> tuple[int, dict[str, Any]]:
         assert self._session is not None
-        url = yarl.URL(f"http://{self._address}{_BASE_PATH}{call}")
+        url = yarl.URL(f"http://{self._address}{_BASE_PATH}{path}")
         async with (
             asyncio.timeout(timeout_s) as timeout,
             self._session.request(
                 method, url.with_query(query), json=body
-            ) as answer,
+            ) as response,
         ):
-            self._arriving.append(call)
+            self._arriving_paths.append(path)
             try:
-                text = await connectors.read_body(answer, timeout, _TIMEOUT_S)
+                text = await connectors.read_body(response, timeout, _TIMEOUT_S)
             finally:
-                self._arriving.remove(call)
-        if answer.status in (_TOO_MANY_REQUESTS, _UNAVAILABLE, _FORBIDDEN):
+                self._arriving_paths.remove(path)
+        if response.status in (_TOO_MANY_REQUESTS, _UNAVAILABLE, _FORBIDDEN):
             raise errors.StoreUnavailableError(
-                f"store: refused with {answer.status}"
+                f"store: refused with {response.status}"
             )
-        return answer.status, _parse_json(text, answer.status)
+        return response.status, _parse_json(text, response.status)
 
 
 def _add_prefix(key: str) -> str:
-    return key if key.startswith(_OPERATORS_PREFIXES) else PRODUCT_PREFIX + key
+    return key if key.startswith(_OPERATOR_PREFIXES) else PRODUCT_PREFIX + key
 
 
 def _remove_prefix(name: str) -> str:
@@ -325,8 +326,8 @@
     return client.Entry(key, value, _get_field(item, "revision", int))
 
 
-def _parse_conflict(answer: dict[str, Any], key: str) -> client.Entry:
-    for item in _get_field(answer, "items", list):
+def _parse_conflict(fields: dict[str, Any], key: str) -> client.Entry:
+    for item in _get_field(fields, "items", list):
         if item.get("key") == _add_prefix(key) and item.get("revision"):
             return _parse_entry(item)
     return client.Entry(key, b"", 0)
@@ -334,20 +335,20 @@
 
 def _parse_json(text: bytes, status: int) -> dict[str, Any]:
     try:
-        answer = json.loads(text) if text else {}
+        fields = json.loads(text) if text else {}
     except ValueError as error:
         raise errors.CorruptRecordError(
             f"store: an answer {status} is not JSON: {error}"
         ) from error
-    if not isinstance(answer, dict):
+    if not isinstance(fields, dict):
         raise errors.CorruptRecordError(
             f"store: an answer {status} is not an object"
         )
-    return answer
+    return fields
 
 
-def _get_field(answer: dict[str, Any], name: str, kind: type) -> Any:
-    value = answer.get(name)
+def _get_field(fields: dict[str, Any], name: str, kind: type) -> Any:
+    value = fields.get(name)
     if type(value) is not kind:
         raise errors.CorruptRecordError(f"store: {name!r} is {value!r}")
     return value
