--- a/tests/platform/processes.py
+++ b/tests/platform/processes.py
@@ -25,19 +25,20 @@
     import signal
 
 TEST_TIMEOUT_S = 60.0
-_INTERNAL_PORTS = range(20_000, 32_000, 10)
+# Each daemon reserves ten ports. They are not ephemeral ports of the operating
+# system: a connection could occupy such a port while the daemon restarts.
+_FIRST_PORTS = range(20_000, 32_000, 10)
 _ROOT = pathlib.Path(__file__).parents[2]
 
 
-def _choose_port() -> int:
-    """Returns a port whose successor is free on the loopback address.
+def _choose_first_port() -> int:
+    """Returns the first of the ports that are reserved for a daemon.
 
-    A daemon opens its loopback port there, whatever its own address is. The
-    port is not an ephemeral port of the operating system: otherwise a
-    connection could occupy it while the daemon restarts.
+    The second is the port of the administration interface, which is always on
+    127.0.0.1, whatever the daemon's address is. So it must be free there.
     """
     while True:
-        port = secrets.choice(_INTERNAL_PORTS)
+        port = secrets.choice(_FIRST_PORTS)
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port + 1))
             return port
@@ -58,7 +59,7 @@
         self.backend = platform_backend.PlatformBackendStandin(service)
         self.lines: list[dict[str, Any]] = []
         self._address = address
-        self._internal_port = _choose_port()
+        self._first_port = _choose_first_port()
         self._store = store
         self._path = folder / f"{address}.conf"
         self._process: asyncio.subprocess.Process | None = None
@@ -110,8 +111,7 @@
                 "ip": self._address,
                 "service": self.backend.service,
                 "app": f"127.0.0.1:{self.backend.port}",
-                "internalPorts": f"{self._internal_port},"
-                f"{self._internal_port + 9}",
+                "internalPorts": f"{self._first_port},{self._first_port + 9}",
                 "platform.address": self._store,
                 **changes,
             }
--- a/tests/platform/soaking.py
+++ b/tests/platform/soaking.py
@@ -29,16 +29,17 @@
 _SERVICES = ("balie", "kassa", "balie", "kassa")
 _CALLERS_PER_DAEMON = 4
 _HEARTBEAT_S = 0.5
-# Period in which the planned work starts.
+# Period in which the maintenance actions start.
 _START_PERIOD_S = 8.0
 _ACTION_COUNT = 7
+# Longer than any route's timeout, so that the route's timeout applies.
 _DEADLINE_MS = 5000
 # Minimum and maximum timeout of a route.
 _TIMEOUT_RANGE_MS = (2000, 4500)
 # Well within the minimum timeout of a route.
 _MAX_WORK_MS = 600
-_REFUSED = (429, 503)
-# Maximum wait of a refused caller before its next call.
+_REFUSAL_STATUSES = (429, 503)
+# Wait of a refused caller before its next call.
 _RETRY_DELAY_S = 0.2
 
 
@@ -57,47 +58,47 @@
 
 
 @dataclasses.dataclass
-class Findings:
-    """Results of the callers.
+class SoakResult:
+    """Result of a soak test.
 
     Attributes:
-        counts: Number of responses by status; "gone" if the connection was
-            refused, "broken" if it ended without a response.
-        faults: Descriptions of results that must not occur.
+        response_counts: Number of responses by status; "gone" if the connection
+            was refused, "broken" if it ended without a response.
+        violations: Descriptions of responses and exits that must not occur.
     """
 
-    counts: collections.Counter[str] = dataclasses.field(
+    response_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    faults: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
 
 
 class Soak:
     """Four daemons, two for each service, with callers at each daemon.
 
-    All work is planned: stops, restarts, changes of the configuration and of
-    the settings, in series and overlapping. Meanwhile, the store may be
-    unavailable.
+    Simulates the operators' maintenance: restarts of daemons and changes of the
+    configuration and of the settings, in series and overlapping. Meanwhile, the
+    store may be unavailable.
     """
 
     def __init__(self, seed: int):
         """Sets the seed of the random generator."""
         self._random = random.Random(seed)
-        self.findings = Findings()
+        self.result = SoakResult()
         self._fleet = processes.ProcessFleet()
         self._version = 5
         self._attempts = 0
         self._ended = asyncio.Event()
         self._stopping: set[int] = set()
         self._actions: dict[str, Callable[[], Awaitable[None]]] = {
-            "stop": self._stop,
-            "stop in a row": self._stop_repeatedly,
+            "stop": self._restart_daemon,
+            "stop in a row": self._restart_twice,
             "configure": self._configure,
             "reload": self._reload,
-            "lose store": self._lose_store,
+            "lose store": self._interrupt_store,
         }
 
-    async def run(self) -> Findings:
+    async def run(self) -> SoakResult:
         """Runs the whole soak test."""
         async with asyncio.timeout(processes.TEST_TIMEOUT_S), self._fleet:
             await self._fleet.start(*_SERVICES)
@@ -118,7 +119,7 @@
                 await asyncio.wait(callers)
                 heartbeats.cancel()
         self._check_runs()
-        return self.findings
+        return self.result
 
     def _build_handler(
         self, daemon: processes.DaemonProcess
@@ -149,12 +150,12 @@
             ):
                 text = await response.text()
         except aiohttp.ClientError as error:
-            self._add_fault(
+            self._add_violation(
                 nested_request, f"call of work in flight: {error!r}"
             )
             return
         if "stopping" in text:
-            self._add_fault(
+            self._add_violation(
                 nested_request, f"call of work in flight: {text.strip()}"
             )
 
@@ -180,34 +181,36 @@
             ) as response:
                 await response.read()
         except aiohttp.ClientConnectorError:
-            self.findings.counts["gone"] += 1
+            self.result.response_counts["gone"] += 1
             await asyncio.sleep(_RETRY_DELAY_S)
             return
         except aiohttp.ClientError as error:
-            self.findings.counts["broken"] += 1
+            self.result.response_counts["broken"] += 1
             if self._has_run(request):
-                self._add_fault(
+                self._add_violation(
                     request, f"ran, and its connection ended: {error!r}"
                 )
             return
         self._check_response(request, response)
-        if response.status in _REFUSED:
+        if response.status in _REFUSAL_STATUSES:
             await asyncio.sleep(_RETRY_DELAY_S)
 
     def _check_response(
         self, request: Request, response: aiohttp.ClientResponse
     ) -> None:
         status = response.status
-        self.findings.counts[str(status)] += 1
+        self.result.response_counts[str(status)] += 1
         elapsed_ms = (time.monotonic() - request.started_s) * 1000
         if status == 200:
             if "X-Response-Signature" not in response.headers:
-                self._add_fault(request, "answered 200 without a signature")
-        elif status in _REFUSED:
+                self._add_violation(request, "answered 200 without a signature")
+        elif status in _REFUSAL_STATUSES:
             if request.method == "POST" and self._has_run(request):
-                self._add_fault(request, f"ran, and was refused with {status}")
+                self._add_violation(
+                    request, f"ran, and was refused with {status}"
+                )
         elif elapsed_ms < _TIMEOUT_RANGE_MS[0]:
-            self._add_fault(
+            self._add_violation(
                 request, f"answered {status} after {elapsed_ms:.0f} ms"
             )
 
@@ -217,14 +220,14 @@
             for daemon in self._fleet.daemons
             for attempt in daemon.backend.ran
         )
-        self.findings.faults.extend(
+        self.result.violations.extend(
             f"{attempt}: ran {count} times"
             for attempt, count in runs.items()
             if count > 1 and attempt.startswith("POST")
         )
 
     async def _run_actions(self) -> None:
-        """Starts planned work at random times, some of it concurrently."""
+        """Starts maintenance actions at random times; some run concurrently."""
         start_times_s = sorted(
             self._random.uniform(0, _START_PERIOD_S)
             for _ in range(_ACTION_COUNT)
@@ -238,7 +241,7 @@
                 )
                 group.create_task(_run(self._actions[name]))
 
-    async def _stop(self) -> None:
+    async def _restart_daemon(self) -> None:
         """Restarts a daemon unless either daemon of its service is stopping."""
         index = self._random.randrange(len(_SERVICES))
         peer_index = (index + 2) % len(_SERVICES)
@@ -249,14 +252,14 @@
         daemon.send_signal(signal.SIGTERM)
         status = await daemon.wait()
         if status:
-            self.findings.faults.append(f"daemon {index} ended by {status}")
+            self.result.violations.append(f"daemon {index} ended by {status}")
         await daemon.start()
         await self._fleet.wait_until_ready(daemon)
         self._stopping.discard(index)
 
-    async def _stop_repeatedly(self) -> None:
+    async def _restart_twice(self) -> None:
         for _ in range(2):
-            await self._stop()
+            await self._restart_daemon()
 
     async def _configure(self) -> None:
         """Changes the timeouts of the routes."""
@@ -290,7 +293,7 @@
             )
             daemon.send_signal(signal.SIGHUP)
 
-    async def _lose_store(self) -> None:
+    async def _interrupt_store(self) -> None:
         self._fleet.store.faults.status = 503
         await asyncio.sleep(self._random.uniform(0.2, 1.5))
         self._fleet.store.faults.status = 0
@@ -318,8 +321,8 @@
             for daemon in self._fleet.daemons
         )
 
-    def _add_fault(self, request: Request, fault: str) -> None:
-        self.findings.faults.append(f"{request.attempt_id}: {fault}")
+    def _add_violation(self, request: Request, violation: str) -> None:
+        self.result.violations.append(f"{request.attempt_id}: {violation}")
 
 
 def _build_headers(request: Request) -> dict[str, str]:
@@ -340,14 +343,14 @@
     "--count", default=50, show_default=True, help="Number of seeds to run."
 )
 def main(first: int, count: int) -> None:
-    """Runs seeds one after the other; fails if any has a fault."""
+    """Runs seeds one after the other; fails if any has a violation."""
     failed = 0
     for seed in range(first, first + count):
-        findings = asyncio.run(Soak(seed).run())
-        click.echo(f"seed {seed}: {dict(findings.counts)}")
-        for fault in findings.faults:
-            click.echo(f"  {fault}")
-        failed += bool(findings.faults)
+        result = asyncio.run(Soak(seed).run())
+        click.echo(f"seed {seed}: {dict(result.response_counts)}")
+        for violation in result.violations:
+            click.echo(f"  {violation}")
+        failed += bool(result.violations)
     click.echo(f"{count} seeds, {failed} with faults")
     raise SystemExit(1 if failed else 0)
 
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -49,7 +49,7 @@
                 )
                 plan = snapshot.host_routes["desk.example"][0].plan
                 self.assertEqual(plan.repeatable, repeatable)
-                # All kinds have a latency target, so progress does not matter.
+                # All kinds have a latency target; none is a long transfer.
                 self.assertFalse(plan.large)
                 self.assertEqual(plan.importance, 5)
                 self.assertEqual(plan.max_attempts, 2)
@@ -164,10 +164,11 @@
         self.assertLess(self.count_sent_bytes() - bytes_before, len(value) / 10)
 
     async def test_a_write_of_another_key_transfers_one_value(self):
-        """A write of another key increases the store's revision too.
+        """Guards against repeated value reads after one write of another key.
 
-        Only a read of the value shows that the configuration has not changed.
-        The value must be read once, not at each later check.
+        That write increases the store's revision too, and only a read of the
+        value shows that the configuration has not changed. The value must be
+        read once, not at each later check.
         """
         value = builders.build_large_configuration(5)
         await self.write(value)
@@ -200,20 +201,21 @@
 
     async def open_watch(self) -> asyncio.Future[document_pb2.Head]:
         """Opens a watch; returns a future of the head after the current one."""
-        # Without a reference, the watch would end with its next version.
+        # Without this reference, the generator would be garbage-collected, and
+        # the watch would end.
         self.heads = self.source.watch_head()
         await anext(self.heads)
-        return await self.wait_for_watch(self.heads)
+        return await self.start_next_head(self.heads)
 
-    async def wait_for_watch(
+    async def start_next_head(
         self, heads: AsyncIterator[document_pb2.Head]
     ) -> asyncio.Future[document_pb2.Head]:
-        """Requests the next version; returns once the store has the watch."""
-        waiting = asyncio.ensure_future(anext(heads))
-        self.addCleanup(waiting.cancel)
+        """Returns a future of the next head, once the store has the watch."""
+        next_head = asyncio.ensure_future(anext(heads))
+        self.addCleanup(next_head.cancel)
         while "watch" not in self.standin.calls:
             await asyncio.sleep(0)
-        return waiting
+        return next_head
 
     async def write_others(self, count: int) -> None:
         """Repeatedly writes another key and reads the head."""
@@ -278,8 +280,8 @@
         await self.write(builders.build_configuration(5))
         heads = self.source.watch_head()
         self.assertEqual((await anext(heads)).version, 5)
-        waiting = asyncio.ensure_future(anext(heads))
-        self.addCleanup(waiting.cancel)
+        next_head = asyncio.ensure_future(anext(heads))
+        self.addCleanup(next_head.cancel)
         self.standin.faults.deaf = True
         await self.write(builders.build_configuration(6))
         self.assertEqual(await self.read(), 6)
@@ -290,12 +292,12 @@
         A read detects the change while the watch is delivering it.
         """
         await self.write(builders.build_large_configuration(5))
-        waiting = await self.open_watch()
+        next_head = await self.open_watch()
         value = builders.build_large_configuration(6)
         bytes_before = self.count_sent_bytes()
         await self.write(value)
         self.assertEqual(await self.read(), 6)
-        self.assertEqual((await waiting).version, 6)
+        self.assertEqual((await next_head).version, 6)
         self.assertLess(self.count_sent_bytes() - bytes_before, 2 * len(value))
 
     async def test_a_read_waits_for_an_arriving_watch_response(self):
@@ -305,14 +307,14 @@
         the read's wait for the watch ends.
         """
         await self.write(builders.build_large_configuration(5))
-        waiting = await self.open_watch()
+        next_head = await self.open_watch()
         self.standin.faults.pause_s = 0.1
         value = builders.build_large_configuration(6)
         bytes_before = self.count_sent_bytes()
         await self.write(value)
         with mock.patch.object(known_revision, "_MAX_WATCH_WAIT_S", 0.1):
             self.assertEqual(await self.read(), 6)
-        self.assertEqual((await waiting).version, 6)
+        self.assertEqual((await next_head).version, 6)
         self.assertLess(self.count_sent_bytes() - bytes_before, 2 * len(value))
 
     async def test_a_restarted_watch_reads_no_value(self):
@@ -326,8 +328,8 @@
         bytes_before = self.standin.sent["range"]
         heads = self.source.watch_head()
         self.assertEqual((await anext(heads)).version, 5)
-        waiting = await self.wait_for_watch(heads)
-        waiting.cancel()
+        next_head = await self.start_next_head(heads)
+        next_head.cancel()
         self.assertLess(self.standin.sent["range"] - bytes_before, 1000)
 
     async def test_a_malformed_record_is_an_error(self):
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -96,9 +96,9 @@
             self.assertGreaterEqual(endpoints.parse_leave(body), 0)
 
 
-class ForeignHeartbeatTest(unittest.IsolatedAsyncioTestCase):
+class OtherWriterHeartbeatTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_heartbeat_for_an_unknown_service_is_refused(self) -> None:
-        """Guards against a foreign heartbeat that replaces the backend server.
+        """Guards against another writer's heartbeat that replaces the backend.
 
         Another writer sends a heartbeat for a service that neither the
         settings nor the configuration name. If it were applied, it would
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -35,7 +35,7 @@
         self.assertEqual(received_headers["Host"], "desk.example")
         self.assertLessEqual(int(received_headers["X-Deadline-Ms"]), 1000)
 
-    async def test_no_route(self):
+    async def test_requests_without_a_route_get_404(self):
         await self.fleet.start("balie")
         self.assertEqual((await self.fleet.send(path="/other/"))[0], 404)
         self.assertEqual((await self.fleet.send(host="else.example"))[0], 404)
@@ -43,7 +43,8 @@
     async def test_refused_calls_are_retried_at_another_upstream(self):
         """Guards against failed calls while one of the backend servers is full.
 
-        It refuses the request as not run, and another one runs it once.
+        The full backend server answers that it did not run the request, and
+        another backend server runs it once.
         """
         route = builders.build_route("tickets", kind="non_idempotent")
         await self.fleet.start(
@@ -159,9 +160,9 @@
         await self.fleet.add_daemon("balie", with_heartbeat=False)
         await self.fleet.wait_until_discovered(("kassa", "balie"))
         self.assertEqual((await self.fleet.send())[0], 200)
-        leaving_backend = self.fleet.backends[1]
+        draining_backend = self.fleet.backends[1]
         heartbeat_address = self.fleet.daemons[1].heartbeat_address
-        await leaving_backend.send_heartbeat(
+        await draining_backend.send_heartbeat(
             heartbeat_address, "draining", sequence=0
         )
         self.assertEqual((await self.fleet.send(1))[0], 503)
@@ -255,7 +256,7 @@
         self.assertEqual(status, 503)
         self.assertLess(float(headers["Retry-After"]), 0.2)
 
-    async def test_ready(self):
+    async def test_the_readiness_endpoint_answers_200(self):
         await self.fleet.start("balie")
         async with self.fleet.client.get(
             self.fleet.daemons[0].ready_url
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -55,9 +55,10 @@
         self.assertEqual(positions, sorted(positions))
 
     async def test_reload_of_a_changed_settings_file(self) -> None:
-        """SIGHUP, which ends other programs, makes a daemon reload settings.
+        """Guards against a SIGHUP that ends the daemon instead of a reload.
 
-        A malformed file changes nothing, and the daemon keeps serving.
+        By default, SIGHUP ends a process. A malformed file changes nothing, and
+        the daemon keeps serving.
         """
         self.kassa_daemon.write_settings(zone="zuid", app="nowhere")
         self.kassa_daemon.send_signal(signal.SIGHUP)
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -10,10 +10,10 @@
 
 
 class SoakTest(unittest.IsolatedAsyncioTestCase):
-    async def test_planned_work_does_not_affect_callers(self) -> None:
-        """Guards against planned work that loses, refuses or repeats calls."""
+    async def test_maintenance_does_not_affect_callers(self) -> None:
+        """Guards against maintenance that loses, refuses or repeats calls."""
         for seed in _SEEDS:
             with self.subTest(seed=seed):
-                findings = await soaking.Soak(seed).run()
-                self.assertEqual(findings.faults, [])
-                self.assertGreater(findings.counts["200"], 0)
+                result = await soaking.Soak(seed).run()
+                self.assertEqual(result.violations, [])
+                self.assertGreater(result.response_counts["200"], 0)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -37,7 +37,7 @@
         self.assertTrue(await self.store.delete("a", refused.entry.revision))
         self.assertIsNone(await self.store.get("a"))
 
-    async def test_a_range_has_pages(self):
+    async def test_a_list_continues_over_pages(self):
         for number in range(3):
             await self.store.put(f"seeds/{number}", b"x", 0)
         with mock.patch.object(platform_store, "_PAGE_ITEMS", 2):
@@ -46,7 +46,7 @@
             [entry.key for entry in found], ["seeds/0", "seeds/1", "seeds/2"]
         )
 
-    async def test_a_lease_ends(self):
+    async def test_renewing_an_unknown_lease_returns_0(self):
         lease = await self.store.grant_lease(1)
         await self.store.put("a", b"1", 0, lease)
         self.assertEqual(await self.store.keep_lease(lease), 1)
@@ -140,7 +140,8 @@
         entry = await self.store.get("head")
         assert entry is not None
         await self.standin.compact()
-        # The waiting watch started before the compaction.
+        # A watch ends only if it started before the compacted revision. The
+        # first compaction reaches just that start, so a second one follows.
         await self.standin.write("other", b"")
         await self.standin.compact()
         with self.assertRaises(errors.StoreUnavailableError):
@@ -181,7 +182,8 @@
         watch = self.store.watch("head", 0)
         await self.store.put("head", b"0", 0)
         self.assertEqual((await anext(watch)).value, b"0")
-        # Meanwhile, the watch was receiving an earlier response.
+        # These changes occur while no request of the watch waits, as during the
+        # transfer of an earlier response.
         for number in range(1, 6):
             await self.standin.write(
                 stores.PRODUCT_PREFIX + "head", str(number).encode()
@@ -193,7 +195,7 @@
         await watch.aclose()
 
 
-_FOREIGN_ENTRIES = strategies.recursive(
+_OTHER_WRITER_ENTRIES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
@@ -209,24 +211,24 @@
 )
 
 
-class ForeignEntryTest(unittest.TestCase):
+class OtherWriterEntryTest(unittest.TestCase):
     """Tests for entries of other writers among those of the fleet."""
 
-    @hypothesis.given(strategies.lists(_FOREIGN_ENTRIES, max_size=4))
+    @hypothesis.given(strategies.lists(_OTHER_WRITER_ENTRIES, max_size=4))
     def test_malformed_entries_do_not_affect_the_others(
-        self, foreign_entries: list[object]
+        self, other_writer_entries: list[object]
     ) -> None:
         """Guards against daemons that cannot find their fleet at the start.
 
         One entry is malformed. If the whole list were discarded, no starting
         daemon would find another until that entry is removed.
         """
-        local_entry = {
+        valid_entry = {
             "key": stores.PRODUCT_PREFIX + "seeds/noord",
             "value": "bm9kZS0x",
             "revision": 4,
         }
-        found = stores.parse_entries([*foreign_entries, local_entry])
+        found = stores.parse_entries([*other_writer_entries, valid_entry])
         self.assertEqual(found[-1].value, b"node-1")
 
     def test_a_malformed_value_can_be_overwritten(self) -> None:
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -19,8 +19,9 @@
 _MAX_LINES = 1500
 
 
-class WordsTest(unittest.TestCase):
-    def test_no_word_of_the_platform_outside_the_adapter(self):
+class TermsTest(unittest.TestCase):
+    def test_platform_terms_occur_only_in_the_adapter(self):
+        """Guards against other code that depends on the platform."""
         matches = [
             f"{path.relative_to(_PACKAGE)}: {match.group()}"
             for path in sorted(_PACKAGE.rglob("*.py"))
@@ -30,6 +31,7 @@
         self.assertEqual(matches, [])
 
     def test_the_adapter_is_small(self):
+        """Guards against decisions in the adapter, which only translates."""
         line_count = sum(
             len(path.read_text().splitlines())
             for path in _ADAPTER.rglob("*.py")
