--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -23,6 +23,7 @@
 
 class ResourcesTest(unittest.TestCase):
     def test_the_longest_prefix_is_first(self):
+        """Guards against a general route that hides a more specific one."""
         snapshot = builders.load_configuration(
             builders.build_configuration(
                 1,
@@ -36,6 +37,7 @@
         self.assertEqual(prefixes, ["/x/y/", "/x/"])
 
     def test_the_kind_determines_repeatability(self):
+        """Guards against a second run of calls that must run only once."""
         expected = {
             "idempotent": True,
             "download": True,
@@ -55,6 +57,7 @@
                 self.assertEqual(plan.max_attempts, 2)
 
     def test_a_split_keeps_its_weights(self):
+        """Guards against a split that does not keep its weights."""
         parts = [
             {"service": "balie", "weight": 90},
             {"service": "kassa", "weight": 10},
@@ -84,6 +87,7 @@
             builders.load_configuration(value)
 
     def test_errors_name_malformed_values(self):
+        """Guards against errors that do not say which value is malformed."""
         for change in (
             {"timeoutMs": "soon"},
             {"kind": "perhaps"},
@@ -98,6 +102,7 @@
                 self.assertIn(next(iter(change)), str(caught.exception))
 
     def test_a_delta_contains_only_the_changed_route(self):
+        """Guards against deltas that transfer unchanged routes again."""
         previous = builders.load_configuration(
             builders.build_configuration(
                 1, builders.build_route("a"), builders.build_route("b")
@@ -126,6 +131,7 @@
         self.source = configuration.ConfigurationSource(self.store)
 
     async def test_version_numbers_may_skip(self):
+        """Guards against a version that is missed after a skipped number."""
         await self.write(builders.build_configuration(5))
         versions = []
         async for head in self.source.watch_head():
@@ -333,6 +339,7 @@
         self.assertLess(self.standin.sent["range"] - bytes_before, 1000)
 
     async def test_a_malformed_record_is_an_error(self):
+        """Guards against malformed configurations that are applied."""
         await self.write(b"{}")
         with self.assertRaises(errors.SnapshotError):
             await self.source.read_head()
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -49,10 +49,12 @@
 
 class HeartbeatTest(unittest.TestCase):
     def test_a_valid_heartbeat(self) -> None:
+        """Guards against valid heartbeats that are refused."""
         heartbeat = endpoints.parse_heartbeat("i-1", _FIELDS)
         self.assertEqual(heartbeat.started_ms, 1_700_000_000_000)
 
     def test_the_start_time_is_optional(self) -> None:
+        """Guards against heartbeats refused for lack of a start time."""
         fields = {**_FIELDS}
         del fields["born"]
         self.assertEqual(endpoints.parse_heartbeat("i-1", fields).started_ms, 0)
@@ -63,6 +65,7 @@
     def test_invalid_values_of_fields_are_refused(
         self, name: str, value: Any
     ) -> None:
+        """Guards against invalid values that reach the routing."""
         if name == "service" and value in ("lost", "10.0.0.1", "1"):
             return  # Valid names; only a later check needs known ones.
         with self.assertRaises(errors.InvalidInputError):
@@ -70,6 +73,7 @@
 
     @hypothesis.given(strategies.sampled_from(_REQUIRED_FIELDS))
     def test_missing_fields_are_refused(self, name: str) -> None:
+        """Guards against incomplete heartbeats that are applied."""
         fields = {**_FIELDS}
         del fields[name]
         with self.assertRaises(errors.InvalidInputError):
@@ -83,6 +87,7 @@
     def test_start_times_that_are_not_integers_are_refused(
         self, value: Any
     ) -> None:
+        """Guards against malformed start times that reach the routing."""
         with self.assertRaises(errors.InvalidInputError):
             endpoints.parse_heartbeat("i-1", {**_FIELDS, "born": value})
         with self.assertRaises((errors.InvalidInputError, ValueError)):
@@ -92,6 +97,7 @@
     def test_any_bytes_of_a_leave_are_parsed_or_refused(
         self, body: bytes
     ) -> None:
+        """Guards against malformed leave requests that cause other errors."""
         with contextlib.suppress(errors.InvalidInputError, ValueError):
             self.assertGreaterEqual(endpoints.parse_leave(body), 0)
 
@@ -116,6 +122,7 @@
             self.assertEqual(fleet.daemons[0].count_upstreams("balie"), 1)
 
     async def test_malformed_bodies_are_refused(self) -> None:
+        """Guards against malformed bodies that stop the daemon from serving."""
         async with fleets.Fleet() as fleet:
             await fleet.start("balie")
             base_url = (
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -19,6 +19,7 @@
         self.addAsyncCleanup(self.fleet.aclose)
 
     async def test_a_request_reaches_another_instance(self):
+        """Guards against headers that are lost or wrong between daemons."""
         await self.fleet.start("kassa", "balie")
         status, headers, body = await self.fleet.send()
         self.assertEqual((status, body), (200, b"whole"))
@@ -36,6 +37,7 @@
         self.assertLessEqual(int(received_headers["X-Deadline-Ms"]), 1000)
 
     async def test_requests_without_a_route_get_404(self):
+        """Guards against requests that reach a service without a route."""
         await self.fleet.start("balie")
         self.assertEqual((await self.fleet.send(path="/other/"))[0], 404)
         self.assertEqual((await self.fleet.send(host="else.example"))[0], 404)
@@ -168,6 +170,7 @@
         self.assertEqual((await self.fleet.send(1))[0], 503)
 
     async def test_a_change_takes_effect(self):
+        """Guards against calls routed by the previous configuration."""
         await self.fleet.start("balie", "kassa")
         await self.fleet.store.write(
             stores.CONFIGURATION_KEY,
@@ -235,6 +238,7 @@
             writer.close()
 
     async def test_requests_without_an_upstream_are_refused_at_once(self):
+        """Guards against callers that wait although no upstream exists."""
         await self.fleet.start("kassa")
         status, headers, _ = await self.fleet.send()
         self.assertEqual(status, 503)
@@ -257,6 +261,7 @@
         self.assertLess(float(headers["Retry-After"]), 0.2)
 
     async def test_the_readiness_endpoint_answers_200(self):
+        """Guards against a ready daemon to which no callers are directed."""
         await self.fleet.start("balie")
         async with self.fleet.client.get(
             self.fleet.daemons[0].ready_url
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -12,6 +12,7 @@
 
 class SettingsTest(unittest.TestCase):
     def test_all_settings_are_parsed(self):
+        """Guards against settings that get a wrong value or unit."""
         parsed = settings.parse_settings(builders.build_text())
         self.assertEqual(parsed.zone, "noord")
         self.assertEqual(parsed.callers, settings.Address("127.0.0.1", 8629))
@@ -20,6 +21,7 @@
         self.assertEqual(parsed.retry_slack, 62.0)
 
     def test_findings_are_reported_together(self):
+        """Guards against an operator who finds one mistake per start."""
         text = builders.build_text(
             **{"app": "nowhere", "zone": None, "internalPorts": "9,1"}
         )
@@ -29,6 +31,7 @@
         self.assertEqual(places, ["internalPorts", "zone", "app"])
 
     def test_bounds_that_are_not_numbers_are_findings(self):
+        """Guards against malformed bounds that are ignored."""
         text = builders.build_text(bounds="drainMs=soon,graceS=6")
         with self.assertRaises(errors.InvalidInputError) as caught:
             settings.parse_settings(text)
@@ -37,6 +40,7 @@
         self.assertIn("bounds.retrySlack", places)
 
     def test_the_link_capacity_is_optional(self):
+        """Guards against settings files without a capacity that are refused."""
         parsed = settings.parse_settings(builders.build_text())
         self.assertEqual(parsed.link_mbps, 0)
         text = builders.build_text(**{"limits.linkMbps": "3.25"})
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -28,6 +28,7 @@
         self.standin, self.store = await builders.start_store(self)
 
     async def test_a_write_needs_the_expected_revision(self):
+        """Guards against writes that overwrite another writer's change."""
         written = await self.store.put("a", b"1", 0)
         self.assertTrue(written.written)
         refused = await self.store.put("a", b"2", 0)
@@ -38,6 +39,7 @@
         self.assertIsNone(await self.store.get("a"))
 
     async def test_a_list_continues_over_pages(self):
+        """Guards against lists that end with the first page."""
         for number in range(3):
             await self.store.put(f"seeds/{number}", b"x", 0)
         with mock.patch.object(platform_store, "_PAGE_ITEMS", 2):
@@ -47,6 +49,7 @@
         )
 
     async def test_renewing_an_unknown_lease_returns_0(self):
+        """Guards against a writer that relies on a lease that has ended."""
         lease = await self.store.grant_lease(1)
         await self.store.put("a", b"1", 0, lease)
         self.assertEqual(await self.store.keep_lease(lease), 1)
@@ -68,12 +71,14 @@
         self.assertEqual(entry.value, b"1")
 
     async def test_a_refused_write_had_no_effect(self):
+        """Guards against refused writes that are reported as unknown."""
         for status in (503, 429):
             self.standin.faults.status = status
             with self.assertRaises(errors.StoreUnavailableError):
                 await self.store.put("a", b"1", 0)
 
     async def test_a_read_of_a_silent_store_times_out(self):
+        """Guards against reads that wait forever for a silent store."""
         self.standin.faults.silent = True
         with (
             mock.patch.object(stores, "_TIMEOUT_S", 0.05),
@@ -98,6 +103,7 @@
         self.assertEqual(len(entry.value), len(_LARGE_VALUE))
 
     async def test_a_value_that_does_not_end_times_out(self):
+        """Guards against reads that wait forever for a very slow response."""
         await self.store.put("a", _LARGE_VALUE, 0)
         self.standin.faults.pause_s = 0.1
         with (
@@ -107,6 +113,7 @@
             await asyncio.wait_for(self.store.get("a"), 20)
 
     async def test_a_response_that_stops_times_out(self):
+        """Guards against reads that wait forever within a response."""
         await self.store.put("a", _LARGE_VALUE, 0)
         self.standin.faults.pause_s = 3600
         with (
@@ -232,6 +239,7 @@
         self.assertEqual(found[-1].value, b"node-1")
 
     def test_a_malformed_value_can_be_overwritten(self) -> None:
+        """Guards against a malformed value that blocks its key forever."""
         item = {"key": "merlintrestle/seeds/noord", "value": "?", "revision": 4}
         self.assertEqual(
             stores.parse_entries([item]), [client.Entry("seeds/noord", b"", 4)]
