--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -40,7 +40,7 @@
         table: interfaces.MemberTable,
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Initialises admission control.
+        """Initializes admission control.
 
         Args:
             backend: The local backend server, with its number of slots.
--- a/merlintrestle/requests/load/budgets.py
+++ b/merlintrestle/requests/load/budgets.py
@@ -50,7 +50,7 @@
         count_daemons: Callable[[], int],
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Initialises the budgets with the default bounds.
+        """Initializes the budgets with the default bounds.
 
         Args:
             count_daemons: Returns the number of daemons.
@@ -126,7 +126,7 @@
         bounds: Bounds,
         get_time: Callable[[], float] = time.monotonic,
     ):
-        """Initialises a budget without calls.
+        """Initializes a budget without calls.
 
         Args:
             bounds: Bounds of the retries.
--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -53,7 +53,7 @@
     """
 
     def __init__(self, get_time: Callable[[], float] = time.monotonic):
-        """Initialises the link without transfers.
+        """Initializes the link without transfers.
 
         Args:
             get_time: Returns the time in seconds, on the clock of deadlines.
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -182,7 +182,7 @@
         """Records an answer, which shows that the upstream is responsive.
 
         An ejection ends. Whether the answer is an error is recorded by
-        `record_result`.
+        `update_success_rate`.
 
         Args:
             now: When the answer arrived, in seconds.
--- a/merlintrestle/requests/load/picking.py
+++ b/merlintrestle/requests/load/picking.py
@@ -65,7 +65,7 @@
         get_time: Callable[[], float],
         rng: random.Random | None = None,
     ):
-        """Initialises a picker without observations.
+        """Initializes a picker without observations.
 
         Args:
             zone: The local availability zone.
--- a/merlintrestle/requests/load/queue_admission.py
+++ b/merlintrestle/requests/load/queue_admission.py
@@ -31,7 +31,7 @@
         slots: slots_lib.Slots,
         acceptance: acceptances.AcceptanceRate,
     ):
-        """Initialises the queue admission.
+        """Initializes the queue admission.
 
         Args:
             slots: The slots of the local backend server.
--- a/merlintrestle/requests/load/ranking.py
+++ b/merlintrestle/requests/load/ranking.py
@@ -77,7 +77,7 @@
     """
 
     def __init__(self) -> None:
-        """Initialises an empty collection."""
+        """Initializes an empty collection."""
         self._observations: dict[str, observations.Observation] = {}
         # Since when this daemon has known each upstream as ready, in seconds.
         self._known_since: dict[str, float] = {}
--- a/merlintrestle/requests/load/refused_callers.py
+++ b/merlintrestle/requests/load/refused_callers.py
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, get_time: Callable[[], float]):
-        """Initialises an empty collection.
+        """Initializes an empty collection.
 
         Args:
             get_time: Returns the time in seconds.
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -42,8 +42,8 @@
     if not outcome.reached:
         return Retry.FREE
     # If all attempts of this daemon were refused, the call has not run
-    # anywhere, and may be retried again. `RetryState.spend` rejects other
-    # repeats.
+    # anywhere, and may be retried again. `RetryState.try_charge_retry`
+    # rejects other repeats.
     return Retry.BUDGETED if call.repeat else _allow_unless_nested(call)
 
 
--- a/merlintrestle/requests/load/round_trips.py
+++ b/merlintrestle/requests/load/round_trips.py
@@ -28,7 +28,7 @@
     """Decaying EWMA of the round-trip time to other daemons."""
 
     def __init__(self, get_time: Callable[[], float]):
-        """Initialises the mean without samples.
+        """Initializes the mean without samples.
 
         Args:
             get_time: Returns the time in seconds.
--- a/merlintrestle/requests/load/slots.py
+++ b/merlintrestle/requests/load/slots.py
@@ -42,7 +42,7 @@
         holder: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
     ):
-        """Initialises the slots.
+        """Initializes the slots.
 
         Args:
             backend: The local backend server, with its number of slots.
--- a/merlintrestle/requests/load/startup.py
+++ b/merlintrestle/requests/load/startup.py
@@ -36,7 +36,7 @@
     def __init__(
         self, table: interfaces.MemberTable, get_time: Callable[[], float]
     ):
-        """Initialises the wait; `begin` starts the startup period.
+        """Initializes the wait; `begin` starts the startup period.
 
         Args:
             table: Lists the known upstreams of each service.
--- a/merlintrestle/requests/reports/decision_logs.py
+++ b/merlintrestle/requests/reports/decision_logs.py
@@ -21,8 +21,8 @@
 from merlintrestle.requests.calls import outcomes
 
 # Maximum sustained rate of complete decision logs. With about 8 lines of 250
-# bytes each, they take at most 20 KB/s. A burst of up to `event_logs.BURST`
-# logs may exceed this rate.
+# bytes each, they take at most 20 KB/s. A burst of up to
+# `event_logs.MAX_BURST_LINES` logs may exceed this rate.
 MAX_COMPLETE_LOGS_PER_S = 10.0
 # Maximum rate of lines about successful calls, without bursts.
 MAX_SUCCESS_LINES_PER_S = 1.0
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -77,7 +77,7 @@
             and sends those of this daemon (`crashes.send_strike`).
         observer: Records answers of the local backend server in a roll-out.
         recall_servicer: gRPC servicer to be added to the control server. It
-            answers recall_servicer: queries of other daemons about the claims
+            answers recalls: queries of other daemons about the claims
             of this daemon on calls that must not be repeated.
     """
 
--- a/tests/requests/load/test_links.py
+++ b/tests/requests/load/test_links.py
@@ -497,7 +497,7 @@
 
         This caller has disappeared without closing the connection. The bytes
         written to the connection are not sent, as if the link were full, until
-        the connection is closed after `bodies.STALL_S`.
+        the connection is closed after `bodies.STALL_TIMEOUT_S`.
         """
         self.measure()
         stalled = self.start_download(5 * _SIZE, latency_deadline_s=3.0)
