--- a/merlintrestle/operators/trail.py
+++ b/merlintrestle/operators/audit_trail.py
@@ -15,7 +15,7 @@
 LOST_RACE = "lost race"
 UNKNOWN = "outcome unknown"
 
-MAX_ATTEMPTS = 10_000
+MAX_AUDIT_ATTEMPTS = 10_000
 
 
 class Attempt(NamedTuple):
@@ -66,15 +66,15 @@
 
 
 async def read_audit(
-    store: records.Store, limit: int, most: int = MAX_ATTEMPTS
+    store: records.Store, limit: int, max_attempts: int = MAX_AUDIT_ATTEMPTS
 ) -> Audit:
     """Returns the attempts at the last versions, newest version first.
 
     Args:
         store: The store.
         limit: How many versions to go back.
-        most: How many attempts to read; refused ones make no version, so
-            `limit` alone does not bound the reads.
+        max_attempts: How many attempts to read; refused ones make no version,
+            so `limit` alone does not bound the reads.
     """
     head, _ = await records.read_head(store)
     # Ids begin with the version in 12 digits, so that this is a bounded read.
@@ -84,7 +84,7 @@
     changes: list[document_pb2.Change] = []
     is_whole = True
     async for change in records.list_changes(store, f"{oldest:012d}"):
-        if len(changes) == most:
+        if len(changes) == max_attempts:
             is_whole = False
             break
         changes.append(change)
--- a/merlintrestle/operators/changing.py
+++ b/merlintrestle/operators/change_commands.py
@@ -14,11 +14,11 @@
 from merlintrestle.documents import differences
 from merlintrestle.documents import reader
 from merlintrestle.operators import changes
-from merlintrestle.operators import exits
+from merlintrestle.operators import exit_codes
 from merlintrestle.operators import outcomes
 from merlintrestle.operators import results
 from merlintrestle.operators import session
-from merlintrestle.operators import status
+from merlintrestle.operators import status_queries
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -29,11 +29,11 @@
 _FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
 _DEFAULT_WAIT_S = 30.0
 _EXIT_CODES = {
-    outcomes.Accepted: exits.OK,
-    outcomes.Unchanged: exits.OK,
-    outcomes.Refused: exits.FINDINGS,
-    outcomes.LostRace: exits.LOST_RACE,
-    outcomes.Undecided: exits.UNKNOWN_OUTCOME,
+    outcomes.Accepted: exit_codes.OK,
+    outcomes.Unchanged: exit_codes.OK,
+    outcomes.Refused: exit_codes.FINDINGS,
+    outcomes.LostRace: exit_codes.LOST_RACE,
+    outcomes.Undecided: exit_codes.UNKNOWN_OUTCOME,
 }
 
 _base_option = click.option(
@@ -58,26 +58,26 @@
 )
 
 
-class Wait(NamedTuple):
+class WaitOptions(NamedTuple):
     """Whether and how long to wait for a version to be in force.
 
     Attributes:
-        wanted: True to wait.
+        enabled: True to wait.
         timeout_s: Longest wait in seconds.
     """
 
-    wanted: bool
+    enabled: bool
     timeout_s: float
 
 
 @click.command(
-    epilog=session.list_examples(
+    epilog=session.format_examples(
         "merlintrestle validate zaanoever.toml",
         "merlintrestle validate mesh.toml zaanoever.toml",
     )
 )
 @click.argument("files", nargs=-1, required=True, type=_FILE)
-@session.run_command
+@session.pass_session
 async def validate(
     run: session.Session, files: tuple[pathlib.Path, ...]
 ) -> int:
@@ -98,14 +98,14 @@
     if findings:
         raise errors.InvalidInputError(findings)
     run.report(results.Validated(tuple(map(str, files)), against))
-    return exits.OK
+    return exit_codes.OK
 
 
 @click.command(
-    epilog=session.list_examples("merlintrestle diff zaanoever.toml")
+    epilog=session.format_examples("merlintrestle diff zaanoever.toml")
 )
 @click.argument("file", type=_FILE)
-@session.run_command
+@session.pass_session
 async def diff(run: session.Session, file: pathlib.Path) -> int:
     """Shows what a target document would change."""
     document = _read_file(file)
@@ -113,11 +113,11 @@
     name = document.organisation
     lines = differences.list_differences(documents.get(name), document)
     run.report(results.Difference(name, head.version, tuple(lines)))
-    return exits.OK
+    return exit_codes.OK
 
 
 @click.command(
-    epilog=session.list_examples(
+    epilog=session.format_examples(
         "merlintrestle apply zaanoever.toml",
         "merlintrestle apply zaanoever.toml --base 7",
         "merlintrestle apply zaanoever.toml --wait --daemon 10.0.0.7:8082",
@@ -127,7 +127,7 @@
 @_base_option
 @_wait_option
 @wait_timeout_option
-@session.run_command
+@session.pass_session
 async def apply(
     run: session.Session,
     file: pathlib.Path,
@@ -139,18 +139,20 @@
 
     It is accepted whole or refused whole. To apply a file again is safe.
     """
-    operator = run.require("operator")
+    operator = run.require_setting("operator")
     document = _read_file(file)
     proposal = changes.Proposal(operator, document.organisation, document, base)
-    return await _propose(run, proposal, Wait(wait, wait_timeout))
+    return await _propose(run, proposal, WaitOptions(wait, wait_timeout))
 
 
-@click.command(epilog=session.list_examples("merlintrestle withdraw zaanoever"))
+@click.command(
+    epilog=session.format_examples("merlintrestle withdraw zaanoever")
+)
 @click.argument("organisation")
 @_base_option
 @_wait_option
 @wait_timeout_option
-@session.run_command
+@session.pass_session
 async def withdraw(
     run: session.Session,
     organisation: str,
@@ -162,39 +164,41 @@
 
     It is refused while other organisations refer to its services.
     """
-    operator = run.require("operator")
+    operator = run.require_setting("operator")
     proposal = changes.Proposal(operator, organisation, None, base)
-    return await _propose(run, proposal, Wait(wait, wait_timeout))
+    return await _propose(run, proposal, WaitOptions(wait, wait_timeout))
 
 
 async def _propose(
-    run: session.Session, proposal: changes.Proposal, wait: Wait
+    run: session.Session, proposal: changes.Proposal, wait: WaitOptions
 ) -> int:
-    if wait.wanted:
-        run.require("daemon")
+    if wait.enabled:
+        run.require_setting("daemon")
     async with run.open_store() as store:
         proposer = changes.Proposer(
             store,
-            run.sources.make_id,
-            run.sources.read_ms,
-            run.sources.pause_s,
-            _choose_hand_over(run),
+            run.dependencies.make_id,
+            run.dependencies.read_clock_ms,
+            run.dependencies.retry_delay_s,
+            _choose_push_version(run),
         )
         outcome = await proposer.propose(proposal)
     waits = isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
-    if not (wait.wanted and waits):
+    if not (wait.enabled and waits):
         run.report(outcome)
         return _EXIT_CODES[type(outcome)]
     return await _wait(run, outcome, wait.timeout_s)
 
 
-def _choose_hand_over(
+def _choose_push_version(
     run: session.Session,
 ) -> Callable[[snapshots.Snapshot], Awaitable[None]] | None:
     if not run.settings.daemon:
         return None
     return functools.partial(
-        run.sources.hand_over, run.settings.daemon, run.settings.timeout_s
+        run.dependencies.push_version,
+        run.settings.daemon,
+        run.settings.timeout_s,
     )
 
 
@@ -205,18 +209,18 @@
     assert isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
     if not run.is_json:
         run.report(outcome)
-    found = await status.wait_in_force(
+    found = await status_queries.wait_in_force(
         run,
         outcome.version,
         bytes.fromhex(outcome.digest),
         timeout_s,
-        run.progress,
+        run.report_progress,
     )
     if run.is_json:
         run.report(dataclasses.replace(outcome, in_force=found))
     else:
         run.report(found)
-    return exits.OK if found.everywhere else exits.NOT_HOLDING
+    return exit_codes.OK if found.everywhere else exit_codes.NOT_FULFILLED
 
 
 def _read_file(file: pathlib.Path) -> document_pb2.Document:
--- a/merlintrestle/operators/changes.py
+++ b/merlintrestle/operators/changes.py
@@ -61,9 +61,9 @@
         self,
         store: records.Store,
         make_id: Callable[[int], str] = make_change_id,
-        read_ms: Callable[[], int] = read_clock_ms,
-        pause_s: float = acceptance.RETRY_DELAY_S,
-        hand_over: Callable[[snapshots.Snapshot], Awaitable[None]]
+        read_clock_ms: Callable[[], int] = read_clock_ms,
+        retry_delay_s: float = acceptance.RETRY_DELAY_S,
+        push_version: Callable[[snapshots.Snapshot], Awaitable[None]]
         | None = None,
     ):
         """Sets the store and the sources of ids and times.
@@ -71,15 +71,15 @@
         Args:
             store: The store.
             make_id: Makes a change id for the version it would make.
-            read_ms: Returns milliseconds since 1970.
-            pause_s: Seconds between two tries of a write without answer.
-            hand_over: Called with each accepted version's snapshot.
+            read_clock_ms: Returns milliseconds since 1970.
+            retry_delay_s: Seconds between two tries of a write without answer.
+            push_version: Called with each accepted version's snapshot.
         """
         self._store = store
         self._make_id = make_id
-        self._read_ms = read_ms
-        self._pause_s = pause_s
-        self._hand_over = hand_over
+        self._read_clock_ms = read_clock_ms
+        self._retry_delay_s = retry_delay_s
+        self._push_version = push_version
 
     async def propose(self, proposal: Proposal) -> outcomes.Outcome:
         """Tries to have a change accepted and says what became of it.
@@ -150,11 +150,11 @@
             # all that they need with the head.
             proposed.changed.CopyFrom(document)
         outcome = await acceptance.swap_head(
-            self._store, proposed, revision, self._pause_s
+            self._store, proposed, revision, self._retry_delay_s
         )
         if isinstance(outcome, acceptance.Accepted):
-            if self._hand_over is not None:
-                await self._hand_over(compiled)
+            if self._push_version is not None:
+                await self._push_version(compiled)
             return outcomes.Accepted(
                 outcome.version,
                 compiled.digest.hex(),
@@ -182,7 +182,7 @@
             action="apply" if after else "withdraw",
             base_version=head.version,
             document_digest=digest,
-            at_ms=self._read_ms(),
+            at_ms=self._read_clock_ms(),
             previous_change_id=head.change_id,
             summary=_shorten(differences.list_differences(before, after)),
         )
--- a/merlintrestle/operators/command.py
+++ b/merlintrestle/operators/command.py
@@ -5,10 +5,10 @@
 import click
 
 from merlintrestle import config
-from merlintrestle.operators import changing
-from merlintrestle.operators import explaining
-from merlintrestle.operators import rollouts
-from merlintrestle.operators import viewing
+from merlintrestle.operators import change_commands
+from merlintrestle.operators import explain_command
+from merlintrestle.operators import rollout_commands
+from merlintrestle.operators import view_commands
 from merlintrestle.schema import settings_pb2
 
 _EPILOG = """\b
@@ -45,17 +45,17 @@
 
 
 for _command in (
-    changing.validate,
-    changing.diff,
-    changing.apply,
-    changing.withdraw,
-    viewing.show,
-    viewing.history,
-    viewing.audit,
-    viewing.status,
-    viewing.watch,
-    explaining.explain,
-    rollouts.rollout,
+    change_commands.validate,
+    change_commands.diff,
+    change_commands.apply,
+    change_commands.withdraw,
+    view_commands.show,
+    view_commands.history,
+    view_commands.audit,
+    view_commands.status,
+    view_commands.watch,
+    explain_command.explain,
+    rollout_commands.rollout,
 ):
     main.add_command(_command)
 
--- a/merlintrestle/operators/exits.py
+++ b/merlintrestle/operators/exit_codes.py
@@ -14,6 +14,6 @@
 # The change may have been accepted: look into the audit trail.
 UNKNOWN_OUTCOME = 5
 # Not in force everywhere, or a target is missed.
-NOT_HOLDING = 6
+NOT_FULFILLED = 6
 # Ended by the operator (Ctrl-C), as shells count it.
 INTERRUPTED = 130
--- a/merlintrestle/operators/explaining.py
+++ b/merlintrestle/operators/explain_command.py
@@ -9,7 +9,7 @@
 
 import click
 
-from merlintrestle.operators import exits
+from merlintrestle.operators import exit_codes
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -30,7 +30,7 @@
 )
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One line of a log about one request.
 
     Attributes:
@@ -60,25 +60,25 @@
     Example:
     merlintrestle explain 9c41d07be2a35f68 /var/log/merlintrestle/*.log
     """
-    lines: list[Line] = []
+    lines: list[LogLine] = []
     for path in logs:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
                 lines += find_lines(request, file, path.stem)
         except OSError as error:
             click.echo(f"{path}: {error.strerror}", err=True)
-            sys.exit(exits.USAGE)
+            sys.exit(exit_codes.USAGE)
     lines.sort(key=lambda line: line.time)
     for line in lines:
-        click.echo(describe_line(line))
-    for gap in list_gaps(lines):
+        click.echo(format_line(line))
+    for gap in list_missing(lines):
         click.echo(f"missing: {gap}")
-    sys.exit(exits.OK if lines else exits.FINDINGS)
+    sys.exit(exit_codes.OK if lines else exit_codes.FINDINGS)
 
 
 def find_lines(
     request: str, lines: Iterable[str], source: str
-) -> Iterator[Line]:
+) -> Iterator[LogLine]:
     """Yields the lines about a request; others may be of any form."""
     for text in lines:
         if request not in text:
@@ -91,7 +91,7 @@
         if not isinstance(fields, dict) or fields.get("request") != request:
             continue
         names = before.split()
-        yield Line(
+        yield LogLine(
             str(fields.get("time", "")),
             names[-1] if names else source,
             str(fields.get("event", "")),
@@ -103,7 +103,7 @@
         )
 
 
-def describe_line(line: Line) -> str:
+def format_line(line: LogLine) -> str:
     """Returns a line for people."""
     pairs = " ".join(
         f"{name}={value}"
@@ -113,7 +113,7 @@
     return f"{line.time} {line.source}: {line.event} {pairs}".rstrip()
 
 
-def list_gaps(lines: list[Line]) -> list[str]:
+def list_missing(lines: list[LogLine]) -> list[str]:
     """Returns what a whole story would have and these lines do not."""
     if not lines:
         return [
--- a/merlintrestle/operators/fleet.py
+++ b/merlintrestle/operators/fleet.py
@@ -19,8 +19,8 @@
 
     from merlintrestle.documents import snapshot as snapshots
 
-    Ask = Callable[[str, bool, float], Awaitable[control_pb2.StatusReply]]
-    HandOver = Callable[[str, float, snapshots.Snapshot], Awaitable[None]]
+    AskStatus = Callable[[str, bool, float], Awaitable[control_pb2.StatusReply]]
+    PushVersion = Callable[[str, float, snapshots.Snapshot], Awaitable[None]]
 
 IN_FORCE = "in force"
 BEHIND = "behind"
@@ -61,7 +61,7 @@
     detail: str
 
 
-class Answer(NamedTuple):
+class MemberStatus(NamedTuple):
     """What one member answered.
 
     Attributes:
@@ -100,7 +100,7 @@
             ) from error
 
 
-async def hand_over(
+async def push_version(
     address: str, timeout_s: float, snapshot: snapshots.Snapshot
 ) -> None:
     """Gives an accepted version to one daemon, which spreads it.
@@ -124,7 +124,7 @@
 
 
 async def list_members(
-    address: str, timeout_s: float, ask: Ask = ask_daemon
+    address: str, timeout_s: float, ask: AskStatus = ask_daemon
 ) -> list[control_pb2.Member]:
     """Returns the members that serve, as one daemon knows them.
 
@@ -147,23 +147,27 @@
 async def ask_members(
     members: Iterable[control_pb2.Member],
     timeout_s: float,
-    ask: Ask = ask_daemon,
-) -> list[Answer]:
+    ask: AskStatus = ask_daemon,
+) -> list[MemberStatus]:
     """Asks each member for its status, a bounded number at once."""
     places = asyncio.Semaphore(_MAX_ASKED_AT_ONCE)
 
-    async def ask_one(member: control_pb2.Member) -> Answer:
+    async def ask_one(member: control_pb2.Member) -> MemberStatus:
         address = f"{member.address}:{member.control_port}"
         async with places:
             try:
-                return Answer(member, await ask(address, False, timeout_s), "")
+                return MemberStatus(
+                    member, await ask(address, False, timeout_s), ""
+                )
             except DaemonUnavailableError as error:
-                return Answer(member, None, str(error))
+                return MemberStatus(member, None, str(error))
 
     return await asyncio.gather(*(ask_one(member) for member in members))
 
 
-def judge_daemon(answer: Answer, version: int | None, digest: bytes) -> Daemon:
+def check_daemon(
+    answer: MemberStatus, version: int | None, digest: bytes
+) -> Daemon:
     """Says whether a daemon runs a version or a newer one.
 
     Args:
--- a/merlintrestle/operators/outcomes.py
+++ b/merlintrestle/operators/outcomes.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from merlintrestle import errors
-    from merlintrestle.operators import states
+    from merlintrestle.operators import status_results
     from merlintrestle.schema import document_pb2
 
 
@@ -27,7 +27,7 @@
     digest: str
     change_id: str
     differences: tuple[str, ...]
-    in_force: states.InForce | None = None
+    in_force: status_results.InForce | None = None
 
 
 @dataclasses.dataclass(frozen=True)
@@ -42,7 +42,7 @@
 
     version: int
     digest: str
-    in_force: states.InForce | None = None
+    in_force: status_results.InForce | None = None
 
 
 @dataclasses.dataclass(frozen=True)
--- a/merlintrestle/operators/output.py
+++ b/merlintrestle/operators/output.py
@@ -9,8 +9,8 @@
 
 from google.protobuf import message
 
-from merlintrestle.operators import texts
-from merlintrestle.operators import trail
+from merlintrestle.operators import audit_trail
+from merlintrestle.operators import text_format
 
 
 def format_result(result: Any, is_json: bool) -> str:
@@ -18,7 +18,7 @@
     if is_json:
         tree = {"result": _name_result(result), **_to_tree(result)}
         return json.dumps(tree, sort_keys=False)
-    return "\n".join(texts.format_text(result))
+    return "\n".join(text_format.format_text(result))
 
 
 def _name_result(result: Any) -> str:
@@ -48,4 +48,4 @@
 
 @_to_tree.register
 def _(value: message.Message) -> Any:
-    return _to_tree(trail.describe_change(value, trail.ACCEPTED))  # type: ignore[arg-type]
+    return _to_tree(audit_trail.describe_change(value, audit_trail.ACCEPTED))  # type: ignore[arg-type]
--- a/merlintrestle/operators/results.py
+++ b/merlintrestle/operators/results.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple, TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from merlintrestle.operators import states
-    from merlintrestle.operators import trail
+    from merlintrestle.operators import audit_trail
+    from merlintrestle.operators import status_results
 
 
 class StoreFailure(NamedTuple):
@@ -42,7 +42,7 @@
         is_whole: False if some at the newest versions are left out.
     """
 
-    attempts: tuple[trail.Attempt, ...]
+    attempts: tuple[audit_trail.Attempt, ...]
     is_whole: bool
 
 
@@ -138,5 +138,5 @@
     """
 
     at: str
-    accepted: tuple[trail.Attempt, ...]
-    status: states.Status
+    accepted: tuple[audit_trail.Attempt, ...]
+    status: status_results.Status
--- a/merlintrestle/operators/rollouts.py
+++ b/merlintrestle/operators/rollout_commands.py
@@ -8,21 +8,21 @@
 import click
 
 from merlintrestle import errors
-from merlintrestle.operators import changing
-from merlintrestle.operators import exits
+from merlintrestle.operators import audit_trail
+from merlintrestle.operators import change_commands
+from merlintrestle.operators import exit_codes
 from merlintrestle.operators import results
 from merlintrestle.operators import session
-from merlintrestle.operators import trail
 from merlintrestle.rollouts import orders
 from merlintrestle.rollouts import records
-from merlintrestle.rollouts import storage as registers
+from merlintrestle.rollouts import storage as storages
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import records as store_records
 
 # A version is judged in a third of the time, by answers of some tenths of a
 # second; then calls in flight have to end.
-LEAST_WITHIN_S = 5.0
-_MOST_WITHIN_S = 604_800.0
+MIN_WITHIN_S = 5.0
+_MAX_WITHIN_S = 604_800.0
 _POLL_S = 0.2
 _NAMES = {
     control_pb2.ROLLOUT_STATE_UNSPECIFIED: "ordered",
@@ -42,7 +42,7 @@
 
 
 @rollout.command(
-    epilog=session.list_examples(
+    epilog=session.format_examples(
         "merlintrestle rollout start balie --to v2 --within 120"
     )
 )
@@ -56,12 +56,12 @@
     metavar="SECONDS",
     help="Time in which it is to end; what is not decided then goes back.",
 )
-@session.run_command
+@session.pass_session
 async def start(
     run: session.Session, service: str, version: str, within_s: float
 ) -> int:
     """Orders a roll-out."""
-    operator = run.require("operator")
+    operator = run.require_setting("operator")
     findings = _check(version, within_s)
     async with run.open_store() as store:
         findings += await _check_service(store, service)
@@ -70,7 +70,11 @@
             text = f"is being moved to {before.version} already."
             findings.append(errors.Finding(service, text))
         attempt = orders.Attempt(
-            orders.START, operator, run.sources.read_ms(), service, version
+            orders.START,
+            operator,
+            run.dependencies.read_clock_ms(),
+            service,
+            version,
         )
         if findings:
             await orders.write_attempt(store, attempt, findings)
@@ -82,32 +86,32 @@
         number = await orders.write_order(store, order)
     if not number:
         run.report(results.RolloutRace(service))
-        return exits.LOST_RACE
+        return exit_codes.LOST_RACE
     run.report(results.RolloutShown(service, version, "ordered", number))
-    return exits.OK
+    return exit_codes.OK
 
 
 @rollout.command(
-    epilog=session.list_examples("merlintrestle rollout status balie")
+    epilog=session.format_examples("merlintrestle rollout status balie")
 )
 @click.argument("service")
-@session.run_command
+@session.pass_session
 async def status(run: session.Session, service: str) -> int:
     """Shows how far the last roll-out of a service has come."""
     async with run.open_store() as store:
         found = await _require_state(store, service)
     run.report(_describe(found))
-    return exits.OK
+    return exit_codes.OK
 
 
 @rollout.command(
-    epilog=session.list_examples(
+    epilog=session.format_examples(
         "merlintrestle rollout wait balie --wait-timeout 180"
     )
 )
 @click.argument("service")
-@changing.wait_timeout_option
-@session.run_command
+@change_commands.wait_timeout_option
+@session.pass_session
 async def wait(run: session.Session, service: str, wait_timeout: float) -> int:
     """Waits for the end of a roll-out; fails unless it is complete."""
     until = time.monotonic() + wait_timeout
@@ -120,49 +124,49 @@
             found = await _require_state(store, service)
     run.report(_describe(found))
     complete = found.state == control_pb2.COMPLETE
-    return exits.OK if complete else exits.NOT_HOLDING
+    return exit_codes.OK if complete else exit_codes.NOT_FULFILLED
 
 
 @rollout.command(
-    epilog=session.list_examples("merlintrestle rollout abort balie")
+    epilog=session.format_examples("merlintrestle rollout abort balie")
 )
 @click.argument("service")
-@session.run_command
+@session.pass_session
 async def abort(run: session.Session, service: str) -> int:
     """Has a service go back to the version before."""
-    operator = run.require("operator")
+    operator = run.require_setting("operator")
     async with run.open_store() as store:
         found = await _require_state(store, service)
         attempt = orders.Attempt(
             orders.ABORT,
             operator,
-            run.sources.read_ms(),
+            run.dependencies.read_clock_ms(),
             service,
             found.version,
         )
         await orders.write_attempt(store, attempt, [])
-        register = registers.RolloutStorage(store, registers.DefaultFormat())
+        register = storages.RolloutStorage(store, storages.DefaultFormat())
         found.state = await register.write_state(found, control_pb2.ROLLED_BACK)
         if found.state == control_pb2.ROLLED_BACK:
             # The daemons read orders; they look at states as they write them.
             await orders.write_order(store, found)
     run.report(_describe(found))
     gone_back = found.state == control_pb2.ROLLED_BACK
-    return exits.OK if gone_back else exits.LOST_RACE
+    return exit_codes.OK if gone_back else exit_codes.LOST_RACE
 
 
 @rollout.command(
-    epilog=session.list_examples("merlintrestle rollout history balie")
+    epilog=session.format_examples("merlintrestle rollout history balie")
 )
 @click.argument("service")
-@session.run_command
+@session.pass_session
 async def history(run: session.Session, service: str) -> int:
     """Lists who ordered and ended roll-outs of a service, newest last."""
     async with run.open_store() as store:
         attempts = await orders.list_attempts(store, service)
     shown = tuple(
         results.RolloutAttempt(
-            trail.format_time(one.at_ms),
+            audit_trail.format_time(one.at_ms),
             one.operator,
             one.action,
             one.version,
@@ -171,16 +175,16 @@
         for one in attempts
     )
     run.report(results.RolloutHistory(service, shown))
-    return exits.OK
+    return exit_codes.OK
 
 
 def _check(version: str, within_s: float) -> list[errors.Finding]:
     findings = []
     if fault := records.find_version_fault(version):
         findings.append(errors.Finding("--to", fault))
-    if not LEAST_WITHIN_S <= within_s <= _MOST_WITHIN_S:
-        text = f"{within_s:g} is not within {LEAST_WITHIN_S:g} to"
-        text += f" {_MOST_WITHIN_S:g} s."
+    if not MIN_WITHIN_S <= within_s <= _MAX_WITHIN_S:
+        text = f"{within_s:g} is not within {MIN_WITHIN_S:g} to"
+        text += f" {_MAX_WITHIN_S:g} s."
         findings.append(errors.Finding("--within", text))
     return findings
 
@@ -203,7 +207,7 @@
     store: store_records.Store, service: str
 ) -> control_pb2.Rollout | None:
     """Returns the last order of a service with its state; None: none was."""
-    register = registers.RolloutStorage(store, registers.DefaultFormat())
+    register = storages.RolloutStorage(store, storages.DefaultFormat())
     for order in await register.read_orders():
         if order.service == service:
             order.state = await register.read_state(order)
--- a/merlintrestle/operators/session.py
+++ b/merlintrestle/operators/session.py
@@ -12,7 +12,7 @@
 from merlintrestle import config
 from merlintrestle import errors
 from merlintrestle.operators import changes
-from merlintrestle.operators import exits
+from merlintrestle.operators import exit_codes
 from merlintrestle.operators import fleet
 from merlintrestle.operators import outcomes
 from merlintrestle.operators import output
@@ -28,24 +28,24 @@
     from merlintrestle.schema import document_pb2
 
 
-class Sources(NamedTuple):
+class Dependencies(NamedTuple):
     """Where a session gets what tests replace.
 
     Attributes:
         open_store: Makes a store client from address and timeout in seconds.
         make_id: Makes a change id for the version it would make.
-        read_ms: Returns milliseconds since 1970.
-        pause_s: Seconds between two tries of a write without answer.
-        ask: Asks a daemon for its status.
-        hand_over: Gives an accepted version to a daemon.
+        read_clock_ms: Returns milliseconds since 1970.
+        retry_delay_s: Seconds between two tries of a write without answer.
+        ask_status: Asks a daemon for its status.
+        push_version: Gives an accepted version to a daemon.
     """
 
     open_store: Callable[[str, float], Any] = client.StoreClient
     make_id: Callable[[int], str] = changes.make_change_id
-    read_ms: Callable[[], int] = changes.read_clock_ms
-    pause_s: float = acceptance.RETRY_DELAY_S
-    ask: fleet.Ask = fleet.ask_daemon
-    hand_over: fleet.HandOver = fleet.hand_over
+    read_clock_ms: Callable[[], int] = changes.read_clock_ms
+    retry_delay_s: float = acceptance.RETRY_DELAY_S
+    ask_status: fleet.AskStatus = fleet.ask_daemon
+    push_version: fleet.PushVersion = fleet.push_version
 
 
 class Session:
@@ -53,21 +53,23 @@
 
     Attributes:
         settings: The checked settings.
-        sources: Where it gets store, ids and times.
+        dependencies: Where it gets store, ids and times.
     """
 
     def __init__(
-        self, settings: settings_pb2.OperatorSettings, sources: Sources
+        self,
+        settings: settings_pb2.OperatorSettings,
+        dependencies: Dependencies,
     ):
         self.settings = settings
-        self.sources = sources
+        self.dependencies = dependencies
 
     @property
     def is_json(self) -> bool:
         """True if the output is for programs."""
         return self.settings.output == "json"
 
-    def require(self, name: str) -> str:
+    def require_setting(self, name: str) -> str:
         """Returns a setting that this command cannot do without."""
         value = getattr(self.settings, name)
         if not value:
@@ -78,8 +80,8 @@
     @contextlib.asynccontextmanager
     async def open_store(self) -> AsyncIterator[records.Store]:
         """Starts a store client and closes it at the end."""
-        store = self.sources.open_store(
-            self.require("store"), self.settings.timeout_s
+        store = self.dependencies.open_store(
+            self.require_setting("store"), self.settings.timeout_s
         )
         await store.start()
         try:
@@ -99,18 +101,18 @@
         """Prints a result in the form that the operator asked for."""
         click.echo(output.format_result(result, self.is_json))
 
-    def progress(self, text: str) -> None:
+    def report_progress(self, text: str) -> None:
         """Prints a line of progress, apart from the result."""
         click.echo(text, err=True)
 
 
-def list_examples(*lines: str) -> str:
+def format_examples(*lines: str) -> str:
     """Returns the end of a command's help: its examples, not rewrapped."""
     title = "Example:" if len(lines) == 1 else "Examples:"
     return "\n".join(["\b", title, *(f"  {line}" for line in lines)])
 
 
-def run_command(body: Callable[..., Awaitable[int]]) -> Callable[..., None]:
+def pass_session(body: Callable[..., Awaitable[int]]) -> Callable[..., None]:
     """Makes a click callback of a coroutine function.
 
     The coroutine gets a `Session` first and returns the exit code. Settings
@@ -126,8 +128,8 @@
         for setting in config.list_settings(settings_pb2.OperatorSettings):
             own = values.pop(setting.name)
             texts[setting.name] = own or given.get(setting.name)
-        sources = context.obj or Sources()
-        context.exit(_run(body, texts, sources, values))
+        dependencies = context.obj or Dependencies()
+        context.exit(_run(body, texts, dependencies, values))
 
     return callback
 
@@ -135,24 +137,24 @@
 def _run(
     body: Callable[..., Any],
     texts: dict[str, str | None],
-    sources: Sources,
+    dependencies: Dependencies,
     values: dict[str, Any],
 ) -> int:
     try:
         settings = config.read_settings(settings_pb2.OperatorSettings, texts)
     except errors.InvalidInputError as error:
         raise click.UsageError(str(error)) from error
-    session = Session(settings, sources)
+    session = Session(settings, dependencies)
     try:
         return asyncio.run(body(session, **values))
     except KeyboardInterrupt:
-        return exits.INTERRUPTED
+        return exit_codes.INTERRUPTED
     except errors.InvalidInputError as error:
         session.report(outcomes.Refused(tuple(error.findings)))
-        return exits.FINDINGS
+        return exit_codes.FINDINGS
     except errors.StoreError as error:
         # Reads and the writes before acceptance end here; a change whose
         # acceptance is in doubt is a result of its own (outcomes.Undecided).
         is_corrupt = isinstance(error, errors.CorruptRecordError)
         session.report(results.StoreFailure(str(error), is_corrupt))
-        return exits.STORE_UNAVAILABLE
+        return exit_codes.STORE_UNAVAILABLE
--- a/merlintrestle/operators/status.py
+++ b/merlintrestle/operators/status_queries.py
@@ -8,7 +8,7 @@
 
 from merlintrestle import errors
 from merlintrestle.operators import fleet
-from merlintrestle.operators import states
+from merlintrestle.operators import status_results
 from merlintrestle.operators import targets
 from merlintrestle.store import records
 
@@ -21,7 +21,7 @@
 _POLL_S = 0.2
 
 
-async def read_status(run: session.Session) -> states.Status:
+async def read_status(run: session.Session) -> status_results.Status:
     """Asks the store and, where one is set, a daemon and its members."""
     problem = ""
     head: document_pb2.Head | None = None
@@ -32,7 +32,7 @@
             documents = await records.read_documents(store, head)
     except errors.StoreError as error:
         problem = str(error)
-    answers: list[fleet.Answer] = []
+    answers: list[fleet.MemberStatus] = []
     daemon_problem = ""
     if run.settings.daemon:
         try:
@@ -42,14 +42,14 @@
     version = head.version if head else None
     digest = head.snapshot_digest if head else b""
     replies = [one.reply for one in answers if one.reply is not None]
-    return states.Status(
+    return status_results.Status(
         version=version,
         store_problem=problem,
         daemon_problem=daemon_problem,
         daemons=tuple(
-            fleet.judge_daemon(one, version, digest) for one in answers
+            fleet.check_daemon(one, version, digest) for one in answers
         ),
-        targets=tuple(targets.judge_targets(documents, replies))
+        targets=tuple(targets.evaluate_targets(documents, replies))
         if answers
         else (),
     )
@@ -61,7 +61,7 @@
     digest: bytes,
     timeout_s: float,
     progress: Callable[[str], None],
-) -> states.InForce:
+) -> status_results.InForce:
     """Waits until every daemon that serves runs a version.
 
     A daemon that was seen to run it is not asked again: none goes back.
@@ -90,33 +90,35 @@
 
 async def _check_once(
     run: session.Session, version: int, digest: bytes, done: set[str]
-) -> states.InForce:
+) -> status_results.InForce:
     timeout_s = run.settings.timeout_s
     try:
         members = await fleet.list_members(
-            run.settings.daemon, timeout_s, run.sources.ask
+            run.settings.daemon, timeout_s, run.dependencies.ask_status
         )
     except fleet.DaemonUnavailableError as error:
-        return states.InForce(version, False, 0, 0.0, (), str(error))
+        return status_results.InForce(version, False, 0, 0.0, (), str(error))
     answers = await fleet.ask_members(
         [one for one in members if one.id not in done],
         timeout_s,
-        run.sources.ask,
+        run.dependencies.ask_status,
     )
-    daemons = [fleet.judge_daemon(one, version, digest) for one in answers]
+    daemons = [fleet.check_daemon(one, version, digest) for one in answers]
     done.update(one.id for one in daemons if one.state == fleet.IN_FORCE)
     missing = fleet.list_not_in_force(daemons)
-    return states.InForce(version, not missing, len(members), 0.0, missing, "")
+    return status_results.InForce(
+        version, not missing, len(members), 0.0, missing, ""
+    )
 
 
-def _describe(result: states.InForce) -> str:
+def _describe(result: status_results.InForce) -> str:
     if result.problem:
         return f"version {result.version}: {result.problem}"
     running = result.daemons - len(result.missing)
     return f"version {result.version}: {running} of {result.daemons} daemons"
 
 
-async def _ask_fleet(run: session.Session) -> list[fleet.Answer]:
-    ask, timeout_s = run.sources.ask, run.settings.timeout_s
+async def _ask_fleet(run: session.Session) -> list[fleet.MemberStatus]:
+    ask, timeout_s = run.dependencies.ask_status, run.settings.timeout_s
     members = await fleet.list_members(run.settings.daemon, timeout_s, ask)
     return await fleet.ask_members(members, timeout_s, ask)
--- a/merlintrestle/operators/states.py
+++ b/merlintrestle/operators/status_results.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from merlintrestle.operators import exits
+from merlintrestle.operators import exit_codes
 from merlintrestle.operators import fleet
 from merlintrestle.operators import targets as targets_
 
@@ -47,12 +47,12 @@
     problem: str
 
 
-def choose_exit(status: Status) -> int:
+def choose_exit_code(status: Status) -> int:
     """Returns the exit code that a status stands for."""
     if status.version is None:
-        return exits.STORE_UNAVAILABLE
+        return exit_codes.STORE_UNAVAILABLE
     if status.daemon_problem or fleet.list_not_in_force(status.daemons):
-        return exits.NOT_HOLDING
+        return exit_codes.NOT_FULFILLED
     if any(one.state == targets_.MISSED for one in status.targets):
-        return exits.NOT_HOLDING
-    return exits.OK
+        return exit_codes.NOT_FULFILLED
+    return exit_codes.OK
--- a/merlintrestle/operators/targets.py
+++ b/merlintrestle/operators/targets.py
@@ -48,7 +48,7 @@
     unknown: int
 
 
-def judge_targets(
+def evaluate_targets(
     documents: Mapping[str, document_pb2.Document],
     replies: Iterable[control_pb2.StatusReply],
 ) -> list[Target]:
--- a/merlintrestle/operators/texts.py
+++ b/merlintrestle/operators/text_format.py
@@ -5,12 +5,12 @@
 import functools
 from typing import Any, TYPE_CHECKING
 
+from merlintrestle.operators import audit_trail
 from merlintrestle.operators import fleet
 from merlintrestle.operators import outcomes
 from merlintrestle.operators import results
-from merlintrestle.operators import states
+from merlintrestle.operators import status_results
 from merlintrestle.operators import targets
-from merlintrestle.operators import trail
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -82,7 +82,7 @@
 def _(result: outcomes.LostRace) -> list[str]:
     who = "Another operator"
     if result.by is not None:
-        attempt = trail.describe_change(result.by, trail.ACCEPTED)
+        attempt = audit_trail.describe_change(result.by, audit_trail.ACCEPTED)
         who = (
             f"{attempt.operator} ({attempt.action} of {attempt.organisation},"
             f" version {attempt.version}, {attempt.at})"
@@ -142,7 +142,7 @@
 
 
 @format_text.register
-def _(result: states.InForce) -> list[str]:
+def _(result: status_results.InForce) -> list[str]:
     number = f"Version {result.version}"
     if result.problem:
         return [
@@ -157,7 +157,7 @@
 
 
 @format_text.register
-def _(result: states.Status) -> list[str]:
+def _(result: status_results.Status) -> list[str]:
     lines = []
     missing = fleet.list_not_in_force(result.daemons)
     if result.version is None:
--- a/merlintrestle/operators/viewing.py
+++ b/merlintrestle/operators/view_commands.py
@@ -8,12 +8,12 @@
 
 from merlintrestle import errors
 from merlintrestle.documents import writer
-from merlintrestle.operators import exits
+from merlintrestle.operators import audit_trail
+from merlintrestle.operators import exit_codes
 from merlintrestle.operators import results
 from merlintrestle.operators import session
-from merlintrestle.operators import states
-from merlintrestle.operators import status as statuses
-from merlintrestle.operators import trail
+from merlintrestle.operators import status_queries
+from merlintrestle.operators import status_results
 
 _DEFAULT_LIMIT = 50
 _MAX_LIMIT = 100_000
@@ -38,12 +38,12 @@
 
 
 @click.command(
-    epilog=session.list_examples(
+    epilog=session.format_examples(
         "merlintrestle show", "merlintrestle show zaanoever > zaanoever.toml"
     )
 )
 @click.argument("organisation", required=False)
-@session.run_command
+@session.pass_session
 async def show(run: session.Session, organisation: str | None) -> int:
     """Shows the accepted target documents, as files to edit and apply."""
     head, documents = await run.read_accepted()
@@ -56,48 +56,52 @@
         if organisation in (None, name)
     }
     run.report(results.Shown(head.version, shown))
-    return exits.OK
+    return exit_codes.OK
 
 
-@click.command(epilog=session.list_examples("merlintrestle history --limit 10"))
+@click.command(
+    epilog=session.format_examples("merlintrestle history --limit 10")
+)
 @_limit_option
-@session.run_command
+@session.pass_session
 async def history(run: session.Session, limit: int) -> int:
     """Lists the accepted changes, newest first."""
     async with run.open_store() as store:
-        found = await trail.read_history(store, limit)
+        found = await audit_trail.read_history(store, limit)
     run.report(results.Listing(tuple(found), is_whole=True))
-    return exits.OK
+    return exit_codes.OK
 
 
 @click.command(epilog=_OUTCOMES)
 @_limit_option
-@session.run_command
+@session.pass_session
 async def audit(run: session.Session, limit: int) -> int:
     """Lists every attempt to change something and what became of it."""
     async with run.open_store() as store:
-        found = await trail.read_audit(store, limit)
+        found = await audit_trail.read_audit(store, limit)
     run.report(results.Listing(*found))
-    return exits.OK
+    return exit_codes.OK
 
 
 @click.command(
-    epilog=session.list_examples("merlintrestle status --daemon 10.0.0.7:8082")
+    epilog=session.format_examples(
+        "merlintrestle status --daemon 10.0.0.7:8082"
+    )
 )
-@session.run_command
+@session.pass_session
 async def status(run: session.Session) -> int:
     """Shows whether the accepted version is in force and each target holds.
 
     The fleet is asked through --daemon; what that daemon does not know of is
     not in the figures.
     """
-    found = await statuses.read_status(run)
+    found = await status_queries.read_status(run)
     run.report(found)
-    return states.choose_exit(found)
+    return status_results.choose_exit_code(found)
 
 
 @click.command(
-    epilog=session.list_examples("merlintrestle watch --daemon 10.0.0.7:8082")
+    epilog=session.format_examples("merlintrestle watch --daemon 10.0.0.7:8082")
 )
 @click.option(
     "--interval",
@@ -114,22 +118,22 @@
     metavar="ROUNDS",
     help="Rounds to watch; 0: until Ctrl-C.",
 )
-@session.run_command
+@session.pass_session
 async def watch(run: session.Session, interval: float, count: int) -> int:
     """Prints accepted changes and the status whenever either differs.
 
     With --output json each round that differs is one line.
     """
     seen: int | None = None
-    last: states.Status | None = None
+    last: status_results.Status | None = None
     rounds = 0
     while True:
-        found = await statuses.read_status(run)
+        found = await status_queries.read_status(run)
         if found != last:
             accepted = await _read_accepted_since(run, found.version, seen)
             run.report(
                 results.Watched(
-                    trail.format_time(run.sources.read_ms()),
+                    audit_trail.format_time(run.dependencies.read_clock_ms()),
                     tuple(accepted),
                     found,
                 )
@@ -139,18 +143,18 @@
             seen = found.version
         rounds += 1
         if rounds == count:
-            return states.choose_exit(found)
+            return status_results.choose_exit_code(found)
         await asyncio.sleep(interval)
 
 
 async def _read_accepted_since(
     run: session.Session, version: int | None, seen: int | None
-) -> list[trail.Attempt]:
+) -> list[audit_trail.Attempt]:
     if version is None or seen is None or version <= seen:
         return []
     try:
         async with run.open_store() as store:
-            return await trail.read_history(store, version - seen)
+            return await audit_trail.read_history(store, version - seen)
     except errors.StoreError:
         # The next round says that the store does not answer.
         return []
--- a/tests/daemon/test_daemons.py
+++ b/tests/daemon/test_daemons.py
@@ -190,7 +190,7 @@
                 version, {document.organisation: document}
             )
             receiver = fleet.daemons[0]
-            await operator_fleet.hand_over(
+            await operator_fleet.push_version(
                 receiver.control_address, 5.0, snapshot
             )
             for daemon in fleet.daemons:
--- a/tests/operators/builders.py
+++ b/tests/operators/builders.py
@@ -47,30 +47,30 @@
     return changes.Proposal(operator, document.organisation, document)
 
 
-class Desk:
+class CommandRunner:
     """Runs commands of one operator against a fake store.
 
     Attributes:
         store: The fake store.
-        sources: What the commands use in place of the real ones.
+        dependencies: What the commands use in place of the real ones.
     """
 
     def __init__(self, store: fakes.FakeStore | None = None):
         self.store = store or fakes.FakeStore()
-        self.sources = session.Sources(
+        self.dependencies = session.Dependencies(
             open_store=lambda address, timeout_s: self.store,
             make_id=build_make_id(),
-            read_ms=build_clock(),
-            pause_s=0,
+            read_clock_ms=build_clock(),
+            retry_delay_s=0,
         )
 
     def use_fleet(self, replies: FakeFleet) -> None:
         """Lets the commands ask a fake fleet."""
-        self.sources = self.sources._replace(
-            ask=replies.ask, hand_over=replies.hand_over
+        self.dependencies = self.dependencies._replace(
+            ask_status=replies.ask_status, push_version=replies.push_version
         )
 
-    def run_accepted(self, replies: FakeFleet) -> None:
+    def run_accepted_version(self, replies: FakeFleet) -> None:
         """Lets every daemon of a fake fleet run the accepted version."""
         head = records.parse_head(self.store.entries[records.HEAD_KEY])
         replies.run_version(head.version, head.snapshot_digest)
@@ -78,7 +78,10 @@
     async def propose_now(self, proposal: changes.Proposal) -> None:
         """Proposes a change while the command of another operator runs."""
         proposer = changes.Proposer(
-            self.store, self.sources.make_id, self.sources.read_ms, 0
+            self.store,
+            self.dependencies.make_id,
+            self.dependencies.read_clock_ms,
+            0,
         )
         await proposer.propose(proposal)
 
@@ -87,7 +90,7 @@
         return testing.CliRunner().invoke(
             command.main,
             arguments,
-            obj=self.sources,
+            obj=self.dependencies,
             env={
                 "MERLINTRESTLE_STORE": "127.0.0.1:1",
                 "MERLINTRESTLE_OPERATOR": operator,
@@ -101,19 +104,19 @@
     Attributes:
         replies: Status of each daemon; ports count from 1001.
         unreachable: Addresses that do not answer.
-        asks: Requests so far.
-        follow_after_asks: `follow` is called after so many requests.
-        follow: Lets the daemons run what is accepted.
-        on_ask: Awaited once, at the next request.
+        request_count: Requests so far.
+        update_after_requests: `update` is called after so many requests.
+        update: Lets the daemons run what is accepted.
+        on_next_request: Awaited once, at the next request.
     """
 
     def __init__(self, count: int):
         self.replies = [_build_reply(1001 + i) for i in range(count)]
         self.unreachable: set[str] = set()
-        self.asks = 0
-        self.follow_after_asks = 0
-        self.follow: Callable[[FakeFleet], None] | None = None
-        self.on_ask: Callable[[], Awaitable[None]] | None = None
+        self.request_count = 0
+        self.update_after_requests = 0
+        self.update: Callable[[FakeFleet], None] | None = None
+        self.on_next_request: Callable[[], Awaitable[None]] | None = None
 
     def run_version(self, version: int, digest: bytes) -> None:
         """Lets every daemon run a version."""
@@ -136,16 +139,16 @@
             failed=calls - answered,
         )
 
-    async def hand_over(
+    async def push_version(
         self, address: str, timeout_s: float, snapshot: snapshots.Snapshot
     ) -> None:
         """Takes an accepted version and leaves it at that."""
 
-    async def ask(
+    async def ask_status(
         self, address: str, members: bool, timeout_s: float
     ) -> control_pb2.StatusReply:
         """Answers as `fleet.ask_daemon` does."""
-        self.asks += 1
+        self.request_count += 1
         await self._act()
         if address in self.unreachable:
             raise fleet.DaemonUnavailableError("fake: no answer")
@@ -156,13 +159,13 @@
         return reply
 
     async def _act(self) -> None:
-        if self.on_ask is not None:
-            act, self.on_ask = self.on_ask, None
+        if self.on_next_request is not None:
+            act, self.on_next_request = self.on_next_request, None
             await act()
-        if self.follow_after_asks:
-            self.follow_after_asks -= 1
-            if not self.follow_after_asks and self.follow is not None:
-                self.follow(self)
+        if self.update_after_requests:
+            self.update_after_requests -= 1
+            if not self.update_after_requests and self.update is not None:
+                self.update(self)
 
 
 class _Control(control_pb2_grpc.ControlServicer):
--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -9,9 +9,9 @@
 import hypothesis
 from hypothesis import strategies as st
 
+from merlintrestle.operators import audit_trail
 from merlintrestle.operators import changes
 from merlintrestle.operators import outcomes
-from merlintrestle.operators import trail
 from merlintrestle.store import records
 from tests.documents import builders as documents
 from tests.operators import builders
@@ -75,11 +75,14 @@
         """A daemon runs what it is handed, so no refused change may be."""
         handed = []
 
-        async def hand_over(snapshot: snapshots.Snapshot) -> None:
+        async def push_version(snapshot: snapshots.Snapshot) -> None:
             handed.append((snapshot.version, snapshot.digest))
 
         self.proposer = changes.Proposer(
-            self.store, builders.build_make_id(), pause_s=0, hand_over=hand_over
+            self.store,
+            builders.build_make_id(),
+            retry_delay_s=0,
+            push_version=push_version,
         )
         dangling = _build("zaanoever", "balie", 1)
         dangling.services[0].calls.append("nowhere")
@@ -109,10 +112,10 @@
             outcome.differences,
             ("~ services.balie.classes.lookup.rate: 1 -> 2",),
         )
-        audit, _ = await trail.read_audit(self.store, 10)
+        audit, _ = await audit_trail.read_audit(self.store, 10)
         self.assertEqual(
             [(one.operator, one.outcome) for one in audit[:2]],
-            [("anna", trail.LOST_RACE), ("bram", trail.ACCEPTED)],
+            [("anna", audit_trail.LOST_RACE), ("bram", audit_trail.ACCEPTED)],
         )
 
     async def test_change_that_was_undone_is_still_told(self) -> None:
@@ -213,8 +216,8 @@
         self.store.late_writes[records.HEAD_KEY] = 100
         outcome = await self._propose("zaanoever", _build("zaanoever", "balie"))
         assert isinstance(outcome, outcomes.Undecided), outcome
-        for expected in (trail.UNKNOWN, trail.ACCEPTED):
-            audit = await trail.read_audit(self.store, 10)
+        for expected in (audit_trail.UNKNOWN, audit_trail.ACCEPTED):
+            audit = await audit_trail.read_audit(self.store, 10)
             newest = audit.attempts[0]
             self.assertEqual(newest.change_id, outcome.change_id)
             self.assertEqual(newest.outcome, expected)
@@ -228,11 +231,11 @@
         """
         for rate in range(1, 6):
             await self._accept("zaanoever", _build("zaanoever", "balie", rate))
-        audit = await trail.read_audit(self.store, 10, most=3)
+        audit = await audit_trail.read_audit(self.store, 10, max_attempts=3)
         self.assertFalse(audit.is_whole)
         self.assertEqual(
             [(one.version, one.outcome) for one in audit.attempts],
-            [(version, trail.ACCEPTED) for version in (3, 2, 1)],
+            [(version, audit_trail.ACCEPTED) for version in (3, 2, 1)],
         )
 
     async def test_too_large_snapshot_is_refused(self) -> None:
@@ -274,7 +277,7 @@
 
     async def _check_refusals(self, drawn: list[document_pb2.Document]) -> None:
         store = fakes.FakeStore()
-        proposer = changes.Proposer(store, pause_s=0)
+        proposer = changes.Proposer(store, retry_delay_s=0)
         mesh = documents.build_mesh_document()
         await proposer.propose(changes.Proposal("anna", "mesh", mesh))
         for document in drawn:
--- a/tests/operators/test_command.py
+++ b/tests/operators/test_command.py
@@ -10,7 +10,7 @@
 from click import testing
 
 from merlintrestle.operators import command
-from merlintrestle.operators import exits
+from merlintrestle.operators import exit_codes
 from merlintrestle.store import records
 from tests.operators import builders
 
@@ -20,12 +20,12 @@
 
 class CommandTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = builders.Desk()
+        self.desk = builders.CommandRunner()
 
     def test_apply_then_history(self) -> None:
-        self.assertEqual(self.desk.run("apply", _MESH).exit_code, exits.OK)
+        self.assertEqual(self.desk.run("apply", _MESH).exit_code, exit_codes.OK)
         result = self.desk.run("apply", _ZAANOEVER)
-        self.assertEqual(result.exit_code, exits.OK, result.output)
+        self.assertEqual(result.exit_code, exit_codes.OK, result.output)
         history = json.loads(
             self.desk.run("history", "--output", "json").output
         )
@@ -36,12 +36,12 @@
         for fleet in ("zaanoever", "kochi"):
             files = sorted(map(str, (builders.FLEETS / fleet).glob("*.toml")))
             result = self.desk.run("validate", *files)
-            self.assertEqual(result.exit_code, exits.OK, result.output)
+            self.assertEqual(result.exit_code, exit_codes.OK, result.output)
 
     def test_store_down_is_said_at_once(self) -> None:
         self.desk.store.down = True
         result = self.desk.run("apply", _MESH)
-        self.assertEqual(result.exit_code, exits.STORE_UNAVAILABLE)
+        self.assertEqual(result.exit_code, exit_codes.STORE_UNAVAILABLE)
         self.assertIn("Nothing was changed", result.output)
 
     def test_bad_file_changes_nothing(self) -> None:
@@ -56,7 +56,7 @@
             for content in (b"a = 1\nb = 2", b"\xff", b"#" * 1_000_001):
                 file.write_bytes(content)
                 result = self.desk.run("apply", str(file))
-                self.assertEqual(result.exit_code, exits.FINDINGS)
+                self.assertEqual(result.exit_code, exit_codes.FINDINGS)
                 self.assertIn("nothing was changed", result.output)
         self.assertEqual(self.desk.store.entries, before)
 
@@ -80,7 +80,7 @@
 
     def test_wrong_settings_are_told_together(self) -> None:
         result = self.desk.run("history", "--output", "x", "--timeout-s", "-1")
-        self.assertEqual(result.exit_code, exits.USAGE)
+        self.assertEqual(result.exit_code, exit_codes.USAGE)
         self.assertIn("--output", result.output)
         self.assertIn("--timeout-s", result.output)
 
@@ -102,7 +102,7 @@
             if key.startswith(records.DOCUMENT_PREFIX):
                 del self.desk.store.entries[key]
         result = self.desk.run("show")
-        self.assertEqual(result.exit_code, exits.STORE_UNAVAILABLE)
+        self.assertEqual(result.exit_code, exit_codes.STORE_UNAVAILABLE)
         self.assertIn("is not in the store", result.output)
         self.assertNotIn("does not answer", result.output)
 
--- a/tests/operators/test_explaining.py
+++ b/tests/operators/test_explain_command.py
@@ -10,7 +10,7 @@
 from click import testing
 
 from merlintrestle.operators import command
-from merlintrestle.operators import explaining
+from merlintrestle.operators import explain_command
 
 
 def _build_line(time: str, event: str, request: str = "r1", **fields) -> str:
@@ -72,5 +72,5 @@
 
     def test_a_name_before_the_line_tells_its_daemon(self):
         text = "  1.25 sidecar-1 " + _build_line("T1", "routed")
-        (found,) = explaining.find_lines("r1", [text], "file")
+        (found,) = explain_command.find_lines("r1", [text], "file")
         self.assertEqual(found.source, "sidecar-1")
--- a/tests/operators/test_races.py
+++ b/tests/operators/test_races.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from merlintrestle.documents import compiler
+from merlintrestle.operators import audit_trail
 from merlintrestle.operators import changes
 from merlintrestle.operators import outcomes
-from merlintrestle.operators import trail
 from merlintrestle.store import records
 from tests.documents import builders as documents
 from tests.operators import builders
@@ -95,7 +95,7 @@
         self._make_id = builders.build_make_id()
 
     async def start_mesh(self) -> None:
-        proposer = changes.Proposer(self.store, self._make_id, pause_s=0)
+        proposer = changes.Proposer(self.store, self._make_id, retry_delay_s=0)
         mesh = documents.build_mesh_document()
         self.outcomes.append(
             await proposer.propose(changes.Proposal("mesh", "mesh", mesh))
@@ -167,11 +167,11 @@
         self._check_chain(head, chain)
         self._check_told(race.outcomes, [one.change_id for one in chain])
         await self._check_head(race.store, head, chain)
-        audit = await trail.read_audit(race.store, 1000)
+        audit = await audit_trail.read_audit(race.store, 1000)
         audited = {
             one.change_id
             for one in audit.attempts
-            if one.outcome == trail.ACCEPTED
+            if one.outcome == audit_trail.ACCEPTED
         }
         self.assertEqual(audited, {one.change_id for one in chain})
 
--- a/tests/operators/test_rollouts.py
+++ b/tests/operators/test_rollout_commands.py
@@ -6,8 +6,8 @@
 import json
 import unittest
 
-from merlintrestle.operators import exits
-from merlintrestle.rollouts import storage as registers
+from merlintrestle.operators import exit_codes
+from merlintrestle.rollouts import storage as storages
 from merlintrestle.schema import control_pb2
 from tests.operators import builders
 
@@ -18,11 +18,11 @@
 
 class RolloutCommandTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = builders.Desk()
+        self.desk = builders.CommandRunner()
         self.desk.run("apply", _MESH)
         self.desk.run("apply", _ZAANOEVER)
-        self.register = registers.RolloutStorage(
-            self.desk.store, registers.DefaultFormat()
+        self.register = storages.RolloutStorage(
+            self.desk.store, storages.DefaultFormat()
         )
 
     def run_json(self, *arguments: str) -> dict:
@@ -41,14 +41,14 @@
 
     def test_start_then_complete(self) -> None:
         result = self.desk.run(*_START)
-        self.assertEqual(result.exit_code, exits.OK, result.output)
+        self.assertEqual(result.exit_code, exit_codes.OK, result.output)
         status = ("rollout", "status", "balie")
         self.assertEqual(self.run_json(*status)["state"], "ordered")
         self.write_state(control_pb2.RUNNING)
         self.assertEqual(self.run_json(*status)["state"], "running")
         self.write_state(control_pb2.COMPLETE)
         result = self.desk.run("rollout", "wait", "balie")
-        self.assertEqual(result.exit_code, exits.OK, result.output)
+        self.assertEqual(result.exit_code, exit_codes.OK, result.output)
         self.assertIn("complete", result.output)
 
     def test_bad_orders_change_nothing(self) -> None:
@@ -61,7 +61,7 @@
         ):
             with self.subTest(arguments):
                 result = self.desk.run(*arguments)
-                self.assertEqual(result.exit_code, exits.FINDINGS)
+                self.assertEqual(result.exit_code, exit_codes.FINDINGS)
                 self.assertIn("nothing was changed", result.output)
         self.assertEqual(asyncio.run(self.register.read_orders()), [])
 
@@ -69,10 +69,10 @@
         """Guards against an order that replaces one that runs."""
         self.desk.run(*_START)
         again = self.desk.run(*_START)
-        self.assertEqual(again.exit_code, exits.FINDINGS)
+        self.assertEqual(again.exit_code, exit_codes.FINDINGS)
         self.write_state(control_pb2.ROLLED_BACK)
         again = self.desk.run(*_START)
-        self.assertEqual(again.exit_code, exits.OK, again.output)
+        self.assertEqual(again.exit_code, exit_codes.OK, again.output)
         status = self.run_json("rollout", "status", "balie")
         self.assertEqual(status["state"], "ordered")
 
@@ -80,19 +80,19 @@
         """Guards against a roll-out that goes on though it was ended."""
         self.desk.run(*_START)
         result = self.desk.run("rollout", "abort", "balie")
-        self.assertEqual(result.exit_code, exits.OK, result.output)
+        self.assertEqual(result.exit_code, exit_codes.OK, result.output)
         (order,) = asyncio.run(self.register.read_orders())
         self.assertEqual(order.state, control_pb2.ROLLED_BACK)
         result = self.desk.run("rollout", "wait", "balie")
-        self.assertEqual(result.exit_code, exits.NOT_HOLDING)
-        self.assertEqual(self.desk.run(*_START).exit_code, exits.OK)
+        self.assertEqual(result.exit_code, exit_codes.NOT_FULFILLED)
+        self.assertEqual(self.desk.run(*_START).exit_code, exit_codes.OK)
 
     def test_what_is_complete_is_not_aborted(self) -> None:
         """Guards against going back to what was stopped already."""
         self.desk.run(*_START)
         self.write_state(control_pb2.COMPLETE)
         result = self.desk.run("rollout", "abort", "balie")
-        self.assertEqual(result.exit_code, exits.LOST_RACE)
+        self.assertEqual(result.exit_code, exit_codes.LOST_RACE)
         status = self.run_json("rollout", "status", "balie")
         self.assertEqual(status["state"], "complete")
 
@@ -109,4 +109,4 @@
 
     def test_a_service_without_a_roll_out(self) -> None:
         result = self.desk.run("rollout", "status", "balie")
-        self.assertEqual(result.exit_code, exits.FINDINGS)
+        self.assertEqual(result.exit_code, exit_codes.FINDINGS)
--- a/tests/roots/sessions.py
+++ b/tests/roots/sessions.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self) -> None:
-        self.desk = builders.Desk()
+        self.desk = builders.CommandRunner()
         self.fleet = builders.FakeFleet(3)
         self.desk.use_fleet(self.fleet)
         self._lines: list[str] = []
@@ -60,8 +60,8 @@
     session.run("validate", mesh, zaanoever)
     session.run("apply", zaanoever)
     session.run("apply", mesh)
-    fleet.follow = session.desk.run_accepted
-    fleet.follow_after_asks = 9
+    fleet.update = session.desk.run_accepted_version
+    fleet.update_after_requests = 9
     session.run("apply", zaanoever, "--wait", *_DAEMON)
     fleet.count_calls(0, "lookup", 2000, 2000, 1995)
     session.run("status", *_DAEMON)
@@ -113,7 +113,7 @@
     session.note("the store goes down")
     store.down = True
     session.run("apply", _find("faster"))
-    session.desk.run_accepted(session.fleet)
+    session.desk.run_accepted_version(session.fleet)
     session.run("status", *_DAEMON)
     return session.write()
 
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -35,7 +35,7 @@
 
     async def test_calls_of_one_change(self) -> None:
         """The platform counts calls; a change makes a fixed number of them."""
-        proposer = changes.Proposer(self.store, pause_s=0)
+        proposer = changes.Proposer(self.store, retry_delay_s=0)
         mesh = changes.Proposal(
             "anna", "mesh", document_builders.build_mesh_document()
         )
