--- a/tests/tools/builders.py
+++ b/tests/tools/builders.py
@@ -47,11 +47,13 @@
     )
 
 
-def build_change(
+def build_change_figures(
     delays_s: list[float], missing: int = 0, control_bytes: float = 0.0
-) -> convergence.Change:
+) -> convergence.ChangeFigures:
     """Builds what a change took, without calls of the store."""
-    return convergence.Change(delays_s, missing, control_bytes, 0.0, 0, None)
+    return convergence.ChangeFigures(
+        delays_s, missing, control_bytes, 0.0, 0, None
+    )
 
 
 def build_run(
--- a/tests/tools/test_processes.py
+++ b/tests/tools/test_processes.py
@@ -40,7 +40,7 @@
     def test_bytes_are_counted_of_open_connections(self) -> None:
         before = {(1, 2): 10, (3, 4): 100}
         after = {(1, 2): 15, (5, 6): 7}
-        self.assertEqual(samples.subtract(before, after), 12)
+        self.assertEqual(samples.compute_added_bytes(before, after), 12)
 
 
 if __name__ == "__main__":
--- a/tests/tools/test_summaries.py
+++ b/tests/tools/test_summaries.py
@@ -18,10 +18,10 @@
 
 class ConvergenceTest(unittest.TestCase):
     def test_figures_are_per_daemon(self) -> None:
-        idle = costs.Idle(200.0, 1.0, {}, 6, [0.01, 0.03], [50.0, 60.0])
+        idle = costs.IdleCosts(200.0, 1.0, {}, 6, [0.01, 0.03], [50.0, 60.0])
         changes = [
-            builders.build_change([0.1, 0.4], control_bytes=1000.0),
-            builders.build_change([0.2, 0.3], control_bytes=3000.0),
+            builders.build_change_figures([0.1, 0.4], control_bytes=1000.0),
+            builders.build_change_figures([0.2, 0.3], control_bytes=3000.0),
         ]
         figures = convergence.summarize(2, idle, changes)
         self.assertEqual(figures["convergence_p50_s"], 0.2)
@@ -32,8 +32,8 @@
         self.assertEqual(figures["cpu_share_max"], 0.03)
 
     def test_missing_daemon_shows(self) -> None:
-        idle = costs.Idle(0.0, 0.0, {}, 0, [0.0], [1.0])
-        changes = [builders.build_change([], missing=1)]
+        idle = costs.IdleCosts(0.0, 0.0, {}, 0, [0.0], [1.0])
+        changes = [builders.build_change_figures([], missing=1)]
         figures = convergence.summarize(1, idle, changes)
         self.assertEqual(figures["not_converged"], 1)
         self.assertIsNone(figures["convergence_p99_s"])
@@ -86,7 +86,7 @@
             builders.build_run("r2.0", at="other", at_ms=10),
         ]
         caused = self._build_scenario(
-            scenario.PlannedStop(50, "entry", "stopped", daemon=False)
+            scenario.PlannedStop(50, "entry", "stopped", stops_daemon=False)
         )
         figures = failures.summarize(results, runs, caused)
         self.assertEqual(figures["downloads_cut_by_planned_stop"], 1)
@@ -109,7 +109,7 @@
         caused = scenario.Scenario(
             nobody, pathlib.Path(), mock.AsyncMock(), with_versions=False
         )
-        caused.stops = list(stops)
+        caused.planned_stops = list(stops)
         return caused
 
 
--- a/tools/amplification.py
+++ b/tools/amplification.py
@@ -68,7 +68,7 @@
         else:
             await failures.tell_upstreams(shown)
         await asyncio.sleep(_WARM_S)
-        services = list(options.layout.upstreams)
+        services = list(options.layout.backend_counts)
         figures: dict[str, Any] = {}
         for mode in MODES:
             for depth in range(1, len(services) + 1):
--- a/tools/convergence.py
+++ b/tools/convergence.py
@@ -37,7 +37,7 @@
         layout: Fleet whose zones and documents are used.
         daemons: Number of daemons.
         changes: Number of changes.
-        restart_share: Share of the daemons killed and started again right
+        restart_fraction: Share of the daemons killed and started again right
             after each acceptance.
         store_down: The store fails right after each acceptance.
         store_fails_after_s: Seconds between acceptance and failure.
@@ -47,13 +47,13 @@
     layout: layouts.Layout
     daemons: int
     changes: int
-    restart_share: float
+    restart_fraction: float
     store_down: bool
     store_fails_after_s: float
     spread: str
 
 
-class Change(NamedTuple):
+class ChangeFigures(NamedTuple):
     """What one change took.
 
     Attributes:
@@ -97,7 +97,7 @@
     table = processes.ProcessTable()
     shown = fleet.Fleet(table, options.layout, build_arguments)
     zones = options.layout.zones
-    services = list(options.layout.upstreams)
+    services = list(options.layout.backend_counts)
     places = [
         layouts.Place(zones[i % len(zones)], services[i % len(services)])
         for i in range(options.daemons)
@@ -133,7 +133,7 @@
 
 
 def summarize(
-    daemons: int, idle: costs.Idle, changes: list[Change]
+    daemons: int, idle: costs.IdleCosts, changes: list[ChangeFigures]
 ) -> dict[str, Any]:
     """Returns the figures of one kind of fleet."""
     delays = [delay for change in changes for delay in change.delays_s]
@@ -158,13 +158,13 @@
         "store_calls_idle_by_kind": idle.calls_by_kind,
         "store_peak_calls_per_s": max(c.peak_calls_per_s for c in changes),
         "store_watches": idle.watches,
-        "cpu_share_median": round(statistics.median(idle.cpu_shares), 5),
-        "cpu_share_max": round(max(idle.cpu_shares), 5),
+        "cpu_share_median": round(statistics.median(idle.cpu_fractions), 5),
+        "cpu_share_max": round(max(idle.cpu_fractions), 5),
         "rss_mb_max": round(max(idle.rss_mb), 1),
     }
 
 
-def _compute_last(changes: list[Change]) -> float | None:
+def _compute_last(changes: list[ChangeFigures]) -> float | None:
     """Returns the median of the last daemon's time; None: one is missing."""
     if any(change.missing for change in changes):
         return None
@@ -176,8 +176,8 @@
     table: processes.ProcessTable,
     shown: fleet.Fleet,
     number: int,
-    idle: costs.Idle,
-) -> Change:
+    idle: costs.IdleCosts,
+) -> ChangeFigures:
     document = workload.list_documents(options.layout.name)[-1]
     path = demonstration.change_document(
         pathlib.Path(document), table.directory, add_ms=10 * (1 + number)
@@ -195,17 +195,19 @@
     missing = await _find_missing(shown, version, _CHANGE_WITHIN_S)
     await asyncio.sleep(_AFTER_CHANGE_S)
     took_s = time.monotonic() - began
-    sent = samples.subtract(carried, await costs.read_control_bytes(shown))
+    sent = samples.compute_added_bytes(
+        carried, await costs.read_control_bytes(shown)
+    )
     later = await shown.read_counters()
     called = costs.count_calls(later) - costs.count_calls(counters)
     delays_s = await _read_delays(shown, version)
     late_s = await _end_outage(options, shown, version, missing)
-    return Change(
+    return ChangeFigures(
         delays_s,
         missing,
         sent - idle.bytes_per_s * took_s,
         called - idle.calls_per_s * took_s,
-        costs.find_peak(later, took_s),
+        costs.find_peak_calls_per_s(later, took_s),
         late_s,
     )
 
@@ -227,7 +229,7 @@
 async def _restart_share(
     options: Options, shown: fleet.Fleet, number: int
 ) -> None:
-    count = round(options.restart_share * options.daemons)
+    count = round(options.restart_fraction * options.daemons)
     first = number * count
     chosen = [
         shown.instances[(first + offset) % options.daemons]
@@ -262,7 +264,7 @@
     return "\n".join(i.daemon.read_errors() for i in shown.instances[:3])
 
 
-def _describe(change: Change) -> str:
+def _describe(change: ChangeFigures) -> str:
     last = max(change.delays_s, default=None)
     return f"last after {last} s, {change.missing} missing"
 
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -14,7 +14,7 @@
 _IDLE_S = 10.0
 
 
-class Idle(NamedTuple):
+class IdleCosts(NamedTuple):
     """What a fleet costs while nothing changes.
 
     Attributes:
@@ -22,7 +22,7 @@
         calls_per_s: Calls of the store per second.
         calls_by_kind: Calls of the store meanwhile by kind and key.
         watches: Watches that wait at the store.
-        cpu_shares: Share of a core by daemon.
+        cpu_fractions: Share of a core by daemon.
         rss_mb: Resident memory by daemon in MB.
     """
 
@@ -30,11 +30,11 @@
     calls_per_s: float
     calls_by_kind: dict[str, int]
     watches: int
-    cpu_shares: list[float]
+    cpu_fractions: list[float]
     rss_mb: list[float]
 
 
-async def measure_idle(shown: fleet.Fleet) -> Idle:
+async def measure_idle(shown: fleet.Fleet) -> IdleCosts:
     """Measures a fleet for a while in which nothing changes."""
     pids = [instance.daemon.pid for instance in shown.instances]
     counters = await shown.read_counters()
@@ -43,18 +43,18 @@
     began = time.monotonic()
     await asyncio.sleep(_IDLE_S)
     took_s = time.monotonic() - began
-    sent = samples.subtract(carried, await read_control_bytes(shown))
+    sent = samples.compute_added_bytes(carried, await read_control_bytes(shown))
     later = await shown.read_counters()
     used_s = [
         samples.read_cpu_s(pid) - before
         for pid, before in zip(pids, cpu_s, strict=True)
     ]
-    return Idle(
+    return IdleCosts(
         bytes_per_s=sent / took_s,
         calls_per_s=(count_calls(later) - count_calls(counters)) / took_s,
         calls_by_kind=subtract_calls(counters, later),
         watches=later["waiting_watches"],
-        cpu_shares=[used / took_s for used in used_s],
+        cpu_fractions=[used / took_s for used in used_s],
         rss_mb=[samples.read_rss_mb(pid) for pid in pids],
     )
 
@@ -89,7 +89,7 @@
     return {kind: count for kind, count in added.items() if count}
 
 
-def find_peak(counters: dict[str, Any], took_s: float) -> int:
+def find_peak_calls_per_s(counters: dict[str, Any], took_s: float) -> int:
     """Returns the most calls in any of the last seconds."""
     by_second: dict[str, int] = counters["calls_by_second"]
     first = time.time() - took_s - 1
--- a/tools/failures.py
+++ b/tools/failures.py
@@ -176,10 +176,13 @@
         "downloads_cut_by_planned_stop": _count_cut(results, runs, caused),
         "new_work_after_leave": sum(
             harm.count_new_work(
-                runs, stop.address, stop.at_ms + _LEAVE_WITHIN_MS, stop.until_ms
+                runs,
+                stop.address,
+                stop.at_ms + _LEAVE_WITHIN_MS,
+                stop.restarted_ms,
             )
-            for stop in caused.stops
-            if not stop.daemon
+            for stop in caused.planned_stops
+            if not stop.stops_daemon
         ),
         "version_regressions": sum(map(harm.count_regressions, versions)),
         "dangling_routes": _count_dangling(results),
@@ -187,9 +190,9 @@
         "met_target": _compute_shares(ordinary),
         "verdicts": _count_verdicts(ordinary),
         "crash_requests": len(results) - len(ordinary),
-        "not_in_force_at_end": caused.not_in_force,
+        "not_in_force_at_end": caused.outdated_daemons,
         "backends_crashed": caused.crashes,
-        "changes_accepted": caused.accepted,
+        "changes_accepted": caused.accepted_changes,
         "versions_read": sum(map(len, versions)),
     }
 
@@ -216,10 +219,10 @@
             ended_ms > stop.at_ms
             and any(
                 at_ms < stop.at_ms
-                and (at == stop.address or attempt.entry == stop.entry)
+                and (at == stop.address or attempt.entry == stop.daemon_url)
                 for at, at_ms in places
             )
-            for stop in caused.stops
+            for stop in caused.planned_stops
         )
     return cut
 
--- a/tools/layouts.py
+++ b/tools/layouts.py
@@ -35,13 +35,13 @@
         name: Folder of its target documents.
         region: Region of all its zones.
         zones: Availability zones.
-        upstreams: Number of backend servers by service.
+        backend_counts: Number of backend servers by service.
     """
 
     name: str
     region: str
     zones: tuple[str, ...]
-    upstreams: Mapping[str, int]
+    backend_counts: Mapping[str, int]
 
 
 ZAANOEVER = Layout(
@@ -68,7 +68,7 @@
     """
     services = [
         service
-        for service, count in layout.upstreams.items()
+        for service, count in layout.backend_counts.items()
         for _ in range(max(1, round(count * scale)))
     ]
     zones = layout.zones
--- a/tools/model.py
+++ b/tools/model.py
@@ -73,30 +73,31 @@
         return self._select(0)
 
 
-class Work(NamedTuple):
+class WorkClass(NamedTuple):
     """A class of work and those who ask for it.
 
     Attributes:
         plan: The class; its service is where it goes.
         rate: Calls of callers a second; 0: it is made by other work alone.
         work_s: Mean time at a backend server of usual speed, in seconds.
-        limit_s: How long the most patient caller waits, in seconds.
-        least_limit: Part of that for which the least patient one waits.
+        timeout_s: How long the most patient caller waits, in seconds.
+        min_timeout_fraction: Part of that for which the least patient one
+            waits.
         retries: How often a caller comes back.
         worth: What an answer in time is worth to its caller.
-        late: What a late one is worth.
-        makes: Names of the work that each of its calls asks for.
+        late_worth: What a late one is worth.
+        downstream_classes: Names of the work that each of its calls asks for.
     """
 
     plan: snapshots.ClassPlan
     rate: float
     work_s: float
-    limit_s: float
-    least_limit: float = 0.83
+    timeout_s: float
+    min_timeout_fraction: float = 0.83
     retries: int = 1
     worth: float = 1.0
-    late: float = 0.5
-    makes: tuple[str, ...] = ()
+    late_worth: float = 0.5
+    downstream_classes: tuple[str, ...] = ()
 
 
 class Server(NamedTuple):
@@ -107,17 +108,18 @@
         zone: Availability zone.
         slots: Calls it runs at once.
         slowness: Time that it needs, as a multiple of the usual.
-        turns_away: Part of the calls that it does not take, with room or not.
+        shed_fraction: Part of the calls that it does not take, with room or
+            not.
     """
 
     service: str
     zone: str
     slots: int = 18
     slowness: float = 1.0
-    turns_away: float = 0.0
+    shed_fraction: float = 0.0
 
 
-class Change(NamedTuple):
+class ServerChange(NamedTuple):
     """A backend server that changes while the play goes on.
 
     Attributes:
@@ -141,8 +143,8 @@
         served: Part of the calls that were answered.
         worst: The part earned in the two worst windows.
         far: Part of the answers between daemons that left their zone.
-        repeated: Repeats that came to backend servers, as a part of the calls,
-            by service.
+        repeat_ratios: Repeats that came to backend servers, as a part of the
+            calls, by service.
     """
 
     counts: collections.Counter[tuple[str, str]]
@@ -150,9 +152,9 @@
     served: float
     worst: float
     far: float
-    repeated: dict[str, float]
+    repeat_ratios: dict[str, float]
 
-    def get_part(self, name: str, result: str) -> float:
+    def compute_fraction(self, name: str, result: str) -> float:
         """Returns the part of the calls of a class with one result."""
         total = sum(n for key, n in self.counts.items() if key[0] == name)
         return self.counts[name, result] / max(1, total)
@@ -209,7 +211,7 @@
 class _Daemon:
     """A daemon and the backend server beside it."""
 
-    def __init__(self, play: Play, number: int):
+    def __init__(self, play: Simulation, number: int):
         self._play = play
         self.server = play.servers[number]
         self.slowness = self.server.slowness
@@ -276,7 +278,7 @@
         if refusal is not None:
             return refusal
         self._play.count_arrival(self.server.service, call)
-        shed = self._play.chance.random() < self.server.turns_away
+        shed = self._play.chance.random() < self.server.shed_fraction
         self._slots.record_acceptance(not shed)
         if shed:
             self._slots.release(call)
@@ -302,7 +304,7 @@
         chance = self._play.chance
         spread = chance.lognormvariate(-(_SPREAD**2) / 2, _SPREAD)
         await asyncio.sleep(work.work_s * self.slowness * spread)
-        for name in work.makes:
+        for name in work.downstream_classes:
             made = await self._play.make(
                 self, name, call.deadline, call.repeat or _under_repeat(call)
             )
@@ -311,7 +313,7 @@
         return _OK
 
 
-class Play:
+class Simulation:
     """One play.
 
     Attributes:
@@ -325,7 +327,9 @@
             send, or on behalf of a call that had.
     """
 
-    def __init__(self, servers: list[Server], works: list[Work], seed: int = 1):
+    def __init__(
+        self, servers: list[Server], works: list[WorkClass], seed: int = 1
+    ):
         self.servers = servers
         self.works = {work.plan.name: work for work in works}
         self.chance = random.Random(seed)
@@ -350,7 +354,9 @@
         """Returns the daemon at an address."""
         return self._by_address[address]
 
-    async def run(self, length_s: float, changes: Iterable[Change]) -> Result:
+    async def run(
+        self, length_s: float, changes: Iterable[ServerChange]
+    ) -> Result:
         """Plays for a time and returns what callers got."""
         async with asyncio.TaskGroup() as group:
             for change in changes:
@@ -370,7 +376,7 @@
         """Makes a call on behalf of another; returns what went wrong."""
         work = self.works[name]
         now = self._loop.time()
-        deadline = min(deadline, now + work.limit_s)
+        deadline = min(deadline, now + work.timeout_s)
         due = now + work.plan.latency_s
         self.requests[work.plan.service] += 1
         call = _build_call(work, deadline, due)
@@ -389,7 +395,7 @@
         if call.repeat or _under_repeat(call):
             self.repeats[service] += 1
 
-    async def _change(self, change: Change) -> None:
+    async def _change(self, change: ServerChange) -> None:
         await asyncio.sleep(change.at_s)
         daemon = self._daemons[change.server]
         if change.slowness:
@@ -399,17 +405,19 @@
         daemon.backend.state = control_pb2.DRAINING
 
     async def _ask(
-        self, work: Work, length_s: float, group: asyncio.TaskGroup
+        self, work: WorkClass, length_s: float, group: asyncio.TaskGroup
     ) -> None:
         until = self._began + length_s
         while self._loop.time() < until:
             await asyncio.sleep(self.chance.expovariate(work.rate))
             group.create_task(self._serve(work))
 
-    async def _serve(self, work: Work) -> None:
+    async def _serve(self, work: WorkClass) -> None:
         began = self._loop.time()
         daemon = self.chance.choice(self._daemons)
-        limit_s = work.limit_s * self.chance.uniform(work.least_limit, 1.0)
+        limit_s = work.timeout_s * self.chance.uniform(
+            work.min_timeout_fraction, 1.0
+        )
         until = began + limit_s
         asks_for = (work.plan.name, str(self.chance.getrandbits(24)))
         outcome: outcomes.Outcome | None = None
@@ -426,7 +434,7 @@
     async def _attempt(
         self,
         daemon: _Daemon,
-        work: Work,
+        work: WorkClass,
         asks_for: tuple[str, str],
         until: float,
     ) -> outcomes.Outcome:
@@ -444,7 +452,7 @@
 
     def _count(
         self,
-        work: Work,
+        work: WorkClass,
         outcome: outcomes.Outcome | None,
         began: float,
         until: float,
@@ -457,7 +465,7 @@
         if _is_good(outcome) and now <= until:
             in_time = now - began <= work.plan.latency_s
             result = "in time" if in_time else "late"
-            earned = work.worth if in_time else work.late
+            earned = work.worth if in_time else work.late_worth
         elif isinstance(outcome, outcomes.NotRun):
             result = "refused again" if attempt else "refused"
         else:
@@ -484,17 +492,17 @@
         )
 
 
-def play(
+def simulate(
     servers: list[Server],
-    works: list[Work],
+    works: list[WorkClass],
     length_s: float,
     seed: int = 1,
-    changes: Iterable[Change] = (),
+    changes: Iterable[ServerChange] = (),
 ) -> Result:
     """Plays the load of some callers over a fleet."""
 
     async def run() -> Result:
-        return await Play(servers, works, seed).run(length_s, changes)
+        return await Simulation(servers, works, seed).run(length_s, changes)
 
     with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
         return runner.run(run())
@@ -517,7 +525,7 @@
     return f"10.0.0.{number}:1"
 
 
-def _build_call(work: Work, deadline: float, due: float) -> calls.Call:
+def _build_call(work: WorkClass, deadline: float, due: float) -> calls.Call:
     return calls.Call(
         service=work.plan.service,
         plan=work.plan,
@@ -544,7 +552,7 @@
     return outcome.response.status == _OK
 
 
-def _may_come_back(work: Work, outcome: outcomes.Outcome) -> bool:
+def _may_come_back(work: WorkClass, outcome: outcomes.Outcome) -> bool:
     return work.plan.repeatable or isinstance(outcome, outcomes.NotRun)
 
 
--- a/tools/policies.py
+++ b/tools/policies.py
@@ -43,14 +43,14 @@
     """What is asked of a fleet, and what happens to it.
 
     Attributes:
-        factor: Rate of all callers, as a multiple of a calm day's.
+        rate_factor: Rate of all callers, as a multiple of a calm day's.
         leaves: One backend server leaves, two are slow for a while.
         cold: All are slow for three seconds, as after a restart.
         wide: Eight times as many backend servers, of few slots each.
         shedding: Most of those of one service turn away every other call.
     """
 
-    factor: float
+    rate_factor: float
     leaves: bool = False
     cold: bool = False
     wide: bool = False
@@ -105,7 +105,7 @@
     return _TURNED_AWAY if sheds and chance.random() < _SHEDDING else 0.0
 
 
-def build_works(factor: float) -> list[model.Work]:
+def build_work_classes(factor: float) -> list[model.WorkClass]:
     """Builds lookups, grants, downloads and the checks that they make."""
     check = _build_plan("desk", "check", 0.12, 0.4, 4)
     verify = _build_plan("store", "verify", 0.12, 0.4, 4)
@@ -114,45 +114,47 @@
     packet = _build_plan("store", "packet", 0.4, 0.8, 3)
     rate = _RATE * factor
     return [
-        model.Work(check, 0.0, 0.03, 0.4),
-        model.Work(verify, 0.0, 0.03, 0.4),
-        model.Work(lookup, 0.633 * rate, 0.09, 1.5, makes=("check",)),
-        model.Work(
+        model.WorkClass(check, 0.0, 0.03, 0.4),
+        model.WorkClass(verify, 0.0, 0.03, 0.4),
+        model.WorkClass(
+            lookup, 0.633 * rate, 0.09, 1.5, downstream_classes=("check",)
+        ),
+        model.WorkClass(
             grant._replace(repeatable=False),
             0.256 * rate,
             0.12,
             2.0,
             worth=2,
-            late=1,
-            makes=("check", "verify"),
+            late_worth=1,
+            downstream_classes=("check", "verify"),
         ),
-        model.Work(packet, 0.11 * rate, 0.096, 1.5),
+        model.WorkClass(packet, 0.11 * rate, 0.096, 1.5),
     ]
 
 
 def build_changes(
     load: Load, servers: list[model.Server], chance: random.Random
-) -> list[model.Change]:
+) -> list[model.ServerChange]:
     """Builds what happens to backend servers."""
     changes = []
     if load.leaves:
         gone, slow = chance.sample(range(6), 2)
         usual = servers[slow].slowness
         changes += [
-            model.Change(2.0, gone, 0.0),
-            model.Change(3.0, slow, 4.0 * usual),
-            model.Change(8.0, slow, usual),
-            model.Change(4.0, 6 + chance.randrange(4), 3.0),
+            model.ServerChange(2.0, gone, 0.0),
+            model.ServerChange(3.0, slow, 4.0 * usual),
+            model.ServerChange(8.0, slow, usual),
+            model.ServerChange(4.0, 6 + chance.randrange(4), 3.0),
         ]
     if load.cold:
         for number, server in enumerate(servers):
             cold = _COLD * server.slowness
-            changes.append(model.Change(4.0, number, cold))
-            changes.append(model.Change(7.0, number, server.slowness))
+            changes.append(model.ServerChange(4.0, number, cold))
+            changes.append(model.ServerChange(7.0, number, server.slowness))
     return changes
 
 
-def play_load(
+def simulate_load(
     name: str, seed: int, length_s: float = _LENGTH_S
 ) -> model.Result:
     """Plays one load with the code as it stands."""
@@ -161,11 +163,15 @@
     servers = build_servers(chance, load)
     changes = build_changes(load, servers, chance)
     slots = sum(server.slots for server in servers)
-    works = build_works(load.factor * slots / (_SLOTS * len(_SERVICES)))
-    return model.play(servers, works, length_s, seed, changes)
+    works = build_work_classes(
+        load.rate_factor * slots / (_SLOTS * len(_SERVICES))
+    )
+    return model.simulate(servers, works, length_s, seed, changes)
 
 
-def play(name: str, seed: int, variant: Variant) -> dict[str, float]:
+def simulate_variant(
+    name: str, seed: int, variant: Variant
+) -> dict[str, float]:
     """Plays one load with some constants changed; returns its figures."""
     for place, value in variant.changed.items():
         module, constant = place.rsplit(".", 1)
@@ -173,13 +179,13 @@
         if not hasattr(found, constant):
             raise click.UsageError(f"{module} has no {constant}")
         setattr(found, constant, value)
-    result = play_load(name, seed)
+    result = simulate_load(name, seed)
     figures = {name: float(getattr(result, name)) for name in _FIGURES}
     again = sum(n for key, n in result.counts.items() if "again" in key[1])
     figures["again"] = again / result.counts.total()
     for work in ("lookup", "grant", "packet"):
         for what in ("in time", "late"):
-            figures[f"{work} {what}"] = result.get_part(work, what)
+            figures[f"{work} {what}"] = result.compute_fraction(work, what)
     return figures
 
 
@@ -203,7 +209,7 @@
     ) as pool:
         found = {
             (load, variant.label): [
-                pool.submit(play, load, seed, variant)
+                pool.submit(simulate_variant, load, seed, variant)
                 for seed in range(1, seeds + 1)
             ]
             for load in chosen
--- a/tools/rollouts.py
+++ b/tools/rollouts.py
@@ -41,13 +41,13 @@
         name: Its name.
         part: Part of the calls that are of it.
         work_s: Its mean work time, in seconds.
-        spread: Standard deviation of the logarithm of that.
+        log_deviation: Standard deviation of the logarithm of that.
     """
 
     name: str
     part: float
     work_s: float
-    spread: float
+    log_deviation: float
 
 
 _CLASSES = (
@@ -217,7 +217,9 @@
 
     def _answer(self, server: _Server, work: WorkClass) -> tuple[float, bool]:
         """Returns how long a call takes, and whether it fails."""
-        factor = self.chance.lognormvariate(-(work.spread**2) / 2, work.spread)
+        factor = self.chance.lognormvariate(
+            -(work.log_deviation**2) / 2, work.log_deviation
+        )
         took_s = work.work_s * factor / server.speed
         failed = self.chance.random() < self.scene.failing
         failed |= server.sick and self.chance.random() < 0.4
--- a/tools/samples.py
+++ b/tools/samples.py
@@ -95,20 +95,22 @@
     }
 
 
-def subtract(
+def compute_added_bytes(
     before: dict[tuple[int, int], int], after: dict[tuple[int, int], int]
 ) -> int:
     """Returns the bytes carried in between, by connections open at the end."""
     return sum(count - before.get(pair, 0) for pair, count in after.items())
 
 
-def compute_percentile(values: Sequence[float], share: float) -> float | None:
-    """Returns the value that a share (0 to 1) of the values do not exceed.
+def compute_percentile(
+    values: Sequence[float], fraction: float
+) -> float | None:
+    """Returns the value that a fraction (0 to 1) of the values do not exceed.
 
     None where there are no values: JSON has no NaN.
     """
     if not values:
         return None
     ordered = sorted(values)
-    place = max(0, -(-len(ordered) * share // 1) - 1)
+    place = max(0, -(-len(ordered) * fraction // 1) - 1)
     return ordered[min(len(ordered) - 1, int(place))]
--- a/tools/scenario.py
+++ b/tools/scenario.py
@@ -34,33 +34,35 @@
 
     Attributes:
         at_ms: When it began, in ms since 1970.
-        entry: URL of the daemon beside the one that leaves.
+        daemon_url: URL of the daemon beside the one that leaves.
         address: Address of the backend server.
-        daemon: True if the daemon stops; false if the backend server drains.
-        until_ms: When what left was started again, in ms since 1970.
+        stops_daemon: True if the daemon stops; false if the backend server
+            drains.
+        restarted_ms: When what left was started again, in ms since 1970.
     """
 
     at_ms: int
-    entry: str
+    daemon_url: str
     address: str
-    daemon: bool
-    until_ms: float = math.inf
+    stops_daemon: bool
+    restarted_ms: float = math.inf
 
 
 class Scenario:
     """Causes the failures and restarts what should run again.
 
     Attributes:
-        stops: Planned stops that were made.
+        planned_stops: Planned stops that were made.
         crashes: Backend servers that ended by themselves.
-        accepted: Changes of targets that operators were told are accepted.
-        not_in_force: Daemons that do not run the accepted version at the
+        accepted_changes: Changes of targets that operators were told are
+            accepted.
+        outdated_daemons: Daemons that do not run the accepted version at the
             end, with everything well again.
     """
 
     def __init__(
         self,
-        shown: fleet.Fleet,
+        example_fleet: fleet.Fleet,
         folder: pathlib.Path,
         refresh: Callable[[], Awaitable[None]],
         with_versions: bool,
@@ -68,22 +70,26 @@
         """Prepares the failures of a fleet.
 
         Args:
-            shown: The fleet.
+            example_fleet: The fleet.
             folder: Folder for changed target documents.
             refresh: Called after each restart.
             with_versions: False for the baseline, which has no versions.
         """
-        self.stops: list[PlannedStop] = []
+        self.planned_stops: list[PlannedStop] = []
         self.crashes = 0
-        self.accepted = 0
-        self.not_in_force = 0
-        self._pages: list[dict[int, list[int]]] = [{} for _ in shown.instances]
-        self._fleet = shown
+        self.accepted_changes = 0
+        self.outdated_daemons = 0
+        self._pages: list[dict[int, list[int]]] = [
+            {} for _ in example_fleet.instances
+        ]
+        self._fleet = example_fleet
         self._folder = folder
         self._refresh = refresh
         self._with_versions = with_versions
         # Two restarts of one backend server would want the same port.
-        self._locks = {instance: asyncio.Lock() for instance in shown.instances}
+        self._locks = {
+            instance: asyncio.Lock() for instance in example_fleet.instances
+        }
 
     async def run(self) -> None:
         """Causes every failure at its time; returns when all are over."""
@@ -134,12 +140,12 @@
                 *map(self._fleet.read_versions, instances)
             )
             behind = [max(page, default=0) < version for page in pages]
-            self.not_in_force = sum(behind)
+            self.outdated_daemons = sum(behind)
 
     def _list_services(self) -> list[list[fleet.Instance]]:
         return [
             [i for i in self._fleet.instances if i.place.service == service]
-            for service in self._fleet.layout.upstreams
+            for service in self._fleet.layout.backend_counts
         ]
 
     async def _kill_daemon(
@@ -195,20 +201,20 @@
             await self._start_crashed(instance)
             backend = instance.backend
             assert backend is not None
-            stop = self._note_stop(instance, daemon=False)
+            stop = self._note_stop(instance, stops_daemon=False)
             control = backend.ready["control"]
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 await self._fleet.post_json(control, "/drain", {})
             await asyncio.sleep(away_s)
             await backend.stop()
-            until_ms = time.time_ns() // 1_000_000
-            place = self.stops.index(stop)
-            self.stops[place] = stop._replace(until_ms=until_ms)
+            restarted_ms = time.time_ns() // 1_000_000
+            place = self.planned_stops.index(stop)
+            self.planned_stops[place] = stop._replace(restarted_ms=restarted_ms)
             await self._fleet.start_backend(instance)
 
     async def _stop_daemon(self, instance: fleet.Instance) -> None:
         await self._read_versions()
-        self._note_stop(instance, daemon=True)
+        self._note_stop(instance, stops_daemon=True)
         await instance.daemon.stop(within_s=20.0)
         await self._fleet.restart_daemon(instance)
         await self._refresh()
@@ -232,14 +238,16 @@
         except processes.ProcessError as error:
             logger.info("a change was not accepted: %s", error)
         else:
-            self.accepted += 1
+            self.accepted_changes += 1
 
-    def _note_stop(self, instance: fleet.Instance, daemon: bool) -> PlannedStop:
+    def _note_stop(
+        self, instance: fleet.Instance, stops_daemon: bool
+    ) -> PlannedStop:
         assert instance.backend is not None
         at_ms = time.time_ns() // 1_000_000
         address = instance.backend.ready["address"]
-        stop = PlannedStop(at_ms, instance.url, address, daemon)
-        self.stops.append(stop)
+        stop = PlannedStop(at_ms, instance.url, address, stops_daemon)
+        self.planned_stops.append(stop)
         return stop
 
     async def _watch_backends(self) -> None:
