--- a/tests/tools/test_known_red.py
+++ b/tests/tools/test_known_red.py
@@ -21,7 +21,7 @@
 class FormTest(unittest.TestCase):
     def assert_fault(self, entry: str, fault: str) -> None:
         """Asserts that an entry is refused, and why."""
-        faults = known_red.find_faults(entry, _OPEN)
+        faults = known_red.find_entry_errors(entry, _OPEN)
         self.assertIn(fault, " ".join(faults))
 
     def test_whole_entries_pass(self) -> None:
@@ -31,12 +31,12 @@
             build_entry("`bench run site.toml day`", "seed of the day"),
             build_entry("`bench run site.toml day --seed 4`", "hunted"),
         ]
-        self.assertEqual(known_red.find_all_faults(entries, _OPEN), [])
+        self.assertEqual(known_red.find_errors(entries, _OPEN), [])
 
     def test_many_entries_pass(self) -> None:
         """Guards against faults joined or dropped to keep to a number."""
         entries = [build_entry(f"`bench run day-{i}`") for i in range(40)]
-        self.assertEqual(known_red.find_all_faults(entries, _OPEN), [])
+        self.assertEqual(known_red.find_errors(entries, _OPEN), [])
 
     def test_entry_without_its_parts(self) -> None:
         """Guards against entries that nobody can reproduce."""
@@ -59,7 +59,7 @@
         )
 
     def test_entry_that_stands_twice(self) -> None:
-        faults = known_red.find_all_faults([build_entry()] * 2, _OPEN)
+        faults = known_red.find_errors([build_entry()] * 2, _OPEN)
         self.assertIn("stands twice", " ".join(faults))
 
     def test_open_issues_of_the_developers_page(self) -> None:
--- a/tests/tools/test_load.py
+++ b/tests/tools/test_load.py
@@ -19,11 +19,11 @@
 class PlanTest(unittest.TestCase):
     def test_same_seed_makes_the_same_requests(self) -> None:
         plan = load.Plan([], [builders.build_class()], 1.0, 2.0, seed=7)
-        first = list(load.list_requests(plan))
-        self.assertEqual(first, list(load.list_requests(plan)))
+        first = list(load.generate_requests(plan))
+        self.assertEqual(first, list(load.generate_requests(plan)))
         self.assertGreater(len(first), 0)
         other = plan._replace(seed=8)
-        self.assertNotEqual(first, list(load.list_requests(other)))
+        self.assertNotEqual(first, list(load.generate_requests(other)))
 
     def test_plan_and_results_survive_their_files(self) -> None:
         plan = load.Plan(["e"], [builders.build_class()], 1.0, 2.0, seed=7)
@@ -105,7 +105,9 @@
 
     async def _call(self, request: calls.Request) -> load.Result:
         chooser = random.Random(1)
-        return await load.call(self.session, [self.entry], request, chooser)
+        return await load.call_with_retries(
+            self.session, [self.entry], request, chooser
+        )
 
 
 if __name__ == "__main__":
--- a/tests/tools/test_processes.py
+++ b/tests/tools/test_processes.py
@@ -14,7 +14,7 @@
         table = processes.ProcessTable()
         try:
             store = await table.start("store", "standins.store")
-            self.assertIn("address", store.ready)
+            self.assertIn("address", store.ready_fields)
             self.assertGreater(samples.read_rss_mb(store.pid), 0)
         finally:
             await table.close()
--- a/tools/amplification.py
+++ b/tools/amplification.py
@@ -66,7 +66,7 @@
         if build_arguments is layouts.build_daemon_arguments:
             await failures.apply_documents(shown)
         else:
-            await failures.tell_upstreams(shown)
+            await failures.send_upstreams(shown)
         await asyncio.sleep(_WARM_S)
         services = list(options.layout.upstreams)
         figures: dict[str, Any] = {}
@@ -95,7 +95,7 @@
     await _set_faults(shown, chain[-1], {})
     await asyncio.sleep(_HEAL_S)
     lowest = {
-        instance.backend.ready["address"]
+        instance.backend.ready_fields["address"]
         for instance in shown.instances
         if instance.place.service == chain[-1] and instance.backend is not None
     }
@@ -120,7 +120,7 @@
     for instance in shown.instances:
         if instance.place.service == service:
             assert instance.backend is not None
-            control = instance.backend.ready["control"]
+            control = instance.backend.ready_fields["control"]
             await shown.post_json(control, "/faults", fields)
 
 
--- a/tools/calls.py
+++ b/tools/calls.py
@@ -54,7 +54,7 @@
     """What a caller wants once, however often it sends it.
 
     Attributes:
-        load: Class of work.
+        class_load: Class of work.
         request_id: Its identity in the answers and in the runs.
         body: Body, empty for GET.
         download_bytes: Length of the answer of a large class.
@@ -62,7 +62,7 @@
         crash: Crashes the backend server that runs it.
     """
 
-    load: workload.ClassLoad
+    class_load: workload.ClassLoad
     request_id: str
     body: bytes = b""
     download_bytes: int = 0
@@ -103,7 +103,7 @@
     entry: str,
     request: Request,
     number: int,
-    waited_s: float,
+    timeout_s: float,
 ) -> Attempt:
     """Sends a request once, through one daemon.
 
@@ -112,13 +112,13 @@
         entry: URL of the daemon.
         request: What to send.
         number: 0 for the first sending, 1 for the next.
-        waited_s: Longest wait in seconds for the whole answer.
+        timeout_s: Longest wait in seconds for the whole answer.
     """
     attempt_id = f"{request.request_id}.{number}"
     started_ms = time.time_ns() // 1_000_000
     began = time.perf_counter()
     try:
-        async with asyncio.timeout(waited_s):
+        async with asyncio.timeout(timeout_s):
             received = await _exchange(session, entry, request, attempt_id)
     except TimeoutError:
         received = _Received(Verdict.TIMEOUT)
@@ -140,7 +140,7 @@
     request: Request,
     attempt_id: str,
 ) -> _Received:
-    load = request.load
+    load = request.class_load
     url = f"{entry}/{load.service}{load.prefix}/{request.request_id}"
     if load.large:
         url += f"?bytes={request.download_bytes}&rate={request.download_rate}"
@@ -164,9 +164,9 @@
     headers = {
         work.REQUEST_ID_HEADER: request.request_id,
         work.ATTEMPT_HEADER: attempt_id,
-        ORGANISATION_HEADER: request.load.organisation,
+        ORGANISATION_HEADER: request.class_load.organisation,
     }
-    if not request.load.repeatable:
+    if not request.class_load.repeatable:
         headers[work.KEY_HEADER] = request.request_id
     if request.crash:
         headers[work.CRASH_HEADER] = "1"
@@ -184,7 +184,7 @@
         told = answer.headers.get("Retry-After")
         retry_after_s = float(told) if told else None
         return _Received(verdict, answer.status, retry_after_s)
-    if request.load.large:
+    if request.class_load.large:
         return _Received(await _check_download(answer, request), 200)
     text = await answer.read()
     return _Received(_check_answer(text, request), 200)
@@ -199,7 +199,7 @@
     own = (
         fields.get("request_id") == request.request_id
         and fields.get("body_sha256") == body_sha256
-        and fields.get("service") == request.load.service
+        and fields.get("service") == request.class_load.service
     )
     return Verdict.RIGHT if own else Verdict.WRONG
 
--- a/tools/convergence.py
+++ b/tools/convergence.py
@@ -103,7 +103,7 @@
         for i in range(options.daemons)
     ]
     try:
-        await shown.start(places, backends=False)
+        await shown.start(places, start_backends=False)
         return await _measure_fleet(options, table, shown)
     finally:
         await shown.close()
@@ -241,7 +241,7 @@
     shown: fleet.Fleet, version: int, within_s: float
 ) -> int:
     """Waits until all run a version; returns how many do not in time."""
-    taken = await shown.wait_in_force(version, within_s, shown.instances)
+    taken = await shown.wait_until_active(version, within_s, shown.instances)
     if taken is not None:
         return 0
     return len(shown.instances) - len(await _read_delays(shown, version))
@@ -259,7 +259,9 @@
 
 
 def _read_errors(shown: fleet.Fleet) -> str:
-    return "\n".join(i.daemon.read_errors() for i in shown.instances[:3])
+    return "\n".join(
+        i.daemon.read_last_stderr_lines() for i in shown.instances[:3]
+    )
 
 
 def _describe(change: Change) -> str:
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -63,7 +63,7 @@
     shown: fleet.Fleet,
 ) -> dict[tuple[int, int], int]:
     """Returns the bytes of a fleet's control connections, see samples."""
-    ports = [i.daemon.ready.get("control_port") for i in shown.instances]
+    ports = [i.daemon.ready_fields.get("control_port") for i in shown.instances]
     store_port = int(shown.store_address.rpartition(":")[2])
     return await samples.read_control_bytes(
         {port for port in ports if port}, store_port
--- a/tools/demonstration.py
+++ b/tools/demonstration.py
@@ -42,7 +42,7 @@
 _STEPS = {"started": 1, "done": -1, "cancelled": -1}
 
 
-class Seen(NamedTuple):
+class Measurements(NamedTuple):
     """What the demonstration measured.
 
     Attributes:
@@ -71,7 +71,7 @@
 
 async def run_demonstration(
     table: processes.ProcessTable, layout: layouts.Layout, scale: float
-) -> Seen:
+) -> Measurements:
     """Runs the whole demonstration on a fleet of its own."""
     shown = fleet.Fleet(table, layout)
     try:
@@ -80,7 +80,7 @@
         documents = workload.list_documents(layout.name)
         await shown.apply(*documents)
         version = (await shown.read_head()).version
-        taken = await shown.wait_in_force(
+        taken = await shown.wait_until_active(
             version, _IN_FORCE_WITHIN_S, shown.instances
         )
         _say(f"version {version} in force everywhere after {taken} s")
@@ -91,7 +91,9 @@
         await shown.close()
 
 
-async def _run_load(table: processes.ProcessTable, shown: fleet.Fleet) -> Seen:
+async def _run_load(
+    table: processes.ProcessTable, shown: fleet.Fleet
+) -> Measurements:
     classes = workload.read_classes(shown.layout.name)
     small = [target for target in classes if not target.large]
     large = [target for target in classes if target.large]
@@ -130,8 +132,8 @@
     status = await asyncio.wait_for(stopped.backend.wait(), 30.0)
     history += [list(await shown.read_versions(i)) for i in alive]
     runs = ledger.read_ledger(shown.ledger_path)
-    address = stopped.backend.ready["address"]
-    return Seen(
+    address = stopped.backend.ready_fields["address"]
+    return Measurements(
         daemons=len(everyone),
         version=(await shown.read_head()).version,
         converged_s=converged_s,
@@ -156,7 +158,7 @@
     )
     await shown.apply(str(path))
     version = (await shown.read_head()).version
-    taken = await shown.wait_in_force(
+    taken = await shown.wait_until_active(
         version, _IN_FORCE_WITHIN_S, shown.instances
     )
     _say(f"changed a target: version {version} in force after {taken} s")
@@ -187,7 +189,7 @@
 
     def count(instance: fleet.Instance) -> int:
         assert instance.backend is not None
-        return in_flight.get(instance.backend.ready["address"], 0)
+        return in_flight.get(instance.backend.ready_fields["address"], 0)
 
     of_service = [i for i in shown.instances if i.place.service == service]
     return max(of_service, key=count)
@@ -198,12 +200,14 @@
     lines = ["a version did not come into force; the daemons' last lines:"]
     for instance in shown.instances:
         versions = await shown.read_versions(instance)
-        errors = instance.daemon.read_errors()
-        lines.append(f"{instance.daemon.ready['id']} {versions}\n{errors}")
+        errors = instance.daemon.read_last_stderr_lines()
+        lines.append(
+            f"{instance.daemon.ready_fields['id']} {versions}\n{errors}"
+        )
     return "\n".join(lines)
 
 
-def summarize(seen: Seen) -> dict[str, Any]:
+def summarize(seen: Measurements) -> dict[str, Any]:
     """Returns the figures of the closing JSON line."""
     results = [*seen.results, *seen.downloads]
     counts = harm.count_harm(results, seen.runs)
@@ -222,7 +226,7 @@
     }
 
 
-def list_broken(seen: Seen, figures: dict[str, Any]) -> list[str]:
+def list_violations(seen: Measurements, figures: dict[str, Any]) -> list[str]:
     """Returns what must hold and did not, in words."""
     zeros = [
         *harm.Harm._fields,
@@ -240,7 +244,7 @@
     return broken
 
 
-def print_report(seen: Seen, say: Callable[[str], None]) -> None:
+def print_report(seen: Measurements, say: Callable[[str], None]) -> None:
     """Prints calls by class and by what the callers got."""
     results = [*seen.results, *seen.downloads]
     for label in sorted({result.label for result in results}):
@@ -270,7 +274,7 @@
         await table.close()
     print_report(seen, _say)
     figures = summarize(seen)
-    broken = list_broken(seen, figures)
+    broken = list_violations(seen, figures)
     for line in broken:
         _say(f"did not hold: {line}")
     figures["seconds"] = round(time.monotonic() - began, 1)
--- a/tools/failures.py
+++ b/tools/failures.py
@@ -77,7 +77,7 @@
 
         async def refresh() -> None:
             if not is_product:
-                await tell_upstreams(shown)
+                await send_upstreams(shown)
 
         await refresh()
         if is_product:
@@ -103,24 +103,26 @@
     """
     await shown.apply(*workload.list_documents(shown.layout.name))
     version = (await shown.read_head()).version
-    taken = await shown.wait_in_force(
+    taken = await shown.wait_until_active(
         version, _IN_FORCE_WITHIN_S, shown.instances
     )
     if taken is None:
         raise processes.ProcessError("the first version is not in force")
 
 
-async def tell_upstreams(shown: fleet.Fleet) -> None:
+async def send_upstreams(shown: fleet.Fleet) -> None:
     """Tells every proxy of the baseline the upstreams of each service."""
     upstreams: dict[str, list[str]] = {}
     for instance in shown.instances:
         assert instance.backend is not None
-        address = instance.backend.ready["address"]
+        address = instance.backend.ready_fields["address"]
         upstreams.setdefault(instance.place.service, []).append(address)
     for instance in shown.instances:
         # A proxy that stops has closed its port; it is told at its restart.
         with contextlib.suppress(aiohttp.ClientError):
-            await shown.post_json(instance.admin, "/upstreams", upstreams)
+            await shown.post_json(
+                instance.admin_address, "/upstreams", upstreams
+            )
 
 
 async def _run_loaders(
@@ -150,7 +152,7 @@
     results = []
     for loader, path in started:
         if await loader.wait():
-            raise processes.ProcessError(loader.read_errors())
+            raise processes.ProcessError(loader.read_last_stderr_lines())
         results += load.read_results(path)
     return results
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -40,18 +40,18 @@
     @property
     def id(self) -> str:
         """Id of the daemon; empty for a baseline's proxy."""
-        return self.daemon.ready.get("id", "")
+        return self.daemon.ready_fields.get("id", "")
 
     @property
     def url(self) -> str:
         """Where callers reach the daemon."""
         address = self.id.rpartition(":")[0] or layouts.HOST
-        return f"http://{address}:{self.daemon.ready['port']}"
+        return f"http://{address}:{self.daemon.ready_fields['port']}"
 
     @property
-    def admin(self) -> str:
+    def admin_address(self) -> str:
         """Admin address of the daemon."""
-        return f"{layouts.HOST}:{self.daemon.ready['admin_port']}"
+        return f"{layouts.HOST}:{self.daemon.ready_fields['admin_port']}"
 
 
 class Fleet:
@@ -94,10 +94,10 @@
     @property
     def store_address(self) -> str:
         """Address of the store, "ip:port"."""
-        return self.store.ready["address"]
+        return self.store.ready_fields["address"]
 
     async def start(
-        self, places: list[layouts.Place], backends: bool = True
+        self, places: list[layouts.Place], start_backends: bool = True
     ) -> None:
         """Starts the store, the daemons in batches and the backend servers."""
         self._session = aiohttp.ClientSession(timeout=_CALL_TIMEOUT)
@@ -108,7 +108,7 @@
         for index in range(0, len(rest), _BATCH):
             batch = rest[index : index + _BATCH]
             await _finish_all(*map(self._add_daemon, batch))
-        if backends:
+        if start_backends:
             await _finish_all(*map(self.start_backend, self.instances))
 
     async def close(self) -> None:
@@ -126,9 +126,11 @@
             fields.append("admin_port")
         for field in fields:
             flag = "--" + field.replace("_", "-")
-            if flag in arguments and field in before.ready:
-                arguments[arguments.index(flag) + 1] = str(before.ready[field])
-        if before.ready.get("id") and "--seeds" not in arguments:
+            if flag in arguments and field in before.ready_fields:
+                arguments[arguments.index(flag) + 1] = str(
+                    before.ready_fields[field]
+                )
+        if before.ready_fields.get("id") and "--seeds" not in arguments:
             others = [i for i in self.instances if i is not instance]
             seeds = [i.id for i in others[:_SEEDS]]
             arguments += ["--seeds", ",".join(seeds)]
@@ -139,14 +141,14 @@
         service = instance.place.service
         arguments = [
             *("standins.backend", "--service", service),
-            *("--admin", instance.admin, "--ledger", self.ledger_path),
+            *("--admin", instance.admin_address, "--ledger", self.ledger_path),
             *("--daemon", instance.url),
         ]
         for load in workload.read_classes(self.layout.name):
             if load.service == service and not load.large:
                 arguments += ["--work", f"{load.prefix}={load.work_ms}"]
         if instance.backend is not None:
-            port = instance.backend.ready["address"].rpartition(":")[2]
+            port = instance.backend.ready_fields["address"].rpartition(":")[2]
             arguments += ["--port", port]
         instance.backend = await self._table.start(service, *arguments)
 
@@ -193,7 +195,9 @@
 
     async def set_store_faults(self, **fields: Any) -> None:
         """Puts faults of the store in force in place of those before."""
-        await self.post_json(self.store.ready["control"], "/faults", fields)
+        await self.post_json(
+            self.store.ready_fields["control"], "/faults", fields
+        )
 
     async def read_head(self) -> document_pb2.Head:
         """Returns the accepted head as the store holds it."""
@@ -210,11 +214,11 @@
 
     async def read_accepted_ms(self) -> int:
         """Returns when the store took the newest head, in ms since 1970."""
-        control = self.store.ready["control"]
+        control = self.store.ready_fields["control"]
         writes = await self.get_json(control, "/writes?key=head")
         return writes[-1]["at_ms"]
 
-    async def wait_in_force(
+    async def wait_until_active(
         self, version: int, within_s: float, instances: list[Instance]
     ) -> float | None:
         """Waits until all instances run a version or a later one.
@@ -244,11 +248,13 @@
 
     async def read_counters(self) -> dict[str, Any]:
         """Returns the store's counters."""
-        return await self.get_json(self.store.ready["control"], "/counters")
+        return await self.get_json(
+            self.store.ready_fields["control"], "/counters"
+        )
 
     async def read_versions(self, instance: Instance) -> dict[int, int]:
         """Returns when a daemon took each version into use, in ms."""
-        pairs = await self.get_json(instance.admin, "/versions") or []
+        pairs = await self.get_json(instance.admin_address, "/versions") or []
         return {pair["version"]: pair["at_ms"] for pair in pairs}
 
     async def _add_daemon(self, place: layouts.Place) -> None:
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -12,7 +12,7 @@
 import unittest
 
 _ROOT = pathlib.Path(__file__).parent.parent
-KNOWN_RED = _ROOT / "KNOWN-RED.txt"
+KNOWN_RED_PATH = _ROOT / "KNOWN-RED.txt"
 _DEVELOPERS = _ROOT / "DEVELOPERS.md"
 # "keep it short": what a reader takes in at once.
 _MAX_CHARACTERS = 600
@@ -28,9 +28,9 @@
 
 def read_entries() -> list[str]:
     """Returns the lines that are no comments."""
-    if not KNOWN_RED.exists():
+    if not KNOWN_RED_PATH.exists():
         return []
-    lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
+    lines = KNOWN_RED_PATH.read_text(encoding="utf-8").splitlines()
     return [line for line in lines if line.strip() and line[0] != "#"]
 
 
@@ -46,7 +46,7 @@
     return {int(one) for one in found[1].split(",")} if found else set()
 
 
-def find_faults(entry: str, open_issues: set[int]) -> list[str]:
+def find_entry_errors(entry: str, open_issues: set[int]) -> list[str]:
     """Returns what is wrong with the form of an entry."""
     form = _FORM.fullmatch(entry)
     if form is None:
@@ -65,13 +65,13 @@
     return faults
 
 
-def find_all_faults(entries: list[str], open_issues: set[int]) -> list[str]:
+def find_errors(entries: list[str], open_issues: set[int]) -> list[str]:
     """Returns what is wrong with the entries, each fault with its entry."""
     faults = []
     heads: set[str] = set()
     for entry in entries:
         head = entry.split(" (", 1)[0]
-        found = find_faults(entry, open_issues)
+        found = find_entry_errors(entry, open_issues)
         if head in heads:
             found.append("stands twice")
         heads.add(head)
@@ -93,7 +93,7 @@
     for entry in entries:
         print(f"known red: {entry}")
     developers = _DEVELOPERS.read_text(encoding="utf-8")
-    faults = find_all_faults(entries, read_open_issues(developers))
+    faults = find_errors(entries, read_open_issues(developers))
     for fault in faults:
         print(f"known red, wrong form: {fault}", file=sys.stderr)
     return 1 if faults else 0
--- a/tools/latency.py
+++ b/tools/latency.py
@@ -56,7 +56,7 @@
     await shown.apply(*workload.list_documents(shown.layout.name))
     version = (await shown.read_head()).version
     if (
-        await shown.wait_in_force(version, _FIRST_WITHIN_S, shown.instances)
+        await shown.wait_until_active(version, _FIRST_WITHIN_S, shown.instances)
         is None
     ):
         raise processes.ProcessError("the first version is not in force")
@@ -64,14 +64,14 @@
     await asyncio.sleep(_WARM_S)
     beside, other = shown.instances
     assert beside.backend is not None
-    address = beside.backend.ready["address"]
+    address = beside.backend.ready_fields["address"]
     baseline = await table.start(
         "plain proxy", "standins.plain_proxy", "--upstream", address
     )
     path = f"{_find_path(shown.layout.name)}/1?work_ms=0"
     through = f"/balie{path}"
     near, far = beside.daemon.pid, other.daemon.pid
-    proxy_url = f"http://{layouts.HOST}:{baseline.ready['port']}"
+    proxy_url = f"http://{layouts.HOST}:{baseline.ready_fields['port']}"
     targets = [
         latency_load.Target("direct", f"http://{address}{path}", []),
         latency_load.Target("daemon", beside.url + through, [near]),
@@ -102,7 +102,7 @@
         str(results_path),
     )
     if await loader.wait():
-        raise processes.ProcessError(loader.read_errors())
+        raise processes.ProcessError(loader.read_last_stderr_lines())
     return latency_load.read_blocks(results_path)
 
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -103,15 +103,17 @@
     ) as session:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        for at_s, request in list_requests(plan):
+        for at_s, request in generate_requests(plan):
             await asyncio.sleep(max(0.0, began + at_s - loop.time()))
             chooser = random.Random(f"{plan.seed} {request.request_id}")
-            coroutine = call(session, plan.entries, request, chooser)
+            coroutine = call_with_retries(
+                session, plan.entries, request, chooser
+            )
             tasks.append(asyncio.create_task(coroutine))
         return list(await asyncio.gather(*tasks))
 
 
-def list_requests(plan: Plan) -> Iterator[tuple[float, calls.Request]]:
+def generate_requests(plan: Plan) -> Iterator[tuple[float, calls.Request]]:
     """Yields when each request begins, in seconds, in order of time."""
     choices = random.Random(plan.seed)
     rates = [_compute_rate(plan, load) for load in plan.classes]
@@ -129,7 +131,7 @@
         number += 1
 
 
-async def call(
+async def call_with_retries(
     session: aiohttp.ClientSession,
     entries: list[str],
     request: calls.Request,
@@ -142,7 +144,7 @@
     its backend servers. Other work is sent again once, where the caller was
     told that it did not run and when to come back.
     """
-    load = request.load
+    load = request.class_load
     patient = request.crash or not load.repeatable
     most = _MOST_SENDINGS if patient else _MOST_REFUSALS
     attempts: list[calls.Attempt] = []
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -32,8 +32,8 @@
         name: What people call it.
         arguments: How it was started.
         pid: Its process id.
-        ready: Fields of its ready line.
-        errors_path: File that holds what it wrote to stderr.
+        ready_fields: Fields of its ready line.
+        stderr_path: File that holds what it wrote to stderr.
     """
 
     def __init__(
@@ -41,13 +41,13 @@
         name: str,
         arguments: list[str],
         child: asyncio.subprocess.Process,
-        errors_path: pathlib.Path,
+        stderr_path: pathlib.Path,
     ):
         self.name = name
         self.arguments = arguments
         self.pid = child.pid
-        self.ready: dict[str, Any] = {}
-        self.errors_path = errors_path
+        self.ready_fields: dict[str, Any] = {}
+        self.stderr_path = stderr_path
         self._child = child
         self._drain: asyncio.Task[None] | None = None
 
@@ -57,7 +57,7 @@
         return self._child.returncode is None
 
     @property
-    def status(self) -> int | None:
+    def exit_status(self) -> int | None:
         """Exit status; negative: the signal that ended it."""
         return self._child.returncode
 
@@ -86,9 +86,9 @@
         self.send_signal(signal.SIGKILL)
         await self._child.wait()
 
-    def read_errors(self) -> str:
+    def read_last_stderr_lines(self) -> str:
         """Returns the last lines it wrote to stderr."""
-        text = self.errors_path.read_text(encoding="utf-8", errors="replace")
+        text = self.stderr_path.read_text(encoding="utf-8", errors="replace")
         return "\n".join(text.splitlines()[-_TAIL_LINES:])
 
     async def wait_ready(self) -> None:
@@ -99,12 +99,13 @@
         """
         assert self._child.stdout is not None
         try:
-            self.ready = await asyncio.wait_for(
+            self.ready_fields = await asyncio.wait_for(
                 _read_ready(self._child.stdout), _READY_WITHIN_S
             )
         except (TimeoutError, ValueError) as error:
             raise ProcessError(
-                f"{self.name} did not become ready:\n{self.read_errors()}"
+                f"{self.name} did not become ready:\n"
+                f"{self.read_last_stderr_lines()}"
             ) from error
         # A full pipe would stop the process in the middle of a line.
         self._drain = asyncio.create_task(_discard(self._child.stdout))
@@ -151,8 +152,8 @@
             ProcessError: It did not become ready.
         """
         self._started += 1
-        errors_path = self.directory / f"{self._started}-{name}.err"
-        with errors_path.open("wb") as file:
+        stderr_path = self.directory / f"{self._started}-{name}.err"
+        with stderr_path.open("wb") as file:
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -165,7 +166,7 @@
                 # Ctrl-C reaches this program alone, which stops the others.
                 start_new_session=True,
             )
-        process = Process(name, list(arguments), child, errors_path)
+        process = Process(name, list(arguments), child, stderr_path)
         self._processes.append(process)
         await process.wait_ready()
         return process
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -22,7 +22,7 @@
 """
 
 
-def write_reference() -> str:
+def format_reference() -> str:
     """Returns the text of the page."""
     parts = [_INTRODUCTION]
     for program, kind in _PROGRAMS.items():
@@ -36,7 +36,7 @@
 
 def main() -> int:
     """Writes the page; with --check compares it and fails if it differs."""
-    text = write_reference()
+    text = format_reference()
     if "--check" not in sys.argv:
         _PAGE.write_text(text, encoding="utf-8")
         return 0
--- a/tools/scenario.py
+++ b/tools/scenario.py
@@ -129,7 +129,10 @@
             return
         version = (await self._fleet.read_head()).version
         instances = self._fleet.instances
-        if await self._fleet.wait_in_force(version, _HEAL_S, instances) is None:
+        if (
+            await self._fleet.wait_until_active(version, _HEAL_S, instances)
+            is None
+        ):
             pages = await asyncio.gather(
                 *map(self._fleet.read_versions, instances)
             )
@@ -173,7 +176,7 @@
 
     async def _remember_store(self) -> None:
         """Has later stale reads answer from before the next change."""
-        control = self._fleet.store.ready["control"]
+        control = self._fleet.store.ready_fields["control"]
         await self._fleet.post_json(control, "/remember", {})
 
     async def _change_backend(
@@ -182,7 +185,7 @@
         async with self._locks[instance]:
             await self._start_crashed(instance)
             assert instance.backend is not None
-            control = instance.backend.ready["control"]
+            control = instance.backend.ready_fields["control"]
             # A request may crash it at this very moment.
             with contextlib.suppress(aiohttp.ClientError):
                 await self._fleet.post_json(control, "/faults", {fault: True})
@@ -196,7 +199,7 @@
             backend = instance.backend
             assert backend is not None
             stop = self._note_stop(instance, daemon=False)
-            control = backend.ready["control"]
+            control = backend.ready_fields["control"]
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 await self._fleet.post_json(control, "/drain", {})
             await asyncio.sleep(away_s)
@@ -237,7 +240,7 @@
     def _note_stop(self, instance: fleet.Instance, daemon: bool) -> PlannedStop:
         assert instance.backend is not None
         at_ms = time.time_ns() // 1_000_000
-        address = instance.backend.ready["address"]
+        address = instance.backend.ready_fields["address"]
         stop = PlannedStop(at_ms, instance.url, address, daemon)
         self.stops.append(stop)
         return stop
