--- a/standins/announce.py
+++ b/standins/announcements.py
@@ -35,11 +35,11 @@
     """Repeats the newest announcement every second.
 
     Attributes:
-        admin: Admin address of the daemon, "ip:port"; empty: none.
+        admin_address: Admin address of the daemon, "ip:port"; empty: none.
     """
 
-    def __init__(self, admin: str):
-        self.admin = admin
+    def __init__(self, admin_address: str):
+        self.admin_address = admin_address
         self._session: aiohttp.ClientSession | None = None
         self._task: asyncio.Task[None] | None = None
         self._current: Announcement | None = None
@@ -62,11 +62,11 @@
     async def announce(self, new: Announcement) -> None:
         """Sends an announcement now and repeats it from here on."""
         self._current = new
-        if not self.admin or self._session is None:
+        if not self.admin_address or self._session is None:
             return
         try:
             async with self._session.post(
-                f"http://{self.admin}/announce", json=new._asdict()
+                f"http://{self.admin_address}/announce", json=new._asdict()
             ) as answer:
                 if answer.status >= 400:
                     logger.warning("announce: status %d", answer.status)
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -14,11 +14,11 @@
 from aiohttp import web
 import click
 
-from standins import announce
+from standins import announcements
 from standins import ledger
-from standins import nested
+from standins import nested_calls
 from standins import process
-from standins import work
+from standins import worker
 
 logger = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        settings: work.Settings,
+        settings: worker.Settings,
         admin: str = "",
         ledger_path: str = "",
         daemon: str = "",
@@ -55,9 +55,9 @@
         self.control_port = 0
         self.state = "ready"
         self._ledger = ledger.Ledger(ledger_path)
-        self._caller = nested.NestedCaller(daemon)
-        self._worker = work.Worker(settings, self._ledger, self._caller)
-        self._announcer = announce.Announcer(admin)
+        self._caller = nested_calls.NestedCaller(daemon)
+        self._worker = worker.Worker(settings, self._ledger, self._caller)
+        self._announcer = announcements.Announcer(admin)
         self._runners: list[web.AppRunner] = []
 
     @property
@@ -101,8 +101,8 @@
         await self._caller.close()
         self._ledger.close()
 
-    def _announcement(self) -> announce.Announcement:
-        return announce.Announcement(
+    def _announcement(self) -> announcements.Announcement:
+        return announcements.Announcement(
             self.settings.service,
             self.address,
             self.settings.slots,
@@ -121,7 +121,7 @@
 
     async def _change_faults(self, request: web.Request) -> web.Response:
         try:
-            new = work.Faults(**await request.json())
+            new = worker.Faults(**await request.json())
         except (TypeError, ValueError) as error:
             return web.json_response({"error": str(error)}, status=400)
         self._worker.set_faults(new)
@@ -133,7 +133,7 @@
 
 
 async def _run(
-    settings: work.Settings,
+    settings: worker.Settings,
     admin: str,
     ledger_path: str,
     daemon: str,
@@ -184,7 +184,7 @@
 ) -> None:
     """Runs the stand-in of a backend server; SIGTERM drains and stops it."""
     process.configure_logging(f"{service} stand-in")
-    settings = work.Settings(
+    settings = worker.Settings(
         service, slots, _parse_work(work_ms), cold_start_s, cold_factor
     )
     run: Any = functools.partial(
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -39,16 +39,16 @@
     """A value is over `MAX_VALUE_BYTES`."""
 
 
-class LeaseEndedError(Exception):
+class LeaseNotFoundError(Exception):
     """A write names a lease that has ended or never was."""
 
 
-class KeyValue:
+class KeyValueStore:
     """A revisioned map with compare-and-swap, leases and watches.
 
     Attributes:
         revision: Revision of the last write of any key.
-        waiting: Watches that wait at this moment.
+        waiting_watches: Watches that wait at this moment.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
@@ -58,7 +58,7 @@
             clock: Seconds on any scale that never goes back.
         """
         self.revision = 0
-        self.waiting = 0
+        self.waiting_watches = 0
         self._clock = clock
         self._entries: dict[str, Entry] = {}
         self._leases: dict[int, _Lease] = {}
@@ -67,7 +67,7 @@
 
     def get(self, key: str) -> Entry:
         """Reads one key; revision 0 where it is not there."""
-        self.expire()
+        self.expire_leases()
         return self._entries.get(key, Entry(key))
 
     def put(
@@ -79,7 +79,7 @@
         if self.get(key).revision != expected_revision:
             return False
         if lease_id and lease_id not in self._leases:
-            raise LeaseEndedError(f"lease {lease_id}")
+            raise LeaseNotFoundError(f"lease {lease_id}")
         self.revision += 1
         self._entries[key] = Entry(key, value, self.revision, lease_id)
         self._wake(key)
@@ -95,12 +95,12 @@
 
     def list(self, prefix: str, after: str, limit: int) -> list[Entry]:
         """Reads keys with a prefix in order of name; limit 0: all."""
-        self.expire()
-        return select(self._entries, prefix, after, limit)
+        self.expire_leases()
+        return select_entries(self._entries, prefix, after, limit)
 
     def copy(self) -> dict[str, Entry]:
         """Returns all entries as they stand."""
-        self.expire()
+        self.expire_leases()
         return dict(self._entries)
 
     def grant_lease(self, seconds: int) -> int:
@@ -112,14 +112,14 @@
 
     def keep_lease(self, lease_id: int) -> int:
         """Extends a lease and returns its seconds; 0: it has ended."""
-        self.expire()
+        self.expire_leases()
         lease = self._leases.get(lease_id)
         if lease is None:
             return 0
         lease.ends_at = self._clock() + lease.seconds
         return lease.seconds
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         """Ends leases whose time is over and removes their keys."""
         now = self._clock()
         ended = {i for i, lease in self._leases.items() if lease.ends_at <= now}
@@ -141,7 +141,7 @@
         """
         waker = asyncio.Event()
         self._wakers.setdefault(key, set()).add(waker)
-        self.waiting += 1
+        self.waiting_watches += 1
         seen = after_revision
         told = False
         try:
@@ -158,7 +158,7 @@
                 else:
                     await waker.wait()
         finally:
-            self.waiting -= 1
+            self.waiting_watches -= 1
             self._wakers[key].discard(waker)
 
     def _remove(self, key: str) -> None:
@@ -171,7 +171,7 @@
             waker.set()
 
 
-def select(
+def select_entries(
     entries: dict[str, Entry], prefix: str, after: str, limit: int
 ) -> list[Entry]:
     """Returns entries with a prefix after a key, in order; limit 0: all."""
--- a/standins/nested.py
+++ b/standins/nested_calls.py
@@ -10,7 +10,7 @@
     from aiohttp import web
 
 # Paths to call one after another, each by the one before: "kassa/seals,...".
-THEN = "then"
+NEXT_PATHS_PARAMETER = "then"
 _PASSED_ON = (
     "Request-Id",
     "Attempt-Id",
@@ -25,11 +25,11 @@
     """Calls other services by way of the daemon beside the backend server.
 
     Attributes:
-        daemon: URL of the daemon for callers; empty: no calls are made.
+        daemon_url: URL of the daemon for callers; empty: no calls are made.
     """
 
-    def __init__(self, daemon: str):
-        self.daemon = daemon
+    def __init__(self, daemon_url: str):
+        self.daemon_url = daemon_url
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
@@ -48,16 +48,21 @@
             Status of the answer; 200 where no call is asked for, 502 where
             there is no answer.
         """
-        first, _, rest = request.query.get(THEN, "").partition(",")
-        if not first or not self.daemon or self._session is None:
+        first, _, rest = request.query.get(NEXT_PATHS_PARAMETER, "").partition(
+            ","
+        )
+        if not first or not self.daemon_url or self._session is None:
             return 200
-        url = f"{self.daemon}/{first}/nested"
+        url = f"{self.daemon_url}/{first}/nested"
         headers = {
             name: request.headers[name]
             for name in _PASSED_ON
             if name in request.headers
         }
-        query = {"work_ms": "0", **({THEN: rest} if rest else {})}
+        query = {
+            "work_ms": "0",
+            **({NEXT_PATHS_PARAMETER: rest} if rest else {}),
+        }
         try:
             async with self._session.get(
                 url, params=query, headers=headers
--- a/standins/plain_proxy.py
+++ b/standins/plain_proxy.py
@@ -34,7 +34,7 @@
 
     async def start(self) -> None:
         """Opens the port."""
-        self._session = relay.make_session()
+        self._session = relay.create_session()
         application = web.Application()
         application.router.add_route("*", "/{service}/{path:.*}", self._handle)
         self._runner, self.port = await process.serve(application)
@@ -48,7 +48,7 @@
         path = request.raw_path.split("/", 2)[2]
         url = f"http://{self.upstream}/{path}"
         body = await request.read()
-        return await relay.relay(self._session, request, body, url)
+        return await relay.relay_request(self._session, request, body, url)
 
 
 async def _run(upstream: str) -> None:
--- a/standins/plain_random_proxy.py
+++ b/standins/plain_random_proxy.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-RETRIES = 3
+MAX_RETRIES = 3
 _TIMEOUT = aiohttp.ClientTimeout(sock_connect=1.0, sock_read=5.0)
 
 
@@ -43,7 +43,7 @@
 
     async def start(self, port: int = 0, admin_port: int = 0) -> None:
         """Opens both ports."""
-        self._session = relay.make_session(_TIMEOUT)
+        self._session = relay.create_session(_TIMEOUT)
         calls = web.Application()
         calls.router.add_route("*", "/{service}/{path:.*}", self._handle)
         runner, self.port = await process.serve(calls, port)
@@ -65,11 +65,11 @@
         if not addresses:
             return web.Response(status=404)
         body = await request.read()
-        for attempt in range(1 + RETRIES):
+        for attempt in range(1 + MAX_RETRIES):
             url = f"http://{random.choice(addresses)}/{path}"
-            last = attempt == RETRIES
+            last = attempt == MAX_RETRIES
             try:
-                return await relay.relay(
+                return await relay.relay_request(
                     self._session, request, body, url, raise_failures=not last
                 )
             except (aiohttp.ClientError, TimeoutError):
--- a/standins/platform_backend.py
+++ b/standins/platform_backend.py
@@ -23,10 +23,10 @@
     Attributes:
         instance_id: Its id.
         port: Its port; known after `start`.
-        ran: Ids of the attempts that it ran, in order.
-        seen: Headers of the requests that it got, in order.
+        executed_attempts: Ids of the attempts that it ran, in order.
+        received_headers: Headers of the requests that it got, in order.
         handler: Answers what it runs; the test may replace it.
-        full: Refuses every request as not run.
+        rejects_requests: Refuses every request as not run.
         version: Version of its software.
     """
 
@@ -43,9 +43,9 @@
         self.version = version
         self.slots = slots
         self.port = 0
-        self.ran: list[str] = []
-        self.seen: list[dict[str, str]] = []
-        self.full = False
+        self.executed_attempts: list[str] = []
+        self.received_headers: list[dict[str, str]] = []
+        self.rejects_requests = False
         self.handler: Callable[[web.Request], Awaitable[web.StreamResponse]] = (
             self.answer
         )
@@ -69,7 +69,10 @@
             await self._runner.cleanup()
 
     async def send_heartbeat(
-        self, control: str, state: str = "ready", sequence: int | None = None
+        self,
+        heartbeat_address: str,
+        state: str = "ready",
+        sequence: int | None = None,
     ) -> int:
         """Announces itself to a daemon; returns the status of the answer."""
         self._sequence += 1
@@ -84,18 +87,20 @@
             "seq": self._sequence if sequence is None else sequence,
         }
         path = f"/merlintrestle/Instances.Heartbeat/{self.instance_id}"
-        return await _post(f"http://{control}{path}", body)
+        return await _post(f"http://{heartbeat_address}{path}", body)
 
-    async def leave(self, control: str) -> int:
+    async def send_leave(self, heartbeat_address: str) -> int:
         """Says that it takes no new work; returns the status of the answer."""
         path = f"/merlintrestle/Instances.Leave/{self.instance_id}"
-        return await _post(f"http://{control}{path}", {})
+        return await _post(f"http://{heartbeat_address}{path}", {})
 
     async def answer(self, request: web.Request) -> web.StreamResponse:
         """Answers with a signature and a body."""
-        return web.Response(body=b"whole", headers=self.sign(request))
+        return web.Response(
+            body=b"whole", headers=self.build_answer_headers(request)
+        )
 
-    def sign(self, request: web.Request) -> dict[str, str]:
+    def build_answer_headers(self, request: web.Request) -> dict[str, str]:
         """Returns the headers of an answer of its own."""
         return {
             "X-Attempt-Id": request.headers["X-Attempt-Id"],
@@ -107,18 +112,18 @@
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         if request.path == "/health":
             return self._answer_status()
-        self.seen.append(dict(request.headers))
+        self.received_headers.append(dict(request.headers))
         wanted = request.headers.get("X-Target-Instance", self.instance_id)
         if wanted != self.instance_id:
             return web.Response(status=421)
-        if self.full:
+        if self.rejects_requests:
             return web.Response(status=503, headers={"X-Not-Executed": "1"})
-        self.ran.append(request.headers["X-Attempt-Id"])
+        self.executed_attempts.append(request.headers["X-Attempt-Id"])
         return await self.handler(request)
 
     def _answer_status(self) -> web.Response:
         return web.Response(
-            status=503 if self.full else 200,
+            status=503 if self.rejects_requests else 200,
             headers={
                 "X-Served-By": self.instance_id,
                 "X-Server-Load": f"0,0,{self.slots}",
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -37,7 +37,7 @@
     created: int
     lease: int
 
-    def render(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Returns the item as the store writes it."""
         text = base64.b64encode(self.value).decode()
         return {**self._asdict(), "value": text}
@@ -50,18 +50,19 @@
     Attributes:
         status: Answers every call so; 0: answers rightly.
         lose_answers: So many writes are done and their answers lost.
-        silent: Answers nothing at all.
-        cut: Cuts off the answer in the middle.
-        deaf: Tells watches of no change.
-        pause_s: Sends an answer in parts, so many seconds apart; 0: at once.
+        hang: Answers nothing at all.
+        truncate_answers: Cuts off the answer in the middle.
+        suppress_events: Tells watches of no change.
+        chunk_delay_s: Sends an answer in parts, so many seconds apart; 0: at
+            once.
     """
 
     status: int = 0
     lose_answers: int = 0
-    silent: bool = False
-    cut: bool = False
-    deaf: bool = False
-    pause_s: float = 0.0
+    hang: bool = False
+    truncate_answers: bool = False
+    suppress_events: bool = False
+    chunk_delay_s: float = 0.0
 
 
 class PlatformStoreStandin:
@@ -71,14 +72,14 @@
         port: Its port; known after `start`.
         faults: What it does wrong now.
         calls: Calls by kind.
-        sent: Bytes of the answers by kind.
+        sent_bytes: Bytes of the answers by kind.
     """
 
     def __init__(self) -> None:
         self.port = 0
         self.faults = Faults()
         self.calls: dict[str, int] = {}
-        self.sent: dict[str, int] = {}
+        self.sent_bytes: dict[str, int] = {}
         self._revision = 1
         self._items: dict[str, Item] = {}
         self._events: list[dict[str, Any]] = []
@@ -129,7 +130,7 @@
         self._events.clear()
         await self._wake()
 
-    async def revoke(self, prefix: str) -> None:
+    async def delete_prefix(self, prefix: str) -> None:
         """Takes keys away, as if their leases had run out."""
         self._revision += 1
         for key in [key for key in self._items if key.startswith(prefix)]:
@@ -140,19 +141,19 @@
     async def _spoil(self, request: web.Request, handler: Any) -> Any:
         kind = request.path.removeprefix(_BASE).partition("/")[0]
         self.calls[kind] = self.calls.get(kind, 0) + 1
-        if self.faults.silent:
+        if self.faults.hang:
             await asyncio.sleep(3600)
         if self.faults.status:
             return web.json_response({}, status=self.faults.status)
         answer = await handler(request)
-        self.sent[kind] = self.sent.get(kind, 0) + len(answer.body)
-        if self.faults.cut:
+        self.sent_bytes[kind] = self.sent_bytes.get(kind, 0) + len(answer.body)
+        if self.faults.truncate_answers:
             return web.Response(body=answer.body[: len(answer.body) // 2])
         if request.method == "POST" and self.faults.lose_answers:
             self.faults.lose_answers -= 1
             assert request.transport is not None
             request.transport.close()
-        if self.faults.pause_s:
+        if self.faults.chunk_delay_s:
             return await self._dribble(request, answer)
         return answer
 
@@ -168,7 +169,7 @@
         for start in range(0, len(body), _PART_BYTES):
             await slow.write(body[start : start + _PART_BYTES])
             if start + _PART_BYTES < len(body):
-                await asyncio.sleep(self.faults.pause_s)
+                await asyncio.sleep(self.faults.chunk_delay_s)
         return slow
 
     async def _handle_key(self, request: web.Request) -> web.Response:
@@ -176,7 +177,7 @@
         item = self._items.get(request.query["key"])
         if item is None:
             return web.json_response({"at": self._revision}, status=404)
-        return web.json_response({**item.render(), "at": self._revision})
+        return web.json_response({**item.to_json(), "at": self._revision})
 
     async def _handle_range(self, request: web.Request) -> web.Response:
         self._expire()
@@ -188,7 +189,7 @@
         ]
         return web.json_response(
             {
-                "items": [item.render() for item in found[:_PAGE_ITEMS]],
+                "items": [item.to_json() for item in found[:_PAGE_ITEMS]],
                 "hasMore": len(found) > _PAGE_ITEMS,
                 "at": self._revision,
             }
@@ -202,7 +203,7 @@
                 event
                 for event in self._events
                 if event["revision"] > after
-                and not self.faults.deaf
+                and not self.faults.suppress_events
                 and event["key"].startswith(request.query["prefix"])
             ]
             left_s = ends_at - time.monotonic()
@@ -238,7 +239,7 @@
             for row in expected
         ):
             items = [
-                self._items[row["key"]].render()
+                self._items[row["key"]].to_json()
                 for row in expected
                 if row["key"] in self._items
             ]
@@ -281,7 +282,7 @@
         created = held.created if held else self._revision
         item = Item(key, value, self._revision, created, lease)
         self._items[key] = item
-        self._events.append(item.render())
+        self._events.append(item.to_json())
 
     def _remove(self, key: str) -> None:
         if self._items.pop(key, None) is not None:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -23,7 +23,7 @@
 )
 
 
-def make_session(
+def create_session(
     timeout: aiohttp.ClientTimeout = _NO_LIMIT,
 ) -> aiohttp.ClientSession:
     """Makes a client that changes nothing of what it passes on."""
@@ -35,7 +35,7 @@
     )
 
 
-async def relay(
+async def relay_request(
     session: aiohttp.ClientSession,
     request: web.Request,
     body: bytes,
--- a/standins/servicer.py
+++ b/standins/servicer.py
@@ -44,32 +44,32 @@
         faults: Faults in force; change them by `set_faults`.
         calls: Calls by kind, and by kind and first part of the key.
         calls_by_second: Calls by second since 1970, the newest two minutes.
-        most_waiting: Most watches that ever waited at once.
+        max_waiting_watches: Most watches that ever waited at once.
         writes: Key, revision and ms since 1970 of each write, oldest first.
     """
 
-    def __init__(self, data: keyvalue.KeyValue):
+    def __init__(self, data: keyvalue.KeyValueStore):
         self.data = data
         self.faults = faults.StoreFaults()
         self.calls: collections.Counter[str] = collections.Counter()
         self.calls_by_second: dict[int, int] = {}
-        self.most_waiting = 0
+        self.max_waiting_watches = 0
         self.writes: collections.deque[Write] = collections.deque(
             maxlen=_KEPT_WRITES
         )
-        self._past: dict[str, keyvalue.Entry] | None = None
+        self._stale_entries: dict[str, keyvalue.Entry] | None = None
         self._faults_changed = asyncio.Event()
 
-    def remember(self) -> None:
+    def take_snapshot(self) -> None:
         """Keeps what is stored now for the stale reads of a later fault."""
-        self._past = self.data.copy()
+        self._stale_entries = self.data.copy()
 
     def set_faults(self, new: faults.StoreFaults) -> None:
         """Puts faults in force in place of those before."""
-        if new.stale and not self.faults.stale and self._past is None:
-            self.remember()
+        if new.stale and not self.faults.stale and self._stale_entries is None:
+            self.take_snapshot()
         if not new.stale and self.faults.stale:
-            self._past = None
+            self._stale_entries = None
         self.faults = new
         self._faults_changed.set()
         self._faults_changed = asyncio.Event()
@@ -93,7 +93,7 @@
             await context.abort(
                 grpc.StatusCode.INVALID_ARGUMENT, f"value too large: {error}"
             )
-        except keyvalue.LeaseEndedError as error:
+        except keyvalue.LeaseNotFoundError as error:
             await context.abort(
                 grpc.StatusCode.FAILED_PRECONDITION, f"no such {error}"
             )
@@ -116,8 +116,8 @@
         """Reads keys with a prefix."""
         await self._begin("list", context, request.prefix)
         asked = request.prefix, request.after, request.limit
-        if self.faults.stale and self._past is not None:
-            entries = keyvalue.select(self._past, *asked)
+        if self.faults.stale and self._stale_entries is not None:
+            entries = keyvalue.select_entries(self._stale_entries, *asked)
         else:
             entries = self.data.list(*asked)
         return store_pb2.ListReply(entries=[_encode(e) for e in entries])
@@ -151,8 +151,8 @@
         return store_pb2.Lease(lease_id=request.lease_id, seconds=seconds)
 
     def _read(self, key: str) -> keyvalue.Entry:
-        if self.faults.stale and self._past is not None:
-            return self._past.get(key, keyvalue.Entry(key))
+        if self.faults.stale and self._stale_entries is not None:
+            return self._stale_entries.get(key, keyvalue.Entry(key))
         return self.data.get(key)
 
     def _count_second(self) -> None:
@@ -193,7 +193,9 @@
         following = asyncio.ensure_future(anext(stream))
         try:
             while True:
-                self.most_waiting = max(self.most_waiting, self.data.waiting)
+                self.max_waiting_watches = max(
+                    self.max_waiting_watches, self.data.waiting_watches
+                )
                 silent = self.faults.stale
                 if self.faults.outage is faults.Outage.HANGING:
                     silent = True
--- a/standins/store.py
+++ b/standins/store.py
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, port: int = 0, control_port: int = 0):
-        self.servicer = servicer.StoreServicer(keyvalue.KeyValue())
+        self.servicer = servicer.StoreServicer(keyvalue.KeyValueStore())
         self.port = port
         self.control_port = control_port
         self._server: Any = None
@@ -82,8 +82,8 @@
         return {
             "calls": dict(self.servicer.calls),
             "calls_by_second": self.servicer.calls_by_second,
-            "waiting_watches": self.servicer.data.waiting,
-            "most_waiting_watches": self.servicer.most_waiting,
+            "waiting_watches": self.servicer.data.waiting_watches,
+            "most_waiting_watches": self.servicer.max_waiting_watches,
             "revision": self.servicer.data.revision,
         }
 
@@ -107,7 +107,7 @@
     async def _expire_leases(self) -> None:
         while True:
             await asyncio.sleep(_EXPIRE_EVERY_S)
-            self.servicer.data.expire()
+            self.servicer.data.expire_leases()
 
     async def _show_counters(self, _request: web.Request) -> web.Response:
         return web.json_response(self.read_counters())
@@ -118,7 +118,7 @@
         return web.json_response([write._asdict() for write in writes])
 
     async def _remember(self, _request: web.Request) -> web.Response:
-        self.servicer.remember()
+        self.servicer.take_snapshot()
         return web.json_response({})
 
     async def _change_faults(self, request: web.Request) -> web.Response:
--- a/standins/work.py
+++ b/standins/worker.py
@@ -19,11 +19,11 @@
     from collections.abc import Mapping
 
     from standins import ledger
-    from standins import nested
+    from standins import nested_calls
 
 REQUEST_ID_HEADER = "Request-Id"
-ATTEMPT_HEADER = "Attempt-Id"
-KEY_HEADER = "Idempotency-Key"
+ATTEMPT_ID_HEADER = "Attempt-Id"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "Merlintrestle-Deadline-Ms"
 CRASH_HEADER = "Crash"
 _CRASH_STATUS = 70
@@ -87,7 +87,7 @@
         self,
         settings: Settings,
         runs: ledger.Ledger,
-        caller: nested.NestedCaller,
+        caller: nested_calls.NestedCaller,
     ):
         self.address = ""
         self.faults = Faults()
@@ -152,8 +152,8 @@
 
     def _describe(self, request: web.Request) -> dict[str, str]:
         return {
-            "key": request.headers.get(KEY_HEADER, ""),
-            "attempt_id": request.headers.get(ATTEMPT_HEADER, ""),
+            "key": request.headers.get(IDEMPOTENCY_KEY_HEADER, ""),
+            "attempt_id": request.headers.get(ATTEMPT_ID_HEADER, ""),
             "at": self.address,
             "path": request.path,
         }
--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -189,7 +189,7 @@
             entries: A copy made by `copy_store`.
         """
         await self.store.set_faults(faults.StoreFaults(stale=True))
-        self.store.servicer._past = entries
+        self.store.servicer._stale_entries = entries
 
     async def restart_daemon(self, index: int) -> Daemon:
         """Stops a daemon and starts a new one at its control address."""
--- a/tests/platform/soaking.py
+++ b/tests/platform/soaking.py
@@ -218,7 +218,7 @@
         runs = collections.Counter(
             attempt
             for daemon in self._fleet.daemons
-            for attempt in daemon.backend.ran
+            for attempt in daemon.backend.executed_attempts
         )
         self.result.violations.extend(
             f"{attempt}: ran {count} times"
@@ -317,7 +317,7 @@
 
     def _has_run(self, request: Request) -> bool:
         return any(
-            request.attempt_id in daemon.backend.ran
+            request.attempt_id in daemon.backend.executed_attempts
             for daemon in self._fleet.daemons
         )
 
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -152,7 +152,7 @@
 
     def count_sent_bytes(self) -> int:
         """Returns the bytes that the store has sent so far."""
-        return sum(self.standin.sent.values())
+        return sum(self.standin.sent_bytes.values())
 
     async def test_reads_without_a_change_transfer_no_value(self):
         """Guards against calls on a slow link that wait behind needless reads.
@@ -234,7 +234,7 @@
         await self.write(builders.build_configuration(5))
         await self.read()
         await self.write_others(2)
-        self.standin.faults.deaf = True
+        self.standin.faults.suppress_events = True
         await self.write(builders.build_configuration(6))
 
     async def test_a_change_among_writes_of_other_keys_is_read(self):
@@ -262,7 +262,7 @@
         await self.write_without_event()
         await self.read()
         await self.standin.compact()
-        self.standin.faults.deaf = False
+        self.standin.faults.suppress_events = False
         self.assertEqual(await self.read(), 6)
 
     async def test_a_change_that_the_history_lacks_is_read(self):
@@ -288,7 +288,7 @@
         self.assertEqual((await anext(heads)).version, 5)
         next_head = asyncio.ensure_future(anext(heads))
         self.addCleanup(next_head.cancel)
-        self.standin.faults.deaf = True
+        self.standin.faults.suppress_events = True
         await self.write(builders.build_configuration(6))
         self.assertEqual(await self.read(), 6)
 
@@ -314,7 +314,7 @@
         """
         await self.write(builders.build_large_configuration(5))
         next_head = await self.open_watch()
-        self.standin.faults.pause_s = 0.1
+        self.standin.faults.chunk_delay_s = 0.1
         value = builders.build_large_configuration(6)
         bytes_before = self.count_sent_bytes()
         await self.write(value)
@@ -331,12 +331,12 @@
         """
         await self.write(builders.build_large_configuration(5))
         await self.read()
-        bytes_before = self.standin.sent["range"]
+        bytes_before = self.standin.sent_bytes["range"]
         heads = self.source.watch_head()
         self.assertEqual((await anext(heads)).version, 5)
         next_head = await self.start_next_head(heads)
         next_head.cancel()
-        self.assertLess(self.standin.sent["range"] - bytes_before, 1000)
+        self.assertLess(self.standin.sent_bytes["range"] - bytes_before, 1000)
 
     async def test_a_malformed_record_is_an_error(self):
         """Guards against malformed configurations that are applied."""
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -27,7 +27,7 @@
         self.assertEqual(
             headers["X-Response-Signature"], f"sig-{backend.instance_id}"
         )
-        received_headers = backend.seen[-1]
+        received_headers = backend.received_headers[-1]
         self.assertEqual(received_headers["X-Attempt-Id"], "a1")
         self.assertEqual(received_headers["X-Caller-Service"], "kassa")
         self.assertEqual(
@@ -54,10 +54,10 @@
             "balie",
             configuration=builders.build_configuration(5, route),
         )
-        self.fleet.backends[0].full = True
+        self.fleet.backends[0].rejects_requests = True
         status, _, _ = await self.fleet.send(method="POST", data=b"x")
         self.assertEqual(status, 200)
-        self.assertEqual(self.fleet.backends[1].ran, ["a1"])
+        self.assertEqual(self.fleet.backends[1].executed_attempts, ["a1"])
 
     async def test_at_most_once(self):
         """Guards against a payout that is booked twice after a lost answer.
@@ -80,7 +80,7 @@
         ran = [
             attempt_id
             for backend in self.fleet.backends
-            for attempt_id in backend.ran
+            for attempt_id in backend.executed_attempts
         ]
         self.assertEqual(ran, ["a1"])
 
@@ -129,7 +129,7 @@
         await self.fleet.start("balie")
 
         async def fail(request: web.Request) -> web.StreamResponse:
-            headers = self.fleet.backends[0].sign(request)
+            headers = self.fleet.backends[0].build_answer_headers(request)
             return web.Response(status=503, headers=headers)
 
         self.fleet.backends[0].handler = fail
@@ -143,13 +143,15 @@
         """
         await self.fleet.start("balie", "balie")
         leaving_backend = self.fleet.backends[0]
-        await leaving_backend.leave(self.fleet.daemons[0].heartbeat_address)
+        await leaving_backend.send_leave(
+            self.fleet.daemons[0].heartbeat_address
+        )
         await leaving_backend.send_heartbeat(
             self.fleet.daemons[0].heartbeat_address
         )
         for index in (0, 1, 0, 1):
             self.assertEqual((await self.fleet.send(index))[0], 200)
-        self.assertEqual(leaving_backend.ran, [])
+        self.assertEqual(leaving_backend.executed_attempts, [])
 
     async def test_a_restarted_daemon_knows_its_backend_server(self):
         """Guards against refused calls between a restart and a heartbeat.
@@ -182,7 +184,7 @@
             while any(daemon.version != 9 for daemon in self.fleet.daemons):
                 await asyncio.sleep(0.01)
         self.assertEqual((await self.fleet.send())[0], 200)
-        self.assertEqual(len(self.fleet.backends[1].ran), 1)
+        self.assertEqual(len(self.fleet.backends[1].executed_attempts), 1)
 
     async def test_a_change_that_no_watch_delivers_takes_effect(self):
         """Guards against an accepted version that no watch delivers.
@@ -192,7 +194,7 @@
         version.
         """
         await self.fleet.start("balie", "kassa")
-        self.fleet.store.faults.deaf = True
+        self.fleet.store.faults.suppress_events = True
         await self.fleet.store.write(
             stores.CONFIGURATION_KEY, builders.build_configuration(9)
         )
@@ -255,7 +257,7 @@
         accepted.
         """
         await self.fleet.start("balie")
-        self.fleet.backends[0].full = True
+        self.fleet.backends[0].rejects_requests = True
         status, headers, _ = await self.fleet.send()
         self.assertEqual(status, 503)
         self.assertLess(float(headers["Retry-After"]), 0.2)
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -40,7 +40,7 @@
     def count_requests(self, version: str) -> int:
         """Returns the number of requests sent to the servers of a version."""
         return sum(
-            len(backend.seen)
+            len(backend.received_headers)
             for backend in self.fleet.backends
             if backend.version == version
         )
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -38,7 +38,8 @@
             self.nested_status = response.status
         status = 200 if self.nested_status == 200 else 500
         return web.Response(
-            status=status, headers=self.fleet.backends[0].sign(request)
+            status=status,
+            headers=self.fleet.backends[0].build_answer_headers(request),
         )
 
     async def test_nested_call_while_the_daemon_drains(
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -79,7 +79,7 @@
 
     async def test_a_read_of_a_silent_store_times_out(self):
         """Guards against reads that wait forever for a silent store."""
-        self.standin.faults.silent = True
+        self.standin.faults.hang = True
         with (
             mock.patch.object(stores, "_TIMEOUT_S", 0.05),
             self.assertRaises(errors.StoreUnavailableError),
@@ -97,7 +97,7 @@
         are never used.
         """
         await self.store.put("a", _LARGE_VALUE, 0)
-        self.standin.faults.pause_s = stores._TIMEOUT_S / 4
+        self.standin.faults.chunk_delay_s = stores._TIMEOUT_S / 4
         entry = await asyncio.wait_for(self.store.get("a"), 20)
         assert entry is not None
         self.assertEqual(len(entry.value), len(_LARGE_VALUE))
@@ -105,7 +105,7 @@
     async def test_a_value_that_does_not_end_times_out(self):
         """Guards against reads that wait forever for a very slow response."""
         await self.store.put("a", _LARGE_VALUE, 0)
-        self.standin.faults.pause_s = 0.1
+        self.standin.faults.chunk_delay_s = 0.1
         with (
             mock.patch.object(connectors, "_BODY_TIMEOUT_S", 0.2),
             self.assertRaises(errors.StoreUnavailableError),
@@ -115,7 +115,7 @@
     async def test_a_response_that_stops_times_out(self):
         """Guards against reads that wait forever within a response."""
         await self.store.put("a", _LARGE_VALUE, 0)
-        self.standin.faults.pause_s = 3600
+        self.standin.faults.chunk_delay_s = 3600
         with (
             mock.patch.object(stores, "_TIMEOUT_S", 0.2),
             self.assertRaises(errors.StoreUnavailableError),
@@ -129,7 +129,7 @@
         its state and report the error.
         """
         await self.store.put("a", b"1", 0)
-        self.standin.faults.cut = True
+        self.standin.faults.truncate_answers = True
         with self.assertRaises(errors.StoreError):
             await self.store.get("a")
 
--- a/tests/standins/builders.py
+++ b/tests/standins/builders.py
@@ -10,7 +10,7 @@
 from standins import backend
 from standins import process
 from standins import store
-from standins import work
+from standins import worker
 
 if TYPE_CHECKING:
     import unittest
@@ -38,7 +38,7 @@
     return made
 
 
-async def start_recorder(
+async def start_recording_server(
     case: unittest.IsolatedAsyncioTestCase,
     status: int = 200,
     headers: dict[str, str] | None = None,
@@ -61,7 +61,7 @@
     case: unittest.IsolatedAsyncioTestCase, slots: int = 12, daemon: str = ""
 ) -> backend.BackendStandin:
     """Starts a backend server without a daemon, closed after the test."""
-    settings = work.Settings("balie", slots)
+    settings = worker.Settings("balie", slots)
     standin = backend.BackendStandin(settings, daemon=daemon)
     await standin.start()
     case.addAsyncCleanup(standin.close)
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -9,10 +9,10 @@
 import aiohttp
 
 from standins import content
-from standins import work
+from standins import worker
 from tests.standins import builders
 
-_GUARD_S = 20.0
+_TEST_TIMEOUT_S = 20.0
 
 
 class BackendTest(unittest.IsolatedAsyncioTestCase):
@@ -22,7 +22,10 @@
 
     async def test_answer_names_the_request_and_its_body(self) -> None:
         backend = await builders.start_backend(self)
-        headers = {work.REQUEST_ID_HEADER: "r1", work.KEY_HEADER: "k1"}
+        headers = {
+            worker.REQUEST_ID_HEADER: "r1",
+            worker.IDEMPOTENCY_KEY_HEADER: "k1",
+        }
         url = f"http://{backend.address}/payouts/1"
         async with self.session.post(url, data=b"x", headers=headers) as got:
             fields = await got.json()
@@ -35,7 +38,7 @@
 
     async def test_download_has_the_checksum_of_its_request(self) -> None:
         backend = await builders.start_backend(self)
-        headers = {work.REQUEST_ID_HEADER: "r1"}
+        headers = {worker.REQUEST_ID_HEADER: "r1"}
         url = f"http://{backend.address}/footage/1?bytes=50001"
         async with self.session.get(url, headers=headers) as got:
             body = await got.read()
@@ -60,7 +63,7 @@
 
     async def test_deadline_ends_work_that_would_take_longer(self) -> None:
         backend = await builders.start_backend(self)
-        headers = {work.DEADLINE_HEADER: "1"}
+        headers = {worker.DEADLINE_HEADER: "1"}
         path = "/a?work_ms=60000"
         self.assertEqual(await self._get(backend, path, headers), 504)
 
@@ -73,7 +76,7 @@
         self.assertEqual(backend.state, "draining")
         self.assertFalse(drain.done())
         call.cancel()
-        await asyncio.wait_for(drain, _GUARD_S)
+        await asyncio.wait_for(drain, _TEST_TIMEOUT_S)
 
     async def test_silent_connection_hangs_and_a_new_one_works(self) -> None:
         """A pooled connection never answers again, a fresh one does at once.
@@ -102,11 +105,11 @@
         A daemon in between removes such headers, so the backend server copies
         them; without them the nested call would be taken for a fresh one.
         """
-        url, seen = await builders.start_recorder(self)
+        url, seen = await builders.start_recording_server(self)
         backend = await builders.start_backend(self, daemon=url)
         headers = {
-            work.REQUEST_ID_HEADER: "r1",
-            work.DEADLINE_HEADER: "900",
+            worker.REQUEST_ID_HEADER: "r1",
+            worker.DEADLINE_HEADER: "900",
             "Merlintrestle-Depth": "2",
             "Merlintrestle-Attempt": "1",
         }
@@ -141,7 +144,7 @@
             return await answer.json()
 
     async def _wait_events(self, backend, expected) -> None:
-        async with asyncio.timeout(_GUARD_S):
+        async with asyncio.timeout(_TEST_TIMEOUT_S):
             while True:
                 runs = await self._read_runs(backend)
                 if [run["event"] for run in runs] == expected:
--- a/tests/standins/test_keyvalue.py
+++ b/tests/standins/test_keyvalue.py
@@ -22,7 +22,7 @@
     def __init__(self):
         super().__init__()
         self.clock = builders.ManualClock()
-        self.real = keyvalue.KeyValue(self.clock)
+        self.real = keyvalue.KeyValueStore(self.clock)
         self.model: dict[str, keyvalue.Entry] = {}
         self.ends: dict[int, float] = {}
         self.revision = 0
@@ -37,7 +37,7 @@
             self._put(key, value, True, lease)
         else:
             revision = self._revision_of(key)
-            with _CASE.assertRaises(keyvalue.LeaseEndedError):
+            with _CASE.assertRaises(keyvalue.LeaseNotFoundError):
                 self.real.put(key, value, revision, lease)
 
     @stateful.rule(key=_KEYS, right=strategies.booleans())
@@ -107,13 +107,13 @@
         call of anyone, and whoever watches is told.
         """
         clock = builders.ManualClock()
-        data = keyvalue.KeyValue(clock)
+        data = keyvalue.KeyValueStore(clock)
         lease = data.grant_lease(_LEASE_S)
         data.put("key", b"x", 0, lease)
         stream = data.watch("key", 0)
         self.assertEqual((await anext(stream)).value, b"x")
         clock.now = float(_LEASE_S)
-        data.expire()
+        data.expire_leases()
         self.assertEqual((await anext(stream)).revision, 0)
         self.assertEqual(data.keep_lease(lease), 0)
 
--- a/tests/standins/test_store.py
+++ b/tests/standins/test_store.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from merlintrestle.store import client
 
-_GUARD_S = 20.0
+_TEST_TIMEOUT_S = 20.0
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
@@ -47,17 +47,17 @@
         async with contextlib.aclosing(
             self.client.watch("head", 0)  # type: ignore[type-var]
         ) as stream:
-            seen = await asyncio.wait_for(anext(stream), _GUARD_S)
+            seen = await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
             self.assertEqual(seen, first.entry)
             second = await self.client.put("head", b"2", seen.revision)
-            seen = await asyncio.wait_for(anext(stream), _GUARD_S)
+            seen = await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
             self.assertEqual(seen, second.entry)
 
     async def test_calls_and_waiting_watches_are_counted(self) -> None:
         await self.client.get("documents/a")
         await self.client.put("head", b"1", 0)
         stream = self.client.watch("head", 0)
-        await asyncio.wait_for(anext(stream), _GUARD_S)
+        await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
         counters = self.store.read_counters()
         self.assertEqual(counters["waiting_watches"], 1)
         self.assertEqual(counters["calls"]["get documents"], 1)
@@ -97,14 +97,14 @@
         for outage in (faults.Outage.UNAVAILABLE, faults.Outage.REFUSED):
             with self.subTest(outage=outage):
                 stream = self.client.watch("head", 0)
-                await asyncio.wait_for(anext(stream), _GUARD_S)
+                await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
                 await self.store.set_faults(faults.StoreFaults(outage))
                 with self.assertRaises(errors.StoreUnavailableError):
-                    await asyncio.wait_for(anext(stream), _GUARD_S)
+                    await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
                 with self.assertRaises(errors.StoreUnavailableError):
                     await self.client.get("head")
                 await self.store.set_faults(faults.StoreFaults())
-                async with asyncio.timeout(_GUARD_S):
+                async with asyncio.timeout(_TEST_TIMEOUT_S):
                     await _wait_until_answered(self.client)
 
     async def test_hanging_store_never_answers(self) -> None:
@@ -132,7 +132,7 @@
 
     async def test_stale_reads_answer_from_what_was_remembered(self) -> None:
         first = await self.client.put("head", b"old", 0)
-        self.store.servicer.remember()
+        self.store.servicer.take_snapshot()
         await self.client.put("head", b"new", first.entry.revision)
         await self.store.set_faults(faults.StoreFaults(stale=True))
         self.assertEqual(await self.client.get("head"), first.entry)
--- a/tests/tools/test_load.py
+++ b/tests/tools/test_load.py
@@ -94,7 +94,7 @@
         who does so gets the same answer and leaves.
         """
         headers = {calls.OUTCOME_HEADER: "not-run", "Retry-After": "0.01"}
-        self.entry, seen = await standin_builders.start_recorder(
+        self.entry, seen = await standin_builders.start_recording_server(
             self, status=503, headers=headers
         )
         target = builders.build_class(method="GET", repeatable=True)
--- a/tools/amplification.py
+++ b/tools/amplification.py
@@ -11,8 +11,8 @@
 import aiohttp
 
 from standins import ledger
-from standins import nested
-from standins import work
+from standins import nested_calls
+from standins import worker
 from tools import failures
 from tools import fleet
 from tools import layouts
@@ -129,15 +129,18 @@
 ) -> int:
     """Sends requests down a chain; returns how many had status 200."""
     paths = [_find_path(options.layout.name, service) for service in chain]
-    query = {"work_ms": "0", nested.THEN: ",".join(paths[1:])}
+    query = {
+        "work_ms": "0",
+        nested_calls.NEXT_PATHS_PARAMETER: ",".join(paths[1:]),
+    }
     statuses: list[int] = []
 
     async def send(number: int) -> None:
         entry = shown.instances[number % len(shown.instances)].url
         request_id = f"{name}-{number}"
         headers = {
-            work.REQUEST_ID_HEADER: request_id,
-            work.ATTEMPT_HEADER: f"{request_id}.0",
+            worker.REQUEST_ID_HEADER: request_id,
+            worker.ATTEMPT_ID_HEADER: f"{request_id}.0",
         }
         url = f"{entry}/{paths[0]}/{number}"
         async with session.get(url, params=query, headers=headers) as answer:
--- a/tools/calls.py
+++ b/tools/calls.py
@@ -12,7 +12,7 @@
 import aiohttp
 
 from standins import content
-from standins import work
+from standins import worker
 
 if TYPE_CHECKING:
     from tools import workload
@@ -162,14 +162,14 @@
 
 def _build_headers(request: Request, attempt_id: str) -> dict[str, str]:
     headers = {
-        work.REQUEST_ID_HEADER: request.request_id,
-        work.ATTEMPT_HEADER: attempt_id,
+        worker.REQUEST_ID_HEADER: request.request_id,
+        worker.ATTEMPT_ID_HEADER: attempt_id,
         ORGANISATION_HEADER: request.load.organisation,
     }
     if not request.load.repeatable:
-        headers[work.KEY_HEADER] = request.request_id
+        headers[worker.IDEMPOTENCY_KEY_HEADER] = request.request_id
     if request.crash:
-        headers[work.CRASH_HEADER] = "1"
+        headers[worker.CRASH_HEADER] = "1"
     return headers
 
 
