--- a/merlintrestle/daemon/metrics.py
+++ b/merlintrestle/daemon/metrics.py
@@ -71,7 +71,7 @@
     """Returns a registry with the metrics of a daemon."""
     registry = prometheus_client.CollectorRegistry()
     registry.register(StateCollector(active_version, table, proxy))
-    registry.register(proxy.statistics)
+    registry.register(proxy.outcome_counts)
     registry.register(proxy.latencies)
     registry.register(proxy.traffic)
     return registry
--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -47,7 +47,7 @@
 _LEAVE_PROPAGATION_S = 0.4
 
 
-class Environment(NamedTuple):
+class Components(NamedTuple):
     """Components and options of a daemon that depend on the platform.
 
     Attributes:
@@ -64,7 +64,7 @@
     """
 
     store: Any
-    source: sources.Source
+    source: sources.ConfigurationSource
     dialect: object
     timing: timings.Timing
     use_witnesses: bool = True
@@ -72,10 +72,10 @@
     rollout_format: storages.RecordFormat = storages.DefaultFormat()
 
 
-def build_environment(store_address: str) -> Environment:
-    """Returns the default environment, with the given store."""
+def build_native_components(store_address: str) -> Components:
+    """Returns the default components, with the store at an address."""
     store = client.StoreClient(store_address)
-    return Environment(
+    return Components(
         store,
         sources.StoreSource(store),
         dialects.NativeDialect(),
@@ -94,16 +94,16 @@
     def __init__(
         self,
         settings: settings_pb2.DaemonSettings,
-        environment: Environment | None = None,
+        components: Components | None = None,
     ):
         """Initializes the daemon without opening any port or connection."""
         super().__init__()
-        self._environment = environment or build_environment(settings.store)
+        self._components = components or build_native_components(settings.store)
         self._heartbeat_filter = heartbeats.HeartbeatFilter()
         self._settings = settings_pb2.DaemonSettings()
         self._settings.CopyFrom(settings)
         self._active_version = active_versions.ActiveVersion()
-        self._store = self._environment.store
+        self._store = self._components.store
         self._stopping = False
         self._started_serving = False
 
@@ -124,7 +124,7 @@
             self._active_version,
             self._table,
             self._store,
-            self._environment.dialect,
+            self._components.dialect,
             self._rollout_tracker,
         )
         self._proxy.defer_caller_port = True
@@ -238,16 +238,16 @@
             self._table,
             self._store,
             self._settings.seeds,
-            self._environment.timing,
+            self._components.timing,
         )
         self._membership = membership
         distribution = distributions.Distribution(
             self._active_version,
             membership,
-            self._environment.source,
+            self._components.source,
             self._settings.spread,
-            self._environment.use_witnesses,
-            self._environment.read_before_contact,
+            self._components.use_witnesses,
+            self._components.read_before_contact,
         )
         servicer = control_server.ControlServicer(
             membership,
@@ -278,7 +278,7 @@
             self._rollout_tracker, membership
         )
         storage = storages.RolloutStorage(
-            self._store, self._environment.rollout_format
+            self._store, self._components.rollout_format
         )
         self._rollout_controller = controllers.RolloutController(
             self._rollout_tracker,
--- a/merlintrestle/documents/loader.py
+++ b/merlintrestle/documents/loader.py
@@ -66,7 +66,7 @@
         service_plans,
         parsed_resources,
         actual_digest,
-        hosts=_group_host_routes(services, parsed_resources),
+        host_routes=_group_host_routes(services, parsed_resources),
         limits=limits.limits if limits else None,
     )
 
--- a/merlintrestle/documents/snapshot.py
+++ b/merlintrestle/documents/snapshot.py
@@ -206,7 +206,7 @@
         services: Mapping[str, ServicePlan],
         parsed_resources: Mapping[str, ParsedResource] | None = None,
         digest: bytes = b"",
-        hosts: Mapping[str, tuple[HostRoute, ...]] | None = None,
+        host_routes: Mapping[str, tuple[HostRoute, ...]] | None = None,
         limits: Limits | None = None,
     ):
         """Initializes the snapshot.
@@ -217,11 +217,11 @@
             services: Services by name.
             parsed_resources: Parsed resources by name; empty if omitted.
             digest: Digest of the snapshot; computed if empty.
-            hosts: Host routes by host, longest prefix first.
+            host_routes: Host routes by host, longest prefix first.
             limits: Limits for the requests of callers; None if not specified.
         """
         self.version = version
-        self.host_routes = hosts or {}
+        self.host_routes = host_routes or {}
         self._prefixes = {
             host: _index_prefixes(routes)
             for host, routes in self.host_routes.items()
--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -31,7 +31,7 @@
 _MIN_WAIT_MS = 1
 
 
-class ConfigurationSource:
+class PlatformSource:
     """Source of versions that reads the operators' configuration record."""
 
     def __init__(self, store: stores.PlatformStore):
@@ -116,7 +116,7 @@
         return [
             entry
             for entry in self._orders
-            if entry.key.startswith(rollouts.OPERATORS_FORMAT.order_prefix)
+            if entry.key.startswith(rollouts.PLATFORM_FORMAT.order_prefix)
         ]
 
     async def write_seeds(self, zone: str, member_ids: list[str]) -> list[str]:
@@ -144,7 +144,7 @@
             return False
         for entry in events[-1:]:
             self._apply_entry(entry)
-            self._known.record_read(news=True)
+            self._known.record_read(head_changed=True)
             self._known.advance(entry.revision)
         return True
 
@@ -197,7 +197,7 @@
     name = row.get_text("name")
     resources[snapshots.build_service_name(name)] = compiler.serialize_message(
         document_pb2.ServiceResource(
-            name=name, max_connections=row.get_number("maxConnections")
+            name=name, max_connections=row.get_integer("maxConnections")
         )
     )
 
@@ -212,7 +212,7 @@
                 prefix=row.get_text("prefix"),
                 parts=_build_parts(row),
                 target=_build_target(row),
-                max_attempts=row.get_number("maxAttempts"),
+                max_attempts=row.get_integer("maxAttempts"),
             )
         )
     )
@@ -226,7 +226,7 @@
     parts = [rows.Row("split", part) for part in split]
     return [
         document_pb2.RoutePart(
-            service=part.get_text("service"), weight=part.get_number("weight")
+            service=part.get_text("service"), weight=part.get_integer("weight")
         )
         for part in parts
     ]
@@ -236,9 +236,9 @@
     kind = row.get_text("kind")
     if kind not in _REPEATABILITY:
         raise errors.SnapshotError(f"routes: kind is {kind!r}")
-    priority = row.get_number("priority")
-    latency_ms = row.get_number("targetLatencyMs")
-    deadline_ms = row.get_number("timeoutMs")
+    priority = row.get_integer("priority")
+    latency_ms = row.get_integer("targetLatencyMs")
+    deadline_ms = row.get_integer("timeoutMs")
     return document_pb2.ClassTarget(
         # Routes of equal kind, priority and latency share one class.
         name=f"{kind}-{priority}-{latency_ms}",
@@ -254,9 +254,9 @@
 def _add_limits(resources: dict[str, bytes], row: rows.Row) -> None:
     resources[snapshots.LIMITS_RESOURCE] = compiler.serialize_message(
         document_pb2.LimitsResource(
-            max_header_bytes=row.get_number("maxHeaderBytes"),
-            max_body_bytes=row.get_number("maxBodyBytes"),
-            header_timeout_ms=row.get_number("headerTimeoutMs"),
-            idle_timeout_ms=row.get_number("idleTimeoutMs"),
+            max_header_bytes=row.get_integer("maxHeaderBytes"),
+            max_body_bytes=row.get_integer("maxBodyBytes"),
+            header_timeout_ms=row.get_integer("headerTimeoutMs"),
+            idle_timeout_ms=row.get_integer("idleTimeoutMs"),
         )
     )
--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -56,8 +56,8 @@
     service: str
 
 
-@dialects.match_caller.register(PlatformDialect)
-def _match_caller(
+@dialects.match_caller_request.register(PlatformDialect)
+def _match_caller_request(
     dialect: PlatformDialect,
     running_snapshot: snapshot.Snapshot,
     request: web.BaseRequest,
--- a/merlintrestle/platform/rollouts.py
+++ b/merlintrestle/platform/rollouts.py
@@ -25,7 +25,7 @@
 _MAX_DURATION_S = 604_800
 
 
-class OperatorsFormat:
+class PlatformFormat:
     """Records that the platform's operators write and read."""
 
     order_prefix = "op/rollout/"
@@ -71,4 +71,4 @@
         return storage.RecordedState(row.get_text("targetVersion"), state)
 
 
-OPERATORS_FORMAT = OperatorsFormat()
+PLATFORM_FORMAT = PlatformFormat()
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -37,14 +37,14 @@
         store = stores.PlatformStore(str(settings.store))
         super().__init__(
             build_daemon_settings(settings),
-            service.Environment(
+            service.Components(
                 store=store,
-                source=configuration.ConfigurationSource(store),
+                source=configuration.PlatformSource(store),
                 dialect=requests.PlatformDialect(settings.service),
                 timing=timings.QUICK,
                 use_witnesses=False,
                 read_before_contact=True,
-                rollout_format=rollouts.OPERATORS_FORMAT,
+                rollout_format=rollouts.PLATFORM_FORMAT,
             ),
         )
 
--- a/merlintrestle/requests/calls/call.py
+++ b/merlintrestle/requests/calls/call.py
@@ -48,9 +48,9 @@
         latency_deadline: Event loop time by which the latency target must be
             met, in seconds. It is measured from the caller's first attempt.
         depth: Number of calls that this call is nested in.
-        attempt: 0 if this daemon may retry the call. More than 0 if the call is
-            a retry, or if another daemon may retry the call or one that it is
-            nested in.
+        attempt_number: 0 if this daemon may retry the call. More than 0 if the
+            call is a retry, or if another daemon may retry the call or one that
+            it is nested in.
         key: Idempotency-Key; empty if there is none.
         return_trip_s: Estimated time that a refusal takes to reach the
             caller's daemon, in seconds. Only `refuse_by` depends on it; a call
@@ -81,7 +81,7 @@
     deadline: float
     latency_deadline: float
     depth: int
-    attempt: int
+    attempt_number: int
     key: str
     return_trip_s: float = 0.0
     repeat: bool = False
--- a/merlintrestle/requests/calls/dialect.py
+++ b/merlintrestle/requests/calls/dialect.py
@@ -34,7 +34,7 @@
 
 @generics.cache_dispatch
 @functools.singledispatch
-def match_caller(
+def match_caller_request(
     dialect: object,
     running_snapshot: snapshot.Snapshot,
     request: web.BaseRequest,
@@ -127,13 +127,13 @@
     raise TypeError(f"not a dialect: {dialect!r}")
 
 
-@match_caller.register(NativeDialect)
-def _match_caller(
+@match_caller_request.register(NativeDialect)
+def _match_caller_request(
     dialect: NativeDialect,
     running_snapshot: snapshot.Snapshot,
     request: web.BaseRequest,
 ) -> routing.Match | outcomes.NotRun:
-    return parsing.match_caller(running_snapshot, request)
+    return parsing.match_caller_request(running_snapshot, request)
 
 
 @read_metadata.register(NativeDialect)
@@ -170,7 +170,7 @@
     # marked as retries (attempt 1), because daemons do not retry such calls.
     # Otherwise each of N levels would have a retry, and the innermost call
     # would run up to N + 1 times.
-    attempt = 1 if call.plan.repeatable else call.attempt
+    attempt = 1 if call.plan.repeatable else call.attempt_number
     sent_headers[headers.ATTEMPT] = str(attempt)
     return sent_headers
 
--- a/merlintrestle/requests/calls/metadata.py
+++ b/merlintrestle/requests/calls/metadata.py
@@ -36,7 +36,7 @@
         flags += str(metadata.return_trip_ms)
     return (
         f"{metadata.timeout_ms} {metadata.waited_ms} {metadata.depth}"
-        f" {metadata.attempt} {flags} {metadata.origin}"
+        f" {metadata.attempt_number} {flags} {metadata.origin}"
         f" {metadata.request_id}{_TERMINATOR}"
     )
 
--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -22,7 +22,7 @@
 _MAX_KEY_CHARACTERS = 255
 
 
-def match_caller(
+def match_caller_request(
     running_snapshot: snapshot.Snapshot, request: web.BaseRequest
 ) -> routing.Match | outcomes.NotRun:
     """Returns the destination of a caller's request, or a refusal.
@@ -49,9 +49,9 @@
         origin: Service of the instance at which the request began; empty if
             unknown.
         depth: Number of calls that the call is nested in.
-        attempt: 0 if this daemon may retry the call. More than 0 if the call is
-            a retry, or if another daemon may retry the call or one that it is
-            nested in.
+        attempt_number: 0 if this daemon may retry the call. More than 0 if the
+            call is a retry, or if another daemon may retry the call or one that
+            it is nested in.
         waited_ms: Milliseconds that have elapsed since the caller's first
             attempt, during which the caller has waited.
         retries_keep_deadline: True if the caller does not mark retries, as in
@@ -71,7 +71,7 @@
     request_id: str = ""
     origin: str = ""
     depth: int = 0
-    attempt: int = 0
+    attempt_number: int = 0
     waited_ms: int = 0
     retries_keep_deadline: bool = False
     suspect: bool = False
@@ -80,7 +80,9 @@
     return_trip_ms: int = 0
 
 
-def match_peer(request: web.BaseRequest) -> routing.Match | outcomes.NotRun:
+def match_peer_request(
+    request: web.BaseRequest,
+) -> routing.Match | outcomes.NotRun:
     """Returns the destination of another daemon's request, or a refusal.
 
     The other daemon has already chosen the service and the class of work.
@@ -102,7 +104,8 @@
     return CallMetadata(
         headers.read_number(request_headers, headers.DEADLINE),
         depth=get_depth(request),
-        attempt=headers.read_number(request_headers, headers.ATTEMPT) or 0,
+        attempt_number=headers.read_number(request_headers, headers.ATTEMPT)
+        or 0,
     )
 
 
@@ -153,7 +156,7 @@
         - metadata.waited_ms / 1000
         + plan.latency_s,
         depth=metadata.depth,
-        attempt=metadata.attempt,
+        attempt_number=metadata.attempt_number,
         key=request.headers.get(headers.IDEMPOTENCY_KEY, ""),
         repeat=metadata.repeat,
         wait=metadata.wait,
--- a/merlintrestle/requests/load/polls.py
+++ b/merlintrestle/requests/load/polls.py
@@ -31,7 +31,7 @@
 _MAX_POLLED = 4
 
 
-class Polls:
+class PolledUpstreams:
     """The polled upstreams that were full, for one call."""
 
     __slots__ = ("_polled",)
--- a/merlintrestle/requests/load/retries.py
+++ b/merlintrestle/requests/load/retries.py
@@ -82,10 +82,10 @@
 
     With calls nested N levels deep and two attempts at each level, the lowest
     service would receive 2**N calls for each call of a caller. With this rule
-    it receives at most two, as `Call.attempt` is also set for calls nested in a
-    call that may be retried.
+    it receives at most two, as `Call.attempt_number` is also above 0 for calls
+    nested in a call that may be retried.
     """
-    return Retry.NO if call.attempt else Retry.BUDGETED
+    return Retry.NO if call.attempt_number else Retry.BUDGETED
 
 
 def compute_hedge_time(call: calls.Call, now: float) -> float:
@@ -105,7 +105,7 @@
         Time of the event loop, in seconds.
     """
     plan = call.plan
-    if not plan.repeatable or plan.large or call.attempt:
+    if not plan.repeatable or plan.large or call.attempt_number:
         return call.deadline
     delay_s = max(
         _MIN_HEDGE_DELAY_S,
--- a/merlintrestle/requests/load/round_trips.py
+++ b/merlintrestle/requests/load/round_trips.py
@@ -50,7 +50,7 @@
         self._updated_at = self._get_time()
         self._mean_s = mean_s + _EWMA_WEIGHT * (round_trip_s - mean_s)
 
-    def reserve(self, remaining_s: float) -> float:
+    def estimate_return_trip(self, remaining_s: float) -> float:
         """Returns the time to reserve for the return trip of a refusal.
 
         It is the time of a whole round trip: the upstream counts the timeout of
--- a/merlintrestle/requests/reports/statistics.py
+++ b/merlintrestle/requests/reports/outcome_counts.py
@@ -60,7 +60,7 @@
 _Key = tuple[str, str, str]
 
 
-class Statistics:
+class OutcomeCounts:
     """Counts calls by class of work, over a sliding window and since the start.
 
     It is a collector for `prometheus_client`. A call only updates Python
--- a/merlintrestle/requests/serving/attempt_runner.py
+++ b/merlintrestle/requests/serving/attempt_runner.py
@@ -286,12 +286,14 @@
             call.request_id,
             call.origin,
             call.depth,
-            int(call.attempt > 0 or may_retry),
+            int(call.attempt_number > 0 or may_retry),
             max(0, int(waited_s * 1000)),
             suspect=call.suspect,
             wait=attempt.wait,
             repeat=call.repeat,
-            return_trip_ms=round(self._round_trip.reserve(remaining_s) * 1000),
+            return_trip_ms=round(
+                self._round_trip.estimate_return_trip(remaining_s) * 1000
+            ),
         )
         peer_headers = call.headers.copy()
         peer_headers[headers.PLAN] = plans.encode_plan(call.plan)
--- a/merlintrestle/requests/serving/callers.py
+++ b/merlintrestle/requests/serving/callers.py
@@ -20,7 +20,7 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.calls import routing
     from merlintrestle.requests.reports import latencies as latencies_
-    from merlintrestle.requests.reports import statistics as statistics_
+    from merlintrestle.requests.reports import outcome_counts as outcome_counts_
     from merlintrestle.requests.serving import dispatch
     from merlintrestle.requests.serving import serving_state as serving_states
 
@@ -33,7 +33,7 @@
         state: serving_states.ServingState,
         dialect: object,
         dispatcher: dispatch.Dispatcher,
-        statistics: statistics_.Statistics,
+        outcome_counts: outcome_counts_.OutcomeCounts,
         latencies: latencies_.Latencies,
         is_busy: Callable[[], bool],
     ):
@@ -43,7 +43,7 @@
             state: The serving state of this daemon.
             dialect: The dialect of the callers.
             dispatcher: Sends calls to upstreams.
-            statistics: Counts the outcomes of the calls of each class.
+            outcome_counts: Counts the outcomes of the calls of each class.
             latencies: Records how long callers waited for answers.
             is_busy: Returns whether the local backend server runs a call.
                 Requests may be nested in a call only while it does.
@@ -52,7 +52,7 @@
         self._state = state
         self._dialect = dialect
         self._dispatcher = dispatcher
-        self._statistics = statistics
+        self._outcome_counts = outcome_counts
         self._latencies = latencies
         self._get_time = asyncio.get_running_loop().time
         self._refused_callers = refused_callers.RefusedCallers(self._get_time)
@@ -71,7 +71,9 @@
         )
         if isinstance(active_snapshot, outcomes.NotRun):
             return self._refuse(active_snapshot, request)
-        match = dialects.match_caller(self._dialect, active_snapshot, request)
+        match = dialects.match_caller_request(
+            self._dialect, active_snapshot, request
+        )
         if isinstance(match, outcomes.NotRun):
             return self._refuse(match, request)
         self._state.begin_call()
@@ -155,7 +157,7 @@
                     request, outcome, self._dialect
                 )
             finally:
-                self._statistics.record(call.plan, outcome, duration_s)
+                self._outcome_counts.record(call.plan, outcome, duration_s)
                 self._latencies.record(
                     call.plan, call.service, outcome, duration_s
                 )
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -134,7 +134,7 @@
         outcome = event.outcome
         state.record(outcome)
         if isinstance(outcome, outcomes.NotRun) and outcome.unqueued:
-            state.polls.add(
+            state.polled_upstreams.add(
                 event.attempt.upstream, outcome.retry_after_s or 0.0
             )
             if self._continue_polling(state):
@@ -196,13 +196,13 @@
             return False
         upstream_count = len(self._table.get_upstreams(call.service))
         if (
-            not state.polls.is_complete(upstream_count)
+            not state.polled_upstreams.is_complete(upstream_count)
             and state.may_attempt_another_upstream(upstream_count)
             and self._start_at_another_upstream(state)
         ):
             return True
         state.overload_refusal_count += 1
-        best = state.polls.take_best()
+        best = state.polled_upstreams.take_best()
         call.decision_log.add("all full", waits_at=best.member_id)
         self._start(attempts_.Attempt(best), state)
         return True
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -92,7 +92,7 @@
         active_snapshot = self._state.get_active_snapshot()
         if isinstance(active_snapshot, outcomes.NotRun):
             return outcomes.render(active_snapshot)
-        match = parsing.match_peer(request)
+        match = parsing.match_peer_request(request)
         if isinstance(match, outcomes.NotRun):
             return outcomes.render(match)
         call_metadata = metadata.decode_metadata(
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -17,7 +17,7 @@
 from merlintrestle.requests.load import links
 from merlintrestle.requests.load import picking
 from merlintrestle.requests.reports import latencies
-from merlintrestle.requests.reports import statistics
+from merlintrestle.requests.reports import outcome_counts
 from merlintrestle.requests.reports import traffic
 from merlintrestle.requests.serving import callers
 from merlintrestle.requests.serving import dispatch
@@ -27,9 +27,9 @@
 from merlintrestle.requests.transport import forwarding
 from merlintrestle.requests.transport import server
 from merlintrestle.requests.unrepeatable import claims as claims_
-from merlintrestle.requests.unrepeatable import inquiries
 from merlintrestle.requests.unrepeatable import leases
 from merlintrestle.requests.unrepeatable import recall
+from merlintrestle.requests.unrepeatable import recall_retries
 from merlintrestle.rollouts import observer as observers
 from merlintrestle.rollouts import subsets
 from merlintrestle.rollouts import tracker as trackers
@@ -63,7 +63,7 @@
 
     Attributes:
         backend: The local backend server.
-        statistics: Counts the outcomes of the calls of each class.
+        outcome_counts: Counts the outcomes of the calls of each class.
         latencies: Records how long callers waited, and why they were refused.
         traffic: Reports the bytes sent over the link, the bytes in the send
             buffers and the lag of the event loop.
@@ -125,10 +125,10 @@
         self.control_port = settings.control_port
         self._recall_client = recall.RecallClient()
         claims = claims_.Claims(
-            self._get_owner,
+            self._get_holder,
             store,
             leases.ClaimLease(store),
-            inquiries.RetryingRecaller(self._recall_client),
+            recall_retries.RetryingRecaller(self._recall_client),
             settings.claims,
             time.monotonic,
         )
@@ -189,7 +189,7 @@
         """Opens the peer port and, unless deferred, the caller port."""
         self._member_id = f"{self._settings.address}:{self.control_port}"
         loop = asyncio.get_running_loop()
-        self.statistics = statistics.Statistics(loop.time)
+        self.outcome_counts = outcome_counts.OutcomeCounts(loop.time)
         await self._forwarder.start()
         self.backend.on_restart = self._forwarder.drop_idle
         address = self._settings.address
@@ -197,7 +197,7 @@
             self._state,
             self._dialect,
             self._dispatcher,
-            self.statistics,
+            self.outcome_counts,
             self.latencies,
             self._admission.is_busy,
         )
@@ -326,12 +326,12 @@
 
     def get_class_statuses(self) -> list[control_pb2.ClassStatus]:
         """Returns the recent outcomes of the calls of each class."""
-        return self.statistics.get_statuses()
+        return self.outcome_counts.get_statuses()
 
     def _get_member_id(self) -> str:
         return self._member_id
 
-    def _get_owner(self) -> claims_.Owner:
-        return claims_.Owner(
+    def _get_holder(self) -> claims_.Holder:
+        return claims_.Holder(
             self._get_member_id(), self._settings.address, self.control_port
         )
--- a/merlintrestle/requests/serving/retry_state.py
+++ b/merlintrestle/requests/serving/retry_state.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.load import polls as polls_
+from merlintrestle.requests.load import polls
 from merlintrestle.requests.load import retries
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         outcome: Combined outcome of the ended attempts; None: no attempt has
             ended.
         round_trip: Round-trip time to other daemons.
-        polls: Full upstreams that were polled for a free slot.
+        polled_upstreams: Full upstreams that were polled for a free slot.
     """
 
     call: calls.Call
@@ -51,7 +51,9 @@
     reached_count: int = 0
     overload_refusal_count: int = 0
     outcome: outcomes.Outcome | None = None
-    polls: polls_.Polls = dataclasses.field(default_factory=polls_.Polls)
+    polled_upstreams: polls.PolledUpstreams = dataclasses.field(
+        default_factory=polls.PolledUpstreams
+    )
 
     def record(self, latest: outcomes.Outcome) -> None:
         """Records the outcome of an attempt."""
@@ -109,11 +111,11 @@
             False if the call must not be sent again.
         """
         already_retried = (
-            self.call.attempt and not self._are_all_attempts_refused()
+            self.call.attempt_number and not self._are_all_attempts_refused()
         )
         if already_retried or not self.budget.try_spend():
             return False
-        self.call.attempt += 1
+        self.call.attempt_number += 1
         self.call.repeat = True
         return True
 
@@ -132,7 +134,7 @@
         """Returns whether all attempts by this daemon were refused.
 
         Returns False if this daemon has not charged a retry yet: a positive
-        `call.attempt` was then set by a call that this one is nested in.
+        `call.attempt_number` was then set by a call that this one is nested in.
         """
         refused = isinstance(self.outcome, outcomes.NotRun)
         return self.call.repeat and refused and not self.attempts.count
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -223,11 +223,11 @@
         """
         if (
             await backend.check_reachable()
-            and not call.attempt
+            and not call.attempt_number
             and call.body.buffered is not None
             and budget.try_spend()
         ):
-            call.attempt += 1
+            call.attempt_number += 1
             call.repeat = True
             events.note("connection silent", address=backend.address)
             self._pool.close_idle(backend.address)
--- a/merlintrestle/requests/transport/probes.py
+++ b/merlintrestle/requests/transport/probes.py
@@ -107,7 +107,9 @@
         return _UNKNOWN_STATUS, ""
 
 
-async def ask(pool: pools.Pool, address: str, call_id: str) -> ProbeResult:
+async def send_probe(
+    pool: pools.Pool, address: str, call_id: str
+) -> ProbeResult:
     """Sends a probe about a call to a peer, over a new connection.
 
     Args:
--- a/merlintrestle/requests/transport/watchdogs.py
+++ b/merlintrestle/requests/transport/watchdogs.py
@@ -20,7 +20,7 @@
 # A call is slow if its answer has not started after this time, or after a
 # multiple of its expected work time if that is longer. A slow call to a peer is
 # probed; a slow call to the backend server may be resent.
-FIRST_BYTE_TIMEOUT_S = 0.25
+MIN_SLOW_CALL_S = 0.25
 _WORK_TIME_FACTOR = 4.0
 # Minimum time to wait for data in transit after a peer reported that a call has
 # ended or has not arrived. The data arrives within this time if no link is
@@ -28,7 +28,7 @@
 # of the probe is used if it is longer.
 _MIN_IN_TRANSIT_S = 0.05
 # Interval at which a streamed answer is checked for progress.
-TRANSFER_PROBE_INTERVAL_S = 5.0
+PROGRESS_CHECK_INTERVAL_S = 5.0
 
 
 def get_slow_call_s(work_s: float) -> float:
@@ -37,7 +37,7 @@
     Args:
         work_s: Expected work time, in seconds.
     """
-    return max(FIRST_BYTE_TIMEOUT_S, _WORK_TIME_FACTOR * work_s)
+    return max(MIN_SLOW_CALL_S, _WORK_TIME_FACTOR * work_s)
 
 
 class CallIds:
@@ -132,7 +132,7 @@
     address = connection.address
     while True:
         probed_at = loop.time()
-        result = await probes.ask(pool, address, call_id)
+        result = await probes.send_probe(pool, address, call_id)
         if not result.answered:
             if not has_received_since(address, probed_at):
                 report(doubts.Doubt.PEER_SILENT)
@@ -172,11 +172,11 @@
     was_stalled = False
     while True:
         received = content.total_bytes
-        await asyncio.sleep(TRANSFER_PROBE_INTERVAL_S)
+        await asyncio.sleep(PROGRESS_CHECK_INTERVAL_S)
         if content.total_bytes != received:
             was_stalled = False
             continue
-        result = await probes.ask(pool, address, call_id)
+        result = await probes.send_probe(pool, address, call_id)
         wrote_more = result.written > content.total_bytes
         stalled = result.answered and (wrote_more or not result.in_flight)
         if answer.is_paused():
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -41,7 +41,7 @@
 )
 
 
-class Owner(NamedTuple):
+class Holder(NamedTuple):
     """The local daemon as stated in its claims, whose holder it is.
 
     Attributes:
@@ -126,7 +126,7 @@
 
     def __init__(
         self,
-        get_owner: Callable[[], Owner],
+        get_holder: Callable[[], Holder],
         store: interfaces.Store,
         lease: leases.ClaimLease,
         recaller: Recaller,
@@ -137,7 +137,7 @@
         """Sets the dependencies.
 
         Args:
-            get_owner: Returns the local daemon, which becomes the holder of
+            get_holder: Returns the local daemon, which becomes the holder of
                 new claims.
             store: Store of the claims.
             lease: Lease under which claims are written.
@@ -147,7 +147,7 @@
             get_boot_time: Clock for the age of claims, in seconds since boot.
         """
         self.ledger = ledgers.Ledger()
-        self._get_owner = get_owner
+        self._get_holder = get_holder
         self._store = store
         self._lease = lease
         self._recaller = recaller
@@ -188,13 +188,13 @@
         """
         if self._get_time() >= call.refuse_by:
             return outcomes.TOO_LATE
-        owner = self._get_owner()
+        holder = self._get_holder()
         digest = call.get_request_digest()
         record = self.ledger.open(claim_key, secrets.token_hex(8), digest)
         claim = request_pb2.Claim(
-            member_id=owner.member_id,
-            address=owner.address,
-            control_port=owner.control_port,
+            member_id=holder.member_id,
+            address=holder.address,
+            control_port=holder.control_port,
             claim_id=record.claim_id,
             at_ms=int(time.time() * 1000),
             request_digest=digest,
@@ -341,7 +341,7 @@
     async def _recall(
         self, claim: request_pb2.Claim, claim_key: str, wait_s: float
     ) -> request_pb2.RecallReply | None:
-        if claim.member_id == self._get_owner().member_id:
+        if claim.member_id == self._get_holder().member_id:
             return await self.answer_recall(claim.claim_id, wait_s)
         return await self._recaller.recall(claim, claim_key, wait_s)
 
--- a/merlintrestle/rows.py
+++ b/merlintrestle/rows.py
@@ -43,7 +43,7 @@
             raise self._build_error(name)
         return value
 
-    def get_number(self, name: str) -> int:
+    def get_integer(self, name: str) -> int:
         """Returns a non-negative integer."""
         value = self._fields.get(name)
         if type(value) is not int or value < 0:
--- a/merlintrestle/versions/discovery.py
+++ b/merlintrestle/versions/discovery.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         membership: membership_lib.Membership,
-        source: source_lib.Source,
+        source: source_lib.ConfigurationSource,
         clock: Callable[[], float],
     ):
         """Connects members and store; `clock` returns the time in seconds."""
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -51,7 +51,7 @@
         self,
         active_version: active_version_lib.ActiveVersion,
         membership: membership_lib.Membership,
-        source: source_lib.Source,
+        source: source_lib.ConfigurationSource,
         spread: str = PUSH_DELTAS,
         use_witnesses: bool = True,
         read_before_contact: bool = False,
--- a/merlintrestle/versions/known_revision.py
+++ b/merlintrestle/versions/known_revision.py
@@ -46,13 +46,13 @@
         self.revision = max(self.revision, revision)
         self._advanced.set()
 
-    def record_read(self, news: bool) -> None:
+    def record_read(self, head_changed: bool) -> None:
         """Records a read at a new revision.
 
         Args:
-            news: Whether the read returned a new head.
+            head_changed: Whether the read returned a new head.
         """
-        self._unchanged_read_at = None if news else self._clock()
+        self._unchanged_read_at = None if head_changed else self._clock()
 
     def may_query_history(self) -> bool:
         """Returns whether the store's history may be queried for the head.
--- a/merlintrestle/versions/source.py
+++ b/merlintrestle/versions/source.py
@@ -18,7 +18,7 @@
     from merlintrestle.store import client
 
 
-class Source(Protocol):
+class ConfigurationSource(Protocol):
     """Access to the configuration, roll-out orders and seeds in a store."""
 
     async def read_head(self) -> document_pb2.Head:
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         membership: membership_lib.Membership,
-        source: source_lib.Source,
+        source: source_lib.ConfigurationSource,
         on_snapshot: Callable[[snapshot_lib.Snapshot], None],
         clock: Callable[[], float] = time.monotonic,
         read_before_contact: bool = False,
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -128,7 +128,7 @@
 class SourceTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.standin, self.store = await builders.start_store(self)
-        self.source = configuration.ConfigurationSource(self.store)
+        self.source = configuration.PlatformSource(self.store)
 
     async def test_version_numbers_may_skip(self):
         """Guards against a version that is missed after a skipped number."""
--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -449,7 +449,7 @@
         return_trip_s=return_trip_s,
         latency_deadline=latency_deadline,
         depth=0,
-        attempt=0,
+        attempt_number=0,
         key=key,
     )
 
@@ -461,11 +461,11 @@
 
     Args:
         case: The test.
-        *delays: Names of constants of `watchdogs`; by default the timeout of
-            the first byte.
+        *delays: Names of constants of `watchdogs`; by default the minimum time
+            after which a call is slow.
         wait_s: Their value during the test, in seconds.
     """
-    for name in delays or ("FIRST_BYTE_TIMEOUT_S",):
+    for name in delays or ("MIN_SLOW_CALL_S",):
         case.enterContext(mock.patch.object(watchdogs, name, wait_s))
 
 
@@ -486,7 +486,7 @@
         on_probe()
         return result
 
-    case.enterContext(mock.patch.object(probes, "ask", probe))
+    case.enterContext(mock.patch.object(probes, "send_probe", probe))
 
 
 def spy_on_method(owner: type, name: str) -> Any:
--- a/tests/requests/calls/test_routing.py
+++ b/tests/requests/calls/test_routing.py
@@ -41,7 +41,7 @@
             for number, prefix in enumerate(prefixes)
         )
         route_snapshot = snapshot.Snapshot(
-            1, {}, {}, hosts={"desk.example": routes}
+            1, {}, {}, host_routes={"desk.example": routes}
         )
         expected = next(
             (route for route in routes if path.startswith(route.prefix)), None
@@ -61,7 +61,7 @@
             for number in range(360)
         )
         route_snapshot = snapshot.Snapshot(
-            1, {}, {}, hosts={"desk.example": routes}
+            1, {}, {}, host_routes={"desk.example": routes}
         )
         lengths, _ = route_snapshot._prefixes["desk.example"]
         self.assertEqual(lengths, (6,))
--- a/tests/requests/interleaving.py
+++ b/tests/requests/interleaving.py
@@ -68,9 +68,9 @@
         self.simulation = simulation
         self.number = number
         self.pending_steps: list[asyncio.Future[None]] = []
-        owner = claims.Owner(f"10.0.0.{number}:1", f"10.0.0.{number}", 1)
+        holder = claims.Holder(f"10.0.0.{number}:1", f"10.0.0.{number}", 1)
         self.claims = claims.Claims(
-            lambda: owner,
+            lambda: holder,
             _SteppedStore(self),
             leases.ClaimLease(_SteppedStore(self), self._get_time),
             self,
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -14,11 +14,11 @@
 from tests.requests import builders
 
 
-class PollsTest(unittest.TestCase):
+class PolledUpstreamsTest(unittest.TestCase):
     """One call and four upstreams."""
 
     def setUp(self) -> None:
-        self.polls = polls.Polls()
+        self.polled_upstreams = polls.PolledUpstreams()
         self.upstreams = [builders.build_upstream(n) for n in range(4)]
 
     def test_call_waits_where_the_load_is_known(self) -> None:
@@ -37,15 +37,15 @@
         for upstream, wait_s in zip(
             self.upstreams, (0.3, 0.1, 0.2, 0.4), strict=True
         ):
-            self.assertFalse(self.polls.is_complete(4))
-            self.polls.add(upstream, wait_s)
-        self.assertTrue(self.polls.is_complete(4))
-        self.assertIs(self.polls.take_best(), self.upstreams[1])
+            self.assertFalse(self.polled_upstreams.is_complete(4))
+            self.polled_upstreams.add(upstream, wait_s)
+        self.assertTrue(self.polled_upstreams.is_complete(4))
+        self.assertIs(self.polled_upstreams.take_best(), self.upstreams[1])
 
     def test_polling_ends_when_all_upstreams_were_polled(self) -> None:
-        self.polls.add(self.upstreams[0], 0.1)
-        self.polls.add(self.upstreams[1], 0.1)
-        self.assertTrue(self.polls.is_complete(2))
+        self.polled_upstreams.add(self.upstreams[0], 0.1)
+        self.polled_upstreams.add(self.upstreams[1], 0.1)
+        self.assertTrue(self.polled_upstreams.is_complete(2))
 
     def test_upstreams_are_not_polled_over_a_saturated_link(self) -> None:
         """Guards against calls that are late because of the polling."""
--- a/tests/requests/load/test_round_trips.py
+++ b/tests/requests/load/test_round_trips.py
@@ -31,14 +31,14 @@
         self.round_trip = round_trips.RoundTripTime(self.clock.get_time)
 
     def test_nothing_is_reserved_without_samples(self) -> None:
-        self.assertEqual(self.round_trip.reserve(0.5), 0.0)
+        self.assertEqual(self.round_trip.estimate_return_trip(0.5), 0.0)
         self.assertTrue(self.round_trip.has_time(0.001))
 
     def test_round_trip_is_reserved_for_refusals(self) -> None:
         """Guards against refusals that arrive after the deadline."""
         self.round_trip.record(0.1)
-        self.assertAlmostEqual(self.round_trip.reserve(1.0), 0.1)
-        self.assertAlmostEqual(self.round_trip.reserve(0.2), 0.05)
+        self.assertAlmostEqual(self.round_trip.estimate_return_trip(1.0), 0.1)
+        self.assertAlmostEqual(self.round_trip.estimate_return_trip(0.2), 0.05)
         self.assertFalse(self.round_trip.has_time(0.05))
 
     def test_mean_decays(self) -> None:
--- a/tests/requests/reports/test_statistics.py
+++ b/tests/requests/reports/test_outcome_counts.py
@@ -5,20 +5,20 @@
 import unittest
 
 from merlintrestle.requests.calls import outcomes
-from merlintrestle.requests.reports import statistics
+from merlintrestle.requests.reports import outcome_counts
 from tests.requests import builders
 
 
-class StatisticsTest(unittest.TestCase):
+class OutcomeCountsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 1000.0
-        self.statistics = statistics.Statistics(lambda: self.now)
+        self.outcome_counts = outcome_counts.OutcomeCounts(lambda: self.now)
         self.plan = builders.build_plan()
 
     def record(self, *recorded_outcomes: outcomes.Outcome) -> None:
         """Records calls with these outcomes and a latency of 0 s."""
         for outcome in recorded_outcomes:
-            self.statistics.record(self.plan, outcome, 0.0)
+            self.outcome_counts.record(self.plan, outcome, 0.0)
 
     def list_window_counts(self) -> list[tuple[int, int, int, int]]:
         """Returns calls, refused, failed and unknown of each class of work."""
@@ -29,12 +29,12 @@
                 class_status.failed,
                 class_status.unknown,
             )
-            for class_status in self.statistics.get_statuses()
+            for class_status in self.outcome_counts.get_statuses()
         ]
 
     def read_total(self, outcome: str) -> float:
         """Returns the metric of the calls with an outcome since the start."""
-        family = next(iter(self.statistics.collect()))
+        family = next(iter(self.outcome_counts.collect()))
         return sum(
             sample.value
             for sample in family.samples
@@ -59,7 +59,7 @@
         checks that a second collection does not add the current bucket again.
         """
         self.record(outcomes.NotRun("full"))
-        self.now += 2 * statistics.WINDOW_S
+        self.now += 2 * outcome_counts.WINDOW_S
         self.assertEqual(self.list_window_counts(), [])
         self.assertEqual(self.read_total("refused"), 1)
         self.record(outcomes.NotRun("full"))
@@ -70,9 +70,11 @@
     def test_answer_after_latency_target_is_not_within_latency(self) -> None:
         """An answer exactly at the latency target is still within it."""
         replayed = outcomes.Replayed(200, (), b"")
-        self.statistics.record(self.plan, replayed, self.plan.latency_s)
-        self.statistics.record(self.plan, replayed, self.plan.latency_s + 0.001)
-        (class_status,) = self.statistics.get_statuses()
+        self.outcome_counts.record(self.plan, replayed, self.plan.latency_s)
+        self.outcome_counts.record(
+            self.plan, replayed, self.plan.latency_s + 0.001
+        )
+        (class_status,) = self.outcome_counts.get_statuses()
         self.assertEqual(
             (class_status.answered, class_status.within_latency), (2, 1)
         )
--- a/tests/requests/serving/test_remaining_time.py
+++ b/tests/requests/serving/test_remaining_time.py
@@ -126,10 +126,10 @@
         It must not take that for a silent connection.
         """
         probed = asyncio.Semaphore(0)
-        ask = probes.ask
+        send_probe = probes.send_probe
 
         async def count_probe(*arguments: Any) -> probes.ProbeResult:
-            result = await ask(*arguments)
+            result = await send_probe(*arguments)
             probed.release()
             return result
 
@@ -141,8 +141,8 @@
             return answer
 
         with (
-            mock.patch.object(watchdogs, "TRANSFER_PROBE_INTERVAL_S", 0.1),
-            mock.patch.object(probes, "ask", count_probe),
+            mock.patch.object(watchdogs, "PROGRESS_CHECK_INTERVAL_S", 0.1),
+            mock.patch.object(probes, "send_probe", count_probe),
         ):
             async with relays.run_relayed_nodes(send) as (nodes, _, _client):
                 reader, writer = await _request_archive(nodes[0])
--- a/tests/requests/serving/test_retry_state.py
+++ b/tests/requests/serving/test_retry_state.py
@@ -60,7 +60,7 @@
         If each of N levels retried, the lowest call would run 2**N times. The
         daemon of the outer call may retry, so this daemon must not.
         """
-        self.call.attempt = 1
+        self.call.attempt_number = 1
         self.assertFalse(self.try_retry(_REFUSED_BY_BACKEND))
 
     def test_exhausted_budget_ends_retries(self) -> None:
--- a/tests/requests/transport/test_heartbeats.py
+++ b/tests/requests/transport/test_heartbeats.py
@@ -23,7 +23,7 @@
         were considered silent, the run would be aborted and the caller would
         get a 504.
         """
-        with mock.patch.object(watchdogs, "FIRST_BYTE_TIMEOUT_S", 0.02):
+        with mock.patch.object(watchdogs, "MIN_SLOW_CALL_S", 0.02):
             async with (
                 builders.run_nodes(1, handler=_answer_slowly) as (node,),
                 builders.open_client() as client,
--- a/tests/requests/transport/test_silence.py
+++ b/tests/requests/transport/test_silence.py
@@ -28,16 +28,16 @@
         self.may_answer = asyncio.Event()
         self.probes_sent = asyncio.Semaphore(0)
         builders.shorten_probe_delays(
-            self, "FIRST_BYTE_TIMEOUT_S", "TRANSFER_PROBE_INTERVAL_S"
+            self, "MIN_SLOW_CALL_S", "PROGRESS_CHECK_INTERVAL_S"
         )
-        ask = probes.ask
+        send_probe = probes.send_probe
 
         async def count_probe(*arguments: Any) -> probes.ProbeResult:
-            result = await ask(*arguments)
+            result = await send_probe(*arguments)
             self.probes_sent.release()
             return result
 
-        self.enterContext(mock.patch.object(probes, "ask", count_probe))
+        self.enterContext(mock.patch.object(probes, "send_probe", count_probe))
 
     async def answer_when_allowed(
         self, request: web.BaseRequest
@@ -114,7 +114,7 @@
             # A slow connection that is considered silent would not be pooled,
             # but the test needs pooled connections that go silent.
             with mock.patch.object(
-                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.TEST_TIMEOUT_S
+                watchdogs, "MIN_SLOW_CALL_S", builders.TEST_TIMEOUT_S
             ):
                 calls = [asyncio.create_task(client.get(url)) for _ in range(3)]
                 await self.started.wait()
@@ -218,7 +218,7 @@
             return await self.answer_when_allowed(request)
 
         async with relays.run_relayed_nodes(answer) as (nodes, _, client):
-            with mock.patch.object(probes, "ask", lose_probe):
+            with mock.patch.object(probes, "send_probe", lose_probe):
                 response = await client.get(nodes[0].url + "/x")
             self.assertEqual(await response.read(), b"whole")
 
@@ -387,7 +387,7 @@
             builders.open_client() as client,
         ):
             with mock.patch.object(
-                watchdogs, "FIRST_BYTE_TIMEOUT_S", builders.TEST_TIMEOUT_S
+                watchdogs, "MIN_SLOW_CALL_S", builders.TEST_TIMEOUT_S
             ):
                 # All run at once, so that as many connections are pooled.
                 await self.send_wave(client, node, 30)
--- a/tests/requests/transport/test_watchdogs.py
+++ b/tests/requests/transport/test_watchdogs.py
@@ -53,7 +53,7 @@
                 connection.last_received_at = connection.get_time()
             return remaining.pop(0)
 
-        with mock.patch.object(probes, "ask", answer):
+        with mock.patch.object(probes, "send_probe", answer):
             probing = asyncio.create_task(
                 watchdogs.probe_peer(
                     mock.Mock(),
--- a/tests/requests/unrepeatable/test_inquiries.py
+++ b/tests/requests/unrepeatable/test_recall_retries.py
@@ -11,8 +11,8 @@
 from aiohttp import web
 
 from merlintrestle.requests.transport import headers
-from merlintrestle.requests.unrepeatable import inquiries
 from merlintrestle.requests.unrepeatable import recall
+from merlintrestle.requests.unrepeatable import recall_retries
 from tests.requests import builders
 from tests.requests import relays
 from tests.requests.unrepeatable import holders
@@ -30,7 +30,7 @@
 
     def setUp(self) -> None:
         self.client = recall.RecallClient()
-        self.recaller = inquiries.RetryingRecaller(self.client)
+        self.recaller = recall_retries.RetryingRecaller(self.client)
         patch = mock.patch.object(recall, "_REPLY_MARGIN_S", _REPLY_MARGIN_S)
         self.enterContext(patch)
 
--- a/tests/rollouts/test_storage.py
+++ b/tests/rollouts/test_storage.py
@@ -15,7 +15,7 @@
 
 _FORMATS: tuple[storages.RecordFormat, ...] = (
     storages.DefaultFormat(),
-    rollouts.OPERATORS_FORMAT,
+    rollouts.PLATFORM_FORMAT,
 )
 _FINAL_STATES = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
 
@@ -77,7 +77,7 @@
 
     async def test_malformed_orders_do_not_block_others(self):
         """Guards against a malformed record that blocks all roll-outs."""
-        record_format = rollouts.OPERATORS_FORMAT
+        record_format = rollouts.PLATFORM_FORMAT
         storage = storages.RolloutStorage(builders.FakeStore(), record_format)
         valid = b'{"service":"balie","targetVersion":"v2","durationS":12}'
         values = (
--- a/tests/versions/builders.py
+++ b/tests/versions/builders.py
@@ -76,7 +76,7 @@
 
 
 class FakeConfiguration:
-    """Fake `source.Source` for any number of daemons.
+    """Fake `source.ConfigurationSource` for any number of daemons.
 
     Attributes:
         down: Whether every call fails.
--- a/tests/versions/test_known_revision.py
+++ b/tests/versions/test_known_revision.py
@@ -19,7 +19,7 @@
         The value is read again once the last read is old.
         """
         self.assertFalse(self.known_revision.may_query_history())
-        self.known_revision.record_read(news=False)
+        self.known_revision.record_read(head_changed=False)
         self.now = known_revision._HISTORY_QUERY_PERIOD_S - 0.1
         self.assertTrue(self.known_revision.may_query_history())
         self.now = known_revision._HISTORY_QUERY_PERIOD_S
@@ -27,8 +27,8 @@
 
     def test_no_history_query_follows_a_new_head(self):
         """During many changes by operators, the history is not relied on."""
-        self.known_revision.record_read(news=False)
-        self.known_revision.record_read(news=True)
+        self.known_revision.record_read(head_changed=False)
+        self.known_revision.record_read(head_changed=True)
         self.assertFalse(self.known_revision.may_query_history())
 
     def test_revision_does_not_decrease(self):
--- a/tools/model.py
+++ b/tools/model.py
@@ -529,7 +529,7 @@
         deadline=deadline,
         latency_deadline=due,
         depth=0,
-        attempt=0,
+        attempt_number=0,
         key="",
     )
 
