--- a/merlintrestle/operators/__init__.py
+++ b/merlintrestle/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of operators."""
+"""Command-line program for operators."""
--- a/merlintrestle/operators/audit_trail.py
+++ b/merlintrestle/operators/audit_trail.py
@@ -1,4 +1,4 @@
-"""The audit trail: what became of every attempt to change something."""
+"""Audit trail: attempts to change the configuration, and their outcomes."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt to change the configuration.
+    """An attempt to change the configuration.
 
     Attributes:
-        version: The version that it made or would have made.
+        version: The version that it created or would have created.
         outcome: "accepted", "refused", "lost race" or "outcome unknown".
-        at: When it was tried (ISO 8601, UTC).
-        operator: Who tried it.
-        organisation: Whose document it changes.
+        at: Time of the attempt (ISO 8601, UTC).
+        operator: Name of the operator.
+        organisation: Organisation whose document it changes.
         action: "apply" or "withdraw".
-        change_id: Its id.
-        summary: What it changes.
-        refusals: Why it was refused.
+        change_id: Id of the change.
+        summary: One line for each key that it changes.
+        refusals: Reasons why it was refused.
     """
 
     version: int
@@ -45,11 +45,12 @@
 
 
 class Audit(NamedTuple):
-    """The audit trail of the last versions.
+    """The audit trail of the newest versions.
 
     Attributes:
-        attempts: Newest version first.
-        is_whole: False if some attempts at the newest versions are left out.
+        attempts: The attempts, newest version first.
+        is_whole: Whether all attempts are included; if not, attempts at the
+            newest versions are missing.
     """
 
     attempts: tuple[Attempt, ...]
@@ -57,7 +58,7 @@
 
 
 async def read_history(store: records.Store, limit: int) -> list[Attempt]:
-    """Returns the accepted changes, newest first, `limit` at most."""
+    """Returns at most `limit` accepted changes, newest first."""
     head, _ = await records.read_head(store)
     return [
         describe_change(change, ACCEPTED)
@@ -68,36 +69,38 @@
 async def read_audit(
     store: records.Store, limit: int, max_attempts: int = MAX_AUDIT_ATTEMPTS
 ) -> Audit:
-    """Returns the attempts at the last versions, newest version first.
+    """Returns the attempts at the newest versions, newest version first.
 
     Args:
         store: The store.
-        limit: How many versions to go back.
-        max_attempts: How many attempts to read; refused ones make no version,
-            so `limit` alone does not bound the reads.
+        limit: Number of versions.
+        max_attempts: Maximum number of attempts; refused ones create no
+            version, so `limit` alone does not bound the reads.
     """
     head, _ = await records.read_head(store)
-    # Ids begin with the version in 12 digits, so that this is a bounded read.
-    oldest = max(0, head.version - limit + 1)
-    # The attempts are read after head: one that was accepted in between is
-    # then "outcome unknown", never wrongly "lost race".
+    # Change ids start with the version in 12 digits, so the read can start at a
+    # version.
+    first_version = max(0, head.version - limit + 1)
+    # The attempts are read after the head. The outcome of an attempt that was
+    # accepted in the meantime is then unknown; in the other order, it would be
+    # shown as a lost race.
     changes: list[document_pb2.Change] = []
     is_whole = True
-    async for change in records.list_changes(store, f"{oldest:012d}"):
+    async for change in records.list_changes(store, f"{first_version:012d}"):
         if len(changes) == max_attempts:
             is_whole = False
             break
         changes.append(change)
-    accepted = await _find_chain(store, head, changes, limit)
+    accepted_ids = await _find_accepted_ids(store, head, changes, limit)
     attempts = [
-        describe_change(change, _judge(change, head, accepted))
+        describe_change(change, _determine_outcome(change, head, accepted_ids))
         for change in changes
     ]
-    return Audit(tuple(sorted(attempts, key=_rank)), is_whole)
+    return Audit(tuple(sorted(attempts, key=_get_sort_key)), is_whole)
 
 
 def describe_change(change: document_pb2.Change, outcome: str) -> Attempt:
-    """Returns an attempt as people see it."""
+    """Returns the attempt that a change with an outcome represents."""
     return Attempt(
         version=change.base_version + 1,
         outcome=outcome,
@@ -112,47 +115,55 @@
 
 
 def format_time(at_ms: int) -> str:
-    """Returns milliseconds since 1970 as ISO 8601 in UTC."""
-    at = datetime.datetime.fromtimestamp(at_ms / 1000, datetime.UTC)
-    return at.isoformat(timespec="seconds").replace("+00:00", "Z")
+    """Returns a time in ms since 1970 as ISO 8601 text in UTC."""
+    time = datetime.datetime.fromtimestamp(at_ms / 1000, datetime.UTC)
+    return time.isoformat(timespec="seconds").replace("+00:00", "Z")
 
 
-async def _find_chain(
+async def _find_accepted_ids(
     store: records.Store,
     head: document_pb2.Head,
     changes: list[document_pb2.Change],
     limit: int,
 ) -> set[str]:
-    """Returns the accepted ids of the last versions.
+    """Returns the change ids of the newest versions.
 
-    The chain begins at the newest change, which a listing that was cut off
-    does not have; it is then read by itself, or accepted changes would be
-    called lost.
+    The chain starts at the newest change, which is missing in an incomplete
+    list of changes. Missing changes are therefore read one by one; otherwise,
+    accepted changes would be shown as lost races.
+
+    Args:
+        store: The store.
+        head: The head at which the chain starts.
+        changes: The changes that were already read.
+        limit: Number of versions.
     """
-    known = {change.change_id: change for change in changes}
-    chain: set[str] = set()
+    known_changes = {change.change_id: change for change in changes}
+    accepted_ids: set[str] = set()
     change_id = head.change_id
-    while change_id and len(chain) < limit:
-        chain.add(change_id)
-        change = known.get(change_id)
+    while change_id and len(accepted_ids) < limit:
+        accepted_ids.add(change_id)
+        change = known_changes.get(change_id)
         if change is None:
             change = await records.read_change(store, change_id)
         change_id = change.previous_change_id if change else ""
-    return chain
+    return accepted_ids
 
 
-def _judge(
-    change: document_pb2.Change, head: document_pb2.Head, accepted: set[str]
+def _determine_outcome(
+    change: document_pb2.Change,
+    head: document_pb2.Head,
+    accepted_ids: set[str],
 ) -> str:
     if change.refusals:
         return REFUSED
-    if change.change_id in accepted:
+    if change.change_id in accepted_ids:
         return ACCEPTED
     if change.base_version < head.version:
-        # Its compare-and-swap expects a revision of head that is gone.
+        # Its compare-and-swap expects a revision that the head no longer has.
         return LOST_RACE
     return UNKNOWN
 
 
-def _rank(attempt: Attempt) -> tuple[int, str, str]:
+def _get_sort_key(attempt: Attempt) -> tuple[int, str, str]:
     return -attempt.version, attempt.at, attempt.change_id
--- a/merlintrestle/operators/change_commands.py
+++ b/merlintrestle/operators/change_commands.py
@@ -1,4 +1,4 @@
-"""Commands that check and change targets."""
+"""Commands that validate and change target documents."""
 
 from __future__ import annotations
 
@@ -59,11 +59,11 @@
 
 
 class WaitOptions(NamedTuple):
-    """Whether and how long to wait for a version to be in force.
+    """Options of a command that can wait until all daemons run a version.
 
     Attributes:
-        enabled: True to wait.
-        timeout_s: Longest wait in seconds.
+        enabled: Whether to wait.
+        timeout_s: Maximum time to wait, in seconds.
     """
 
     enabled: bool
@@ -79,7 +79,7 @@
 @click.argument("files", nargs=-1, required=True, type=_FILE)
 @session.pass_session
 async def validate(
-    run: session.Session, files: tuple[pathlib.Path, ...]
+    current_session: session.Session, files: tuple[pathlib.Path, ...]
 ) -> int:
     """Checks target documents and reports every finding.
 
@@ -87,17 +87,19 @@
     organisations; several files without it are checked against each other.
     """
     documents = _read_files(files)
-    against = ""
-    if run.settings.store:
-        head, accepted = await run.read_accepted()
+    checked_against = ""
+    if current_session.settings.store:
+        head, accepted = await current_session.read_accepted()
         documents = {**accepted, **documents}
-        against = f"version {head.version}"
+        checked_against = f"version {head.version}"
     elif len(files) > 1:
-        against = "each other"
-    findings = checks.check_documents(documents) if against else []
+        checked_against = "each other"
+    findings = checks.check_documents(documents) if checked_against else []
     if findings:
         raise errors.InvalidInputError(findings)
-    run.report(results.Validated(tuple(map(str, files)), against))
+    current_session.report(
+        results.Validated(tuple(map(str, files)), checked_against)
+    )
     return exit_codes.OK
 
 
@@ -106,13 +108,13 @@
 )
 @click.argument("file", type=_FILE)
 @session.pass_session
-async def diff(run: session.Session, file: pathlib.Path) -> int:
+async def diff(current_session: session.Session, file: pathlib.Path) -> int:
     """Shows what a target document would change."""
     document = _read_file(file)
-    head, documents = await run.read_accepted()
+    head, documents = await current_session.read_accepted()
     name = document.organisation
     lines = differences.list_differences(documents.get(name), document)
-    run.report(results.Difference(name, head.version, tuple(lines)))
+    current_session.report(results.Difference(name, head.version, tuple(lines)))
     return exit_codes.OK
 
 
@@ -129,7 +131,7 @@
 @wait_timeout_option
 @session.pass_session
 async def apply(
-    run: session.Session,
+    current_session: session.Session,
     file: pathlib.Path,
     base: int | None,
     wait: bool,
@@ -139,10 +141,12 @@
 
     It is accepted whole or refused whole. To apply a file again is safe.
     """
-    operator = run.require_setting("operator")
+    operator = current_session.require_setting("operator")
     document = _read_file(file)
     proposal = changes.Proposal(operator, document.organisation, document, base)
-    return await _propose(run, proposal, WaitOptions(wait, wait_timeout))
+    return await _propose(
+        current_session, proposal, WaitOptions(wait, wait_timeout)
+    )
 
 
 @click.command(
@@ -154,7 +158,7 @@
 @wait_timeout_option
 @session.pass_session
 async def withdraw(
-    run: session.Session,
+    current_session: session.Session,
     organisation: str,
     base: int | None,
     wait: bool,
@@ -164,76 +168,96 @@
 
     It is refused while other organisations refer to its services.
     """
-    operator = run.require_setting("operator")
+    operator = current_session.require_setting("operator")
     proposal = changes.Proposal(operator, organisation, None, base)
-    return await _propose(run, proposal, WaitOptions(wait, wait_timeout))
+    return await _propose(
+        current_session, proposal, WaitOptions(wait, wait_timeout)
+    )
 
 
 async def _propose(
-    run: session.Session, proposal: changes.Proposal, wait: WaitOptions
+    current_session: session.Session,
+    proposal: changes.Proposal,
+    wait_options: WaitOptions,
 ) -> int:
-    if wait.enabled:
-        run.require_setting("daemon")
-    async with run.open_store() as store:
+    """Proposes a change, reports its outcome and returns the exit code."""
+    if wait_options.enabled:
+        current_session.require_setting("daemon")
+    async with current_session.open_store() as store:
         proposer = changes.Proposer(
             store,
-            run.dependencies.make_id,
-            run.dependencies.read_clock_ms,
-            run.dependencies.retry_delay_s,
-            _choose_push_version(run),
+            current_session.dependencies.make_id,
+            current_session.dependencies.read_clock_ms,
+            current_session.dependencies.retry_delay_s,
+            _bind_push_version(current_session),
         )
         outcome = await proposer.propose(proposal)
-    waits = isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
-    if not (wait.enabled and waits):
-        run.report(outcome)
+    has_version = isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
+    if not (wait_options.enabled and has_version):
+        current_session.report(outcome)
         return _EXIT_CODES[type(outcome)]
-    return await _wait(run, outcome, wait.timeout_s)
+    return await _wait(current_session, outcome, wait_options.timeout_s)
 
 
-def _choose_push_version(
-    run: session.Session,
+def _bind_push_version(
+    current_session: session.Session,
 ) -> Callable[[snapshots.Snapshot], Awaitable[None]] | None:
-    if not run.settings.daemon:
+    """Returns a function that pushes a version to the daemon of the settings.
+
+    Returns None if no daemon is set.
+    """
+    if not current_session.settings.daemon:
         return None
     return functools.partial(
-        run.dependencies.push_version,
-        run.settings.daemon,
-        run.settings.timeout_s,
+        current_session.dependencies.push_version,
+        current_session.settings.daemon,
+        current_session.settings.timeout_s,
     )
 
 
 async def _wait(
-    run: session.Session, outcome: outcomes.Outcome, timeout_s: float
+    current_session: session.Session,
+    outcome: outcomes.Outcome,
+    timeout_s: float,
 ) -> int:
-    """Waits for an accepted version; JSON output stays one object."""
+    """Waits until an accepted version is in force and returns the exit code.
+
+    The text output reports the outcome before the wait. The JSON output is a
+    single object, so it reports both after the wait.
+    """
     assert isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
-    if not run.is_json:
-        run.report(outcome)
-    found = await status_queries.wait_in_force(
-        run,
+    if not current_session.is_json:
+        current_session.report(outcome)
+    in_force = await status_queries.wait_in_force(
+        current_session,
         outcome.version,
         bytes.fromhex(outcome.digest),
         timeout_s,
-        run.report_progress,
+        current_session.report_progress,
     )
-    if run.is_json:
-        run.report(dataclasses.replace(outcome, in_force=found))
+    if current_session.is_json:
+        current_session.report(dataclasses.replace(outcome, in_force=in_force))
     else:
-        run.report(found)
-    return exit_codes.OK if found.everywhere else exit_codes.NOT_FULFILLED
+        current_session.report(in_force)
+    return exit_codes.OK if in_force.everywhere else exit_codes.NOT_FULFILLED
 
 
 def _read_file(file: pathlib.Path) -> document_pb2.Document:
-    with file.open("rb") as opened:
-        # One byte more than is allowed is enough to refuse the file.
-        content = opened.read(reader.MAX_FILE_BYTES + 1)
+    with file.open("rb") as stream:
+        # One byte more than the limit is enough for the reader to reject it.
+        content = stream.read(reader.MAX_FILE_BYTES + 1)
     return reader.read_document(content, str(file))
 
 
 def _read_files(
     files: tuple[pathlib.Path, ...],
 ) -> dict[str, document_pb2.Document]:
-    """Reads several files; findings of all of them are raised together."""
+    """Returns the documents of several files, by organisation.
+
+    Raises:
+        errors.InvalidInputError: At least one file is invalid; the error has
+            the findings of all files.
+    """
     findings: list[errors.Finding] = []
     documents: dict[str, document_pb2.Document] = {}
     for file in files:
--- a/merlintrestle/operators/changes.py
+++ b/merlintrestle/operators/changes.py
@@ -1,4 +1,4 @@
-"""Changes to the configuration: check, propose, rebase, settle."""
+"""Changes to the configuration: validated, proposed and recorded."""
 
 from __future__ import annotations
 
@@ -20,22 +20,25 @@
 
     from merlintrestle.documents import snapshot as snapshots
 
+# A proposal whose compare-and-swap fails is retried on the new head.
 MAX_ATTEMPTS = 16
+# Bounds the length of the chain that is read for a base version.
 MAX_BASE_VERSIONS = 1000
 _MAX_SUMMARY_LINES = 20
-# A document up to this size travels in the head as well.
+# A document of up to this size is included in the head record.
 _MAX_HEAD_DOCUMENT_BYTES = 64 * 1024
-_MAX_LINE = 200
+_MAX_LINE_LENGTH = 200
 
 
 class Proposal(NamedTuple):
-    """What an operator wants.
+    """A change that an operator requests.
 
     Attributes:
-        operator: Name written into the audit trail.
+        operator: Name of the operator for the audit trail.
         organisation: Organisation whose document changes.
-        document: Its new document; None: withdraw it.
-        base_version: Version the operator started from; None: the newest.
+        document: The new document; None to withdraw the document.
+        base_version: Version that the operator's change is based on; None for
+            the newest one.
     """
 
     operator: str
@@ -45,12 +48,12 @@
 
 
 def make_change_id(version: int) -> str:
-    """Returns a new id; ids sort by the version that they would make."""
+    """Returns a new change id; ids sort by the version of their changes."""
     return f"{version:012d}-{secrets.token_hex(8)}"
 
 
 def read_clock_ms() -> int:
-    """Returns milliseconds since 1970."""
+    """Returns the current time, in ms since 1970."""
     return time.time_ns() // 1_000_000
 
 
@@ -66,14 +69,16 @@
         push_version: Callable[[snapshots.Snapshot], Awaitable[None]]
         | None = None,
     ):
-        """Sets the store and the sources of ids and times.
+        """Initializes the proposer.
 
         Args:
             store: The store.
-            make_id: Makes a change id for the version it would make.
-            read_clock_ms: Returns milliseconds since 1970.
-            retry_delay_s: Seconds between two tries of a write without answer.
-            push_version: Called with each accepted version's snapshot.
+            make_id: Returns a change id for the version that the change would
+                create.
+            read_clock_ms: Returns the current time, in ms since 1970.
+            retry_delay_s: Delay between two attempts of a write that got no
+                answer, in seconds.
+            push_version: Called with the snapshot of each accepted version.
         """
         self._store = store
         self._make_id = make_id
@@ -82,42 +87,44 @@
         self._push_version = push_version
 
     async def propose(self, proposal: Proposal) -> outcomes.Outcome:
-        """Tries to have a change accepted and says what became of it.
+        """Proposes a change and returns its outcome.
 
-        A change that lost to one of another organisation is checked against
-        it and proposed again; one that lost to the same organisation is not,
-        since its operator has not seen what it would overwrite.
+        If a change of another organisation is accepted first, the proposal is
+        checked against the new head and retried. If a change of the same
+        organisation is accepted first, it is not retried, as its operator has
+        not seen what it would overwrite.
 
         Raises:
-            errors.StoreError: The store does not answer; head was not changed
-                by this proposal.
+            errors.StoreError: The store did not answer; this proposal has not
+                changed the head.
         """
         head, revision = await records.read_head(self._store)
-        stopped = await self._compare_base(head, proposal)
-        if stopped is not None:
-            return stopped
+        rejected = await self._check_base_version(head, proposal)
+        if rejected is not None:
+            return rejected
         for _ in range(MAX_ATTEMPTS):
-            outcome = await self._attempt(head, revision, proposal)
+            outcome = await self._propose_once(head, revision, proposal)
             if not isinstance(outcome, acceptance.Conflict):
                 return outcome
-            lost = await self._compare(head, outcome.head, proposal)
-            if lost is not None:
-                return lost
+            lost_race = await self._find_lost_race(head, outcome.head, proposal)
+            if lost_race is not None:
+                return lost_race
             head, revision = outcome.head, outcome.revision
-        by = await records.read_change(self._store, head.change_id)
-        return outcomes.LostRace(head.version, by, ())
+        newest_change = await records.read_change(self._store, head.change_id)
+        return outcomes.LostRace(head.version, newest_change, ())
 
-    async def _attempt(
+    async def _propose_once(
         self, head: document_pb2.Head, revision: int, proposal: Proposal
     ) -> outcomes.Outcome | acceptance.Conflict:
+        """Validates a proposal against a head and proposes it once."""
         documents = await records.read_documents(self._store, head)
-        before = documents.pop(proposal.organisation, None)
-        if before == proposal.document:
+        old_document = documents.pop(proposal.organisation, None)
+        if old_document == proposal.document:
             return outcomes.Unchanged(head.version, head.snapshot_digest.hex())
         if proposal.document is not None:
             documents[proposal.organisation] = proposal.document
-        change = self._describe(head, before, proposal)
-        findings = _check(head.version + 1, documents)
+        change = self._build_change(head, old_document, proposal)
+        findings = _list_findings(head.version + 1, documents)
         if findings:
             await self._record_refusal(change, findings)
             return outcomes.Refused(tuple(findings))
@@ -131,11 +138,20 @@
         documents: Mapping[str, document_pb2.Document],
         change: document_pb2.Change,
     ) -> outcomes.Outcome | acceptance.Conflict:
+        """Writes the records of a valid change and swaps the head.
+
+        Args:
+            head: The head that the change is based on.
+            revision: Revision of the head.
+            proposal: The proposal.
+            documents: All documents of the new version, by organisation.
+            change: The audit record of the change.
+        """
         if proposal.document is not None:
             await records.write_document(self._store, proposal.document)
         await records.write_change(self._store, change)
         compiled = compiler.compile_snapshot(head.version + 1, documents)
-        proposed = acceptance.make_head(
+        new_head = acceptance.make_head(
             head,
             change.change_id,
             {
@@ -146,11 +162,11 @@
         )
         document = proposal.document
         if document and document.ByteSize() <= _MAX_HEAD_DOCUMENT_BYTES:
-            # The store may fail right after it accepted: watchers then have
-            # all that they need with the head.
-            proposed.changed.CopyFrom(document)
+            # The store may fail immediately after it accepted the change. With
+            # the document in the head, watchers need no further read.
+            new_head.changed.CopyFrom(document)
         outcome = await acceptance.swap_head(
-            self._store, proposed, revision, self._retry_delay_s
+            self._store, new_head, revision, self._retry_delay_s
         )
         if isinstance(outcome, acceptance.Accepted):
             if self._push_version is not None:
@@ -163,80 +179,99 @@
             )
         if isinstance(outcome, acceptance.Undecided):
             return outcomes.Undecided(
-                proposed.version, change.change_id, outcome.reason
+                new_head.version, change.change_id, outcome.reason
             )
         return outcome
 
-    def _describe(
+    def _build_change(
         self,
         head: document_pb2.Head,
-        before: document_pb2.Document | None,
+        old_document: document_pb2.Document | None,
         proposal: Proposal,
     ) -> document_pb2.Change:
-        after = proposal.document
-        digest = compiler.compute_document_digest(after) if after else b""
+        """Returns the audit record of a change."""
+        new_document = proposal.document
+        digest = (
+            compiler.compute_document_digest(new_document)
+            if new_document
+            else b""
+        )
         return document_pb2.Change(
             change_id=self._make_id(head.version + 1),
             operator=proposal.operator,
             organisation=proposal.organisation,
-            action="apply" if after else "withdraw",
+            action="apply" if new_document else "withdraw",
             base_version=head.version,
             document_digest=digest,
             at_ms=self._read_clock_ms(),
             previous_change_id=head.change_id,
-            summary=_shorten(differences.list_differences(before, after)),
+            summary=_truncate_lines(
+                differences.list_differences(old_document, new_document)
+            ),
         )
 
     async def _record_refusal(
         self, change: document_pb2.Change, findings: list[errors.Finding]
     ) -> None:
-        change.refusals.extend(_shorten([str(one) for one in findings]))
+        """Writes the audit record of a refused change, if the store answers."""
+        change.refusals.extend(
+            _truncate_lines([str(finding) for finding in findings])
+        )
         try:
             await records.write_change(self._store, change)
         except errors.StoreError:
-            # The refusal stands without its record: nothing was changed.
+            # Nothing was changed, so the change is refused without a record.
             return
 
-    async def _compare(
+    async def _find_lost_race(
         self,
-        base: document_pb2.Head,
-        now: document_pb2.Head,
+        base_head: document_pb2.Head,
+        current_head: document_pb2.Head,
         proposal: Proposal,
     ) -> outcomes.LostRace | None:
-        """Returns the lost race if the organisation's document changed."""
-        name = proposal.organisation
-        # Its change may have been undone since; who did it must still see it.
-        by = await self._find_change(now, base.version, name)
-        if by is None:
+        """Returns the lost race if the organisation's document was changed."""
+        organisation = proposal.organisation
+        # The changes are searched instead of comparing digests: a change that
+        # was reverted since must be shown to the operator as well.
+        other_change = await self._find_change(
+            current_head, base_head.version, organisation
+        )
+        if other_change is None:
             return None
-        before = await self._read_document(base, name)
-        after = await self._read_document(now, name)
-        if after == proposal.document:
+        old_document = await self._read_document(base_head, organisation)
+        new_document = await self._read_document(current_head, organisation)
+        if new_document == proposal.document:
             return None
-        lines = differences.list_differences(before, after)
-        return outcomes.LostRace(now.version, by, tuple(lines))
+        lines = differences.list_differences(old_document, new_document)
+        return outcomes.LostRace(
+            current_head.version, other_change, tuple(lines)
+        )
 
-    async def _compare_base(
-        self, now: document_pb2.Head, proposal: Proposal
+    async def _check_base_version(
+        self, head: document_pb2.Head, proposal: Proposal
     ) -> outcomes.LostRace | outcomes.Refused | None:
+        """Returns why the proposal's base version is not usable, or None."""
         if proposal.base_version is None:
             return None
-        least = max(0, now.version - MAX_BASE_VERSIONS)
-        if not least <= proposal.base_version <= now.version:
-            text = f"is not within {least} to {now.version}."
+        min_version = max(0, head.version - MAX_BASE_VERSIONS)
+        if not min_version <= proposal.base_version <= head.version:
+            text = f"is not within {min_version} to {head.version}."
             return outcomes.Refused((errors.Finding("--base", text),))
-        by = await self._find_change(
-            now, proposal.base_version, proposal.organisation
+        other_change = await self._find_change(
+            head, proposal.base_version, proposal.organisation
         )
         return (
-            outcomes.LostRace(now.version, by, tuple(by.summary))
-            if by
+            outcomes.LostRace(
+                head.version, other_change, tuple(other_change.summary)
+            )
+            if other_change
             else None
         )
 
     async def _read_document(
         self, head: document_pb2.Head, organisation: str
     ) -> document_pb2.Document | None:
+        """Returns the document of an organisation; None if it has none."""
         digest = head.documents.get(organisation)
         if not digest:
             return None
@@ -246,18 +281,19 @@
         self, head: document_pb2.Head, after_version: int, organisation: str
     ) -> document_pb2.Change | None:
         """Returns an organisation's newest change after a version."""
-        walk = records.walk_chain(
+        chain = records.walk_chain(
             self._store, head, head.version - after_version
         )
-        async for change in walk:
+        async for change in chain:
             if change.organisation == organisation:
                 return change
         return None
 
 
-def _check(
+def _list_findings(
     version: int, documents: Mapping[str, document_pb2.Document]
 ) -> list[errors.Finding]:
+    """Returns the reasons why documents cannot become a version."""
     findings = checks.check_documents(documents)
     if findings:
         return findings
@@ -268,9 +304,9 @@
     return []
 
 
-def _shorten(lines: list[str]) -> list[str]:
-    """Bounds lines for a record of the store."""
-    kept = [line[:_MAX_LINE] for line in lines[:_MAX_SUMMARY_LINES]]
+def _truncate_lines(lines: list[str]) -> list[str]:
+    """Limits number and length of lines, as they are stored in a record."""
+    kept = [line[:_MAX_LINE_LENGTH] for line in lines[:_MAX_SUMMARY_LINES]]
     if len(lines) > len(kept):
         kept.append(f"... and {len(lines) - len(kept)} more")
     return kept
--- a/merlintrestle/operators/command.py
+++ b/merlintrestle/operators/command.py
@@ -1,4 +1,4 @@
-"""The operators' program: `merlintrestle`."""
+"""The operators' command-line program, `merlintrestle`."""
 
 from __future__ import annotations
 
--- a/merlintrestle/operators/exit_codes.py
+++ b/merlintrestle/operators/exit_codes.py
@@ -3,17 +3,18 @@
 from __future__ import annotations
 
 OK = 0
-# The input is refused: findings are printed, nothing was changed.
+# The input was refused: findings were printed, nothing was changed.
 FINDINGS = 1
-# Wrong flags, arguments or settings (click's own code).
+# Wrong flags, arguments or settings; click uses the same code.
 USAGE = 2
-# Another operator was faster: nothing was changed.
+# A change of another operator was accepted first: nothing was changed.
 LOST_RACE = 3
-# The store does not answer, or holds a record that cannot be read.
+# The store does not answer or has a record that cannot be read.
 STORE_UNAVAILABLE = 4
-# The change may have been accepted: look into the audit trail.
+# The change may have been accepted: the audit trail shows the outcome.
 UNKNOWN_OUTCOME = 5
-# Not in force everywhere, or a target is missed.
+# The version is not in force everywhere, or a target is missed.
 NOT_FULFILLED = 6
-# Ended by the operator (Ctrl-C), as shells count it.
+# Interrupted by the operator (Ctrl-C): 128 plus the number of SIGINT, as shells
+# report it.
 INTERRUPTED = 130
--- a/merlintrestle/operators/explain_command.py
+++ b/merlintrestle/operators/explain_command.py
@@ -1,4 +1,4 @@
-"""The command `explain`: one request's story from the logs of daemons."""
+"""The command `explain`: what daemons have logged about a request."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Fields that every line has; the others are printed as they are.
-_COMMON = ("time", "level", "part", "event", "request")
-# Lines by which a story ends at one daemon.
-_ENDS = frozenset(
+# Fields of every log line; only the other fields are printed as they are.
+_COMMON_FIELDS = ("time", "level", "part", "event", "request")
+# Events of which one is the last event of a request at a daemon.
+_FINAL_EVENTS = frozenset(
     (
         "answered",
         "answered again",
@@ -31,13 +31,14 @@
 
 
 class LogLine(NamedTuple):
-    """One line of a log about one request.
+    """A log line about a request.
 
     Attributes:
-        time: When it happened, by the clock of its daemon.
-        source: File it stands in, or the name before it in the file.
-        event: What happened.
-        fields: What decided it, and what came of it.
+        time: Time of the event by the clock of its daemon, as in the log.
+        source: Name before the JSON object of the line, else the name of the
+            log file without its suffix.
+        event: Name of the event.
+        fields: The other fields of the line.
     """
 
     time: str
@@ -71,40 +72,48 @@
     lines.sort(key=lambda line: line.time)
     for line in lines:
         click.echo(format_line(line))
-    for gap in list_missing(lines):
-        click.echo(f"missing: {gap}")
+    for missing in list_missing(lines):
+        click.echo(f"missing: {missing}")
     sys.exit(exit_codes.OK if lines else exit_codes.FINDINGS)
 
 
 def find_lines(
     request: str, lines: Iterable[str], source: str
 ) -> Iterator[LogLine]:
-    """Yields the lines about a request; others may be of any form."""
-    for text in lines:
-        if request not in text:
+    """Yields the log lines about a request.
+
+    Lines that are not about the request may have any format.
+
+    Args:
+        request: Id of the request.
+        lines: The lines of a log.
+        source: Source of the lines that have no name before the JSON object.
+    """
+    for line in lines:
+        if request not in line:
             continue
-        before, brace, rest = text.partition("{")
+        prefix, brace, rest = line.partition("{")
         try:
             fields = json.loads(brace + rest)
         except ValueError:
             continue
         if not isinstance(fields, dict) or fields.get("request") != request:
             continue
-        names = before.split()
+        source_names = prefix.split()
         yield LogLine(
             str(fields.get("time", "")),
-            names[-1] if names else source,
+            source_names[-1] if source_names else source,
             str(fields.get("event", "")),
             {
                 name: value
                 for name, value in fields.items()
-                if name not in _COMMON
+                if name not in _COMMON_FIELDS
             },
         )
 
 
 def format_line(line: LogLine) -> str:
-    """Returns a line for people."""
+    """Returns the text of a log line, as it is printed."""
     pairs = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
@@ -114,27 +123,35 @@
 
 
 def list_missing(lines: list[LogLine]) -> list[str]:
-    """Returns what a whole story would have and these lines do not."""
+    """Returns what the lines lack to show a request from start to end."""
     if not lines:
         return [
             "no line about this request; it went well, or its logs are"
             " not among these, or the rate of stories left it out"
         ]
-    gaps = []
+    missing = []
     events = {line.event for line in lines}
     if "routed" not in events:
-        gaps.append("the daemon that took the request in")
-    picked = [line for line in lines if line.event == "picked"]
-    elsewhere = {line.source for line in lines if line.event == "passed on"}
-    if picked and not elsewhere and "sent to the backend server" not in events:
-        names = sorted({str(line.fields.get("upstream")) for line in picked})
-        gaps.append(f"the daemons beside {', '.join(names)}")
+        missing.append("the daemon that took the request in")
+    picked_lines = [line for line in lines if line.event == "picked"]
+    receiving_sources = {
+        line.source for line in lines if line.event == "passed on"
+    }
+    if (
+        picked_lines
+        and not receiving_sources
+        and "sent to the backend server" not in events
+    ):
+        upstreams = sorted(
+            {str(line.fields.get("upstream")) for line in picked_lines}
+        )
+        missing.append(f"the daemons beside {', '.join(upstreams)}")
     for source in sorted({line.source for line in lines}):
-        ends = [
+        final_lines = [
             line
             for line in lines
-            if line.source == source and line.event in _ENDS
+            if line.source == source and line.event in _FINAL_EVENTS
         ]
-        if not ends:
-            gaps.append(f"how it ended at {source}")
-    return gaps
+        if not final_lines:
+            missing.append(f"how it ended at {source}")
+    return missing
--- a/merlintrestle/operators/fleet.py
+++ b/merlintrestle/operators/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as operators see it: which daemons run which version."""
+"""Status of the fleet: which daemons run which version."""
 
 from __future__ import annotations
 
@@ -27,30 +27,35 @@
 CLOSED = "closed"
 DIFFERS = "differs"
 UNREACHABLE = "unreachable"
-# The accepted version is not known, so there is nothing to compare with.
+# The accepted version is unknown, so the running one cannot be compared.
 RUNS = "runs"
 
-# Open channels at once; bounds memory and sockets in a fleet of thousands.
-_MAX_ASKED_AT_ONCE = 64
+# Limits memory and sockets in a fleet of thousands of daemons.
+_MAX_CONCURRENT_REQUESTS = 64
 _MAX_REPLY_BYTES = 16 * 1024 * 1024
-_SERVING = (control_pb2.ALIVE, control_pb2.SUSPECT)
+# States of the members that take new calls.
+_SERVING_STATES = (control_pb2.ALIVE, control_pb2.SUSPECT)
 
 
 class DaemonUnavailableError(errors.MerlintrestleError):
-    """A daemon did not answer, so nothing is known about the fleet."""
+    """A daemon did not answer a status request.
+
+    If it is the daemon that lists the members, the status of the whole fleet is
+    unknown.
+    """
 
 
 class Daemon(NamedTuple):
-    """One daemon and whether it runs the accepted version.
+    """A daemon and whether it runs the accepted version.
 
     Attributes:
-        id: Its member id, "ip:control_port".
-        zone: Its availability zone.
-        service: Service of its backend server; empty: none.
-        state: "in force", "behind", "closed", "differs", "unreachable", or
-            "runs" where the accepted version is not known.
-        version: The version that it runs; 0 where that is not known.
-        detail: Why it is closed or unreachable.
+        id: Member id of the daemon, "ip:control_port".
+        zone: Availability zone of the daemon.
+        service: Service of its backend server; empty if there is none.
+        state: "in force", "behind", "closed", "differs" or "unreachable"; or
+            "runs" if the accepted version is unknown.
+        version: The version that the daemon runs; 0 if it is unknown.
+        detail: Reason of the state "closed", "differs" or "unreachable".
     """
 
     id: str
@@ -62,12 +67,12 @@
 
 
 class MemberStatus(NamedTuple):
-    """What one member answered.
+    """Answer of a member to a status request.
 
     Attributes:
-        member: The member as the first daemon knows it.
-        reply: Its answer; None: there was none.
-        problem: Why there was none.
+        member: The member, as the daemon that lists the members knows it.
+        reply: The answer; None if there was none.
+        problem: Error message if there was no answer.
     """
 
     member: control_pb2.Member
@@ -76,22 +81,23 @@
 
 
 async def ask_daemon(
-    address: str, members: bool, timeout_s: float
+    address: str, include_members: bool, timeout_s: float
 ) -> control_pb2.StatusReply:
-    """Asks one daemon for its status.
+    """Returns the status of a daemon.
 
     Args:
-        address: Its control address, "ip:port".
-        members: Also ask for the members that it knows.
-        timeout_s: Longest wait in seconds.
+        address: Control address of the daemon, "ip:port".
+        include_members: Whether the status includes the members that the
+            daemon knows.
+        timeout_s: Maximum time to wait, in seconds.
 
     Raises:
-        DaemonUnavailableError: It did not answer.
+        DaemonUnavailableError: The daemon did not answer.
     """
     options = [("grpc.max_receive_message_length", _MAX_REPLY_BYTES)]
     async with grpc.aio.insecure_channel(address, options) as channel:
         stub = control_pb2_grpc.ControlStub(channel)
-        request = control_pb2.StatusRequest(members=members)
+        request = control_pb2.StatusRequest(members=include_members)
         try:
             return await stub.Status(request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
@@ -103,14 +109,15 @@
 async def push_version(
     address: str, timeout_s: float, snapshot: snapshots.Snapshot
 ) -> None:
-    """Gives an accepted version to one daemon, which spreads it.
+    """Sends an accepted version to a daemon, which distributes it.
 
-    Watchers bring it too. It matters where the store fails just as it accepts;
-    a daemon that does not answer changes nothing of what was accepted.
+    Watchers distribute it as well, so this is needed only if the store fails
+    immediately after it accepted the version. An error is ignored, as the
+    version stays accepted.
 
     Args:
-        address: Its control address, "ip:port".
-        timeout_s: Longest wait in seconds.
+        address: Control address of the daemon, "ip:port".
+        timeout_s: Maximum time to wait, in seconds.
         snapshot: The accepted version.
     """
     request = control_pb2.HoldRequest(
@@ -124,76 +131,101 @@
 
 
 async def list_members(
-    address: str, timeout_s: float, ask: AskStatus = ask_daemon
+    address: str, timeout_s: float, ask_status: AskStatus = ask_daemon
 ) -> list[control_pb2.Member]:
-    """Returns the members that serve, as one daemon knows them.
+    """Returns the members that take new calls, as one daemon knows them.
 
-    Members that are leaving or dead take no new work, so what they run does
-    not matter to callers.
+    Members that are leaving or dead take no new calls, so the version that they
+    run does not matter to callers.
+
+    Args:
+        address: Control address of the daemon, "ip:port".
+        timeout_s: Maximum time to wait, in seconds.
+        ask_status: Returns the status of a daemon, as `ask_daemon` does.
 
     Raises:
         DaemonUnavailableError: The daemon did not answer.
     """
     try:
-        reply = await ask(address, True, timeout_s)
+        reply = await ask_status(address, True, timeout_s)
     except DaemonUnavailableError as error:
         raise DaemonUnavailableError(f"daemon {address}: {error}") from error
-    known = {member.id: member for member in reply.members}
-    known.setdefault(reply.self.id, reply.self)
-    serving = [one for one in known.values() if one.state in _SERVING]
+    members = {member.id: member for member in reply.members}
+    members.setdefault(reply.self.id, reply.self)
+    serving = [
+        member for member in members.values() if member.state in _SERVING_STATES
+    ]
     return sorted(serving, key=lambda member: member.id)
 
 
 async def ask_members(
     members: Iterable[control_pb2.Member],
     timeout_s: float,
-    ask: AskStatus = ask_daemon,
+    ask_status: AskStatus = ask_daemon,
 ) -> list[MemberStatus]:
-    """Asks each member for its status, a bounded number at once."""
-    places = asyncio.Semaphore(_MAX_ASKED_AT_ONCE)
+    """Returns the status of each member, in the order of the members.
 
-    async def ask_one(member: control_pb2.Member) -> MemberStatus:
+    The number of concurrent requests is limited.
+
+    Args:
+        members: The members.
+        timeout_s: Maximum time to wait for each answer, in seconds.
+        ask_status: Returns the status of a daemon, as `ask_daemon` does.
+    """
+    semaphore = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
+
+    async def ask_member(member: control_pb2.Member) -> MemberStatus:
         address = f"{member.address}:{member.control_port}"
-        async with places:
+        async with semaphore:
             try:
                 return MemberStatus(
-                    member, await ask(address, False, timeout_s), ""
+                    member, await ask_status(address, False, timeout_s), ""
                 )
             except DaemonUnavailableError as error:
                 return MemberStatus(member, None, str(error))
 
-    return await asyncio.gather(*(ask_one(member) for member in members))
+    return await asyncio.gather(*(ask_member(member) for member in members))
 
 
 def check_daemon(
-    answer: MemberStatus, version: int | None, digest: bytes
+    member_status: MemberStatus, version: int | None, digest: bytes
 ) -> Daemon:
-    """Says whether a daemon runs a version or a newer one.
+    """Compares the version that a daemon runs with the accepted one.
+
+    A daemon that runs a newer version is "in force" as well.
 
     Args:
-        answer: What it answered.
-        version: The accepted version; None: not known.
-        digest: Digest of that version's snapshot; empty: not compared.
+        member_status: The answer of the daemon.
+        version: The accepted version; None if it is unknown.
+        digest: Digest of the version's snapshot; empty if it is not compared.
     """
-    member, reply = answer.member, answer.reply
+    member, reply = member_status.member, member_status.reply
     if reply is None:
-        state, held, detail = UNREACHABLE, 0, answer.problem
+        state, running_version, detail = UNREACHABLE, 0, member_status.problem
     else:
-        held, detail = reply.running.version, ""
+        running_version, detail = reply.running.version, ""
         state = IN_FORCE
         if reply.closed:
             state, detail = CLOSED, reply.closed_reason
         elif version is None:
             state = RUNS
-        elif held < version:
+        elif running_version < version:
             state = BEHIND
-        elif held == version and digest not in (b"", reply.running.digest):
+        elif running_version == version and digest not in (
+            b"",
+            reply.running.digest,
+        ):
             state, detail = DIFFERS, "another snapshot of the same version"
     return Daemon(
-        member.id, member.zone, member.backend.service, state, held, detail
+        member.id,
+        member.zone,
+        member.backend.service,
+        state,
+        running_version,
+        detail,
     )
 
 
 def list_not_in_force(daemons: Sequence[Daemon]) -> tuple[Daemon, ...]:
     """Returns the daemons that do not run the accepted version."""
-    return tuple(one for one in daemons if one.state != IN_FORCE)
+    return tuple(daemon for daemon in daemons if daemon.state != IN_FORCE)
--- a/merlintrestle/operators/outcomes.py
+++ b/merlintrestle/operators/outcomes.py
@@ -13,14 +13,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The change made a version.
+    """The change was accepted and created a version.
 
     Attributes:
-        version: That version.
+        version: The new version.
         digest: Digest of its snapshot, in hex.
         change_id: Id of the change.
-        differences: What it changed.
-        in_force: How far it got, if the operator waited.
+        differences: One line for each key that differs.
+        in_force: Whether the daemons run the version; None if the operator did
+            not wait for it.
     """
 
     version: int
@@ -32,12 +33,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Unchanged:
-    """The document in force is already the wanted one.
+    """The accepted document is already the proposed one.
 
     Attributes:
-        version: The version in which it stands.
+        version: The accepted version.
         digest: Digest of its snapshot, in hex.
-        in_force: How far it got, if the operator waited.
+        in_force: Whether the daemons run the version; None if the operator did
+            not wait for it.
     """
 
     version: int
@@ -47,10 +49,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The change does not check out; nothing was changed.
+    """The change is invalid; nothing was changed.
 
     Attributes:
-        findings: All findings.
+        findings: The reasons why it is invalid.
     """
 
     findings: tuple[errors.Finding, ...]
@@ -58,12 +60,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class LostRace:
-    """Somebody else changed the same organisation; nothing was changed.
+    """Another change was accepted first; nothing was changed by this one.
+
+    Usually, the other change is one of the same organisation. After
+    `changes.MAX_ATTEMPTS` attempts, it is the newest one of any organisation.
 
     Attributes:
-        version: The version that stands now.
-        by: The other's change; None: it was not found.
-        differences: What changed under this operator.
+        version: The accepted version.
+        by: The other change; None if its record was not found.
+        differences: How the organisation's document was changed, one line for
+            each key.
     """
 
     version: int
@@ -73,12 +79,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Undecided:
-    """The store gave no answer to the write that would accept the change.
+    """The store did not answer, so it is unknown if the change was accepted.
 
     Attributes:
-        version: The version it would make.
-        change_id: Id of the change, to look for in the audit trail.
-        reason: What the store's client said.
+        version: The version that the change creates if it is accepted.
+        change_id: Id of the change, as shown in the audit trail.
+        reason: Error message of the store's client.
     """
 
     version: int
--- a/merlintrestle/operators/output.py
+++ b/merlintrestle/operators/output.py
@@ -1,4 +1,4 @@
-"""Forms of what the operators' program prints: text for people, JSON."""
+"""Formats results of commands as text or JSON."""
 
 from __future__ import annotations
 
@@ -14,14 +14,18 @@
 
 
 def format_result(result: Any, is_json: bool) -> str:
-    """Returns the text of a result, without a last line end."""
+    """Returns a result as text or JSON, without a trailing newline."""
     if is_json:
-        tree = {"result": _name_result(result), **_to_tree(result)}
-        return json.dumps(tree, sort_keys=False)
+        json_object = {
+            "result": _format_type_name(result),
+            **_to_json(result),
+        }
+        return json.dumps(json_object, sort_keys=False)
     return "\n".join(text_format.format_text(result))
 
 
-def _name_result(result: Any) -> str:
+def _format_type_name(result: Any) -> str:
+    """Returns the name of a result's class in lower case, with hyphens."""
     name = type(result).__name__
     return "".join(
         f"-{letter.lower()}" if letter.isupper() and i else letter.lower()
@@ -30,22 +34,26 @@
 
 
 @functools.singledispatch
-def _to_tree(value: Any) -> Any:
+def _to_json(value: Any) -> Any:
+    """Returns a value as a JSON value; fields of classes become keys."""
     if dataclasses.is_dataclass(value):
         return {
-            field.name: _to_tree(getattr(value, field.name))
+            field.name: _to_json(getattr(value, field.name))
             for field in dataclasses.fields(value)
         }
     return value
 
 
-@_to_tree.register
+@_to_json.register
 def _(value: tuple) -> Any:
     if hasattr(value, "_asdict"):
-        return {key: _to_tree(part) for key, part in value._asdict().items()}
-    return [_to_tree(part) for part in value]
+        return {
+            name: _to_json(field) for name, field in value._asdict().items()
+        }
+    return [_to_json(item) for item in value]
 
 
-@_to_tree.register
+@_to_json.register
 def _(value: message.Message) -> Any:
-    return _to_tree(audit_trail.describe_change(value, audit_trail.ACCEPTED))  # type: ignore[arg-type]
+    # The only messages in results are changes, in `outcomes.LostRace`.
+    return _to_json(audit_trail.describe_change(value, audit_trail.ACCEPTED))  # type: ignore[arg-type]
--- a/merlintrestle/operators/results.py
+++ b/merlintrestle/operators/results.py
@@ -1,4 +1,4 @@
-"""Results that commands report besides the outcomes of changes."""
+"""Results of commands, except the outcomes of changes."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 class StoreFailure(NamedTuple):
-    """The store did not do what was asked.
+    """An operation of the store failed.
 
     Attributes:
-        reason: What its client said.
-        is_corrupt: It answered, but a record in it cannot be used.
+        reason: Error message of the store's client.
+        is_corrupt: Whether the store answered, but with a record that cannot be
+            used.
     """
 
     reason: str
@@ -25,9 +26,9 @@
     """The files have no findings.
 
     Attributes:
-        files: Their names.
-        checked_against: What their references and budget were checked
-            against; empty: nothing.
+        files: Names of the files.
+        checked_against: Documents against which references and the budget were
+            checked; empty if they were not checked.
     """
 
     files: tuple[str, ...]
@@ -35,11 +36,12 @@
 
 
 class Listing(NamedTuple):
-    """Attempts of the audit trail or the history.
+    """Attempts to change the configuration, as listed by a command.
 
     Attributes:
-        attempts: Newest first.
-        is_whole: False if some at the newest versions are left out.
+        attempts: The attempts, newest first.
+        is_whole: Whether the list is complete; if not, attempts at the newest
+            versions are missing.
     """
 
     attempts: tuple[audit_trail.Attempt, ...]
@@ -47,12 +49,12 @@
 
 
 class Difference(NamedTuple):
-    """What a file would change.
+    """Difference between a file and the accepted document.
 
     Attributes:
-        organisation: Whose document it is.
-        version: The version in force that it is compared with.
-        lines: One for each key that differs.
+        organisation: Organisation whose document it is.
+        version: The accepted version, with which the file is compared.
+        lines: One line for each key that differs.
     """
 
     organisation: str
@@ -65,7 +67,7 @@
 
     Attributes:
         version: The accepted version.
-        documents: TOML text of each organisation's document.
+        documents: Each organisation's document as TOML.
     """
 
     version: int
@@ -73,13 +75,13 @@
 
 
 class RolloutShown(NamedTuple):
-    """How far a roll-out has come.
+    """State of a roll-out.
 
     Attributes:
-        service: Its service.
-        version: Version that it is to.
+        service: Service of the roll-out.
+        version: Version to which the roll-out moves the service.
         state: "ordered", "running", "complete" or "rolled back".
-        number: Its number; a later one is greater.
+        number: Number of the roll-out; a later one has a greater number.
     """
 
     service: str
@@ -92,21 +94,21 @@
     """Another operator ordered a roll-out at the same time.
 
     Attributes:
-        service: Its service.
+        service: Service of the roll-out.
     """
 
     service: str
 
 
 class RolloutAttempt(NamedTuple):
-    """What an operator tried with a roll-out.
+    """An operator's attempt to start or abort a roll-out.
 
     Attributes:
-        at: When (ISO 8601, UTC).
-        operator: Who.
+        at: Time of the attempt (ISO 8601, UTC).
+        operator: Name of the operator.
         action: "start" or "abort".
-        version: Version that it is to.
-        refusals: Why it was refused.
+        version: Version to which the roll-out moves the service.
+        refusals: Reasons why the attempt was refused.
     """
 
     at: str
@@ -117,11 +119,11 @@
 
 
 class RolloutHistory(NamedTuple):
-    """What operators tried with roll-outs of a service.
+    """Operators' attempts to start or abort roll-outs of a service.
 
     Attributes:
         service: The service.
-        attempts: Newest last.
+        attempts: The attempts, newest last.
     """
 
     service: str
@@ -129,12 +131,12 @@
 
 
 class Watched(NamedTuple):
-    """One round of watching.
+    """A round of the command `watch`.
 
     Attributes:
-        at: When it was (ISO 8601, UTC).
-        accepted: Changes accepted since the round before, newest first.
-        status: What store and fleet say.
+        at: Time of the round (ISO 8601, UTC).
+        accepted: Changes accepted since the previous round, newest first.
+        status: Status of the store and the fleet.
     """
 
     at: str
--- a/merlintrestle/operators/rollout_commands.py
+++ b/merlintrestle/operators/rollout_commands.py
@@ -1,4 +1,4 @@
-"""Commands that move a service to another version of its software."""
+"""Commands for roll-outs, which move services to other versions."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import records as store_records
 
-# A version is judged in a third of the time, by answers of some tenths of a
-# second; then calls in flight have to end.
+# The new version is evaluated in a third of the time, by calls that take some
+# tenths of a second. The remaining time is for calls in flight to finish.
 MIN_WITHIN_S = 5.0
 _MAX_WITHIN_S = 604_800.0
-_POLL_S = 0.2
-_NAMES = {
+_POLL_INTERVAL_S = 0.2
+_STATE_NAMES = {
     control_pb2.ROLLOUT_STATE_UNSPECIFIED: "ordered",
     control_pb2.RUNNING: "running",
     control_pb2.COMPLETE: "complete",
@@ -58,21 +58,27 @@
 )
 @session.pass_session
 async def start(
-    run: session.Session, service: str, version: str, within_s: float
+    current_session: session.Session,
+    service: str,
+    version: str,
+    within_s: float,
 ) -> int:
     """Orders a roll-out."""
-    operator = run.require_setting("operator")
-    findings = _check(version, within_s)
-    async with run.open_store() as store:
+    operator = current_session.require_setting("operator")
+    findings = _check_options(version, within_s)
+    async with current_session.open_store() as store:
         findings += await _check_service(store, service)
-        before = await _read_state(store, service)
-        if before is not None and before.state not in records.FINAL_STATES:
-            text = f"is being moved to {before.version} already."
+        last_order = await _read_last_order(store, service)
+        if (
+            last_order is not None
+            and last_order.state not in records.FINAL_STATES
+        ):
+            text = f"is being moved to {last_order.version} already."
             findings.append(errors.Finding(service, text))
         attempt = orders.Attempt(
             orders.START,
             operator,
-            run.dependencies.read_clock_ms(),
+            current_session.dependencies.read_clock_ms(),
             service,
             version,
         )
@@ -85,9 +91,11 @@
         )
         number = await orders.write_order(store, order)
     if not number:
-        run.report(results.RolloutRace(service))
+        current_session.report(results.RolloutRace(service))
         return exit_codes.LOST_RACE
-    run.report(results.RolloutShown(service, version, "ordered", number))
+    current_session.report(
+        results.RolloutShown(service, version, "ordered", number)
+    )
     return exit_codes.OK
 
 
@@ -96,11 +104,11 @@
 )
 @click.argument("service")
 @session.pass_session
-async def status(run: session.Session, service: str) -> int:
+async def status(current_session: session.Session, service: str) -> int:
     """Shows how far the last roll-out of a service has come."""
-    async with run.open_store() as store:
-        found = await _require_state(store, service)
-    run.report(_describe(found))
+    async with current_session.open_store() as store:
+        order = await _require_last_order(store, service)
+    current_session.report(_build_result(order))
     return exit_codes.OK
 
 
@@ -112,19 +120,22 @@
 @click.argument("service")
 @change_commands.wait_timeout_option
 @session.pass_session
-async def wait(run: session.Session, service: str, wait_timeout: float) -> int:
+async def wait(
+    current_session: session.Session, service: str, wait_timeout: float
+) -> int:
     """Waits for the end of a roll-out; fails unless it is complete."""
-    until = time.monotonic() + wait_timeout
-    async with run.open_store() as store:
-        found = await _require_state(store, service)
+    end_time = time.monotonic() + wait_timeout
+    async with current_session.open_store() as store:
+        order = await _require_last_order(store, service)
         while (
-            found.state not in records.FINAL_STATES and time.monotonic() < until
+            order.state not in records.FINAL_STATES
+            and time.monotonic() < end_time
         ):
-            await asyncio.sleep(_POLL_S)
-            found = await _require_state(store, service)
-    run.report(_describe(found))
-    complete = found.state == control_pb2.COMPLETE
-    return exit_codes.OK if complete else exit_codes.NOT_FULFILLED
+            await asyncio.sleep(_POLL_INTERVAL_S)
+            order = await _require_last_order(store, service)
+    current_session.report(_build_result(order))
+    is_complete = order.state == control_pb2.COMPLETE
+    return exit_codes.OK if is_complete else exit_codes.NOT_FULFILLED
 
 
 @rollout.command(
@@ -132,27 +143,27 @@
 )
 @click.argument("service")
 @session.pass_session
-async def abort(run: session.Session, service: str) -> int:
+async def abort(current_session: session.Session, service: str) -> int:
     """Has a service go back to the version before."""
-    operator = run.require_setting("operator")
-    async with run.open_store() as store:
-        found = await _require_state(store, service)
+    operator = current_session.require_setting("operator")
+    async with current_session.open_store() as store:
+        order = await _require_last_order(store, service)
         attempt = orders.Attempt(
             orders.ABORT,
             operator,
-            run.dependencies.read_clock_ms(),
+            current_session.dependencies.read_clock_ms(),
             service,
-            found.version,
+            order.version,
         )
         await orders.write_attempt(store, attempt, [])
-        register = storages.RolloutStorage(store, storages.DefaultFormat())
-        found.state = await register.write_state(found, control_pb2.ROLLED_BACK)
-        if found.state == control_pb2.ROLLED_BACK:
-            # The daemons read orders; they look at states as they write them.
-            await orders.write_order(store, found)
-    run.report(_describe(found))
-    gone_back = found.state == control_pb2.ROLLED_BACK
-    return exit_codes.OK if gone_back else exit_codes.LOST_RACE
+        storage = storages.RolloutStorage(store, storages.DefaultFormat())
+        order.state = await storage.write_state(order, control_pb2.ROLLED_BACK)
+        if order.state == control_pb2.ROLLED_BACK:
+            # Daemons poll orders, but read a state only when they write it.
+            await orders.write_order(store, order)
+    current_session.report(_build_result(order))
+    is_rolled_back = order.state == control_pb2.ROLLED_BACK
+    return exit_codes.OK if is_rolled_back else exit_codes.LOST_RACE
 
 
 @rollout.command(
@@ -160,28 +171,29 @@
 )
 @click.argument("service")
 @session.pass_session
-async def history(run: session.Session, service: str) -> int:
+async def history(current_session: session.Session, service: str) -> int:
     """Lists who ordered and ended roll-outs of a service, newest last."""
-    async with run.open_store() as store:
+    async with current_session.open_store() as store:
         attempts = await orders.list_attempts(store, service)
-    shown = tuple(
+    attempt_results = tuple(
         results.RolloutAttempt(
-            audit_trail.format_time(one.at_ms),
-            one.operator,
-            one.action,
-            one.version,
-            tuple(one.refusals),
+            audit_trail.format_time(attempt.at_ms),
+            attempt.operator,
+            attempt.action,
+            attempt.version,
+            tuple(attempt.refusals),
         )
-        for one in attempts
+        for attempt in attempts
     )
-    run.report(results.RolloutHistory(service, shown))
+    current_session.report(results.RolloutHistory(service, attempt_results))
     return exit_codes.OK
 
 
-def _check(version: str, within_s: float) -> list[errors.Finding]:
+def _check_options(version: str, within_s: float) -> list[errors.Finding]:
+    """Returns the findings for the options of the command `start`."""
     findings = []
-    if fault := records.find_version_fault(version):
-        findings.append(errors.Finding("--to", fault))
+    if problem := records.find_version_fault(version):
+        findings.append(errors.Finding("--to", problem))
     if not MIN_WITHIN_S <= within_s <= _MAX_WITHIN_S:
         text = f"{within_s:g} is not within {MIN_WITHIN_S:g} to"
         text += f" {_MAX_WITHIN_S:g} s."
@@ -192,10 +204,13 @@
 async def _check_service(
     store: store_records.Store, service: str
 ) -> list[errors.Finding]:
+    """Returns a finding if the accepted version has no such service."""
     head, _ = await store_records.read_head(store)
     documents = await store_records.read_documents(store, head)
     names = {
-        one.name for document in documents.values() for one in document.services
+        declared_service.name
+        for document in documents.values()
+        for declared_service in document.services
     }
     if service in names:
         return []
@@ -203,29 +218,35 @@
     return [errors.Finding(service, text)]
 
 
-async def _read_state(
+async def _read_last_order(
     store: store_records.Store, service: str
 ) -> control_pb2.Rollout | None:
-    """Returns the last order of a service with its state; None: none was."""
-    register = storages.RolloutStorage(store, storages.DefaultFormat())
-    for order in await register.read_orders():
+    """Returns the last order for a service, with its state; None if absent."""
+    storage = storages.RolloutStorage(store, storages.DefaultFormat())
+    for order in await storage.read_orders():
         if order.service == service:
-            order.state = await register.read_state(order)
+            order.state = await storage.read_state(order)
             return order
     return None
 
 
-async def _require_state(
+async def _require_last_order(
     store: store_records.Store, service: str
 ) -> control_pb2.Rollout:
-    found = await _read_state(store, service)
-    if found is None:
+    """Returns the last order for a service, with its state.
+
+    Raises:
+        errors.InvalidInputError: There is no order for the service.
+    """
+    order = await _read_last_order(store, service)
+    if order is None:
         text = "has no roll-out."
         raise errors.InvalidInputError([errors.Finding(service, text)])
-    return found
+    return order
 
 
-def _describe(found: control_pb2.Rollout) -> results.RolloutShown:
+def _build_result(order: control_pb2.Rollout) -> results.RolloutShown:
+    """Returns the result that shows an order and its state."""
     return results.RolloutShown(
-        found.service, found.version, _NAMES[found.state], found.number
+        order.service, order.version, _STATE_NAMES[order.state], order.number
     )
--- a/merlintrestle/operators/session.py
+++ b/merlintrestle/operators/session.py
@@ -1,4 +1,4 @@
-"""What every command of the operators' program needs: settings, store, exit."""
+"""Sessions of commands: their settings, store, output and exit code."""
 
 from __future__ import annotations
 
@@ -29,15 +29,18 @@
 
 
 class Dependencies(NamedTuple):
-    """Where a session gets what tests replace.
+    """Dependencies of a session, which tests replace.
 
     Attributes:
-        open_store: Makes a store client from address and timeout in seconds.
-        make_id: Makes a change id for the version it would make.
-        read_clock_ms: Returns milliseconds since 1970.
-        retry_delay_s: Seconds between two tries of a write without answer.
-        ask_status: Asks a daemon for its status.
-        push_version: Gives an accepted version to a daemon.
+        open_store: Returns a store client for an address and a timeout in
+            seconds.
+        make_id: Returns a change id for the version that the change would
+            create.
+        read_clock_ms: Returns the current time, in ms since 1970.
+        retry_delay_s: Delay between two attempts of a write that got no answer,
+            in seconds.
+        ask_status: Returns the status of a daemon.
+        push_version: Sends an accepted version to a daemon.
     """
 
     open_store: Callable[[str, float], Any] = client.StoreClient
@@ -49,11 +52,11 @@
 
 
 class Session:
-    """One run of a command.
+    """A run of a command.
 
     Attributes:
-        settings: The checked settings.
-        dependencies: Where it gets store, ids and times.
+        settings: The validated settings.
+        dependencies: The store client, clock and other dependencies.
     """
 
     def __init__(
@@ -66,11 +69,15 @@
 
     @property
     def is_json(self) -> bool:
-        """True if the output is for programs."""
+        """Whether results are printed as JSON."""
         return self.settings.output == "json"
 
     def require_setting(self, name: str) -> str:
-        """Returns a setting that this command cannot do without."""
+        """Returns the value of a setting that the command requires.
+
+        Raises:
+            click.UsageError: The setting is not set.
+        """
         value = getattr(self.settings, name)
         if not value:
             variable = config.VARIABLE_PREFIX + name.upper()
@@ -79,7 +86,7 @@
 
     @contextlib.asynccontextmanager
     async def open_store(self) -> AsyncIterator[records.Store]:
-        """Starts a store client and closes it at the end."""
+        """Yields a started store client, which is closed afterwards."""
         store = self.dependencies.open_store(
             self.require_setting("store"), self.settings.timeout_s
         )
@@ -92,69 +99,81 @@
     async def read_accepted(
         self,
     ) -> tuple[document_pb2.Head, dict[str, document_pb2.Document]]:
-        """Returns the head record and the documents that it names."""
+        """Returns the head record and the documents that it refers to."""
         async with self.open_store() as store:
             head, _ = await records.read_head(store)
             return head, await records.read_documents(store, head)
 
     def report(self, result: Any) -> None:
-        """Prints a result in the form that the operator asked for."""
+        """Prints a result in the output format of the settings."""
         click.echo(output.format_result(result, self.is_json))
 
     def report_progress(self, text: str) -> None:
-        """Prints a line of progress, apart from the result."""
+        """Prints a line to standard error, separate from the result."""
         click.echo(text, err=True)
 
 
 def format_examples(*lines: str) -> str:
-    """Returns the end of a command's help: its examples, not rewrapped."""
+    """Returns examples as a command's epilog, which click does not wrap."""
     title = "Example:" if len(lines) == 1 else "Examples:"
     return "\n".join(["\b", title, *(f"  {line}" for line in lines)])
 
 
-def pass_session(body: Callable[..., Awaitable[int]]) -> Callable[..., None]:
-    """Makes a click callback of a coroutine function.
+def pass_session(
+    command_body: Callable[..., Awaitable[int]],
+) -> Callable[..., None]:
+    """Converts a coroutine function to a click callback.
 
-    The coroutine gets a `Session` first and returns the exit code. Settings
-    may stand before or after the command's name; the latter go first.
+    The coroutine function gets a `Session` as its first argument and returns
+    the exit code. Settings can be given before and after the name of the
+    command; those after it take precedence.
     """
 
     @config.add_options(settings_pb2.OperatorSettings)
     @click.pass_context
-    @functools.wraps(body)
-    def callback(context: click.Context, /, **values: Any) -> None:
-        given = context.find_root().params
+    @functools.wraps(command_body)
+    def callback(context: click.Context, /, **arguments: Any) -> None:
+        group_settings = context.find_root().params
         texts = {}
         for setting in config.list_settings(settings_pb2.OperatorSettings):
-            own = values.pop(setting.name)
-            texts[setting.name] = own or given.get(setting.name)
+            text = arguments.pop(setting.name)
+            texts[setting.name] = text or group_settings.get(setting.name)
         dependencies = context.obj or Dependencies()
-        context.exit(_run(body, texts, dependencies, values))
+        context.exit(_run(command_body, texts, dependencies, arguments))
 
     return callback
 
 
 def _run(
-    body: Callable[..., Any],
+    command_body: Callable[..., Any],
     texts: dict[str, str | None],
     dependencies: Dependencies,
-    values: dict[str, Any],
+    arguments: dict[str, Any],
 ) -> int:
+    """Runs a command and returns its exit code.
+
+    Args:
+        command_body: The coroutine function of the command.
+        texts: Texts of the settings by name.
+        dependencies: Dependencies of the session.
+        arguments: Keyword arguments for the coroutine function.
+    """
     try:
         settings = config.read_settings(settings_pb2.OperatorSettings, texts)
     except errors.InvalidInputError as error:
         raise click.UsageError(str(error)) from error
-    session = Session(settings, dependencies)
+    current_session = Session(settings, dependencies)
     try:
-        return asyncio.run(body(session, **values))
+        return asyncio.run(command_body(current_session, **arguments))
     except KeyboardInterrupt:
         return exit_codes.INTERRUPTED
     except errors.InvalidInputError as error:
-        session.report(outcomes.Refused(tuple(error.findings)))
+        current_session.report(outcomes.Refused(tuple(error.findings)))
         return exit_codes.FINDINGS
     except errors.StoreError as error:
-        # Reads and the writes before acceptance end here; a change whose
-        # acceptance is in doubt is a result of its own (outcomes.Undecided).
+        # A read failed, or a write before the change was proposed. If it is
+        # unknown whether a change was accepted, the result is
+        # `outcomes.Undecided` instead.
         is_corrupt = isinstance(error, errors.CorruptRecordError)
-        session.report(results.StoreFailure(str(error), is_corrupt))
+        current_session.report(results.StoreFailure(str(error), is_corrupt))
         return exit_codes.STORE_UNAVAILABLE
--- a/merlintrestle/operators/status_queries.py
+++ b/merlintrestle/operators/status_queries.py
@@ -1,4 +1,4 @@
-"""Asking store and fleet whether what was accepted is in force."""
+"""Queries of the status of the store and the fleet."""
 
 from __future__ import annotations
 
@@ -18,107 +18,147 @@
     from merlintrestle.operators import session
     from merlintrestle.schema import document_pb2
 
-_POLL_S = 0.2
+_POLL_INTERVAL_S = 0.2
 
 
-async def read_status(run: session.Session) -> status_results.Status:
-    """Asks the store and, where one is set, a daemon and its members."""
-    problem = ""
+async def read_status(
+    current_session: session.Session,
+) -> status_results.Status:
+    """Returns the status of the store and the fleet.
+
+    Without the setting `daemon`, the status of the fleet is left empty.
+    """
+    store_problem = ""
     head: document_pb2.Head | None = None
     documents: dict[str, document_pb2.Document] = {}
     try:
-        async with run.open_store() as store:
+        async with current_session.open_store() as store:
             head, _ = await records.read_head(store)
             documents = await records.read_documents(store, head)
     except errors.StoreError as error:
-        problem = str(error)
-    answers: list[fleet.MemberStatus] = []
+        store_problem = str(error)
+    member_statuses: list[fleet.MemberStatus] = []
     daemon_problem = ""
-    if run.settings.daemon:
+    if current_session.settings.daemon:
         try:
-            answers = await _ask_fleet(run)
+            member_statuses = await _ask_fleet(current_session)
         except fleet.DaemonUnavailableError as error:
             daemon_problem = str(error)
     version = head.version if head else None
     digest = head.snapshot_digest if head else b""
-    replies = [one.reply for one in answers if one.reply is not None]
+    replies = [
+        member_status.reply
+        for member_status in member_statuses
+        if member_status.reply is not None
+    ]
     return status_results.Status(
         version=version,
-        store_problem=problem,
+        store_problem=store_problem,
         daemon_problem=daemon_problem,
         daemons=tuple(
-            fleet.check_daemon(one, version, digest) for one in answers
+            fleet.check_daemon(member_status, version, digest)
+            for member_status in member_statuses
         ),
         targets=tuple(targets.evaluate_targets(documents, replies))
-        if answers
+        if member_statuses
         else (),
     )
 
 
 async def wait_in_force(
-    run: session.Session,
+    current_session: session.Session,
     version: int,
     digest: bytes,
     timeout_s: float,
-    progress: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> status_results.InForce:
-    """Waits until every daemon that serves runs a version.
+    """Waits until every daemon that takes new calls runs a version.
 
-    A daemon that was seen to run it is not asked again: none goes back.
+    A daemon that runs the version is not asked again, as no daemon returns to
+    an earlier version.
 
     Args:
-        run: The session; its daemon is asked who the members are.
+        current_session: The session; the daemon of its settings lists the
+            members.
         version: The version.
-        digest: Digest of its snapshot.
-        timeout_s: Longest wait in seconds.
-        progress: Called with a line when more daemons run it.
+        digest: Digest of the version's snapshot.
+        timeout_s: Maximum time to wait, in seconds.
+        report_progress: Called with a line of text whenever the progress
+            changes.
     """
     start = time.monotonic()
-    done: set[str] = set()
-    told = ""
+    confirmed_ids: set[str] = set()
+    last_line = ""
     while True:
-        result = await _check_once(run, version, digest, done)
+        result = await _check_daemons(
+            current_session, version, digest, confirmed_ids
+        )
         waited_s = time.monotonic() - start
-        line = _describe(result)
-        if line != told:
-            progress(line)
-            told = line
+        line = _describe_progress(result)
+        if line != last_line:
+            report_progress(line)
+            last_line = line
         if result.everywhere or waited_s >= timeout_s:
             return result._replace(waited_s=round(waited_s, 3))
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-async def _check_once(
-    run: session.Session, version: int, digest: bytes, done: set[str]
+async def _check_daemons(
+    current_session: session.Session,
+    version: int,
+    digest: bytes,
+    confirmed_ids: set[str],
 ) -> status_results.InForce:
-    timeout_s = run.settings.timeout_s
+    """Asks the daemons once whether they run a version.
+
+    Args:
+        current_session: The session.
+        version: The version.
+        digest: Digest of the version's snapshot.
+        confirmed_ids: Ids of the daemons that run the version, which are not
+            asked; extended by those that have started to run it.
+    """
+    timeout_s = current_session.settings.timeout_s
     try:
         members = await fleet.list_members(
-            run.settings.daemon, timeout_s, run.dependencies.ask_status
+            current_session.settings.daemon,
+            timeout_s,
+            current_session.dependencies.ask_status,
         )
     except fleet.DaemonUnavailableError as error:
         return status_results.InForce(version, False, 0, 0.0, (), str(error))
-    answers = await fleet.ask_members(
-        [one for one in members if one.id not in done],
+    member_statuses = await fleet.ask_members(
+        [member for member in members if member.id not in confirmed_ids],
         timeout_s,
-        run.dependencies.ask_status,
+        current_session.dependencies.ask_status,
+    )
+    daemons = [
+        fleet.check_daemon(member_status, version, digest)
+        for member_status in member_statuses
+    ]
+    confirmed_ids.update(
+        daemon.id for daemon in daemons if daemon.state == fleet.IN_FORCE
     )
-    daemons = [fleet.check_daemon(one, version, digest) for one in answers]
-    done.update(one.id for one in daemons if one.state == fleet.IN_FORCE)
     missing = fleet.list_not_in_force(daemons)
     return status_results.InForce(
         version, not missing, len(members), 0.0, missing, ""
     )
 
 
-def _describe(result: status_results.InForce) -> str:
+def _describe_progress(result: status_results.InForce) -> str:
     if result.problem:
         return f"version {result.version}: {result.problem}"
     running = result.daemons - len(result.missing)
     return f"version {result.version}: {running} of {result.daemons} daemons"
 
 
-async def _ask_fleet(run: session.Session) -> list[fleet.MemberStatus]:
-    ask, timeout_s = run.dependencies.ask_status, run.settings.timeout_s
-    members = await fleet.list_members(run.settings.daemon, timeout_s, ask)
-    return await fleet.ask_members(members, timeout_s, ask)
+async def _ask_fleet(
+    current_session: session.Session,
+) -> list[fleet.MemberStatus]:
+    """Returns the status of each member that takes new calls."""
+    ask_status = current_session.dependencies.ask_status
+    timeout_s = current_session.settings.timeout_s
+    members = await fleet.list_members(
+        current_session.settings.daemon, timeout_s, ask_status
+    )
+    return await fleet.ask_members(members, timeout_s, ask_status)
--- a/merlintrestle/operators/status_results.py
+++ b/merlintrestle/operators/status_results.py
@@ -1,4 +1,4 @@
-"""Whether what was accepted is in force everywhere and its targets hold."""
+"""Status of the accepted version, the fleet and the targets."""
 
 from __future__ import annotations
 
@@ -6,37 +6,38 @@
 
 from merlintrestle.operators import exit_codes
 from merlintrestle.operators import fleet
-from merlintrestle.operators import targets as targets_
+from merlintrestle.operators import targets as targets_lib
 
 
 class Status(NamedTuple):
-    """What store and fleet say at one time.
+    """Status of the store and the fleet at one time.
 
     Attributes:
-        version: The accepted version; None: the store does not answer.
-        store_problem: Why it does not.
-        daemon_problem: Why nothing is known about the fleet.
-        daemons: Every daemon that serves.
-        targets: Every class of work.
+        version: The accepted version; None if the store does not answer.
+        store_problem: Error message if the store does not answer.
+        daemon_problem: Error message if the fleet's status is unknown.
+        daemons: The daemons that take new calls.
+        targets: The targets of all classes of work.
     """
 
     version: int | None
     store_problem: str
     daemon_problem: str
     daemons: tuple[fleet.Daemon, ...]
-    targets: tuple[targets_.Target, ...]
+    targets: tuple[targets_lib.Target, ...]
 
 
 class InForce(NamedTuple):
-    """How far a version got while an operator waited.
+    """Whether the daemons run a version, after a wait for it.
 
     Attributes:
         version: The version.
-        everywhere: True if every daemon that serves runs it or a newer one.
-        daemons: How many daemons serve.
-        waited_s: Seconds that this took.
-        missing: Daemons that do not run it.
-        problem: Why nothing is known about the fleet.
+        everywhere: Whether every daemon that takes new calls runs the version
+            or a newer one.
+        daemons: Number of daemons that take new calls.
+        waited_s: Duration of the wait, in seconds.
+        missing: The daemons that do not run the version.
+        problem: Error message if the fleet's status is unknown.
     """
 
     version: int
@@ -48,11 +49,11 @@
 
 
 def choose_exit_code(status: Status) -> int:
-    """Returns the exit code that a status stands for."""
+    """Returns the exit code for a status."""
     if status.version is None:
         return exit_codes.STORE_UNAVAILABLE
     if status.daemon_problem or fleet.list_not_in_force(status.daemons):
         return exit_codes.NOT_FULFILLED
-    if any(one.state == targets_.MISSED for one in status.targets):
+    if any(target.state == targets_lib.MISSED for target in status.targets):
         return exit_codes.NOT_FULFILLED
     return exit_codes.OK
--- a/merlintrestle/operators/targets.py
+++ b/merlintrestle/operators/targets.py
@@ -1,4 +1,4 @@
-"""Whether targets hold: the calls of all daemons against the documents."""
+"""Compares the calls of all daemons with the targets of the documents."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class Target(NamedTuple):
-    """The targets of one class of work and what was reached.
+    """The targets of a class of work and the measured values.
 
     Attributes:
-        organisation: Who declares them.
+        organisation: Organisation that declares the targets.
         service: Service that serves the class.
         name: Name of the class.
         state: "holds", "missed" or "no calls".
-        calls: Calls in the last window of each daemon.
-        share: Share of the answered calls within the latency target.
-        wanted_share: What the document demands.
-        answered: Share of all calls that were answered without a failure.
-        wanted_availability: What the document demands.
-        refused: Calls that were refused as not run.
-        failed: Calls that ran and failed.
-        unknown: Calls of which nobody knows whether they ran.
+        calls: Number of calls in the last window, summed over all daemons.
+        share: Fraction of the answered calls within the latency target.
+        wanted_share: Target of `share`.
+        answered: Fraction of all calls that were answered without a failure.
+        wanted_availability: Target of `answered`.
+        refused: Number of calls that were refused as not run.
+        failed: Number of calls that ran and failed.
+        unknown: Number of calls of which it is unknown whether they ran.
     """
 
     organisation: str
@@ -52,19 +52,19 @@
     documents: Mapping[str, document_pb2.Document],
     replies: Iterable[control_pb2.StatusReply],
 ) -> list[Target]:
-    """Returns each class of work with what the fleet reached.
+    """Returns the targets and measured values of each class of work.
 
     Args:
         documents: The accepted documents by organisation.
-        replies: The status of every daemon that answered.
+        replies: The status of each daemon that answered.
     """
-    sums = _add_up(replies)
+    totals = _sum_by_class(replies)
     return [
-        _judge(
+        _evaluate_target(
             organisation,
             service.name,
             target,
-            sums.get(
+            totals.get(
                 (organisation, service.name, target.name),
                 control_pb2.ClassStatus(),
             ),
@@ -75,35 +75,36 @@
     ]
 
 
-def _add_up(
+def _sum_by_class(
     replies: Iterable[control_pb2.StatusReply],
 ) -> dict[tuple[str, str, str], control_pb2.ClassStatus]:
-    sums: dict[tuple[str, str, str], control_pb2.ClassStatus] = {}
+    """Returns the sums over all daemons by organisation, service and class."""
+    totals: dict[tuple[str, str, str], control_pb2.ClassStatus] = {}
     for reply in replies:
-        for part in reply.classes:
-            key = (part.organisation, part.service, part.name)
-            total = sums.setdefault(key, control_pb2.ClassStatus())
-            total.calls += part.calls
-            total.answered += part.answered
-            total.within_latency += part.within_latency
-            total.refused += part.refused
-            total.failed += part.failed
-            total.unknown += part.unknown
-    return sums
-
-
-def _judge(
+        for counts in reply.classes:
+            key = (counts.organisation, counts.service, counts.name)
+            total = totals.setdefault(key, control_pb2.ClassStatus())
+            total.calls += counts.calls
+            total.answered += counts.answered
+            total.within_latency += counts.within_latency
+            total.refused += counts.refused
+            total.failed += counts.failed
+            total.unknown += counts.unknown
+    return totals
+
+
+def _evaluate_target(
     organisation: str,
     service: str,
     target: document_pb2.ClassTarget,
-    seen: control_pb2.ClassStatus,
+    total: control_pb2.ClassStatus,
 ) -> Target:
-    # A call without an answer counts against availability alone, so that one
-    # fault is not reported as two missed targets.
-    share = seen.within_latency / seen.answered if seen.answered else 0.0
-    answered = seen.answered / seen.calls if seen.calls else 0.0
+    # A call without an answer counts only towards availability, so that one
+    # fault does not count as two missed targets.
+    share = total.within_latency / total.answered if total.answered else 0.0
+    answered = total.answered / total.calls if total.calls else 0.0
     state = MISSED
-    if not seen.calls:
+    if not total.calls:
         state = NO_CALLS
     elif share >= target.share and answered >= target.availability:
         state = HOLDS
@@ -112,12 +113,12 @@
         service=service,
         name=target.name,
         state=state,
-        calls=seen.calls,
+        calls=total.calls,
         share=share,
         wanted_share=target.share,
         answered=answered,
         wanted_availability=target.availability,
-        refused=seen.refused,
-        failed=seen.failed,
-        unknown=seen.unknown,
+        refused=total.refused,
+        failed=total.failed,
+        unknown=total.unknown,
     )
--- a/merlintrestle/operators/text_format.py
+++ b/merlintrestle/operators/text_format.py
@@ -1,4 +1,4 @@
-"""Text forms of results, for people."""
+"""Formats results of commands as text."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @functools.singledispatch
 def format_text(result: Any) -> list[str]:
-    """Returns the lines that people see of a result."""
+    """Returns the lines of text that show a result."""
     raise TypeError(f"no text form of {type(result).__name__}")
 
 
@@ -50,8 +50,8 @@
 @format_text.register
 def _(result: results.Validated) -> list[str]:
     against = result.checked_against
-    end = f"checked against {against}." if against else "each for itself."
-    return [f"No findings in {', '.join(result.files)}, {end}"]
+    scope = f"checked against {against}." if against else "each for itself."
+    return [f"No findings in {', '.join(result.files)}, {scope}"]
 
 
 @format_text.register
@@ -74,21 +74,21 @@
     noun = "finding" if count == 1 else "findings"
     return [
         f"Refused with {count} {noun}; nothing was changed.",
-        *_indent(str(one) for one in result.findings),
+        *_indent(str(finding) for finding in result.findings),
     ]
 
 
 @format_text.register
 def _(result: outcomes.LostRace) -> list[str]:
-    who = "Another operator"
+    description = "Another operator"
     if result.by is not None:
         attempt = audit_trail.describe_change(result.by, audit_trail.ACCEPTED)
-        who = (
+        description = (
             f"{attempt.operator} ({attempt.action} of {attempt.organisation},"
             f" version {attempt.version}, {attempt.at})"
         )
     return [
-        f"Lost a race; nothing was changed. {who} was first:",
+        f"Lost a race; nothing was changed. {description} was first:",
         *_indent(result.differences),
         f"Version {result.version} stands. Look at it with `merlintrestle"
         " diff FILE`, then apply again.",
@@ -110,17 +110,17 @@
 def _(result: results.Listing) -> list[str]:
     if not result.attempts:
         return ["No changes."]
-    lines = format_table(
+    table_lines = format_table(
         ["VERSION", "OUTCOME", "AT", "OPERATOR", "ORGANISATION", "ACTION"],
         [attempt[:6] for attempt in result.attempts],
     )
-    shown = [lines[0]]
-    for line, attempt in zip(lines[1:], result.attempts, strict=True):
-        shown.append(line)
-        shown += _indent(attempt.refusals or attempt.summary)
+    lines = [table_lines[0]]
+    for line, attempt in zip(table_lines[1:], result.attempts, strict=True):
+        lines.append(line)
+        lines += _indent(attempt.refusals or attempt.summary)
     if not result.is_whole:
-        shown.append("Newer attempts are left out: take a smaller --limit.")
-    return shown
+        lines.append("Newer attempts are left out: take a smaller --limit.")
+    return lines
 
 
 @format_text.register
@@ -143,15 +143,15 @@
 
 @format_text.register
 def _(result: status_results.InForce) -> list[str]:
-    number = f"Version {result.version}"
+    version = f"Version {result.version}"
     if result.problem:
         return [
-            f"{number}: whether it is in force is unknown: {result.problem}."
+            f"{version}: whether it is in force is unknown: {result.problem}."
         ]
     if result.everywhere:
-        return [f"{number} is in force on all {result.daemons} daemons."]
+        return [f"{version} is in force on all {result.daemons} daemons."]
     return [
-        f"{number} is not in force everywhere after {result.waited_s:g} s:",
+        f"{version} is not in force everywhere after {result.waited_s:g} s:",
         *_format_daemons(result.missing),
     ]
 
@@ -175,8 +175,8 @@
     elif not result.daemons:
         lines.append("Set --daemon to see whether it is in force.")
     if missing or (result.version is None and result.daemons):
-        shown = missing if result.version is not None else result.daemons
-        lines += ["", *_format_daemons(shown)]
+        daemons = missing if result.version is not None else result.daemons
+        lines += ["", *_format_daemons(daemons)]
     if result.targets:
         lines += ["", *_format_targets(result.targets)]
     return lines
@@ -199,25 +199,29 @@
 def _(result: results.RolloutHistory) -> list[str]:
     if not result.attempts:
         return [f"{result.service}: no roll-outs."]
-    lines = format_table(
+    table_lines = format_table(
         ["AT", "OPERATOR", "ACTION", "VERSION"],
-        [one[:4] for one in result.attempts],
+        [attempt[:4] for attempt in result.attempts],
     )
-    shown = [lines[0]]
-    for line, one in zip(lines[1:], result.attempts, strict=True):
-        shown += [line, *_indent(one.refusals)]
-    return shown
+    lines = [table_lines[0]]
+    for line, attempt in zip(table_lines[1:], result.attempts, strict=True):
+        lines += [line, *_indent(attempt.refusals)]
+    return lines
 
 
 @format_text.register
 def _(result: results.Watched) -> list[str]:
-    accepted = [
-        f"{result.at} version {one.version}: {one.action} of"
-        f" {one.organisation} by {one.operator}"
-        for one in reversed(result.accepted)
+    change_lines = [
+        f"{result.at} version {attempt.version}: {attempt.action} of"
+        f" {attempt.organisation} by {attempt.operator}"
+        for attempt in reversed(result.accepted)
+    ]
+    first_line, *other_lines = format_text(result.status)
+    return [
+        *change_lines,
+        f"{result.at} {first_line}",
+        *_indent(other_lines),
     ]
-    first, *rest = format_text(result.status)
-    return [*accepted, f"{result.at} {first}", *_indent(rest)]
 
 
 def _format_daemons(daemons: Iterable[fleet.Daemon]) -> list[str]:
@@ -227,7 +231,7 @@
     )
 
 
-def _format_targets(found: Iterable[targets.Target]) -> list[str]:
+def _format_targets(fleet_targets: Iterable[targets.Target]) -> list[str]:
     return format_table(
         [
             "TARGET",
@@ -243,18 +247,18 @@
         ],
         [
             (
-                f"{one.organisation}/{one.service}/{one.name}",
-                one.state,
-                f"{one.share:.4f}" if one.calls else "-",
-                f"{one.wanted_share:g}",
-                f"{one.answered:.4f}" if one.calls else "-",
-                f"{one.wanted_availability:g}",
-                one.calls,
-                one.refused,
-                one.failed,
-                one.unknown,
+                f"{target.organisation}/{target.service}/{target.name}",
+                target.state,
+                f"{target.share:.4f}" if target.calls else "-",
+                f"{target.wanted_share:g}",
+                f"{target.answered:.4f}" if target.calls else "-",
+                f"{target.wanted_availability:g}",
+                target.calls,
+                target.refused,
+                target.failed,
+                target.unknown,
             )
-            for one in found
+            for target in fleet_targets
         ],
     )
 
--- a/merlintrestle/operators/view_commands.py
+++ b/merlintrestle/operators/view_commands.py
@@ -1,4 +1,4 @@
-"""Commands that show what is accepted, what runs and whether it holds."""
+"""Commands that show documents, changes and the status of the fleet."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 _MAX_LIMIT = 100_000
 _DEFAULT_INTERVAL_S = 2.0
 
-_OUTCOMES = """\b
+_AUDIT_EPILOG = """\b
 Outcomes:
   accepted         it made the version
   refused          it had findings; head was not tried
@@ -44,18 +44,20 @@
 )
 @click.argument("organisation", required=False)
 @session.pass_session
-async def show(run: session.Session, organisation: str | None) -> int:
+async def show(
+    current_session: session.Session, organisation: str | None
+) -> int:
     """Shows the accepted target documents, as files to edit and apply."""
-    head, documents = await run.read_accepted()
+    head, documents = await current_session.read_accepted()
     if organisation and organisation not in documents:
         text = f"has no document in version {head.version}."
         raise errors.InvalidInputError([errors.Finding(organisation, text)])
-    shown = {
+    texts = {
         name: writer.write_document(document)
         for name, document in documents.items()
         if organisation in (None, name)
     }
-    run.report(results.Shown(head.version, shown))
+    current_session.report(results.Shown(head.version, texts))
     return exit_codes.OK
 
 
@@ -64,22 +66,22 @@
 )
 @_limit_option
 @session.pass_session
-async def history(run: session.Session, limit: int) -> int:
+async def history(current_session: session.Session, limit: int) -> int:
     """Lists the accepted changes, newest first."""
-    async with run.open_store() as store:
-        found = await audit_trail.read_history(store, limit)
-    run.report(results.Listing(tuple(found), is_whole=True))
+    async with current_session.open_store() as store:
+        attempts = await audit_trail.read_history(store, limit)
+    current_session.report(results.Listing(tuple(attempts), is_whole=True))
     return exit_codes.OK
 
 
-@click.command(epilog=_OUTCOMES)
+@click.command(epilog=_AUDIT_EPILOG)
 @_limit_option
 @session.pass_session
-async def audit(run: session.Session, limit: int) -> int:
+async def audit(current_session: session.Session, limit: int) -> int:
     """Lists every attempt to change something and what became of it."""
-    async with run.open_store() as store:
-        found = await audit_trail.read_audit(store, limit)
-    run.report(results.Listing(*found))
+    async with current_session.open_store() as store:
+        audit_result = await audit_trail.read_audit(store, limit)
+    current_session.report(results.Listing(*audit_result))
     return exit_codes.OK
 
 
@@ -89,15 +91,15 @@
     )
 )
 @session.pass_session
-async def status(run: session.Session) -> int:
+async def status(current_session: session.Session) -> int:
     """Shows whether the accepted version is in force and each target holds.
 
     The fleet is asked through --daemon; what that daemon does not know of is
     not in the figures.
     """
-    found = await status_queries.read_status(run)
-    run.report(found)
-    return status_results.choose_exit_code(found)
+    status_result = await status_queries.read_status(current_session)
+    current_session.report(status_result)
+    return status_results.choose_exit_code(status_result)
 
 
 @click.command(
@@ -119,42 +121,57 @@
     help="Rounds to watch; 0: until Ctrl-C.",
 )
 @session.pass_session
-async def watch(run: session.Session, interval: float, count: int) -> int:
+async def watch(
+    current_session: session.Session, interval: float, count: int
+) -> int:
     """Prints accepted changes and the status whenever either differs.
 
     With --output json each round that differs is one line.
     """
-    seen: int | None = None
-    last: status_results.Status | None = None
+    last_version: int | None = None
+    last_status: status_results.Status | None = None
     rounds = 0
     while True:
-        found = await status_queries.read_status(run)
-        if found != last:
-            accepted = await _read_accepted_since(run, found.version, seen)
-            run.report(
+        current_status = await status_queries.read_status(current_session)
+        if current_status != last_status:
+            accepted = await _read_accepted_since(
+                current_session, current_status.version, last_version
+            )
+            current_session.report(
                 results.Watched(
-                    audit_trail.format_time(run.dependencies.read_clock_ms()),
+                    audit_trail.format_time(
+                        current_session.dependencies.read_clock_ms()
+                    ),
                     tuple(accepted),
-                    found,
+                    current_status,
                 )
             )
-            last = found
-        if found.version is not None:
-            seen = found.version
+            last_status = current_status
+        if current_status.version is not None:
+            last_version = current_status.version
         rounds += 1
         if rounds == count:
-            return status_results.choose_exit_code(found)
+            return status_results.choose_exit_code(current_status)
         await asyncio.sleep(interval)
 
 
 async def _read_accepted_since(
-    run: session.Session, version: int | None, seen: int | None
+    current_session: session.Session,
+    version: int | None,
+    last_version: int | None,
 ) -> list[audit_trail.Attempt]:
-    if version is None or seen is None or version <= seen:
+    """Returns the accepted changes after a version, newest first.
+
+    Args:
+        current_session: The session.
+        version: The accepted version; None if it is unknown.
+        last_version: The last known accepted version; None if there is none.
+    """
+    if version is None or last_version is None or version <= last_version:
         return []
     try:
-        async with run.open_store() as store:
-            return await audit_trail.read_history(store, version - seen)
+        async with current_session.open_store() as store:
+            return await audit_trail.read_history(store, version - last_version)
     except errors.StoreError:
-        # The next round says that the store does not answer.
+        # The status of the next round shows that the store does not answer.
         return []
