--- a/tests/operators/__init__.py
+++ b/tests/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of operators."""
+"""Tests of the operators' program."""
--- a/tests/operators/builders.py
+++ b/tests/operators/builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the operators' program."""
+"""Builders and fakes for tests of the operators' program."""
 
 from __future__ import annotations
 
@@ -26,57 +26,60 @@
     from merlintrestle.documents import snapshot as snapshots
 
 FLEETS = pathlib.Path(__file__).parents[2] / "fleets"
-START_MS = 1_800_000_000_000
+START_MS = 1_800_000_000_000  # Since 1970.
+# Control port of the first daemon of a fake fleet.
+_FIRST_PORT = 1001
 
 
-def build_make_id() -> Callable[[int], str]:
-    """Returns a source of change ids that counts."""
+def build_change_id_source() -> Callable[[int], str]:
+    """Returns a function that returns change ids with a serial number."""
     numbers = itertools.count(1)
     return lambda version: f"{version:012d}-{next(numbers):04d}"
 
 
 def build_clock() -> Callable[[], int]:
-    """Returns a clock that goes on by a second with each reading."""
+    """Returns a clock that advances by one second with each reading."""
     times = itertools.count(START_MS, 1000)
     return lambda: next(times)
 
 
 def build_proposal(path: pathlib.Path, operator: str) -> changes.Proposal:
-    """Returns the proposal to apply a file."""
+    """Returns the proposal to apply a target document from a file."""
     document = reader.read_document(path.read_bytes(), path.name)
     return changes.Proposal(operator, document.organisation, document)
 
 
 class CommandRunner:
-    """Runs commands of one operator against a fake store.
+    """Runs commands in this process against a fake store.
 
     Attributes:
         store: The fake store.
-        dependencies: What the commands use in place of the real ones.
+        dependencies: Dependencies of the commands, replaced by fakes.
     """
 
     def __init__(self, store: fakes.FakeStore | None = None):
         self.store = store or fakes.FakeStore()
         self.dependencies = session.Dependencies(
             open_store=lambda address, timeout_s: self.store,
-            make_id=build_make_id(),
+            make_id=build_change_id_source(),
             read_clock_ms=build_clock(),
             retry_delay_s=0,
         )
 
-    def use_fleet(self, replies: FakeFleet) -> None:
-        """Lets the commands ask a fake fleet."""
+    def use_fleet(self, fake_fleet: FakeFleet) -> None:
+        """Replaces the daemons that commands ask by those of a fake fleet."""
         self.dependencies = self.dependencies._replace(
-            ask_status=replies.ask_status, push_version=replies.push_version
+            ask_status=fake_fleet.ask_status,
+            push_version=fake_fleet.push_version,
         )
 
-    def run_accepted_version(self, replies: FakeFleet) -> None:
-        """Lets every daemon of a fake fleet run the accepted version."""
+    def run_accepted_version(self, fake_fleet: FakeFleet) -> None:
+        """Sets the accepted version on each daemon of a fake fleet."""
         head = records.parse_head(self.store.entries[records.HEAD_KEY])
-        replies.run_version(head.version, head.snapshot_digest)
+        fake_fleet.set_version(head.version, head.snapshot_digest)
 
-    async def propose_now(self, proposal: changes.Proposal) -> None:
-        """Proposes a change while the command of another operator runs."""
+    async def propose(self, proposal: changes.Proposal) -> None:
+        """Proposes a change, usually during another operator's command."""
         proposer = changes.Proposer(
             self.store,
             self.dependencies.make_id,
@@ -86,7 +89,7 @@
         await proposer.propose(proposal)
 
     def run(self, *arguments: str, operator: str = "anna") -> testing.Result:
-        """Runs one command and returns click's result."""
+        """Runs a command and returns click's result."""
         return testing.CliRunner().invoke(
             command.main,
             arguments,
@@ -99,35 +102,49 @@
 
 
 class FakeFleet:
-    """Daemons that answer status requests in memory.
+    """Fake daemons that answer status requests in memory.
 
     Attributes:
-        replies: Status of each daemon; ports count from 1001.
-        unreachable: Addresses that do not answer.
-        request_count: Requests so far.
-        update_after_requests: `update` is called after so many requests.
-        update: Lets the daemons run what is accepted.
+        replies: Status of each daemon; their ports start at 1001.
+        unreachable: Control addresses that do not answer.
+        request_count: Number of requests so far.
+        update_after_requests: Number of requests after which `update` is
+            called; 0 for never.
+        update: Called with this fleet to change the version of its daemons.
         on_next_request: Awaited once, at the next request.
     """
 
     def __init__(self, count: int):
-        self.replies = [_build_reply(1001 + i) for i in range(count)]
+        self.replies = [_build_reply(_FIRST_PORT + i) for i in range(count)]
         self.unreachable: set[str] = set()
         self.request_count = 0
         self.update_after_requests = 0
         self.update: Callable[[FakeFleet], None] | None = None
         self.on_next_request: Callable[[], Awaitable[None]] | None = None
 
-    def run_version(self, version: int, digest: bytes) -> None:
-        """Lets every daemon run a version."""
+    def set_version(self, version: int, digest: bytes) -> None:
+        """Sets the version on each daemon."""
         for reply in self.replies:
             reply.running.version = version
             reply.running.digest = digest
 
-    def count_calls(
-        self, index: int, name: str, calls: int, answered: int, within: int
+    def add_calls(
+        self,
+        index: int,
+        name: str,
+        calls: int,
+        answered: int,
+        within_latency: int,
     ) -> None:
-        """Adds calls of a class of balie to one daemon."""
+        """Adds counted calls of a class of the service balie to a daemon.
+
+        Args:
+            index: Index of the daemon.
+            name: Name of the class.
+            calls: Number of calls.
+            answered: Number of calls that were answered; the others failed.
+            within_latency: Number of calls answered within the target latency.
+        """
         self.replies[index].classes.add(
             organisation="zaanoever",
             service="balie",
@@ -135,33 +152,35 @@
             window_s=10,
             calls=calls,
             answered=answered,
-            within_latency=within,
+            within_latency=within_latency,
             failed=calls - answered,
         )
 
     async def push_version(
         self, address: str, timeout_s: float, snapshot: snapshots.Snapshot
     ) -> None:
-        """Takes an accepted version and leaves it at that."""
+        """Accepts a version and ignores it."""
 
     async def ask_status(
-        self, address: str, members: bool, timeout_s: float
+        self, address: str, include_members: bool, timeout_s: float
     ) -> control_pb2.StatusReply:
-        """Answers as `fleet.ask_daemon` does."""
+        """Returns the status of a daemon, as `fleet.ask_daemon` does."""
         self.request_count += 1
-        await self._act()
+        await self._run_callbacks()
         if address in self.unreachable:
             raise fleet.DaemonUnavailableError("fake: no answer")
         reply = control_pb2.StatusReply()
-        reply.CopyFrom(self.replies[int(address.rpartition(":")[2]) - 1001])
-        if members:
-            reply.members.extend(one.self for one in self.replies)
+        reply.CopyFrom(
+            self.replies[int(address.rpartition(":")[2]) - _FIRST_PORT]
+        )
+        if include_members:
+            reply.members.extend(status.self for status in self.replies)
         return reply
 
-    async def _act(self) -> None:
+    async def _run_callbacks(self) -> None:
         if self.on_next_request is not None:
-            act, self.on_next_request = self.on_next_request, None
-            await act()
+            callback, self.on_next_request = self.on_next_request, None
+            await callback()
         if self.update_after_requests:
             self.update_after_requests -= 1
             if not self.update_after_requests and self.update is not None:
@@ -178,7 +197,7 @@
 
 @contextlib.asynccontextmanager
 async def serve_status(version: int) -> AsyncIterator[str]:
-    """Serves the status of one daemon over gRPC and gives its address."""
+    """Serves the status of a daemon by gRPC and yields its control address."""
     server = grpc.aio.server()
     port = server.add_insecure_port("127.0.0.1:0")
     reply = _build_reply(port)
--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -1,4 +1,4 @@
-"""Tests of proposing changes while another operator does so too."""
+"""Tests of proposals, also while another operator proposes a change."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from merlintrestle.schema import document_pb2
 
 
-def _build(
+def _build_document(
     organisation: str, service: str, rate: float = 100.0
 ) -> document_pb2.Document:
     target = documents.build_class(rate=rate)
@@ -35,7 +35,10 @@
     async def asyncSetUp(self) -> None:
         self.store = fakes.FakeStore()
         self.proposer = changes.Proposer(
-            self.store, builders.build_make_id(), builders.build_clock(), 0
+            self.store,
+            builders.build_change_id_source(),
+            builders.build_clock(),
+            0,
         )
         await self._accept("mesh", documents.build_mesh_document())
 
@@ -59,51 +62,62 @@
         outcome = await self._propose(organisation, document, operator)
         self.assertIsInstance(outcome, outcomes.Accepted, outcome)
 
-    def _before_next_swap(
+    def _accept_before_next_swap(
         self, organisation: str, document: document_pb2.Document | None
     ) -> None:
-        """Lets another operator's change be accepted just before a swap."""
+        """Has another operator's change accepted before the next swap."""
 
-        async def race(method: str, key: str) -> None:
+        async def before_call(method: str, key: str) -> None:
             if method == "put" and key == records.HEAD_KEY:
                 self.store.before_call = None
                 await self._accept(organisation, document, "bram")
 
-        self.store.before_call = race
+        self.store.before_call = before_call
+
+    async def test_only_accepted_versions_are_pushed(self) -> None:
+        """Guards against pushing the version of a refused change.
 
-    async def test_only_what_was_accepted_is_handed_over(self) -> None:
-        """A daemon runs what it is handed, so no refused change may be."""
-        handed = []
+        A daemon runs the version that is pushed to it.
+        """
+        pushed_versions = []
 
         async def push_version(snapshot: snapshots.Snapshot) -> None:
-            handed.append((snapshot.version, snapshot.digest))
+            pushed_versions.append((snapshot.version, snapshot.digest))
 
         self.proposer = changes.Proposer(
             self.store,
-            builders.build_make_id(),
+            builders.build_change_id_source(),
             retry_delay_s=0,
             push_version=push_version,
         )
-        dangling = _build("zaanoever", "balie", 1)
-        dangling.services[0].calls.append("nowhere")
-        refused = await self._propose("zaanoever", dangling)
-        self.assertIsInstance(refused, outcomes.Refused)
-        self.assertEqual(handed, [])
-        await self._accept("zaanoever", _build("zaanoever", "balie", 1))
+        invalid_document = _build_document("zaanoever", "balie", 1)
+        invalid_document.services[0].calls.append("nowhere")
+        outcome = await self._propose("zaanoever", invalid_document)
+        self.assertIsInstance(outcome, outcomes.Refused)
+        self.assertEqual(pushed_versions, [])
+        await self._accept(
+            "zaanoever", _build_document("zaanoever", "balie", 1)
+        )
         head, _ = await records.read_head(self.store)
-        self.assertEqual(handed, [(head.version, head.snapshot_digest)])
+        self.assertEqual(
+            pushed_versions, [(head.version, head.snapshot_digest)]
+        )
 
-    async def test_same_organisation_loser_is_told_by_whom(self) -> None:
-        """Two operators of one organisation change its document at once.
+    async def test_lost_race_names_the_other_operator(self) -> None:
+        """Guards against silently overwriting an accepted change.
 
-        If the second write went through, the first operator's accepted
-        targets would be gone without a word. The loser is told what changed
-        under him and by whom, and nothing of his is in force.
+        Two operators of an organisation change its document at the same time.
+        The second change must not be accepted, and its operator must see what
+        was changed and by whom.
         """
-        await self._accept("zaanoever", _build("zaanoever", "balie", 1))
-        self._before_next_swap("zaanoever", _build("zaanoever", "balie", 2))
+        await self._accept(
+            "zaanoever", _build_document("zaanoever", "balie", 1)
+        )
+        self._accept_before_next_swap(
+            "zaanoever", _build_document("zaanoever", "balie", 2)
+        )
         outcome = await self._propose(
-            "zaanoever", _build("zaanoever", "balie", 3)
+            "zaanoever", _build_document("zaanoever", "balie", 3)
         )
         assert isinstance(outcome, outcomes.LostRace), outcome
         assert outcome.by is not None
@@ -114,64 +128,73 @@
         )
         audit, _ = await audit_trail.read_audit(self.store, 10)
         self.assertEqual(
-            [(one.operator, one.outcome) for one in audit[:2]],
+            [(attempt.operator, attempt.outcome) for attempt in audit[:2]],
             [("anna", audit_trail.LOST_RACE), ("bram", audit_trail.ACCEPTED)],
         )
 
-    async def test_change_that_was_undone_is_still_told(self) -> None:
-        """Another operator changes the document and changes it back.
+    async def test_reverted_change_is_a_lost_race(self) -> None:
+        """Guards against overwriting a change that was reverted.
 
-        Its digest is the old one, so a comparison of digests would miss it,
-        and the other's reason for going back would be overwritten.
+        Another operator changes the document and reverts it. The document then
+        has its old digest, so a comparison of digests would not detect this,
+        and the operator would not learn that the change was reverted.
         """
-        old = _build("zaanoever", "balie", 1)
-        await self._accept("zaanoever", old)
+        old_document = _build_document("zaanoever", "balie", 1)
+        await self._accept("zaanoever", old_document)
 
-        async def race(method: str, key: str) -> None:
+        async def before_call(method: str, key: str) -> None:
             if method == "put" and key == records.HEAD_KEY:
                 self.store.before_call = None
-                other = _build("zaanoever", "balie", 2)
-                await self._accept("zaanoever", other, "bram")
-                await self._accept("zaanoever", old, "bram")
+                new_document = _build_document("zaanoever", "balie", 2)
+                await self._accept("zaanoever", new_document, "bram")
+                await self._accept("zaanoever", old_document, "bram")
 
-        self.store.before_call = race
+        self.store.before_call = before_call
         outcome = await self._propose(
-            "zaanoever", _build("zaanoever", "balie", 3)
+            "zaanoever", _build_document("zaanoever", "balie", 3)
         )
         self.assertIsInstance(outcome, outcomes.LostRace)
 
-    async def test_other_organisation_is_rebased(self) -> None:
-        """Operators of two organisations change their documents at once.
+    async def test_change_of_another_organisation_is_no_conflict(self) -> None:
+        """Guards against a lost race between different organisations.
 
-        They do not conflict, so both are accepted, one after the other.
+        Their operators change the documents at the same time. Both changes are
+        accepted, one after the other.
         """
-        self._before_next_swap("kochi", _build("kochi", "dwell-desk"))
-        outcome = await self._propose("zaanoever", _build("zaanoever", "balie"))
+        self._accept_before_next_swap(
+            "kochi", _build_document("kochi", "dwell-desk")
+        )
+        outcome = await self._propose(
+            "zaanoever", _build_document("zaanoever", "balie")
+        )
         assert isinstance(outcome, outcomes.Accepted), outcome
         self.assertEqual(outcome.version, 3)
         head, _ = await records.read_head(self.store)
         self.assertEqual(set(head.documents), {"mesh", "kochi", "zaanoever"})
 
-    async def test_rebased_change_is_checked_again(self) -> None:
-        """Each of two changes fits the budget alone, together they do not.
+    async def test_retried_change_is_validated_again(self) -> None:
+        """Guards against exceeding the budget by two concurrent changes.
 
-        Without the second check both would be accepted, and the mesh would
-        promise more slots than it has.
+        Each change is within the budget, but both together exceed it. If the
+        second one were not validated against the new head, both would be
+        accepted, and the mesh would promise more slots than it has.
         """
-        self._before_next_swap("kochi", _build("kochi", "dwell-desk", 6000))
+        self._accept_before_next_swap(
+            "kochi", _build_document("kochi", "dwell-desk", 6000)
+        )
         outcome = await self._propose(
-            "zaanoever", _build("zaanoever", "balie", 6000)
+            "zaanoever", _build_document("zaanoever", "balie", 6000)
         )
         assert isinstance(outcome, outcomes.Refused), outcome
         places = [finding.place for finding in outcome.findings]
         self.assertIn("kochi: services.dwell-desk.classes.lookup", places)
 
-    async def test_withdrawal_that_leaves_a_dangling_call_is_refused(
+    async def test_withdrawal_of_a_called_service_is_refused(
         self,
     ) -> None:
-        """An organisation withdraws a service that another one calls."""
-        await self._accept("kochi", _build("kochi", "dwell-desk"))
-        caller = _build("zaanoever", "balie")
+        """Guards against calls to a service that no longer exists."""
+        await self._accept("kochi", _build_document("kochi", "dwell-desk"))
+        caller = _build_document("zaanoever", "balie")
         caller.services[0].calls.append("dwell-desk")
         await self._accept("zaanoever", caller)
         outcome = await self._propose("kochi", None)
@@ -180,69 +203,81 @@
             outcome.findings[0].place, "zaanoever: services.balie.calls"
         )
 
-    async def test_change_after_the_base_version_is_a_lost_race(self) -> None:
-        """An operator edits what he saw at version 2; 3 came meanwhile.
+    async def test_change_since_the_base_version_is_a_lost_race(self) -> None:
+        """Guards against overwriting a version that the operator has not seen.
 
-        The compare-and-swap alone would let him overwrite version 3, which
-        he never saw.
+        The operator's change is based on version 2, and the document was
+        changed since. The compare-and-swap alone would not detect this, as it
+        is based on the newest head.
         """
-        await self._accept("zaanoever", _build("zaanoever", "balie", 1))
-        await self._accept("kochi", _build("kochi", "dwell-desk"))
-        new = _build("zaanoever", "balie", 3)
-        await self._accept("zaanoever", _build("zaanoever", "balie", 2), "bram")
-        outcome = await self._propose("zaanoever", new, base=2)
+        await self._accept(
+            "zaanoever", _build_document("zaanoever", "balie", 1)
+        )
+        await self._accept("kochi", _build_document("kochi", "dwell-desk"))
+        new_document = _build_document("zaanoever", "balie", 3)
+        await self._accept(
+            "zaanoever", _build_document("zaanoever", "balie", 2), "bram"
+        )
+        outcome = await self._propose("zaanoever", new_document, base=2)
         assert isinstance(outcome, outcomes.LostRace), outcome
         assert outcome.by is not None
         self.assertEqual(outcome.by.operator, "bram")
-        outcome = await self._propose("zaanoever", new, base=9)
+        outcome = await self._propose("zaanoever", new_document, base=9)
         self.assertIsInstance(outcome, outcomes.Refused)
-        outcome = await self._propose("zaanoever", new, base=4)
+        outcome = await self._propose("zaanoever", new_document, base=4)
         self.assertIsInstance(outcome, outcomes.Accepted)
 
-    async def test_same_document_again_makes_no_version(self) -> None:
-        document = _build("zaanoever", "balie")
+    async def test_unchanged_document_creates_no_version(self) -> None:
+        document = _build_document("zaanoever", "balie")
         await self._accept("zaanoever", document)
         outcome = await self._propose("zaanoever", document)
         self.assertIsInstance(outcome, outcomes.Unchanged)
         outcome = await self._propose("kochi", None)
         self.assertIsInstance(outcome, outcomes.Unchanged)
 
-    async def test_store_that_goes_silent_at_acceptance(self) -> None:
-        """The store takes the write of head and answers nothing more.
+    async def test_store_that_stops_answering_at_acceptance(self) -> None:
+        """Guards against a wrong outcome of a write that takes effect late.
 
-        The audit first says "outcome unknown"; when the write has taken
-        effect it says "accepted", by the same change id.
+        The store receives the write of the head, but stops answering. The audit
+        trail shows "outcome unknown" for the change, and "accepted" after the
+        write took effect.
         """
         self.store.late_writes[records.HEAD_KEY] = 100
-        outcome = await self._propose("zaanoever", _build("zaanoever", "balie"))
+        outcome = await self._propose(
+            "zaanoever", _build_document("zaanoever", "balie")
+        )
         assert isinstance(outcome, outcomes.Undecided), outcome
-        for expected in (audit_trail.UNKNOWN, audit_trail.ACCEPTED):
+        for expected_outcome in (audit_trail.UNKNOWN, audit_trail.ACCEPTED):
             audit = await audit_trail.read_audit(self.store, 10)
-            newest = audit.attempts[0]
-            self.assertEqual(newest.change_id, outcome.change_id)
-            self.assertEqual(newest.outcome, expected)
+            newest_attempt = audit.attempts[0]
+            self.assertEqual(newest_attempt.change_id, outcome.change_id)
+            self.assertEqual(newest_attempt.outcome, expected_outcome)
             self.store.release_late()
 
-    async def test_audit_that_is_cut_off_is_still_right(self) -> None:
-        """Somebody applies a bad file in a loop; the trail gets too long.
+    async def test_incomplete_audit_shows_right_outcomes(self) -> None:
+        """Guards against accepted changes that are shown as lost races.
 
-        The listing then lacks the newest changes, from which the chain
-        begins. Accepted changes must not be called lost.
+        If an invalid file is applied in a loop, the audit trail has more
+        attempts than are read. The newest changes, at which the chain starts,
+        are then missing.
         """
         for rate in range(1, 6):
-            await self._accept("zaanoever", _build("zaanoever", "balie", rate))
+            await self._accept(
+                "zaanoever", _build_document("zaanoever", "balie", rate)
+            )
         audit = await audit_trail.read_audit(self.store, 10, max_attempts=3)
         self.assertFalse(audit.is_whole)
         self.assertEqual(
-            [(one.version, one.outcome) for one in audit.attempts],
+            [(attempt.version, attempt.outcome) for attempt in audit.attempts],
             [(version, audit_trail.ACCEPTED) for version in (3, 2, 1)],
         )
 
-    async def test_too_large_snapshot_is_refused(self) -> None:
-        """Documents of less than a megabyte are too large together.
+    async def test_oversized_snapshot_is_refused(self) -> None:
+        """Guards against a snapshot that daemons cannot send to each other.
 
-        A snapshot that daemons cannot send each other would be accepted and
-        never be in force; the operator who goes over the bound is told.
+        Each document is smaller than a megabyte, but the snapshot of all of
+        them is too large. If it were accepted, it would never be in force. The
+        operator whose change exceeds the limit gets a finding.
         """
         outcome: outcomes.Outcome | None = None
         for number, name in enumerate("abcdefgh"):
@@ -270,22 +305,26 @@
             max_size=6,
         )
     )
-    def test_refused_change_leaves_head_as_it_was(
-        self, drawn: list[document_pb2.Document]
+    def test_head_changes_only_if_a_change_is_accepted(
+        self, proposed_documents: list[document_pb2.Document]
     ) -> None:
-        asyncio.run(self._check_refusals(drawn))
+        asyncio.run(self._check_head(proposed_documents))
 
-    async def _check_refusals(self, drawn: list[document_pb2.Document]) -> None:
+    async def _check_head(
+        self, proposed_documents: list[document_pb2.Document]
+    ) -> None:
         store = fakes.FakeStore()
         proposer = changes.Proposer(store, retry_delay_s=0)
         mesh = documents.build_mesh_document()
         await proposer.propose(changes.Proposal("anna", "mesh", mesh))
-        for document in drawn:
-            before = store.entries[records.HEAD_KEY]
+        for document in proposed_documents:
+            head_entry = store.entries[records.HEAD_KEY]
             outcome = await proposer.propose(
                 changes.Proposal("anna", document.organisation, document)
             )
-            same = store.entries[records.HEAD_KEY] == before
+            is_unchanged = store.entries[records.HEAD_KEY] == head_entry
             self.assertEqual(
-                same, not isinstance(outcome, outcomes.Accepted), outcome
+                is_unchanged,
+                not isinstance(outcome, outcomes.Accepted),
+                outcome,
             )
--- a/tests/operators/test_command.py
+++ b/tests/operators/test_command.py
@@ -20,48 +20,51 @@
 
 class CommandTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.desk = builders.CommandRunner()
+        self.runner = builders.CommandRunner()
 
     def test_apply_then_history(self) -> None:
-        self.assertEqual(self.desk.run("apply", _MESH).exit_code, exit_codes.OK)
-        result = self.desk.run("apply", _ZAANOEVER)
+        self.assertEqual(
+            self.runner.run("apply", _MESH).exit_code, exit_codes.OK
+        )
+        result = self.runner.run("apply", _ZAANOEVER)
         self.assertEqual(result.exit_code, exit_codes.OK, result.output)
         history = json.loads(
-            self.desk.run("history", "--output", "json").output
+            self.runner.run("history", "--output", "json").output
         )
-        versions = [one["version"] for one in history["attempts"]]
+        versions = [attempt["version"] for attempt in history["attempts"]]
         self.assertEqual(versions, [2, 1])
 
     def test_example_fleets_are_valid(self) -> None:
         for fleet in ("zaanoever", "kochi"):
             files = sorted(map(str, (builders.FLEETS / fleet).glob("*.toml")))
-            result = self.desk.run("validate", *files)
+            result = self.runner.run("validate", *files)
             self.assertEqual(result.exit_code, exit_codes.OK, result.output)
 
-    def test_store_down_is_said_at_once(self) -> None:
-        self.desk.store.down = True
-        result = self.desk.run("apply", _MESH)
+    def test_store_down_is_reported(self) -> None:
+        self.runner.store.down = True
+        result = self.runner.run("apply", _MESH)
         self.assertEqual(result.exit_code, exit_codes.STORE_UNAVAILABLE)
         self.assertIn("Nothing was changed", result.output)
 
-    def test_bad_file_changes_nothing(self) -> None:
-        """A file with findings, not UTF-8 or too large is applied.
+    def test_invalid_file_changes_nothing(self) -> None:
+        """Guards against accepting an invalid document.
 
-        The operator sees every finding, and head is as it was.
+        The files have findings, are not UTF-8 or are too large. Each is refused
+        with findings, and the store stays unchanged.
         """
-        self.desk.run("apply", _MESH)
-        before = dict(self.desk.store.entries)
+        self.runner.run("apply", _MESH)
+        old_entries = dict(self.runner.store.entries)
         with tempfile.TemporaryDirectory() as folder:
             file = pathlib.Path(folder) / "bad.toml"
             for content in (b"a = 1\nb = 2", b"\xff", b"#" * 1_000_001):
                 file.write_bytes(content)
-                result = self.desk.run("apply", str(file))
+                result = self.runner.run("apply", str(file))
                 self.assertEqual(result.exit_code, exit_codes.FINDINGS)
                 self.assertIn("nothing was changed", result.output)
-        self.assertEqual(self.desk.store.entries, before)
+        self.assertEqual(self.runner.store.entries, old_entries)
 
     def test_every_command_has_json_output(self) -> None:
-        self.desk.run("apply", _MESH)
+        self.runner.run("apply", _MESH)
         for arguments in (
             ("validate", _ZAANOEVER),
             ("diff", _ZAANOEVER),
@@ -75,16 +78,18 @@
             ("withdraw", "zaanoever"),
         ):
             with self.subTest(arguments):
-                result = self.desk.run(*arguments, "--output", "json")
+                result = self.runner.run(*arguments, "--output", "json")
                 self.assertIn("result", json.loads(result.output))
 
-    def test_wrong_settings_are_told_together(self) -> None:
-        result = self.desk.run("history", "--output", "x", "--timeout-s", "-1")
+    def test_all_wrong_settings_are_reported(self) -> None:
+        result = self.runner.run(
+            "history", "--output", "x", "--timeout-s", "-1"
+        )
         self.assertEqual(result.exit_code, exit_codes.USAGE)
         self.assertIn("--output", result.output)
         self.assertIn("--timeout-s", result.output)
 
-    def test_completion(self) -> None:
+    def test_shell_completion(self) -> None:
         result = testing.CliRunner().invoke(
             command.main,
             prog_name="merlintrestle",
@@ -96,18 +101,18 @@
         )
         self.assertIn("history", result.output)
 
-    def test_record_that_is_gone_is_not_called_an_outage(self) -> None:
-        self.desk.run("apply", _MESH)
-        for key in list(self.desk.store.entries):
+    def test_missing_record_is_not_reported_as_outage(self) -> None:
+        self.runner.run("apply", _MESH)
+        for key in list(self.runner.store.entries):
             if key.startswith(records.DOCUMENT_PREFIX):
-                del self.desk.store.entries[key]
-        result = self.desk.run("show")
+                del self.runner.store.entries[key]
+        result = self.runner.run("show")
         self.assertEqual(result.exit_code, exit_codes.STORE_UNAVAILABLE)
         self.assertIn("is not in the store", result.output)
         self.assertNotIn("does not answer", result.output)
 
-    def test_setting_before_or_after_the_command(self) -> None:
-        before = self.desk.run("--output", "json", "history")
-        after = self.desk.run("history", "--output", "json")
-        self.assertEqual(before.output, after.output)
-        self.assertEqual(json.loads(after.output)["attempts"], [])
+    def test_settings_before_and_after_the_command(self) -> None:
+        settings_first = self.runner.run("--output", "json", "history")
+        settings_last = self.runner.run("history", "--output", "json")
+        self.assertEqual(settings_first.output, settings_last.output)
+        self.assertEqual(json.loads(settings_last.output)["attempts"], [])
--- a/tests/operators/test_explain_command.py
+++ b/tests/operators/test_explain_command.py
@@ -24,8 +24,8 @@
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
 
-    def explain(self, **logs: str) -> testing.Result:
-        """Runs the command on logs by the names of their daemons."""
+    def _explain(self, **logs: str) -> testing.Result:
+        """Runs the command on logs, given by the names of their daemons."""
         paths = []
         for name, text in logs.items():
             path = self.folder / f"{name}.log"
@@ -35,8 +35,8 @@
             command.main, ["explain", "r1", *paths]
         )
 
-    def test_lines_of_both_daemons_come_in_order(self):
-        result = self.explain(
+    def test_lines_of_both_daemons_are_sorted(self):
+        result = self._explain(
             near=_build_line("T1", "routed", version=3)
             + _build_line("T2", "picked", upstream="b")
             + _build_line("T5", "refused", status=503)
@@ -57,20 +57,20 @@
             ],
         )
 
-    def test_what_is_missing_is_said(self):
-        result = self.explain(
+    def test_missing_lines_are_reported(self):
+        result = self._explain(
             near=_build_line("T1", "routed")
             + _build_line("T2", "picked", upstream="b")
         )
         self.assertIn("missing: the daemons beside b", result.output)
         self.assertIn("missing: how it ended at near", result.output)
 
-    def test_no_line_at_all(self):
-        result = self.explain(near="")
+    def test_no_line_of_the_request(self):
+        result = self._explain(near="")
         self.assertEqual(result.exit_code, 1)
         self.assertIn("missing: no line about this request", result.output)
 
-    def test_a_name_before_the_line_tells_its_daemon(self):
-        text = "  1.25 sidecar-1 " + _build_line("T1", "routed")
-        (found,) = explain_command.find_lines("r1", [text], "file")
-        self.assertEqual(found.source, "sidecar-1")
+    def test_name_before_the_json_is_the_source(self):
+        line = "  1.25 sidecar-1 " + _build_line("T1", "routed")
+        (log_line,) = explain_command.find_lines("r1", [line], "file")
+        self.assertEqual(log_line.source, "sidecar-1")
--- a/tests/operators/test_races.py
+++ b/tests/operators/test_races.py
@@ -1,4 +1,4 @@
-"""Property: operators race while the store loses answers."""
+"""Property test of concurrent operators while the store loses answers."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 if TYPE_CHECKING:
     from merlintrestle.schema import document_pb2
 
-_SERVICE_OF = dict(
+_SERVICES_BY_ORGANISATION = dict(
     zip(documents.ORGANISATIONS, documents.SERVICES, strict=False)
 )
+# Repeated faults are drawn more often.
 _HEAD_FAULTS = ("none", "none", "answer lost", "late", "silent")
 _CALL_FAULTS = ("none",) * 12 + ("down", "up", "up", "late ones arrive")
 
 
 class Schedule(NamedTuple):
-    """What happens to the calls of the store, in their order.
+    """Faults and task switches at the calls of the store, in their order.
 
     Attributes:
-        yields: How often others get their turn before a call.
-        call_faults: What happens to the store before a call.
-        head_faults: What happens to a compare-and-swap of head.
+        yields: Number of times that other tasks run before each call.
+        call_faults: Fault or recovery of the store before each call.
+        head_faults: Fault of each compare-and-swap of the head.
     """
 
     yields: list[int]
@@ -42,15 +43,19 @@
     head_faults: list[str]
 
 
-def _draw_fitting(organisation: str) -> st.SearchStrategy[changes.Proposal]:
-    """Draws proposals that are never refused, so that all race for head."""
+def _draw_valid_proposals(
+    organisation: str,
+) -> st.SearchStrategy[changes.Proposal]:
+    """Draws proposals that are never refused, so all compete for the head."""
     rates = st.sampled_from([None, 1.0, 2.0, 3.0])
     return rates.map(lambda rate: _build_proposal(organisation, rate))
 
 
 def _build_proposal(organisation: str, rate: float | None) -> changes.Proposal:
     target = documents.build_class(rate=rate or 0.0)
-    service = documents.build_service(_SERVICE_OF[organisation], target)
+    service = documents.build_service(
+        _SERVICES_BY_ORGANISATION[organisation], target
+    )
     document = documents.build_document(organisation, service)
     return changes.Proposal(
         f"operator of {organisation}",
@@ -59,7 +64,9 @@
     )
 
 
-def _draw_any(organisation: str) -> st.SearchStrategy[changes.Proposal]:
+def _draw_any_proposals(
+    organisation: str,
+) -> st.SearchStrategy[changes.Proposal]:
     """Draws proposals that may be refused."""
     return documents.draw_documents(organisation).map(
         lambda document: changes.Proposal("any", organisation, document)
@@ -67,10 +74,14 @@
 
 
 def _draw_proposals() -> st.SearchStrategy[list[changes.Proposal]]:
-    names = st.sampled_from(documents.ORGANISATIONS)
-    fitting = names.flatmap(_draw_fitting)
+    organisations = st.sampled_from(documents.ORGANISATIONS)
+    valid_proposals = organisations.flatmap(_draw_valid_proposals)
     return st.lists(
-        fitting | fitting | names.flatmap(_draw_any), min_size=1, max_size=4
+        valid_proposals
+        | valid_proposals
+        | organisations.flatmap(_draw_any_proposals),
+        min_size=1,
+        max_size=4,
     )
 
 
@@ -84,7 +95,12 @@
 
 
 class _Race:
-    """Several operators over one store, in a drawn order of calls."""
+    """Operators that use the same store concurrently.
+
+    Attributes:
+        store: The fake store, with the faults of the schedule.
+        outcomes: Outcomes of all proposals that got one.
+    """
 
     def __init__(self, schedule: Schedule):
         self.store = fakes.FakeStore()
@@ -92,7 +108,7 @@
         self._yields = iter(schedule.yields)
         self._call_faults = iter(schedule.call_faults)
         self._head_faults = iter(schedule.head_faults)
-        self._make_id = builders.build_make_id()
+        self._make_id = builders.build_change_id_source()
 
     async def start_mesh(self) -> None:
         proposer = changes.Proposer(self.store, self._make_id, retry_delay_s=0)
@@ -103,14 +119,16 @@
         self.store.before_call = self._before_call
 
     async def run(self, operators: list[list[changes.Proposal]]) -> None:
-        await asyncio.gather(*(self._operate(one) for one in operators))
+        await asyncio.gather(
+            *(self._propose_all(proposals) for proposals in operators)
+        )
         self.store.before_call = None
         self.store.down = False
         self.store.lost_answers.clear()
         self.store.late_writes.clear()
         self.store.release_late()
 
-    async def _operate(self, proposals: list[changes.Proposal]) -> None:
+    async def _propose_all(self, proposals: list[changes.Proposal]) -> None:
         proposer = changes.Proposer(
             self.store, self._make_id, builders.build_clock(), 0
         )
@@ -134,10 +152,10 @@
     def _set_head_fault(self, fault: str) -> None:
         if self.store.late_writes[records.HEAD_KEY]:
             return
-        lost = int(fault == "answer lost")
-        self.store.lost_answers[records.HEAD_KEY] = lost
-        late = {"late": 1, "silent": 4}.get(fault, 0)
-        self.store.late_writes[records.HEAD_KEY] = late
+        lost_answers = int(fault == "answer lost")
+        self.store.lost_answers[records.HEAD_KEY] = lost_answers
+        late_writes = {"late": 1, "silent": 4}.get(fault, 0)
+        self.store.late_writes[records.HEAD_KEY] = late_writes
 
 
 class RaceTest(unittest.TestCase):
@@ -147,11 +165,13 @@
     def test_every_accepted_change_is_on_the_chain_once(
         self, operators: list[list[changes.Proposal]], schedule: Schedule
     ) -> None:
-        """Operators of some organisations change targets at the same time.
+        """Guards against wrong outcomes of concurrent changes.
 
-        Answers of the store are lost, writes take effect late, and it goes
-        down in between. An operator who was told "accepted" must find the
-        change on the chain once; one who was told otherwise must not.
+        Operators of several organisations change targets at the same time.
+        Meanwhile, answers of the store are lost, writes take effect late, and
+        the store goes down. A change whose outcome is "accepted" must be on the
+        chain exactly once; a change with another outcome must not be on it,
+        unless the outcome is unknown.
         """
         asyncio.run(self._check(operators, schedule))
 
@@ -162,18 +182,20 @@
         await race.start_mesh()
         await race.run(operators)
         head, _ = await records.read_head(race.store)
-        walk = records.walk_chain(race.store, head, 1000)
-        chain = [change async for change in walk][::-1]
+        newest_first = records.walk_chain(race.store, head, 1000)
+        chain = [change async for change in newest_first][::-1]
         self._check_chain(head, chain)
-        self._check_told(race.outcomes, [one.change_id for one in chain])
+        self._check_outcomes(
+            race.outcomes, [change.change_id for change in chain]
+        )
         await self._check_head(race.store, head, chain)
         audit = await audit_trail.read_audit(race.store, 1000)
-        audited = {
-            one.change_id
-            for one in audit.attempts
-            if one.outcome == audit_trail.ACCEPTED
+        accepted_ids = {
+            attempt.change_id
+            for attempt in audit.attempts
+            if attempt.outcome == audit_trail.ACCEPTED
         }
-        self.assertEqual(audited, {one.change_id for one in chain})
+        self.assertEqual(accepted_ids, {change.change_id for change in chain})
 
     def _check_chain(
         self, head: document_pb2.Head, chain: list[document_pb2.Change]
@@ -181,20 +203,23 @@
         versions = [change.base_version + 1 for change in chain]
         self.assertEqual(versions, list(range(1, head.version + 1)))
 
-    def _check_told(
-        self, told: list[outcomes.Outcome], chain: list[str]
+    def _check_outcomes(
+        self, all_outcomes: list[outcomes.Outcome], chain_ids: list[str]
     ) -> None:
-        accepted = {
-            one.change_id: one.version
-            for one in told
-            if isinstance(one, outcomes.Accepted)
+        """Checks that the chain has all accepted and no refused changes."""
+        accepted_versions = {
+            outcome.change_id: outcome.version
+            for outcome in all_outcomes
+            if isinstance(outcome, outcomes.Accepted)
         }
-        undecided = {
-            one.change_id for one in told if isinstance(one, outcomes.Undecided)
+        undecided_ids = {
+            outcome.change_id
+            for outcome in all_outcomes
+            if isinstance(outcome, outcomes.Undecided)
         }
-        for change_id, version in accepted.items():
-            self.assertEqual(chain[version - 1], change_id)
-        self.assertLessEqual({*chain}, {*accepted} | undecided)
+        for change_id, version in accepted_versions.items():
+            self.assertEqual(chain_ids[version - 1], change_id)
+        self.assertLessEqual({*chain_ids}, {*accepted_versions} | undecided_ids)
 
     async def _check_head(
         self,
@@ -202,14 +227,16 @@
         head: document_pb2.Head,
         chain: list[document_pb2.Change],
     ) -> None:
-        """The head is what its chain makes, and it is closed."""
-        expected: dict[str, bytes] = {}
+        """Checks that the head matches its chain and that it compiles."""
+        expected_digests: dict[str, bytes] = {}
         for change in chain:
-            expected.pop(change.organisation, None)
+            expected_digests.pop(change.organisation, None)
             if change.action == "apply":
-                expected[change.organisation] = change.document_digest
-        self.assertEqual(dict(head.documents), expected)
-        found = await records.read_documents(store, head)
+                expected_digests[change.organisation] = change.document_digest
+        self.assertEqual(dict(head.documents), expected_digests)
+        accepted_documents = await records.read_documents(store, head)
         if head.version:
-            compiled = compiler.compile_snapshot(head.version, found)
+            compiled = compiler.compile_snapshot(
+                head.version, accepted_documents
+            )
             self.assertEqual(compiled.digest, head.snapshot_digest)
--- a/tests/roots/__init__.py
+++ b/tests/roots/__init__.py
@@ -1,1 +1,1 @@
-"""Golden files of whole sessions."""
+"""Golden files of sessions, and tests of the operators' sessions."""
--- a/tests/roots/sessions.py
+++ b/tests/roots/sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions of operators, written down as a transcript."""
+"""Sessions of operators, recorded as transcripts."""
 
 from __future__ import annotations
 
@@ -18,123 +18,139 @@
 
 
 class Transcript:
-    """Runs commands and keeps what each prints.
+    """Runs commands and records their output.
 
     Attributes:
-        desk: Where the commands run.
-        fleet: The fake fleet that they ask.
+        runner: Runs the commands.
+        fleet: The fake fleet that the commands ask.
     """
 
     def __init__(self) -> None:
-        self.desk = builders.CommandRunner()
+        self.runner = builders.CommandRunner()
         self.fleet = builders.FakeFleet(3)
-        self.desk.use_fleet(self.fleet)
+        self.runner.use_fleet(self.fleet)
         self._lines: list[str] = []
 
-    def note(self, text: str) -> None:
-        """Writes down what happens besides commands."""
+    def add_comment(self, text: str) -> None:
+        """Records an event that is not a command."""
         self._lines += [f"# {text}", ""]
 
     def run(self, *arguments: str, operator: str = "anna") -> None:
-        """Runs one command and writes down its output and exit code."""
-        shown = _shorten(" ".join(arguments))
-        result = self.desk.run(*arguments, operator=operator)
-        output = _shorten(result.output)
-        # The only measured time in the output of a session.
+        """Runs a command and records its output and exit code."""
+        command = _remove_folder(" ".join(arguments))
+        result = self.runner.run(*arguments, operator=operator)
+        output = _remove_folder(result.output)
+        # The only measured duration in the output.
         output = re.sub(r"after [0-9.]+ s", "after N s", output)
-        self._lines.append(f"{operator}$ merlintrestle {shown}")
+        self._lines.append(f"{operator}$ merlintrestle {command}")
         self._lines += output.splitlines()
         self._lines += [f"[exit {result.exit_code}]", ""]
 
-    def write(self) -> str:
+    def get_text(self) -> str:
         """Returns the transcript."""
         return "\n".join(self._lines)
 
 
 def run_change() -> str:
-    """An operator's change from command to the last daemon and the audit."""
-    session = Transcript()
-    fleet = session.fleet
-    mesh, zaanoever = _find("mesh"), _find("zaanoever")
-    session.run("validate", _find("faulty"))
-    session.run("validate", mesh, zaanoever)
-    session.run("apply", zaanoever)
-    session.run("apply", mesh)
-    fleet.update = session.desk.run_accepted_version
+    """Runs a change, from its validation until all daemons run it."""
+    transcript = Transcript()
+    fleet = transcript.fleet
+    mesh, zaanoever = _get_path("mesh"), _get_path("zaanoever")
+    transcript.run("validate", _get_path("faulty"))
+    transcript.run("validate", mesh, zaanoever)
+    transcript.run("apply", zaanoever)
+    transcript.run("apply", mesh)
+    fleet.update = transcript.runner.run_accepted_version
     fleet.update_after_requests = 9
-    session.run("apply", zaanoever, "--wait", *_DAEMON)
-    fleet.count_calls(0, "lookup", 2000, 2000, 1995)
-    session.run("status", *_DAEMON)
-    session.run("diff", _find("faster"))
-    session.run("apply", _find("faster"))
-    fleet.count_calls(1, "lookup", 100, 98, 60)
-    session.run("status", *_DAEMON)
-    session.run("show", "zaanoever")
-    session.run("withdraw", "mesh")
-    session.run("withdraw", "zaanoever")
-    session.run("history")
-    session.run("audit")
-    return session.write()
+    transcript.run("apply", zaanoever, "--wait", *_DAEMON)
+    fleet.add_calls(0, "lookup", 2000, 2000, 1995)
+    transcript.run("status", *_DAEMON)
+    transcript.run("diff", _get_path("faster"))
+    transcript.run("apply", _get_path("faster"))
+    fleet.add_calls(1, "lookup", 100, 98, 60)
+    transcript.run("status", *_DAEMON)
+    transcript.run("show", "zaanoever")
+    transcript.run("withdraw", "mesh")
+    transcript.run("withdraw", "zaanoever")
+    transcript.run("history")
+    transcript.run("audit")
+    return transcript.get_text()
 
 
 def run_race() -> str:
-    """Operators of the same and of different organisations race."""
-    session = Transcript()
-    session.run("apply", _find("mesh"))
-    session.run("apply", _find("zaanoever"))
-    session.note("bram withdraws zaanoever just before anna's is accepted")
-    _before_next_swap(session, changes.Proposal("bram", "zaanoever", None))
-    session.run("apply", _find("faster"))
-    session.note("cato enlarges the budget just before anna's is accepted")
+    """Runs concurrent changes of the same and of different organisations."""
+    transcript = Transcript()
+    transcript.run("apply", _get_path("mesh"))
+    transcript.run("apply", _get_path("zaanoever"))
+    transcript.add_comment(
+        "bram withdraws zaanoever just before anna's is accepted"
+    )
+    _accept_before_next_swap(
+        transcript, changes.Proposal("bram", "zaanoever", None)
+    )
+    transcript.run("apply", _get_path("faster"))
+    transcript.add_comment(
+        "cato enlarges the budget just before anna's is accepted"
+    )
     larger = _TARGETS / "mesh-larger.toml"
-    _before_next_swap(session, builders.build_proposal(larger, "cato"))
-    session.run("apply", _find("faster"))
-    session.run("apply", _find("zaanoever"), "--base", "3", operator="bram")
-    session.run("audit")
-    return session.write()
+    _accept_before_next_swap(
+        transcript, builders.build_proposal(larger, "cato")
+    )
+    transcript.run("apply", _get_path("faster"))
+    transcript.run(
+        "apply", _get_path("zaanoever"), "--base", "3", operator="bram"
+    )
+    transcript.run("audit")
+    return transcript.get_text()
 
 
 def run_outage() -> str:
-    """The store loses an answer, goes silent at acceptance, goes down."""
-    session = Transcript()
-    store = session.desk.store
-    session.note("the answer to the write of head is lost")
+    """Runs changes while the store loses answers and while it is down."""
+    transcript = Transcript()
+    store = transcript.runner.store
+    transcript.add_comment("the answer to the write of head is lost")
     store.lost_answers[records.HEAD_KEY] = 1
-    session.run("apply", _find("mesh"))
-    session.note("the store takes the write of head and answers no more")
+    transcript.run("apply", _get_path("mesh"))
+    transcript.add_comment(
+        "the store takes the write of head and answers no more"
+    )
     store.late_writes[records.HEAD_KEY] = 100
-    session.run("apply", _find("zaanoever"))
-    session.run("audit")
-    session.note("the write takes effect")
+    transcript.run("apply", _get_path("zaanoever"))
+    transcript.run("audit")
+    transcript.add_comment("the write takes effect")
     store.release_late()
     store.late_writes.clear()
-    session.run("audit")
-    session.run("apply", _find("zaanoever"))
-    session.note("the store goes down")
+    transcript.run("audit")
+    transcript.run("apply", _get_path("zaanoever"))
+    transcript.add_comment("the store goes down")
     store.down = True
-    session.run("apply", _find("faster"))
-    session.desk.run_accepted_version(session.fleet)
-    session.run("status", *_DAEMON)
-    return session.write()
+    transcript.run("apply", _get_path("faster"))
+    transcript.runner.run_accepted_version(transcript.fleet)
+    transcript.run("status", *_DAEMON)
+    return transcript.get_text()
 
 
-def _before_next_swap(session: Transcript, proposal: changes.Proposal) -> None:
-    """Lets another operator's change be accepted before the next swap."""
-    store = session.desk.store
+def _accept_before_next_swap(
+    transcript: Transcript, proposal: changes.Proposal
+) -> None:
+    """Has another operator's change accepted before the next swap."""
+    store = transcript.runner.store
 
-    async def race(method: str, key: str) -> None:
+    async def before_call(method: str, key: str) -> None:
         if method == "put" and key == records.HEAD_KEY:
             store.before_call = None
-            await session.desk.propose_now(proposal)
+            await transcript.runner.propose(proposal)
 
-    store.before_call = race
+    store.before_call = before_call
 
 
-def _find(name: str) -> str:
+def _get_path(name: str) -> str:
+    """Returns the path of a target document."""
     return str(_TARGETS / f"{name}.toml")
 
 
-def _shorten(text: str) -> str:
+def _remove_folder(text: str) -> str:
+    """Removes the folder of the target documents from a text."""
     return text.replace(f"{_TARGETS}/", "")
 
 
