--- a/merlintrestle/operators/outcomes.py
+++ b/merlintrestle/operators/outcomes.py
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Undecided:
-    """The store did not answer, so it is unknown if the change was accepted.
+    """The store did not answer; whether the change was accepted is unknown.
 
     Attributes:
         version: The version that the change creates if it is accepted.
