--- a/tools/amplification.py
+++ b/tools/amplification.py
@@ -11,8 +11,8 @@
 import aiohttp
 
 from standins import ledger
-from standins import nested
-from standins import work
+from standins import nested_calls
+from standins import worker
 from tools import failures
 from tools import fleet
 from tools import layouts
@@ -66,9 +66,9 @@
         if build_arguments is layouts.build_daemon_arguments:
             await failures.apply_documents(shown)
         else:
-            await failures.tell_upstreams(shown)
+            await failures.send_upstreams(shown)
         await asyncio.sleep(_WARM_S)
-        services = list(options.layout.upstreams)
+        services = list(options.layout.backend_counts)
         figures: dict[str, Any] = {}
         for mode in MODES:
             for depth in range(1, len(services) + 1):
@@ -95,7 +95,7 @@
     await _set_faults(shown, chain[-1], {})
     await asyncio.sleep(_HEAL_S)
     lowest = {
-        instance.backend.ready["address"]
+        instance.backend.ready_fields["address"]
         for instance in shown.instances
         if instance.place.service == chain[-1] and instance.backend is not None
     }
@@ -120,7 +120,7 @@
     for instance in shown.instances:
         if instance.place.service == service:
             assert instance.backend is not None
-            control = instance.backend.ready["control"]
+            control = instance.backend.ready_fields["control"]
             await shown.post_json(control, "/faults", fields)
 
 
@@ -129,15 +129,18 @@
 ) -> int:
     """Sends requests down a chain; returns how many had status 200."""
     paths = [_find_path(options.layout.name, service) for service in chain]
-    query = {"work_ms": "0", nested.THEN: ",".join(paths[1:])}
+    query = {
+        "work_ms": "0",
+        nested_calls.NEXT_PATHS_PARAMETER: ",".join(paths[1:]),
+    }
     statuses: list[int] = []
 
     async def send(number: int) -> None:
         entry = shown.instances[number % len(shown.instances)].url
         request_id = f"{name}-{number}"
         headers = {
-            work.REQUEST_ID_HEADER: request_id,
-            work.ATTEMPT_HEADER: f"{request_id}.0",
+            worker.REQUEST_ID_HEADER: request_id,
+            worker.ATTEMPT_ID_HEADER: f"{request_id}.0",
         }
         url = f"{entry}/{paths[0]}/{number}"
         async with session.get(url, params=query, headers=headers) as answer:
