--- a/merlintrestle/operators/audit_trail.py
+++ b/merlintrestle/operators/audit_trail.py
@@ -13,14 +13,17 @@
 ACCEPTED = "accepted"
 REFUSED = "refused"
 LOST_RACE = "lost race"
-UNKNOWN = "outcome unknown"
+UNKNOWN_OUTCOME = "outcome unknown"
 
-MAX_AUDIT_ATTEMPTS = 10_000
+_MAX_LISTED_ATTEMPTS = 10_000
 
 
 class Attempt(NamedTuple):
     """An attempt to change the configuration.
 
+    A proposal that is retried on a new head is a new attempt each time, with a
+    change id and an outcome of its own.
+
     Attributes:
         version: The version that it created or would have created.
         outcome: "accepted", "refused", "lost race" or "outcome unknown".
@@ -29,8 +32,10 @@
         organisation: Organisation whose document it changes.
         action: "apply" or "withdraw".
         change_id: Id of the change.
-        summary: One line for each key that it changes.
-        refusals: Reasons why it was refused.
+        summary: Lines that describe what it changes, truncated in number and
+            length.
+        refusals: Reasons why it was refused, truncated in the same way; empty
+            if it was not refused.
     """
 
     version: int
@@ -67,15 +72,16 @@
 
 
 async def read_audit(
-    store: records.Store, limit: int, max_attempts: int = MAX_AUDIT_ATTEMPTS
+    store: records.Store, limit: int, max_attempts: int = _MAX_LISTED_ATTEMPTS
 ) -> Audit:
     """Returns the attempts at the newest versions, newest version first.
 
     Args:
         store: The store.
-        limit: Number of versions.
-        max_attempts: Maximum number of attempts; refused ones create no
-            version, so `limit` alone does not bound the reads.
+        limit: Number of accepted versions to go back. Attempts to create the
+            next version are returned as well.
+        max_attempts: Maximum number of attempts to return; refused ones create
+            no version, so `limit` alone does not bound the reads.
     """
     head, _ = await records.read_head(store)
     # Change ids start with the version in 12 digits, so the read can start at a
@@ -126,11 +132,13 @@
     changes: list[document_pb2.Change],
     limit: int,
 ) -> set[str]:
-    """Returns the change ids of the newest versions.
+    """Returns the ids of the changes that created the newest versions.
 
-    The chain starts at the newest change, which is missing in an incomplete
-    list of changes. Missing changes are therefore read one by one; otherwise,
-    accepted changes would be shown as lost races.
+    They are found on the chain of changes (see `records`), which starts at the
+    newest change. If the list of changes is incomplete, the newest ones are
+    missing in it. Changes on the chain that are missing in the list are
+    therefore read from the store one by one; otherwise, accepted changes would
+    be shown as lost races.
 
     Args:
         store: The store.
@@ -162,7 +170,9 @@
     if change.base_version < head.version:
         # Its compare-and-swap expects a revision that the head no longer has.
         return LOST_RACE
-    return UNKNOWN
+    # It is based on the head that was read, or on a later one, so it may still
+    # be accepted.
+    return UNKNOWN_OUTCOME
 
 
 def _get_sort_key(attempt: Attempt) -> tuple[int, str, str]:
--- a/merlintrestle/operators/changes.py
+++ b/merlintrestle/operators/changes.py
@@ -20,14 +20,17 @@
 
     from merlintrestle.documents import snapshot as snapshots
 
-# A proposal whose compare-and-swap fails is retried on the new head.
+# Attempts of one proposal: if its compare-and-swap fails, it is retried on the
+# new head.
 MAX_ATTEMPTS = 16
-# Bounds the length of the chain that is read for a base version.
-MAX_BASE_VERSIONS = 1000
-_MAX_SUMMARY_LINES = 20
+# Versions that may have been accepted after `Proposal.seen_version`. Bounds the
+# length of the chain that is read for it.
+_MAX_UNSEEN_VERSIONS = 1000
 # A document of up to this size is included in the head record.
 _MAX_HEAD_DOCUMENT_BYTES = 64 * 1024
-_MAX_LINE_LENGTH = 200
+# Limits of the summary and of the refusals in an audit record.
+_MAX_RECORDED_LINES = 20
+_MAX_LINE_CHARS = 200
 
 
 class Proposal(NamedTuple):
@@ -37,14 +40,15 @@
         operator: Name of the operator for the audit trail.
         organisation: Organisation whose document changes.
         document: The new document; None to withdraw the document.
-        base_version: Version that the operator's change is based on; None for
-            the newest one.
+        seen_version: Version from which the operator started. If the
+            organisation's document was changed after it, the proposal is a lost
+            race. None if this is not checked.
     """
 
     operator: str
     organisation: str
     document: document_pb2.Document | None
-    base_version: int | None = None
+    seen_version: int | None = None
 
 
 def make_change_id(version: int) -> str:
@@ -90,16 +94,16 @@
         """Proposes a change and returns its outcome.
 
         If a change of another organisation is accepted first, the proposal is
-        checked against the new head and retried. If a change of the same
-        organisation is accepted first, it is not retried, as its operator has
-        not seen what it would overwrite.
+        checked against the new head and retried, up to `MAX_ATTEMPTS` attempts.
+        If a change of the same organisation is accepted first, the proposal is
+        a lost race, as its operator has not seen what it would overwrite.
 
         Raises:
-            errors.StoreError: The store did not answer; this proposal has not
-                changed the head.
+            errors.StoreError: The store did not answer, or has a record that
+                cannot be read; this proposal has not changed the head.
         """
         head, revision = await records.read_head(self._store)
-        rejected = await self._check_base_version(head, proposal)
+        rejected = await self._check_seen_version(head, proposal)
         if rejected is not None:
             return rejected
         for _ in range(MAX_ATTEMPTS):
@@ -128,9 +132,11 @@
         if findings:
             await self._record_refusal(change, findings)
             return outcomes.Refused(tuple(findings))
-        return await self._accept(head, revision, proposal, documents, change)
+        return await self._write_and_swap(
+            head, revision, proposal, documents, change
+        )
 
-    async def _accept(
+    async def _write_and_swap(
         self,
         head: document_pb2.Head,
         revision: int,
@@ -138,7 +144,7 @@
         documents: Mapping[str, document_pb2.Document],
         change: document_pb2.Change,
     ) -> outcomes.Outcome | acceptance.Conflict:
-        """Writes the records of a valid change and swaps the head.
+        """Writes the records of a valid change and proposes its head.
 
         Args:
             head: The head that the change is based on.
@@ -229,7 +235,15 @@
         current_head: document_pb2.Head,
         proposal: Proposal,
     ) -> outcomes.LostRace | None:
-        """Returns the lost race if the organisation's document was changed."""
+        """Returns the lost race if the organisation's document was changed.
+
+        Returns None if it was changed to the proposed document.
+
+        Args:
+            base_head: The head that the failed attempt was based on.
+            current_head: The current head.
+            proposal: The proposal.
+        """
         organisation = proposal.organisation
         # The changes are searched instead of comparing digests: a change that
         # was reverted since must be shown to the operator as well.
@@ -247,18 +261,21 @@
             current_head.version, other_change, tuple(lines)
         )
 
-    async def _check_base_version(
+    async def _check_seen_version(
         self, head: document_pb2.Head, proposal: Proposal
     ) -> outcomes.LostRace | outcomes.Refused | None:
-        """Returns why the proposal's base version is not usable, or None."""
-        if proposal.base_version is None:
+        """Returns why the proposal is not made, or None if it can be.
+
+        The lost race has the differences of the newest other change only.
+        """
+        if proposal.seen_version is None:
             return None
-        min_version = max(0, head.version - MAX_BASE_VERSIONS)
-        if not min_version <= proposal.base_version <= head.version:
+        min_version = max(0, head.version - _MAX_UNSEEN_VERSIONS)
+        if not min_version <= proposal.seen_version <= head.version:
             text = f"is not within {min_version} to {head.version}."
             return outcomes.Refused((errors.Finding("--base", text),))
         other_change = await self._find_change(
-            head, proposal.base_version, proposal.organisation
+            head, proposal.seen_version, proposal.organisation
         )
         return (
             outcomes.LostRace(
@@ -305,8 +322,8 @@
 
 
 def _truncate_lines(lines: list[str]) -> list[str]:
-    """Limits number and length of lines, as they are stored in a record."""
-    kept = [line[:_MAX_LINE_LENGTH] for line in lines[:_MAX_SUMMARY_LINES]]
+    """Limits number and length of lines that are stored in a record."""
+    kept = [line[:_MAX_LINE_CHARS] for line in lines[:_MAX_RECORDED_LINES]]
     if len(lines) > len(kept):
         kept.append(f"... and {len(lines) - len(kept)} more")
     return kept
--- a/merlintrestle/operators/outcomes.py
+++ b/merlintrestle/operators/outcomes.py
@@ -19,7 +19,8 @@
         version: The new version.
         digest: Digest of its snapshot, in hex.
         change_id: Id of the change.
-        differences: One line for each key that differs.
+        differences: Lines that describe what the change changed, truncated as
+            in its audit record.
         in_force: Whether the daemons run the version; None if the operator did
             not wait for it.
     """
@@ -49,7 +50,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """The change is invalid; nothing was changed.
+    """The change, or other input of a command, is invalid.
+
+    Nothing was changed.
 
     Attributes:
         findings: The reasons why it is invalid.
@@ -68,8 +71,10 @@
     Attributes:
         version: The accepted version.
         by: The other change; None if its record was not found.
-        differences: How the organisation's document was changed, one line for
-            each key.
+        differences: Lines that describe how the organisation's document was
+            changed; empty after `changes.MAX_ATTEMPTS` attempts. If the change
+            was accepted before the proposal was made, these are the truncated
+            lines of its audit record.
     """
 
     version: int
@@ -81,6 +86,9 @@
 class Undecided:
     """The store did not answer; whether the change was accepted is unknown.
 
+    The audit trail shows "outcome unknown" for it until its version has been
+    created, by this change or by another one.
+
     Attributes:
         version: The version that the change creates if it is accepted.
         change_id: Id of the change, as shown in the audit trail.
--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -247,7 +247,10 @@
             "zaanoever", _build_document("zaanoever", "balie")
         )
         assert isinstance(outcome, outcomes.Undecided), outcome
-        for expected_outcome in (audit_trail.UNKNOWN, audit_trail.ACCEPTED):
+        for expected_outcome in (
+            audit_trail.UNKNOWN_OUTCOME,
+            audit_trail.ACCEPTED,
+        ):
             audit = await audit_trail.read_audit(self.store, 10)
             newest_attempt = audit.attempts[0]
             self.assertEqual(newest_attempt.change_id, outcome.change_id)
