--- a/merlintrestle/operators/command.py
+++ b/merlintrestle/operators/command.py
@@ -42,6 +42,7 @@
 
     Settings stand before or after the command's name, or in the environment.
     """
+    # `session.pass_session` reads the settings from the context of the group.
 
 
 for _command in (
--- a/merlintrestle/operators/explain_command.py
+++ b/merlintrestle/operators/explain_command.py
@@ -14,9 +14,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-# Fields of every log line; only the other fields are printed as they are.
+# Fields of every line about a request. The other fields of a line are printed
+# as "name=value".
 _COMMON_FIELDS = ("time", "level", "part", "event", "request")
-# Events of which one is the last event of a request at a daemon.
+# Events that `requests.reports.decision_logs` writes at the end of a call. The
+# last event of a request at a daemon is one of them.
 _FINAL_EVENTS = frozenset(
     (
         "answered",
@@ -35,8 +37,9 @@
 
     Attributes:
         time: Time of the event by the clock of its daemon, as in the log.
-        source: Name before the JSON object of the line, else the name of the
-            log file without its suffix.
+        source: Name of the daemon that wrote the line: the name before the JSON
+            object of the line, else the name of the log file without its
+            suffix.
         event: Name of the event.
         fields: The other fields of the line.
     """
@@ -61,24 +64,24 @@
     Example:
     merlintrestle explain 9c41d07be2a35f68 /var/log/merlintrestle/*.log
     """
-    lines: list[LogLine] = []
+    log_lines: list[LogLine] = []
     for path in logs:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
-                lines += find_lines(request, file, path.stem)
+                log_lines += find_lines(request, file, path.stem)
         except OSError as error:
             click.echo(f"{path}: {error.strerror}", err=True)
             sys.exit(exit_codes.USAGE)
-    lines.sort(key=lambda line: line.time)
-    for line in lines:
-        click.echo(format_line(line))
-    for missing in list_missing(lines):
+    log_lines.sort(key=lambda log_line: log_line.time)
+    for log_line in log_lines:
+        click.echo(format_line(log_line))
+    for missing in list_missing(log_lines):
         click.echo(f"missing: {missing}")
-    sys.exit(exit_codes.OK if lines else exit_codes.FINDINGS)
+    sys.exit(exit_codes.OK if log_lines else exit_codes.FINDINGS)
 
 
 def find_lines(
-    request: str, lines: Iterable[str], source: str
+    request: str, lines: Iterable[str], default_source: str
 ) -> Iterator[LogLine]:
     """Yields the log lines about a request.
 
@@ -87,7 +90,8 @@
     Args:
         request: Id of the request.
         lines: The lines of a log.
-        source: Source of the lines that have no name before the JSON object.
+        default_source: Source of the lines that have no name before the JSON
+            object.
     """
     for line in lines:
         if request not in line:
@@ -102,7 +106,7 @@
         source_names = prefix.split()
         yield LogLine(
             str(fields.get("time", "")),
-            source_names[-1] if source_names else source,
+            source_names[-1] if source_names else default_source,
             str(fields.get("event", "")),
             {
                 name: value
@@ -112,45 +116,56 @@
         )
 
 
-def format_line(line: LogLine) -> str:
+def format_line(log_line: LogLine) -> str:
     """Returns the text of a log line, as it is printed."""
     pairs = " ".join(
         f"{name}={value}"
-        for name, value in line.fields.items()
+        for name, value in log_line.fields.items()
         if value is not None
     )
-    return f"{line.time} {line.source}: {line.event} {pairs}".rstrip()
+    return (
+        f"{log_line.time} {log_line.source}: {log_line.event} {pairs}".rstrip()
+    )
 
 
-def list_missing(lines: list[LogLine]) -> list[str]:
-    """Returns what the lines lack to show a request from start to end."""
-    if not lines:
+def list_missing(log_lines: list[LogLine]) -> list[str]:
+    """Returns what the lines lack to show a request from start to end.
+
+    The daemon that took the request from its caller logs "routed", and then
+    "picked" for each upstream that it chose. The daemon beside the backend
+    server of that upstream logs "passed on".
+    """
+    if not log_lines:
         return [
             "no line about this request; it went well, or its logs are"
             " not among these, or the rate of stories left it out"
         ]
     missing = []
-    events = {line.event for line in lines}
+    events = {log_line.event for log_line in log_lines}
     if "routed" not in events:
         missing.append("the daemon that took the request in")
-    picked_lines = [line for line in lines if line.event == "picked"]
-    receiving_sources = {
-        line.source for line in lines if line.event == "passed on"
+    picked_lines = [
+        log_line for log_line in log_lines if log_line.event == "picked"
+    ]
+    upstream_sources = {
+        log_line.source
+        for log_line in log_lines
+        if log_line.event == "passed on"
     }
     if (
         picked_lines
-        and not receiving_sources
+        and not upstream_sources
         and "sent to the backend server" not in events
     ):
         upstreams = sorted(
-            {str(line.fields.get("upstream")) for line in picked_lines}
+            {str(log_line.fields.get("upstream")) for log_line in picked_lines}
         )
         missing.append(f"the daemons beside {', '.join(upstreams)}")
-    for source in sorted({line.source for line in lines}):
+    for source in sorted({log_line.source for log_line in log_lines}):
         final_lines = [
-            line
-            for line in lines
-            if line.source == source and line.event in _FINAL_EVENTS
+            log_line
+            for log_line in log_lines
+            if log_line.source == source and log_line.event in _FINAL_EVENTS
         ]
         if not final_lines:
             missing.append(f"how it ended at {source}")
--- a/merlintrestle/operators/fleet.py
+++ b/merlintrestle/operators/fleet.py
@@ -22,9 +22,12 @@
     AskStatus = Callable[[str, bool, float], Awaitable[control_pb2.StatusReply]]
     PushVersion = Callable[[str, float, snapshots.Snapshot], Awaitable[None]]
 
+# Values of `Daemon.state`.
 IN_FORCE = "in force"
 BEHIND = "behind"
+# The daemon refuses every request until a floor is known.
 CLOSED = "closed"
+# The daemon runs another snapshot under the number of the accepted version.
 DIFFERS = "differs"
 UNREACHABLE = "unreachable"
 # The accepted version is unknown, so the running one cannot be compared.
@@ -67,12 +70,12 @@
 
 
 class MemberStatus(NamedTuple):
-    """Answer of a member to a status request.
+    """Answer of a member to a status request, or why there was none.
 
     Attributes:
         member: The member, as the daemon that lists the members knows it.
         reply: The answer; None if there was none.
-        problem: Error message if there was no answer.
+        problem: Error message if there was no answer, else empty.
     """
 
     member: control_pb2.Member
@@ -111,9 +114,9 @@
 ) -> None:
     """Sends an accepted version to a daemon, which distributes it.
 
-    Watchers distribute it as well, so this is needed only if the store fails
-    immediately after it accepted the version. An error is ignored, as the
-    version stays accepted.
+    The daemons that watch the store distribute it as well, so this is needed
+    only if the store fails immediately after it accepted the version. An error
+    is ignored, as the version stays accepted.
 
     Args:
         address: Control address of the daemon, "ip:port".
@@ -190,7 +193,7 @@
 def check_daemon(
     member_status: MemberStatus, version: int | None, digest: bytes
 ) -> Daemon:
-    """Compares the version that a daemon runs with the accepted one.
+    """Compares the version that a daemon runs with an accepted one.
 
     A daemon that runs a newer version is "in force" as well.
 
@@ -227,5 +230,8 @@
 
 
 def list_not_in_force(daemons: Sequence[Daemon]) -> tuple[Daemon, ...]:
-    """Returns the daemons that do not run the accepted version."""
+    """Returns the daemons that do not run the accepted version.
+
+    If the accepted version is unknown, these are all daemons.
+    """
     return tuple(daemon for daemon in daemons if daemon.state != IN_FORCE)
