--- a/merlintrestle/operators/change_commands.py
+++ b/merlintrestle/operators/change_commands.py
@@ -26,8 +26,8 @@
     from merlintrestle.documents import snapshot as snapshots
     from merlintrestle.schema import document_pb2
 
-_FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
-_DEFAULT_WAIT_S = 30.0
+_FILE_TYPE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
+_DEFAULT_WAIT_TIMEOUT_S = 30.0
 _EXIT_CODES = {
     outcomes.Accepted: exit_codes.OK,
     outcomes.Unchanged: exit_codes.OK,
@@ -51,7 +51,7 @@
 wait_timeout_option = click.option(
     "--wait-timeout",
     type=click.FloatRange(min=0),
-    default=_DEFAULT_WAIT_S,
+    default=_DEFAULT_WAIT_TIMEOUT_S,
     show_default=True,
     metavar="SECONDS",
     help="Longest wait.",
@@ -76,7 +76,7 @@
         "merlintrestle validate mesh.toml zaanoever.toml",
     )
 )
-@click.argument("files", nargs=-1, required=True, type=_FILE)
+@click.argument("files", nargs=-1, required=True, type=_FILE_TYPE)
 @session.pass_session
 async def validate(
     current_session: session.Session, files: tuple[pathlib.Path, ...]
@@ -106,15 +106,17 @@
 @click.command(
     epilog=session.format_examples("merlintrestle diff zaanoever.toml")
 )
-@click.argument("file", type=_FILE)
+@click.argument("file", type=_FILE_TYPE)
 @session.pass_session
 async def diff(current_session: session.Session, file: pathlib.Path) -> int:
     """Shows what a target document would change."""
     document = _read_file(file)
     head, documents = await current_session.read_accepted()
-    name = document.organisation
-    lines = differences.list_differences(documents.get(name), document)
-    current_session.report(results.Difference(name, head.version, tuple(lines)))
+    organisation = document.organisation
+    lines = differences.list_differences(documents.get(organisation), document)
+    current_session.report(
+        results.Difference(organisation, head.version, tuple(lines))
+    )
     return exit_codes.OK
 
 
@@ -125,7 +127,7 @@
         "merlintrestle apply zaanoever.toml --wait --daemon 10.0.0.7:8082",
     )
 )
-@click.argument("file", type=_FILE)
+@click.argument("file", type=_FILE_TYPE)
 @_base_option
 @_wait_option
 @wait_timeout_option
@@ -192,8 +194,8 @@
             _bind_push_version(current_session),
         )
         outcome = await proposer.propose(proposal)
-    has_version = isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
-    if not (wait_options.enabled and has_version):
+    is_accepted = isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
+    if not (wait_options.enabled and is_accepted):
         current_session.report(outcome)
         return _EXIT_CODES[type(outcome)]
     return await _wait(current_session, outcome, wait_options.timeout_s)
@@ -266,11 +268,11 @@
         except errors.InvalidInputError as error:
             findings += error.findings
             continue
-        name = document.organisation
-        if name in documents:
-            text = f"another file is also of organisation {name!r}."
+        organisation = document.organisation
+        if organisation in documents:
+            text = f"another file is also of organisation {organisation!r}."
             findings.append(errors.Finding(f"{file}: organisation", text))
-        documents[name] = document
+        documents[organisation] = document
     if findings:
         raise errors.InvalidInputError(findings)
     return documents
--- a/merlintrestle/operators/output.py
+++ b/merlintrestle/operators/output.py
@@ -55,5 +55,6 @@
 
 @_to_json.register
 def _(value: message.Message) -> Any:
-    # The only messages in results are changes, in `outcomes.LostRace`.
+    # The only messages in results are the accepted changes in
+    # `outcomes.LostRace`.
     return _to_json(audit_trail.describe_change(value, audit_trail.ACCEPTED))  # type: ignore[arg-type]
--- a/merlintrestle/operators/results.py
+++ b/merlintrestle/operators/results.py
@@ -52,9 +52,9 @@
     """Difference between a file and the accepted document.
 
     Attributes:
-        organisation: Organisation whose document it is.
+        organisation: Organisation whose document the file is.
         version: The accepted version, with which the file is compared.
-        lines: One line for each key that differs.
+        lines: One line for each key, service and class of work that differs.
     """
 
     organisation: str
@@ -63,11 +63,11 @@
 
 
 class Shown(NamedTuple):
-    """The accepted documents.
+    """The accepted documents, of all organisations or of one.
 
     Attributes:
         version: The accepted version.
-        documents: Each organisation's document as TOML.
+        documents: The documents as TOML, by organisation.
     """
 
     version: int
@@ -91,7 +91,9 @@
 
 
 class RolloutRace(NamedTuple):
-    """Another operator ordered a roll-out at the same time.
+    """Another operator ordered a roll-out of the service at the same time.
+
+    The roll-out of this operator was not ordered.
 
     Attributes:
         service: Service of the roll-out.
@@ -108,7 +110,7 @@
         operator: Name of the operator.
         action: "start" or "abort".
         version: Version to which the roll-out moves the service.
-        refusals: Reasons why the attempt was refused.
+        refusals: Reasons why the attempt was refused; empty if it was not.
     """
 
     at: str
@@ -135,7 +137,8 @@
 
     Attributes:
         at: Time of the round (ISO 8601, UTC).
-        accepted: Changes accepted since the previous round, newest first.
+        accepted: Changes accepted since the last round in which the accepted
+            version was known, newest first; empty in the first such round.
         status: Status of the store and the fleet.
     """
 
--- a/merlintrestle/operators/rollout_commands.py
+++ b/merlintrestle/operators/rollout_commands.py
@@ -14,15 +14,16 @@
 from merlintrestle.operators import results
 from merlintrestle.operators import session
 from merlintrestle.rollouts import orders
-from merlintrestle.rollouts import records
+from merlintrestle.rollouts import records as rollout_records
 from merlintrestle.rollouts import storage as storages
 from merlintrestle.schema import control_pb2
 from merlintrestle.store import records as store_records
 
-# The new version is evaluated in a third of the time, by calls that take some
-# tenths of a second. The remaining time is for calls in flight to finish.
-MIN_WITHIN_S = 5.0
-_MAX_WITHIN_S = 604_800.0
+# Shortest time in which a roll-out can be ordered to end. In a third of it, the
+# new version is evaluated by calls that take some tenths of a second. The
+# remaining time is for calls in flight to finish.
+_MIN_WITHIN_S = 5.0
+_MAX_WITHIN_S = 604_800.0  # 7 days.
 _POLL_INTERVAL_S = 0.2
 _STATE_NAMES = {
     control_pb2.ROLLOUT_STATE_UNSPECIFIED: "ordered",
@@ -71,7 +72,7 @@
         last_order = await _read_last_order(store, service)
         if (
             last_order is not None
-            and last_order.state not in records.FINAL_STATES
+            and last_order.state not in rollout_records.FINAL_STATES
         ):
             text = f"is being moved to {last_order.version} already."
             findings.append(errors.Finding(service, text))
@@ -128,7 +129,7 @@
     async with current_session.open_store() as store:
         order = await _require_last_order(store, service)
         while (
-            order.state not in records.FINAL_STATES
+            order.state not in rollout_records.FINAL_STATES
             and time.monotonic() < end_time
         ):
             await asyncio.sleep(_POLL_INTERVAL_S)
@@ -192,10 +193,10 @@
 def _check_options(version: str, within_s: float) -> list[errors.Finding]:
     """Returns the findings for the options of the command `start`."""
     findings = []
-    if problem := records.find_version_fault(version):
+    if problem := rollout_records.find_version_fault(version):
         findings.append(errors.Finding("--to", problem))
-    if not MIN_WITHIN_S <= within_s <= _MAX_WITHIN_S:
-        text = f"{within_s:g} is not within {MIN_WITHIN_S:g} to"
+    if not _MIN_WITHIN_S <= within_s <= _MAX_WITHIN_S:
+        text = f"{within_s:g} is not within {_MIN_WITHIN_S:g} to"
         text += f" {_MAX_WITHIN_S:g} s."
         findings.append(errors.Finding("--within", text))
     return findings
--- a/merlintrestle/operators/session.py
+++ b/merlintrestle/operators/session.py
@@ -134,19 +134,19 @@
     @functools.wraps(command_body)
     def callback(context: click.Context, /, **arguments: Any) -> None:
         group_settings = context.find_root().params
-        texts = {}
+        values = {}
         for setting in config.list_settings(settings_pb2.OperatorSettings):
-            text = arguments.pop(setting.name)
-            texts[setting.name] = text or group_settings.get(setting.name)
+            value = arguments.pop(setting.name)
+            values[setting.name] = value or group_settings.get(setting.name)
         dependencies = context.obj or Dependencies()
-        context.exit(_run(command_body, texts, dependencies, arguments))
+        context.exit(_run(command_body, values, dependencies, arguments))
 
     return callback
 
 
 def _run(
     command_body: Callable[..., Any],
-    texts: dict[str, str | None],
+    values: dict[str, str | None],
     dependencies: Dependencies,
     arguments: dict[str, Any],
 ) -> int:
@@ -154,12 +154,12 @@
 
     Args:
         command_body: The coroutine function of the command.
-        texts: Texts of the settings by name.
+        values: Unparsed value of each setting by name.
         dependencies: Dependencies of the session.
         arguments: Keyword arguments for the coroutine function.
     """
     try:
-        settings = config.read_settings(settings_pb2.OperatorSettings, texts)
+        settings = config.read_settings(settings_pb2.OperatorSettings, values)
     except errors.InvalidInputError as error:
         raise click.UsageError(str(error)) from error
     current_session = Session(settings, dependencies)
@@ -171,9 +171,10 @@
         current_session.report(outcomes.Refused(tuple(error.findings)))
         return exit_codes.FINDINGS
     except errors.StoreError as error:
-        # A read failed, or a write before the change was proposed. If it is
-        # unknown whether a change was accepted, the result is
-        # `outcomes.Undecided` instead.
+        # A read failed, or a write before the change of a document was
+        # proposed, or any write of a roll-out. If it is unknown whether the
+        # change of a document was accepted, the result is `outcomes.Undecided`
+        # instead.
         is_corrupt = isinstance(error, errors.CorruptRecordError)
         current_session.report(results.StoreFailure(str(error), is_corrupt))
         return exit_codes.STORE_UNAVAILABLE
--- a/merlintrestle/operators/status_queries.py
+++ b/merlintrestle/operators/status_queries.py
@@ -86,14 +86,14 @@
         report_progress: Called with a line of text whenever the progress
             changes.
     """
-    start = time.monotonic()
+    start_time = time.monotonic()
     confirmed_ids: set[str] = set()
     last_line = ""
     while True:
         result = await _check_daemons(
             current_session, version, digest, confirmed_ids
         )
-        waited_s = time.monotonic() - start
+        waited_s = time.monotonic() - start_time
         line = _describe_progress(result)
         if line != last_line:
             report_progress(line)
@@ -111,6 +111,8 @@
 ) -> status_results.InForce:
     """Asks the daemons once whether they run a version.
 
+    The result counts the daemons that were not asked as running the version.
+
     Args:
         current_session: The session.
         version: The version.
--- a/merlintrestle/operators/status_results.py
+++ b/merlintrestle/operators/status_results.py
@@ -13,11 +13,16 @@
     """Status of the store and the fleet at one time.
 
     Attributes:
-        version: The accepted version; None if the store does not answer.
-        store_problem: Error message if the store does not answer.
-        daemon_problem: Error message if the fleet's status is unknown.
-        daemons: The daemons that take new calls.
-        targets: The targets of all classes of work.
+        version: The accepted version; None if the head could not be read from
+            the store.
+        store_problem: Error message if the store does not answer or has a
+            record that cannot be read, else empty.
+        daemon_problem: Error message if the fleet's status is unknown, else
+            empty.
+        daemons: The daemons that take new calls; empty if the fleet's status is
+            unknown.
+        targets: The targets of all classes of work; empty if the fleet's status
+            is unknown.
     """
 
     version: int | None
@@ -37,7 +42,7 @@
         daemons: Number of daemons that take new calls.
         waited_s: Duration of the wait, in seconds.
         missing: The daemons that do not run the version.
-        problem: Error message if the fleet's status is unknown.
+        problem: Error message if the fleet's status is unknown, else empty.
     """
 
     version: int
--- a/merlintrestle/operators/targets.py
+++ b/merlintrestle/operators/targets.py
@@ -11,6 +11,7 @@
 
     from merlintrestle.schema import document_pb2
 
+# Values of `Target.state`.
 HOLDS = "holds"
 MISSED = "missed"
 NO_CALLS = "no calls"
@@ -19,17 +20,23 @@
 class Target(NamedTuple):
     """The targets of a class of work and the measured values.
 
+    The values were measured in the last window of each daemon that answered;
+    the counts are summed over these daemons, and the fractions are computed
+    from the sums.
+
     Attributes:
         organisation: Organisation that declares the targets.
         service: Service that serves the class.
         name: Name of the class.
         state: "holds", "missed" or "no calls".
-        calls: Number of calls in the last window, summed over all daemons.
-        share: Fraction of the answered calls within the latency target.
+        calls: Number of calls.
+        share: Fraction of the answered calls within the latency target; 0 if
+            there were none.
         wanted_share: Target of `share`.
-        answered: Fraction of all calls that were answered without a failure.
+        answered: Fraction of all calls that were answered without a failure; 0
+            if there were none.
         wanted_availability: Target of `answered`.
-        refused: Number of calls that were refused as not run.
+        refused: Number of calls that were refused and did not run.
         failed: Number of calls that ran and failed.
         unknown: Number of calls of which it is unknown whether they ran.
     """
@@ -60,18 +67,18 @@
     """
     totals = _sum_by_class(replies)
     return [
-        _evaluate_target(
+        _evaluate_class(
             organisation,
             service.name,
-            target,
+            class_target,
             totals.get(
-                (organisation, service.name, target.name),
+                (organisation, service.name, class_target.name),
                 control_pb2.ClassStatus(),
             ),
         )
         for organisation, document in sorted(documents.items())
         for service in document.services
-        for target in service.classes
+        for class_target in service.classes
     ]
 
 
@@ -93,31 +100,36 @@
     return totals
 
 
-def _evaluate_target(
+def _evaluate_class(
     organisation: str,
     service: str,
-    target: document_pb2.ClassTarget,
+    class_target: document_pb2.ClassTarget,
     total: control_pb2.ClassStatus,
 ) -> Target:
     # A call without an answer counts only towards availability, so that one
     # fault does not count as two missed targets.
-    share = total.within_latency / total.answered if total.answered else 0.0
-    answered = total.answered / total.calls if total.calls else 0.0
+    in_time_fraction = (
+        total.within_latency / total.answered if total.answered else 0.0
+    )
+    answered_fraction = total.answered / total.calls if total.calls else 0.0
     state = MISSED
     if not total.calls:
         state = NO_CALLS
-    elif share >= target.share and answered >= target.availability:
+    elif (
+        in_time_fraction >= class_target.share
+        and answered_fraction >= class_target.availability
+    ):
         state = HOLDS
     return Target(
         organisation=organisation,
         service=service,
-        name=target.name,
+        name=class_target.name,
         state=state,
         calls=total.calls,
-        share=share,
-        wanted_share=target.share,
-        answered=answered,
-        wanted_availability=target.availability,
+        share=in_time_fraction,
+        wanted_share=class_target.share,
+        answered=answered_fraction,
+        wanted_availability=class_target.availability,
         refused=total.refused,
         failed=total.failed,
         unknown=total.unknown,
--- a/merlintrestle/operators/text_format.py
+++ b/merlintrestle/operators/text_format.py
@@ -112,6 +112,7 @@
         return ["No changes."]
     table_lines = format_table(
         ["VERSION", "OUTCOME", "AT", "OPERATOR", "ORGANISATION", "ACTION"],
+        # The columns are the first six fields of an attempt.
         [attempt[:6] for attempt in result.attempts],
     )
     lines = [table_lines[0]]
@@ -159,11 +160,11 @@
 @format_text.register
 def _(result: status_results.Status) -> list[str]:
     lines = []
-    missing = fleet.list_not_in_force(result.daemons)
+    not_in_force = fleet.list_not_in_force(result.daemons)
     if result.version is None:
         lines.append(f"The store does not answer: {result.store_problem}.")
     elif result.daemons:
-        running = len(result.daemons) - len(missing)
+        running = len(result.daemons) - len(not_in_force)
         lines.append(
             f"Version {result.version} is in force on {running} of"
             f" {len(result.daemons)} daemons."
@@ -174,8 +175,8 @@
         lines.append(f"Nothing is known of the fleet: {result.daemon_problem}.")
     elif not result.daemons:
         lines.append("Set --daemon to see whether it is in force.")
-    if missing or (result.version is None and result.daemons):
-        daemons = missing if result.version is not None else result.daemons
+    if not_in_force or (result.version is None and result.daemons):
+        daemons = not_in_force if result.version is not None else result.daemons
         lines += ["", *_format_daemons(daemons)]
     if result.targets:
         lines += ["", *_format_targets(result.targets)]
@@ -201,6 +202,7 @@
         return [f"{result.service}: no roll-outs."]
     table_lines = format_table(
         ["AT", "OPERATOR", "ACTION", "VERSION"],
+        # The columns are the first four fields of an attempt.
         [attempt[:4] for attempt in result.attempts],
     )
     lines = [table_lines[0]]
--- a/merlintrestle/operators/view_commands.py
+++ b/merlintrestle/operators/view_commands.py
@@ -15,8 +15,8 @@
 from merlintrestle.operators import status_queries
 from merlintrestle.operators import status_results
 
-_DEFAULT_LIMIT = 50
-_MAX_LIMIT = 100_000
+_DEFAULT_LIMIT_VERSIONS = 50
+_MAX_LIMIT_VERSIONS = 100_000
 _DEFAULT_INTERVAL_S = 2.0
 
 _AUDIT_EPILOG = """\b
@@ -29,8 +29,8 @@
 
 _limit_option = click.option(
     "--limit",
-    type=click.IntRange(1, _MAX_LIMIT),
-    default=_DEFAULT_LIMIT,
+    type=click.IntRange(1, _MAX_LIMIT_VERSIONS),
+    default=_DEFAULT_LIMIT_VERSIONS,
     show_default=True,
     metavar="VERSIONS",
     help="How many versions to go back.",
@@ -157,21 +157,28 @@
 
 async def _read_accepted_since(
     current_session: session.Session,
-    version: int | None,
+    current_version: int | None,
     last_version: int | None,
 ) -> list[audit_trail.Attempt]:
-    """Returns the accepted changes after a version, newest first.
+    """Returns the changes accepted after `last_version`, newest first.
 
     Args:
         current_session: The session.
-        version: The accepted version; None if it is unknown.
-        last_version: The last known accepted version; None if there is none.
+        current_version: The accepted version; None if it is unknown.
+        last_version: The accepted version of an earlier round; None if no
+            earlier round read one.
     """
-    if version is None or last_version is None or version <= last_version:
+    if (
+        current_version is None
+        or last_version is None
+        or current_version <= last_version
+    ):
         return []
     try:
         async with current_session.open_store() as store:
-            return await audit_trail.read_history(store, version - last_version)
+            return await audit_trail.read_history(
+                store, current_version - last_version
+            )
     except errors.StoreError:
         # The status of the next round shows that the store does not answer.
         return []
