--- a/tests/operators/builders.py
+++ b/tests/operators/builders.py
@@ -73,8 +73,8 @@
             push_version=fake_fleet.push_version,
         )
 
-    def run_accepted_version(self, fake_fleet: FakeFleet) -> None:
-        """Sets the accepted version on each daemon of a fake fleet."""
+    def activate_accepted_version(self, fake_fleet: FakeFleet) -> None:
+        """Has each daemon of a fake fleet run the accepted version."""
         head = records.parse_head(self.store.entries[records.HEAD_KEY])
         fake_fleet.set_version(head.version, head.snapshot_digest)
 
@@ -108,8 +108,9 @@
         replies: Status of each daemon; their ports start at 1001.
         unreachable: Control addresses that do not answer.
         request_count: Number of requests so far.
-        update_after_requests: Number of requests after which `update` is
-            called; 0 for never.
+        update_after_requests: Number of further requests until `update` is
+            called, which is done before the last of them is answered; 0 for
+            never.
         update: Called with this fleet to change the version of its daemons.
         on_next_request: Awaited once, at the next request.
     """
@@ -188,6 +189,8 @@
 
 
 class _Control(control_pb2_grpc.ControlServicer):
+    """Control service that answers each status request with the same reply."""
+
     def __init__(self, reply: control_pb2.StatusReply):
         self.reply = reply
 
--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -13,7 +13,7 @@
 from merlintrestle.operators import changes
 from merlintrestle.operators import outcomes
 from merlintrestle.store import records
-from tests.documents import builders as documents
+from tests.documents import builders as document_builders
 from tests.operators import builders
 from tests.store import fakes
 
@@ -25,9 +25,9 @@
 def _build_document(
     organisation: str, service: str, rate: float = 100.0
 ) -> document_pb2.Document:
-    target = documents.build_class(rate=rate)
-    return documents.build_document(
-        organisation, documents.build_service(service, target)
+    target = document_builders.build_class(rate=rate)
+    return document_builders.build_document(
+        organisation, document_builders.build_service(service, target)
     )
 
 
@@ -40,7 +40,7 @@
             builders.build_clock(),
             0,
         )
-        await self._accept("mesh", documents.build_mesh_document())
+        await self._accept("mesh", document_builders.build_mesh_document())
 
     async def _propose(
         self,
@@ -77,7 +77,8 @@
     async def test_only_accepted_versions_are_pushed(self) -> None:
         """Guards against pushing the version of a refused change.
 
-        A daemon runs the version that is pushed to it.
+        A daemon runs the version that is pushed to it, so the push must wait
+        for the acceptance.
         """
         pushed_versions = []
 
@@ -228,6 +229,11 @@
         self.assertIsInstance(outcome, outcomes.Accepted)
 
     async def test_unchanged_document_creates_no_version(self) -> None:
+        """Guards against versions that change nothing.
+
+        An operator applies the accepted document again, or withdraws a document
+        that does not exist.
+        """
         document = _build_document("zaanoever", "balie")
         await self._accept("zaanoever", document)
         outcome = await self._propose("zaanoever", document)
@@ -242,6 +248,7 @@
         trail shows "outcome unknown" for the change, and "accepted" after the
         write took effect.
         """
+        # More writes than there are attempts.
         self.store.late_writes[records.HEAD_KEY] = 100
         outcome = await self._propose(
             "zaanoever", _build_document("zaanoever", "balie")
@@ -262,7 +269,7 @@
 
         If an invalid file is applied in a loop, the audit trail has more
         attempts than are read. The newest changes, at which the chain starts,
-        are then missing.
+        are then missing. Here, fewer attempts are read instead.
         """
         for rate in range(1, 6):
             await self._accept(
@@ -286,12 +293,13 @@
         for number, name in enumerate("abcdefgh"):
             matches = [f"GET /{'x' * 190}/{i}" for i in range(900)]
             services = [
-                documents.build_service(
-                    f"s{number}-{i}", documents.build_class(match=matches)
+                document_builders.build_service(
+                    f"s{number}-{i}",
+                    document_builders.build_class(match=matches),
                 )
                 for i in range(5)
             ]
-            document = documents.build_document(name, *services)
+            document = document_builders.build_document(name, *services)
             for service in document.services:
                 service.classes[0].rate = 0
             outcome = await self._propose(name, document)
@@ -302,8 +310,8 @@
 
     @hypothesis.given(
         st.lists(
-            st.sampled_from(documents.ORGANISATIONS).flatmap(
-                documents.draw_documents
+            st.sampled_from(document_builders.ORGANISATIONS).flatmap(
+                document_builders.draw_documents
             ),
             max_size=6,
         )
@@ -311,6 +319,11 @@
     def test_head_changes_only_if_a_change_is_accepted(
         self, proposed_documents: list[document_pb2.Document]
     ) -> None:
+        """Guards against a head that does not match the outcome of a proposal.
+
+        Operators propose valid and invalid documents. The head must change if
+        the outcome is "accepted", and must stay as it is after any other.
+        """
         asyncio.run(self._check_head(proposed_documents))
 
     async def _check_head(
@@ -318,7 +331,7 @@
     ) -> None:
         store = fakes.FakeStore()
         proposer = changes.Proposer(store, retry_delay_s=0)
-        mesh = documents.build_mesh_document()
+        mesh = document_builders.build_mesh_document()
         await proposer.propose(changes.Proposal("anna", "mesh", mesh))
         for document in proposed_documents:
             head_entry = store.entries[records.HEAD_KEY]
--- a/tests/operators/test_command.py
+++ b/tests/operators/test_command.py
@@ -23,6 +23,7 @@
         self.runner = builders.CommandRunner()
 
     def test_apply_then_history(self) -> None:
+        """Guards against accepted changes that the history does not list."""
         self.assertEqual(
             self.runner.run("apply", _MESH).exit_code, exit_codes.OK
         )
@@ -35,12 +36,18 @@
         self.assertEqual(versions, [2, 1])
 
     def test_example_fleets_are_valid(self) -> None:
+        """Guards against example documents that are refused."""
         for fleet in ("zaanoever", "kochi"):
             files = sorted(map(str, (builders.FLEETS / fleet).glob("*.toml")))
             result = self.runner.run("validate", *files)
             self.assertEqual(result.exit_code, exit_codes.OK, result.output)
 
     def test_store_down_is_reported(self) -> None:
+        """Guards against an outage that leaves the operator in doubt.
+
+        The store is down before the change is proposed, so the output must say
+        that nothing was changed.
+        """
         self.runner.store.down = True
         result = self.runner.run("apply", _MESH)
         self.assertEqual(result.exit_code, exit_codes.STORE_UNAVAILABLE)
@@ -49,8 +56,8 @@
     def test_invalid_file_changes_nothing(self) -> None:
         """Guards against accepting an invalid document.
 
-        The files have findings, are not UTF-8 or are too large. Each is refused
-        with findings, and the store stays unchanged.
+        The files have findings, are not UTF-8 or are one byte larger than
+        allowed. Each is refused with findings, and the store stays unchanged.
         """
         self.runner.run("apply", _MESH)
         old_entries = dict(self.runner.store.entries)
@@ -64,6 +71,7 @@
         self.assertEqual(self.runner.store.entries, old_entries)
 
     def test_every_command_has_json_output(self) -> None:
+        """Guards against results that have no JSON form."""
         self.runner.run("apply", _MESH)
         for arguments in (
             ("validate", _ZAANOEVER),
@@ -82,6 +90,7 @@
                 self.assertIn("result", json.loads(result.output))
 
     def test_all_wrong_settings_are_reported(self) -> None:
+        """Guards against reporting only the first of several wrong settings."""
         result = self.runner.run(
             "history", "--output", "x", "--timeout-s", "-1"
         )
@@ -90,6 +99,7 @@
         self.assertIn("--timeout-s", result.output)
 
     def test_shell_completion(self) -> None:
+        """Guards against a completion that does not know the commands."""
         result = testing.CliRunner().invoke(
             command.main,
             prog_name="merlintrestle",
@@ -102,6 +112,10 @@
         self.assertIn("history", result.output)
 
     def test_missing_record_is_not_reported_as_outage(self) -> None:
+        """Guards against calling a missing record an outage of the store.
+
+        The store answers, but the document that the head refers to was deleted.
+        """
         self.runner.run("apply", _MESH)
         for key in list(self.runner.store.entries):
             if key.startswith(records.DOCUMENT_PREFIX):
@@ -112,6 +126,11 @@
         self.assertNotIn("does not answer", result.output)
 
     def test_settings_before_and_after_the_command(self) -> None:
+        """Guards against ignoring a setting because of where it is given.
+
+        The group and each command have the same options, so a value may be
+        given to either of them.
+        """
         settings_first = self.runner.run("--output", "json", "history")
         settings_last = self.runner.run("history", "--output", "json")
         self.assertEqual(settings_first.output, settings_last.output)
--- a/tests/operators/test_explain_command.py
+++ b/tests/operators/test_explain_command.py
@@ -36,6 +36,11 @@
         )
 
     def test_lines_of_both_daemons_are_sorted(self):
+        """Guards against lines that are out of order, left out or unrelated.
+
+        Two daemons log a request. Their logs also have a line about another
+        request, and one that is not JSON but has the id of the request.
+        """
         result = self._explain(
             near=_build_line("T1", "routed", version=3)
             + _build_line("T2", "picked", upstream="b")
@@ -58,6 +63,11 @@
         )
 
     def test_missing_lines_are_reported(self):
+        """Guards against an incomplete log that looks like a complete one.
+
+        The log of the second daemon is not given, and the first daemon's has no
+        final event.
+        """
         result = self._explain(
             near=_build_line("T1", "routed")
             + _build_line("T2", "picked", upstream="b")
@@ -66,11 +76,17 @@
         self.assertIn("missing: how it ended at near", result.output)
 
     def test_no_line_of_the_request(self):
+        """Guards against an empty output if no log has the request."""
         result = self._explain(near="")
         self.assertEqual(result.exit_code, 1)
         self.assertIn("missing: no line about this request", result.output)
 
     def test_name_before_the_json_is_the_source(self):
+        """Guards against lines with the wrong daemon.
+
+        If the logs of several daemons are in one file, the name before the JSON
+        object tells which daemon wrote a line.
+        """
         line = "  1.25 sidecar-1 " + _build_line("T1", "routed")
         (log_line,) = explain_command.find_lines("r1", [line], "file")
         self.assertEqual(log_line.source, "sidecar-1")
--- a/tests/operators/test_races.py
+++ b/tests/operators/test_races.py
@@ -14,7 +14,7 @@
 from merlintrestle.operators import changes
 from merlintrestle.operators import outcomes
 from merlintrestle.store import records
-from tests.documents import builders as documents
+from tests.documents import builders as document_builders
 from tests.operators import builders
 from tests.store import fakes
 
@@ -22,10 +22,17 @@
     from merlintrestle.schema import document_pb2
 
 _SERVICES_BY_ORGANISATION = dict(
-    zip(documents.ORGANISATIONS, documents.SERVICES, strict=False)
+    zip(
+        document_builders.ORGANISATIONS,
+        document_builders.SERVICES,
+        strict=False,
+    )
 )
-# Repeated faults are drawn more often.
+# Faults of a compare-and-swap of the head. Repeated ones are drawn more often.
+# The answer is lost after the write took effect, or the write takes effect
+# late: one attempt ("late"), or all attempts of the same write ("silent").
 _HEAD_FAULTS = ("none", "none", "answer lost", "late", "silent")
+# Faults and recoveries of the store before any call.
 _CALL_FAULTS = ("none",) * 12 + ("down", "up", "up", "late ones arrive")
 
 
@@ -52,11 +59,11 @@
 
 
 def _build_proposal(organisation: str, rate: float | None) -> changes.Proposal:
-    target = documents.build_class(rate=rate or 0.0)
-    service = documents.build_service(
+    target = document_builders.build_class(rate=rate or 0.0)
+    service = document_builders.build_service(
         _SERVICES_BY_ORGANISATION[organisation], target
     )
-    document = documents.build_document(organisation, service)
+    document = document_builders.build_document(organisation, service)
     return changes.Proposal(
         f"operator of {organisation}",
         organisation,
@@ -68,13 +75,13 @@
     organisation: str,
 ) -> st.SearchStrategy[changes.Proposal]:
     """Draws proposals that may be refused."""
-    return documents.draw_documents(organisation).map(
+    return document_builders.draw_documents(organisation).map(
         lambda document: changes.Proposal("any", organisation, document)
     )
 
 
 def _draw_proposals() -> st.SearchStrategy[list[changes.Proposal]]:
-    organisations = st.sampled_from(documents.ORGANISATIONS)
+    organisations = st.sampled_from(document_builders.ORGANISATIONS)
     valid_proposals = organisations.flatmap(_draw_valid_proposals)
     return st.lists(
         valid_proposals
@@ -110,17 +117,24 @@
         self._head_faults = iter(schedule.head_faults)
         self._make_id = builders.build_change_id_source()
 
-    async def start_mesh(self) -> None:
+    async def accept_mesh_document(self) -> None:
+        """Has the budget accepted, then starts the faults."""
         proposer = changes.Proposer(self.store, self._make_id, retry_delay_s=0)
-        mesh = documents.build_mesh_document()
+        mesh = document_builders.build_mesh_document()
         self.outcomes.append(
             await proposer.propose(changes.Proposal("mesh", "mesh", mesh))
         )
         self.store.before_call = self._before_call
 
-    async def run(self, operators: list[list[changes.Proposal]]) -> None:
+    async def run(
+        self, proposals_by_operator: list[list[changes.Proposal]]
+    ) -> None:
+        """Has all operators propose, then ends the faults."""
         await asyncio.gather(
-            *(self._propose_all(proposals) for proposals in operators)
+            *(
+                self._propose_all(proposals)
+                for proposals in proposals_by_operator
+            )
         )
         self.store.before_call = None
         self.store.down = False
@@ -151,9 +165,11 @@
 
     def _set_head_fault(self, fault: str) -> None:
         if self.store.late_writes[records.HEAD_KEY]:
+            # The previous fault still applies to this write.
             return
         lost_answers = int(fault == "answer lost")
         self.store.lost_answers[records.HEAD_KEY] = lost_answers
+        # `acceptance` attempts the write of a head at most four times.
         late_writes = {"late": 1, "silent": 4}.get(fault, 0)
         self.store.late_writes[records.HEAD_KEY] = late_writes
 
@@ -163,24 +179,28 @@
         st.lists(_draw_proposals(), min_size=2, max_size=3), _draw_schedules()
     )
     def test_every_accepted_change_is_on_the_chain_once(
-        self, operators: list[list[changes.Proposal]], schedule: Schedule
+        self,
+        proposals_by_operator: list[list[changes.Proposal]],
+        schedule: Schedule,
     ) -> None:
         """Guards against wrong outcomes of concurrent changes.
 
         Operators of several organisations change targets at the same time.
         Meanwhile, answers of the store are lost, writes take effect late, and
         the store goes down. A change whose outcome is "accepted" must be on the
-        chain exactly once; a change with another outcome must not be on it,
-        unless the outcome is unknown.
+        chain exactly once; a change with another outcome, or whose proposal
+        failed without one, must not be on it, unless the outcome is unknown.
         """
-        asyncio.run(self._check(operators, schedule))
+        asyncio.run(self._check(proposals_by_operator, schedule))
 
     async def _check(
-        self, operators: list[list[changes.Proposal]], schedule: Schedule
+        self,
+        proposals_by_operator: list[list[changes.Proposal]],
+        schedule: Schedule,
     ) -> None:
         race = _Race(schedule)
-        await race.start_mesh()
-        await race.run(operators)
+        await race.accept_mesh_document()
+        await race.run(proposals_by_operator)
         head, _ = await records.read_head(race.store)
         newest_first = records.walk_chain(race.store, head, 1000)
         chain = [change async for change in newest_first][::-1]
--- a/tests/operators/test_rollout_commands.py
+++ b/tests/operators/test_rollout_commands.py
@@ -40,6 +40,10 @@
         asyncio.run(write())
 
     def test_start_then_complete(self) -> None:
+        """Guards against a wrong state of a roll-out.
+
+        Daemons write the states of the order; the commands read them.
+        """
         result = self.runner.run(*_START)
         self.assertEqual(result.exit_code, exit_codes.OK, result.output)
         status_command = ("rollout", "status", "balie")
@@ -65,8 +69,12 @@
                 self.assertIn("nothing was changed", result.output)
         self.assertEqual(asyncio.run(self.storage.read_orders()), [])
 
-    def test_running_rollout_is_not_replaced(self) -> None:
-        """Guards against an order that replaces one that is still running."""
+    def test_unfinished_rollout_is_not_replaced(self) -> None:
+        """Guards against an order that replaces one that has not ended.
+
+        An operator orders a roll-out twice. The second order is refused until
+        the first one has a final state.
+        """
         self.runner.run(*_START)
         result = self.runner.run(*_START)
         self.assertEqual(result.exit_code, exit_codes.FINDINGS)
@@ -77,7 +85,11 @@
         self.assertEqual(status["state"], "ordered")
 
     def test_abort(self) -> None:
-        """Guards against a roll-out that continues after it was aborted."""
+        """Guards against a roll-out that continues after it was aborted.
+
+        Daemons poll the orders, but not their states, so the order itself must
+        have the state "rolled back".
+        """
         self.runner.run(*_START)
         result = self.runner.run("rollout", "abort", "balie")
         self.assertEqual(result.exit_code, exit_codes.OK, result.output)
@@ -88,7 +100,10 @@
         self.assertEqual(self.runner.run(*_START).exit_code, exit_codes.OK)
 
     def test_complete_rollout_is_not_aborted(self) -> None:
-        """Guards against a return to a version that was already stopped."""
+        """Guards against a return to a version that was already stopped.
+
+        The roll-out is complete before the operator aborts it.
+        """
         self.runner.run(*_START)
         self._write_state(control_pb2.COMPLETE)
         result = self.runner.run("rollout", "abort", "balie")
@@ -97,6 +112,7 @@
         self.assertEqual(status["state"], "complete")
 
     def test_history_lists_all_attempts(self) -> None:
+        """Guards against a history without refused attempts."""
         self.runner.run(*_START)
         self.runner.run(*_START, operator="bram")
         self.runner.run("rollout", "abort", "balie")
@@ -108,5 +124,6 @@
         self.assertTrue(attempts[1]["refusals"])
 
     def test_status_without_a_rollout(self) -> None:
+        """Guards against a state of a roll-out that was never ordered."""
         result = self.runner.run("rollout", "status", "balie")
         self.assertEqual(result.exit_code, exit_codes.FINDINGS)
--- a/tests/operators/test_status_queries.py
+++ b/tests/operators/test_status_queries.py
@@ -22,7 +22,7 @@
         self.fleet = builders.FakeFleet(3)
         self.runner.use_fleet(self.fleet)
         self.runner.run("apply", _MESH)
-        self.runner.run_accepted_version(self.fleet)
+        self.runner.activate_accepted_version(self.fleet)
 
     def _run_json(self, *arguments: str) -> dict:
         """Runs a command and returns its exit code and last JSON output."""
@@ -38,6 +38,10 @@
         return [daemon["state"] for daemon in status["daemons"]]
 
     def test_in_force_everywhere(self) -> None:
+        """Guards against daemons that are shown in a wrong state.
+
+        All of them run the accepted version.
+        """
         status = self._run_json("status")
         self.assertEqual(
             (status["exit"], status["version"]), (exit_codes.OK, 1)
@@ -45,6 +49,11 @@
         self.assertEqual(self._list_states(), [fleet.IN_FORCE] * 3)
 
     def test_daemons_that_do_not_run_the_version(self) -> None:
+        """Guards against a version that only seems to be in force.
+
+        One daemon runs an earlier version, one is closed and one does not
+        answer.
+        """
         self.fleet.replies[0].running.version = 0
         self.fleet.replies[1].closed = True
         self.fleet.replies[1].closed_reason = "no floor yet"
@@ -77,12 +86,20 @@
         self.assertEqual(self._list_states(), [fleet.IN_FORCE])
 
     def test_first_daemon_does_not_answer(self) -> None:
+        """Guards against taking an unknown fleet for an empty one.
+
+        The daemon that lists the members does not answer.
+        """
         self.fleet.unreachable.add("127.0.0.1:1001")
         result = self.runner.run("status", *_DAEMON)
         self.assertEqual(result.exit_code, exit_codes.NOT_FULFILLED)
         self.assertIn("Nothing is known of the fleet", result.output)
 
     def test_fleet_is_shown_while_the_store_is_down(self) -> None:
+        """Guards against a status without the fleet while the store is down.
+
+        The accepted version is then unknown, but the daemons still answer.
+        """
         self.runner.store.down = True
         status = self._run_json("status")
         self.assertEqual(status["exit"], exit_codes.STORE_UNAVAILABLE)
@@ -92,12 +109,13 @@
         )
 
     def test_targets_are_summed_over_daemons(self) -> None:
-        """Guards against a missed target if a single daemon misses it.
+        """Guards against reporting a target as missed for one daemon's calls.
 
-        The target applies to the calls of the whole fleet.
+        The target applies to the calls of the whole fleet, so it holds although
+        a single daemon misses it.
         """
         self.runner.run("apply", _ZAANOEVER)
-        self.runner.run_accepted_version(self.fleet)
+        self.runner.activate_accepted_version(self.fleet)
         self.fleet.add_calls(0, "ticket-lookup", 1000, 1000, 1000)
         self.fleet.add_calls(1, "ticket-lookup", 10, 10, 5)
         status = self._run_json("status")
@@ -113,7 +131,12 @@
         self.assertEqual(status["exit"], exit_codes.NOT_FULFILLED)
 
     def test_apply_waits_until_in_force(self) -> None:
-        self.fleet.update = self.runner.run_accepted_version
+        """Guards against a wait that ends too early or only at its timeout.
+
+        The daemons run the new version from the third round of the wait on.
+        """
+        self.fleet.update = self.runner.activate_accepted_version
+        # The first request of the third round, see below.
         self.fleet.update_after_requests = 9
         old_request_count = self.fleet.request_count
         result = self.runner.run("apply", _ZAANOEVER, "--wait", *_DAEMON)
@@ -137,32 +160,43 @@
         self.assertFalse(output["in_force"]["everywhere"])
 
     def test_watch_lists_changes_between_rounds(self) -> None:
+        """Guards against accepted changes that no round lists.
+
+        Another operator's change is accepted in the first round, after the
+        store was read.
+        """
         proposal = builders.build_proposal(pathlib.Path(_ZAANOEVER), "bram")
         self.fleet.on_next_request = lambda: self.runner.propose(proposal)
         result = self.runner.run(
             "watch", "--count", "2", "--interval", "0", *_DAEMON
         )
         self.assertIn("version 2: apply of zaanoever by bram", result.output)
+        # The daemons still run version 1.
         self.assertEqual(result.exit_code, exit_codes.NOT_FULFILLED)
 
 
 class AskDaemonTest(unittest.IsolatedAsyncioTestCase):
     async def test_status_request_by_grpc(self) -> None:
+        """Guards against status requests that only the fake fleet answers."""
         async with builders.serve_status(version=7) as address:
             members = await fleet.list_members(address, 5)
             member_statuses = await fleet.ask_members(members, 5)
         self.assertEqual(
-            [daemon.state for daemon in self._check(member_statuses, 7)],
+            [daemon.state for daemon in self._list_daemons(member_statuses, 7)],
             [fleet.IN_FORCE],
         )
 
     async def test_daemon_that_does_not_run(self) -> None:
+        """Guards against errors of gRPC that the commands do not handle.
+
+        The daemon has stopped, so nothing listens on its port.
+        """
         async with builders.serve_status(version=7) as address:
             pass
         with self.assertRaises(fleet.DaemonUnavailableError):
             await fleet.list_members(address, 5)
 
-    def _check(
+    def _list_daemons(
         self, member_statuses: list[fleet.MemberStatus], version: int
     ) -> list[fleet.Daemon]:
         return [
--- a/tests/roots/__init__.py
+++ b/tests/roots/__init__.py
@@ -1,1 +1,1 @@
-"""Golden files of sessions, and tests of the operators' sessions."""
+"""Golden files of sessions, and tests of the sessions of operators."""
--- a/tests/roots/sessions.py
+++ b/tests/roots/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of operators, recorded as transcripts."""
+"""Sessions of operators: sequences of commands, recorded as transcripts."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 _DAEMON = ("--daemon", "127.0.0.1:1001")
 
 
-class Transcript:
-    """Runs commands and records their output.
+class SessionRecorder:
+    """Runs the commands of a session and records their output.
 
     Attributes:
         runner: Runs the commands.
@@ -52,94 +52,99 @@
 
 
 def run_change() -> str:
-    """Runs a change, from its validation until all daemons run it."""
-    transcript = Transcript()
-    fleet = transcript.fleet
+    """Runs changes, from their validation to the withdrawal of a document.
+
+    The first change of the document is in force on all daemons; the daemons do
+    not run the next one.
+    """
+    recorder = SessionRecorder()
+    fleet = recorder.fleet
     mesh, zaanoever = _get_path("mesh"), _get_path("zaanoever")
-    transcript.run("validate", _get_path("faulty"))
-    transcript.run("validate", mesh, zaanoever)
-    transcript.run("apply", zaanoever)
-    transcript.run("apply", mesh)
-    fleet.update = transcript.runner.run_accepted_version
+    recorder.run("validate", _get_path("faulty"))
+    recorder.run("validate", mesh, zaanoever)
+    recorder.run("apply", zaanoever)
+    recorder.run("apply", mesh)
+    fleet.update = recorder.runner.activate_accepted_version
+    # The first request of the third round of the wait. Each round has one
+    # request for the list of members and one to each of the three members.
     fleet.update_after_requests = 9
-    transcript.run("apply", zaanoever, "--wait", *_DAEMON)
+    recorder.run("apply", zaanoever, "--wait", *_DAEMON)
     fleet.add_calls(0, "lookup", 2000, 2000, 1995)
-    transcript.run("status", *_DAEMON)
-    transcript.run("diff", _get_path("faster"))
-    transcript.run("apply", _get_path("faster"))
+    recorder.run("status", *_DAEMON)
+    recorder.run("diff", _get_path("faster"))
+    recorder.run("apply", _get_path("faster"))
     fleet.add_calls(1, "lookup", 100, 98, 60)
-    transcript.run("status", *_DAEMON)
-    transcript.run("show", "zaanoever")
-    transcript.run("withdraw", "mesh")
-    transcript.run("withdraw", "zaanoever")
-    transcript.run("history")
-    transcript.run("audit")
-    return transcript.get_text()
+    recorder.run("status", *_DAEMON)
+    recorder.run("show", "zaanoever")
+    recorder.run("withdraw", "mesh")
+    recorder.run("withdraw", "zaanoever")
+    recorder.run("history")
+    recorder.run("audit")
+    return recorder.get_text()
 
 
 def run_race() -> str:
     """Runs concurrent changes of the same and of different organisations."""
-    transcript = Transcript()
-    transcript.run("apply", _get_path("mesh"))
-    transcript.run("apply", _get_path("zaanoever"))
-    transcript.add_comment(
+    recorder = SessionRecorder()
+    recorder.run("apply", _get_path("mesh"))
+    recorder.run("apply", _get_path("zaanoever"))
+    recorder.add_comment(
         "bram withdraws zaanoever just before anna's is accepted"
     )
     _accept_before_next_swap(
-        transcript, changes.Proposal("bram", "zaanoever", None)
+        recorder, changes.Proposal("bram", "zaanoever", None)
     )
-    transcript.run("apply", _get_path("faster"))
-    transcript.add_comment(
+    recorder.run("apply", _get_path("faster"))
+    recorder.add_comment(
         "cato enlarges the budget just before anna's is accepted"
     )
     larger = _TARGETS / "mesh-larger.toml"
-    _accept_before_next_swap(
-        transcript, builders.build_proposal(larger, "cato")
-    )
-    transcript.run("apply", _get_path("faster"))
-    transcript.run(
+    _accept_before_next_swap(recorder, builders.build_proposal(larger, "cato"))
+    recorder.run("apply", _get_path("faster"))
+    recorder.run(
         "apply", _get_path("zaanoever"), "--base", "3", operator="bram"
     )
-    transcript.run("audit")
-    return transcript.get_text()
+    recorder.run("audit")
+    return recorder.get_text()
 
 
 def run_outage() -> str:
     """Runs changes while the store loses answers and while it is down."""
-    transcript = Transcript()
-    store = transcript.runner.store
-    transcript.add_comment("the answer to the write of head is lost")
+    recorder = SessionRecorder()
+    store = recorder.runner.store
+    recorder.add_comment("the answer to the write of head is lost")
     store.lost_answers[records.HEAD_KEY] = 1
-    transcript.run("apply", _get_path("mesh"))
-    transcript.add_comment(
+    recorder.run("apply", _get_path("mesh"))
+    recorder.add_comment(
         "the store takes the write of head and answers no more"
     )
+    # More writes than there are attempts.
     store.late_writes[records.HEAD_KEY] = 100
-    transcript.run("apply", _get_path("zaanoever"))
-    transcript.run("audit")
-    transcript.add_comment("the write takes effect")
+    recorder.run("apply", _get_path("zaanoever"))
+    recorder.run("audit")
+    recorder.add_comment("the write takes effect")
     store.release_late()
     store.late_writes.clear()
-    transcript.run("audit")
-    transcript.run("apply", _get_path("zaanoever"))
-    transcript.add_comment("the store goes down")
+    recorder.run("audit")
+    recorder.run("apply", _get_path("zaanoever"))
+    recorder.add_comment("the store goes down")
     store.down = True
-    transcript.run("apply", _get_path("faster"))
-    transcript.runner.run_accepted_version(transcript.fleet)
-    transcript.run("status", *_DAEMON)
-    return transcript.get_text()
+    recorder.run("apply", _get_path("faster"))
+    recorder.runner.activate_accepted_version(recorder.fleet)
+    recorder.run("status", *_DAEMON)
+    return recorder.get_text()
 
 
 def _accept_before_next_swap(
-    transcript: Transcript, proposal: changes.Proposal
+    recorder: SessionRecorder, proposal: changes.Proposal
 ) -> None:
     """Has another operator's change accepted before the next swap."""
-    store = transcript.runner.store
+    store = recorder.runner.store
 
     async def before_call(method: str, key: str) -> None:
         if method == "put" and key == records.HEAD_KEY:
             store.before_call = None
-            await transcript.runner.propose(proposal)
+            await recorder.runner.propose(proposal)
 
     store.before_call = before_call
 
--- a/tests/roots/test_sessions.py
+++ b/tests/roots/test_sessions.py
@@ -1,8 +1,4 @@
-"""Compares transcripts of sessions with their golden files.
-
-`python -m tests.roots.test_sessions write` rewrites the golden files. Review
-the difference before you commit it.
-"""
+"""Compares transcripts of sessions with their golden files."""
 
 from __future__ import annotations
 
@@ -19,14 +15,19 @@
     maxDiff = None
 
     def test_sessions_match_their_golden_files(self) -> None:
+        """Guards against an unintended change of what operators see."""
         for name, run in sessions.SESSIONS.items():
             with self.subTest(name):
                 expected_text = _get_path(name).read_text(encoding="utf-8")
                 self.assertEqual(run(), expected_text)
 
 
-def write_files() -> None:
-    """Writes the golden file of each session."""
+def write_golden_files() -> None:
+    """Rewrites the golden file of each session.
+
+    `python -m tests.roots.test_sessions write` calls this. Review the
+    difference before you commit it.
+    """
     for name, run in sessions.SESSIONS.items():
         _get_path(name).write_text(run(), encoding="utf-8")
 
@@ -38,6 +39,6 @@
 
 if __name__ == "__main__":
     if sys.argv[1:] == ["write"]:
-        write_files()
+        write_golden_files()
     else:
         unittest.main()
