--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -47,10 +47,10 @@
         organisation: str,
         document: document_pb2.Document | None,
         operator: str = "anna",
-        base: int | None = None,
+        seen_version: int | None = None,
     ) -> outcomes.Outcome:
         return await self.proposer.propose(
-            changes.Proposal(operator, organisation, document, base)
+            changes.Proposal(operator, organisation, document, seen_version)
         )
 
     async def _accept(
@@ -204,12 +204,12 @@
             outcome.findings[0].place, "zaanoever: services.balie.calls"
         )
 
-    async def test_change_since_the_base_version_is_a_lost_race(self) -> None:
+    async def test_change_after_the_seen_version_is_a_lost_race(self) -> None:
         """Guards against overwriting a version that the operator has not seen.
 
-        The operator's change is based on version 2, and the document was
-        changed since. The compare-and-swap alone would not detect this, as it
-        is based on the newest head.
+        The operator starts from version 2, and the document was changed since.
+        The compare-and-swap alone would not detect this, as it is based on the
+        newest head.
         """
         await self._accept(
             "zaanoever", _build_document("zaanoever", "balie", 1)
@@ -219,13 +219,13 @@
         await self._accept(
             "zaanoever", _build_document("zaanoever", "balie", 2), "bram"
         )
-        outcome = await self._propose("zaanoever", new_document, base=2)
+        outcome = await self._propose("zaanoever", new_document, seen_version=2)
         assert isinstance(outcome, outcomes.LostRace), outcome
         assert outcome.by is not None
         self.assertEqual(outcome.by.operator, "bram")
-        outcome = await self._propose("zaanoever", new_document, base=9)
+        outcome = await self._propose("zaanoever", new_document, seen_version=9)
         self.assertIsInstance(outcome, outcomes.Refused)
-        outcome = await self._propose("zaanoever", new_document, base=4)
+        outcome = await self._propose("zaanoever", new_document, seen_version=4)
         self.assertIsInstance(outcome, outcomes.Accepted)
 
     async def test_unchanged_document_creates_no_version(self) -> None:
