--- a/merlintrestle/operators/change_commands.py
+++ b/merlintrestle/operators/change_commands.py
@@ -1,4 +1,4 @@
-"""Commands that check and change targets."""
+"""Commands that validate and change target documents."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     from merlintrestle.documents import snapshot as snapshots
     from merlintrestle.schema import document_pb2
 
-_FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
-_DEFAULT_WAIT_S = 30.0
+_FILE_TYPE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
+_DEFAULT_WAIT_TIMEOUT_S = 30.0
 _EXIT_CODES = {
     outcomes.Accepted: exit_codes.OK,
     outcomes.Unchanged: exit_codes.OK,
@@ -51,7 +51,7 @@
 wait_timeout_option = click.option(
     "--wait-timeout",
     type=click.FloatRange(min=0),
-    default=_DEFAULT_WAIT_S,
+    default=_DEFAULT_WAIT_TIMEOUT_S,
     show_default=True,
     metavar="SECONDS",
     help="Longest wait.",
@@ -59,11 +59,11 @@
 
 
 class WaitOptions(NamedTuple):
-    """Whether and how long to wait for a version to be in force.
+    """Options of a command that can wait until all daemons run a version.
 
     Attributes:
-        enabled: True to wait.
-        timeout_s: Longest wait in seconds.
+        enabled: Whether to wait.
+        timeout_s: Maximum time to wait, in seconds.
     """
 
     enabled: bool
@@ -76,10 +76,10 @@
         "merlintrestle validate mesh.toml zaanoever.toml",
     )
 )
-@click.argument("files", nargs=-1, required=True, type=_FILE)
+@click.argument("files", nargs=-1, required=True, type=_FILE_TYPE)
 @session.pass_session
 async def validate(
-    run: session.Session, files: tuple[pathlib.Path, ...]
+    current_session: session.Session, files: tuple[pathlib.Path, ...]
 ) -> int:
     """Checks target documents and reports every finding.
 
@@ -87,32 +87,36 @@
     organisations; several files without it are checked against each other.
     """
     documents = _read_files(files)
-    against = ""
-    if run.settings.store:
-        head, accepted = await run.read_accepted()
+    checked_against = ""
+    if current_session.settings.store:
+        head, accepted = await current_session.read_accepted()
         documents = {**accepted, **documents}
-        against = f"version {head.version}"
+        checked_against = f"version {head.version}"
     elif len(files) > 1:
-        against = "each other"
-    findings = checks.check_documents(documents) if against else []
+        checked_against = "each other"
+    findings = checks.check_documents(documents) if checked_against else []
     if findings:
         raise errors.InvalidInputError(findings)
-    run.report(results.Validated(tuple(map(str, files)), against))
+    current_session.report(
+        results.Validated(tuple(map(str, files)), checked_against)
+    )
     return exit_codes.OK
 
 
 @click.command(
     epilog=session.format_examples("merlintrestle diff zaanoever.toml")
 )
-@click.argument("file", type=_FILE)
+@click.argument("file", type=_FILE_TYPE)
 @session.pass_session
-async def diff(run: session.Session, file: pathlib.Path) -> int:
+async def diff(current_session: session.Session, file: pathlib.Path) -> int:
     """Shows what a target document would change."""
     document = _read_file(file)
-    head, documents = await run.read_accepted()
-    name = document.organisation
-    lines = differences.list_differences(documents.get(name), document)
-    run.report(results.Difference(name, head.version, tuple(lines)))
+    head, documents = await current_session.read_accepted()
+    organisation = document.organisation
+    lines = differences.list_differences(documents.get(organisation), document)
+    current_session.report(
+        results.Difference(organisation, head.version, tuple(lines))
+    )
     return exit_codes.OK
 
 
@@ -123,13 +127,13 @@
         "merlintrestle apply zaanoever.toml --wait --daemon 10.0.0.7:8082",
     )
 )
-@click.argument("file", type=_FILE)
+@click.argument("file", type=_FILE_TYPE)
 @_base_option
 @_wait_option
 @wait_timeout_option
 @session.pass_session
 async def apply(
-    run: session.Session,
+    current_session: session.Session,
     file: pathlib.Path,
     base: int | None,
     wait: bool,
@@ -139,10 +143,12 @@
 
     It is accepted whole or refused whole. To apply a file again is safe.
     """
-    operator = run.require_setting("operator")
+    operator = current_session.require_setting("operator")
     document = _read_file(file)
     proposal = changes.Proposal(operator, document.organisation, document, base)
-    return await _propose(run, proposal, WaitOptions(wait, wait_timeout))
+    return await _propose(
+        current_session, proposal, WaitOptions(wait, wait_timeout)
+    )
 
 
 @click.command(
@@ -154,7 +160,7 @@
 @wait_timeout_option
 @session.pass_session
 async def withdraw(
-    run: session.Session,
+    current_session: session.Session,
     organisation: str,
     base: int | None,
     wait: bool,
@@ -164,76 +170,96 @@
 
     It is refused while other organisations refer to its services.
     """
-    operator = run.require_setting("operator")
+    operator = current_session.require_setting("operator")
     proposal = changes.Proposal(operator, organisation, None, base)
-    return await _propose(run, proposal, WaitOptions(wait, wait_timeout))
+    return await _propose(
+        current_session, proposal, WaitOptions(wait, wait_timeout)
+    )
 
 
 async def _propose(
-    run: session.Session, proposal: changes.Proposal, wait: WaitOptions
+    current_session: session.Session,
+    proposal: changes.Proposal,
+    wait_options: WaitOptions,
 ) -> int:
-    if wait.enabled:
-        run.require_setting("daemon")
-    async with run.open_store() as store:
+    """Proposes a change, reports its outcome and returns the exit code."""
+    if wait_options.enabled:
+        current_session.require_setting("daemon")
+    async with current_session.open_store() as store:
         proposer = changes.Proposer(
             store,
-            run.dependencies.make_id,
-            run.dependencies.read_clock_ms,
-            run.dependencies.retry_delay_s,
-            _choose_push_version(run),
+            current_session.dependencies.make_id,
+            current_session.dependencies.read_clock_ms,
+            current_session.dependencies.retry_delay_s,
+            _bind_push_version(current_session),
         )
         outcome = await proposer.propose(proposal)
-    waits = isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
-    if not (wait.enabled and waits):
-        run.report(outcome)
+    is_accepted = isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
+    if not (wait_options.enabled and is_accepted):
+        current_session.report(outcome)
         return _EXIT_CODES[type(outcome)]
-    return await _wait(run, outcome, wait.timeout_s)
+    return await _wait(current_session, outcome, wait_options.timeout_s)
 
 
-def _choose_push_version(
-    run: session.Session,
+def _bind_push_version(
+    current_session: session.Session,
 ) -> Callable[[snapshots.Snapshot], Awaitable[None]] | None:
-    if not run.settings.daemon:
+    """Returns a function that pushes a version to the daemon of the settings.
+
+    Returns None if no daemon is set.
+    """
+    if not current_session.settings.daemon:
         return None
     return functools.partial(
-        run.dependencies.push_version,
-        run.settings.daemon,
-        run.settings.timeout_s,
+        current_session.dependencies.push_version,
+        current_session.settings.daemon,
+        current_session.settings.timeout_s,
     )
 
 
 async def _wait(
-    run: session.Session, outcome: outcomes.Outcome, timeout_s: float
+    current_session: session.Session,
+    outcome: outcomes.Outcome,
+    timeout_s: float,
 ) -> int:
-    """Waits for an accepted version; JSON output stays one object."""
+    """Waits until an accepted version is in force and returns the exit code.
+
+    The text output reports the outcome before the wait. The JSON output is a
+    single object, so it reports both after the wait.
+    """
     assert isinstance(outcome, outcomes.Accepted | outcomes.Unchanged)
-    if not run.is_json:
-        run.report(outcome)
-    found = await status_queries.wait_in_force(
-        run,
+    if not current_session.is_json:
+        current_session.report(outcome)
+    in_force = await status_queries.wait_in_force(
+        current_session,
         outcome.version,
         bytes.fromhex(outcome.digest),
         timeout_s,
-        run.report_progress,
+        current_session.report_progress,
     )
-    if run.is_json:
-        run.report(dataclasses.replace(outcome, in_force=found))
+    if current_session.is_json:
+        current_session.report(dataclasses.replace(outcome, in_force=in_force))
     else:
-        run.report(found)
-    return exit_codes.OK if found.everywhere else exit_codes.NOT_FULFILLED
+        current_session.report(in_force)
+    return exit_codes.OK if in_force.everywhere else exit_codes.NOT_FULFILLED
 
 
 def _read_file(file: pathlib.Path) -> document_pb2.Document:
-    with file.open("rb") as opened:
-        # One byte more than is allowed is enough to refuse the file.
-        content = opened.read(reader.MAX_FILE_BYTES + 1)
+    with file.open("rb") as stream:
+        # One byte more than the limit is enough for the reader to reject it.
+        content = stream.read(reader.MAX_FILE_BYTES + 1)
     return reader.read_document(content, str(file))
 
 
 def _read_files(
     files: tuple[pathlib.Path, ...],
 ) -> dict[str, document_pb2.Document]:
-    """Reads several files; findings of all of them are raised together."""
+    """Returns the documents of several files, by organisation.
+
+    Raises:
+        errors.InvalidInputError: At least one file is invalid; the error has
+            the findings of all files.
+    """
     findings: list[errors.Finding] = []
     documents: dict[str, document_pb2.Document] = {}
     for file in files:
@@ -242,11 +268,11 @@
         except errors.InvalidInputError as error:
             findings += error.findings
             continue
-        name = document.organisation
-        if name in documents:
-            text = f"another file is also of organisation {name!r}."
+        organisation = document.organisation
+        if organisation in documents:
+            text = f"another file is also of organisation {organisation!r}."
             findings.append(errors.Finding(f"{file}: organisation", text))
-        documents[name] = document
+        documents[organisation] = document
     if findings:
         raise errors.InvalidInputError(findings)
     return documents
--- a/merlintrestle/operators/targets.py
+++ b/merlintrestle/operators/targets.py
@@ -1,4 +1,4 @@
-"""Whether targets hold: the calls of all daemons against the documents."""
+"""Compares the calls of all daemons with the targets of the documents."""
 
 from __future__ import annotations
 
@@ -11,27 +11,34 @@
 
     from merlintrestle.schema import document_pb2
 
+# Values of `Target.state`.
 HOLDS = "holds"
 MISSED = "missed"
 NO_CALLS = "no calls"
 
 
 class Target(NamedTuple):
-    """The targets of one class of work and what was reached.
+    """The targets of a class of work and the measured values.
+
+    The values were measured in the last window of each daemon that answered;
+    the counts are summed over these daemons, and the fractions are computed
+    from the sums.
 
     Attributes:
-        organisation: Who declares them.
+        organisation: Organisation that declares the targets.
         service: Service that serves the class.
         name: Name of the class.
         state: "holds", "missed" or "no calls".
-        calls: Calls in the last window of each daemon.
-        share: Share of the answered calls within the latency target.
-        wanted_share: What the document demands.
-        answered: Share of all calls that were answered without a failure.
-        wanted_availability: What the document demands.
-        refused: Calls that were refused as not run.
-        failed: Calls that ran and failed.
-        unknown: Calls of which nobody knows whether they ran.
+        calls: Number of calls.
+        share: Fraction of the answered calls within the latency target; 0 if
+            there were none.
+        wanted_share: Target of `share`.
+        answered: Fraction of all calls that were answered without a failure; 0
+            if there were none.
+        wanted_availability: Target of `answered`.
+        refused: Number of calls that were refused and did not run.
+        failed: Number of calls that ran and failed.
+        unknown: Number of calls of which it is unknown whether they ran.
     """
 
     organisation: str
@@ -52,72 +59,78 @@
     documents: Mapping[str, document_pb2.Document],
     replies: Iterable[control_pb2.StatusReply],
 ) -> list[Target]:
-    """Returns each class of work with what the fleet reached.
+    """Returns the targets and measured values of each class of work.
 
     Args:
         documents: The accepted documents by organisation.
-        replies: The status of every daemon that answered.
+        replies: The status of each daemon that answered.
     """
-    sums = _add_up(replies)
+    totals = _sum_by_class(replies)
     return [
-        _judge(
+        _evaluate_class(
             organisation,
             service.name,
-            target,
-            sums.get(
-                (organisation, service.name, target.name),
+            class_target,
+            totals.get(
+                (organisation, service.name, class_target.name),
                 control_pb2.ClassStatus(),
             ),
         )
         for organisation, document in sorted(documents.items())
         for service in document.services
-        for target in service.classes
+        for class_target in service.classes
     ]
 
 
-def _add_up(
+def _sum_by_class(
     replies: Iterable[control_pb2.StatusReply],
 ) -> dict[tuple[str, str, str], control_pb2.ClassStatus]:
-    sums: dict[tuple[str, str, str], control_pb2.ClassStatus] = {}
+    """Returns the sums over all daemons by organisation, service and class."""
+    totals: dict[tuple[str, str, str], control_pb2.ClassStatus] = {}
     for reply in replies:
-        for part in reply.classes:
-            key = (part.organisation, part.service, part.name)
-            total = sums.setdefault(key, control_pb2.ClassStatus())
-            total.calls += part.calls
-            total.answered += part.answered
-            total.within_latency += part.within_latency
-            total.refused += part.refused
-            total.failed += part.failed
-            total.unknown += part.unknown
-    return sums
-
-
-def _judge(
+        for counts in reply.classes:
+            key = (counts.organisation, counts.service, counts.name)
+            total = totals.setdefault(key, control_pb2.ClassStatus())
+            total.calls += counts.calls
+            total.answered += counts.answered
+            total.within_latency += counts.within_latency
+            total.refused += counts.refused
+            total.failed += counts.failed
+            total.unknown += counts.unknown
+    return totals
+
+
+def _evaluate_class(
     organisation: str,
     service: str,
-    target: document_pb2.ClassTarget,
-    seen: control_pb2.ClassStatus,
+    class_target: document_pb2.ClassTarget,
+    total: control_pb2.ClassStatus,
 ) -> Target:
-    # A call without an answer counts against availability alone, so that one
-    # fault is not reported as two missed targets.
-    share = seen.within_latency / seen.answered if seen.answered else 0.0
-    answered = seen.answered / seen.calls if seen.calls else 0.0
+    # A call without an answer counts only towards availability, so that one
+    # fault does not count as two missed targets.
+    in_time_fraction = (
+        total.within_latency / total.answered if total.answered else 0.0
+    )
+    answered_fraction = total.answered / total.calls if total.calls else 0.0
     state = MISSED
-    if not seen.calls:
+    if not total.calls:
         state = NO_CALLS
-    elif share >= target.share and answered >= target.availability:
+    elif (
+        in_time_fraction >= class_target.share
+        and answered_fraction >= class_target.availability
+    ):
         state = HOLDS
     return Target(
         organisation=organisation,
         service=service,
-        name=target.name,
+        name=class_target.name,
         state=state,
-        calls=seen.calls,
-        share=share,
-        wanted_share=target.share,
-        answered=answered,
-        wanted_availability=target.availability,
-        refused=seen.refused,
-        failed=seen.failed,
-        unknown=seen.unknown,
+        calls=total.calls,
+        share=in_time_fraction,
+        wanted_share=class_target.share,
+        answered=answered_fraction,
+        wanted_availability=class_target.availability,
+        refused=total.refused,
+        failed=total.failed,
+        unknown=total.unknown,
     )
