--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform, for tests, demo and measurements alone."""
+"""Stand-ins for the platform, used only by tests, demo and measurements."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""Stand-in of a backend server, for tests and measurements.
+"""Stand-in for a backend server, for tests and measurements.
 
 Run it with `python -m standins.backend --service balie --admin IP:PORT`.
 """
@@ -22,42 +22,47 @@
 
 logger = logging.getLogger(__name__)
 
-_STOP_ANNOUNCING_AFTER_S = 0.5
+_DRAIN_PROPAGATION_S = 0.5
 
 
 class BackendStandin:
-    """A backend server with a control port for its faults.
+    """A backend server with a control port that injects faults.
 
     Attributes:
-        settings: How it behaves.
-        port: Port for calls; known after `start`.
-        control_port: Port of the controls; known after `start`.
+        settings: Its capacity and the duration of its work.
+        port: Port for calls; set by `start`.
+        control_port: Port of the control API; set by `start`.
         state: "ready", "draining" or "down".
     """
 
     def __init__(
         self,
         settings: worker.Settings,
-        admin: str = "",
+        admin_address: str = "",
         ledger_path: str = "",
-        daemon: str = "",
+        daemon_url: str = "",
     ):
-        """Prepares a backend server.
+        """Initializes a backend server that does not listen yet.
 
         Args:
-            settings: How it behaves.
-            admin: Admin address of the daemon beside it; empty: none.
-            ledger_path: File in which it records its runs; empty: none.
-            daemon: URL of that daemon for own calls; empty: none are made.
+            settings: Its capacity and the duration of its work.
+            admin_address: Admin address of the daemon of its instance,
+                "ip:port"; if empty, it announces itself to nobody.
+            ledger_path: File in which it records its runs; if empty, it
+                records them only in memory.
+            daemon_url: URL of that daemon for nested calls; if empty, it makes
+                none.
         """
         self.settings = settings
         self.port = 0
         self.control_port = 0
         self.state = "ready"
         self._ledger = ledger.Ledger(ledger_path)
-        self._caller = nested_calls.NestedCaller(daemon)
-        self._worker = worker.Worker(settings, self._ledger, self._caller)
-        self._announcer = announcements.Announcer(admin)
+        self._nested_caller = nested_calls.NestedCaller(daemon_url)
+        self._worker = worker.Worker(
+            settings, self._ledger, self._nested_caller
+        )
+        self._announcer = announcements.Announcer(admin_address)
         self._runners: list[web.AppRunner] = []
 
     @property
@@ -66,42 +71,51 @@
         return f"{process.HOST}:{self.port}"
 
     async def start(self, port: int = 0, control_port: int = 0) -> None:
-        """Opens both ports and announces itself."""
+        """Opens both ports and announces itself to the daemon.
+
+        Args:
+            port: Port for calls; 0 chooses a free one.
+            control_port: Port of the control API; 0 chooses a free one.
+        """
         self._ledger.start()
-        await self._caller.start()
-        calls = web.Application(client_max_size=64 * 1024 * 1024)
-        calls.router.add_get("/-/health", self._show_health)
-        calls.router.add_get("/-/load", self._show_load)
-        calls.router.add_route("*", "/{path:.*}", self._worker.handle)
-        runner, self.port = await process.serve(
-            calls, port, handler_cancellation=True
+        await self._nested_caller.start()
+        call_application = web.Application(client_max_size=64 * 1024 * 1024)
+        call_application.router.add_get("/-/health", self._show_health)
+        call_application.router.add_get("/-/load", self._show_load)
+        call_application.router.add_route(
+            "*", "/{path:.*}", self._worker.handle
         )
-        controls = web.Application()
-        controls.router.add_get("/runs", self._show_runs)
-        controls.router.add_post("/faults", self._change_faults)
-        controls.router.add_post("/drain", self._handle_drain)
-        other, self.control_port = await process.serve(controls, control_port)
-        self._runners = [runner, other]
+        call_runner, self.port = await process.serve(
+            call_application, port, handler_cancellation=True
+        )
+        control_application = web.Application()
+        control_application.router.add_get("/runs", self._show_runs)
+        control_application.router.add_post("/faults", self._change_faults)
+        control_application.router.add_post("/drain", self._handle_drain)
+        control_runner, self.control_port = await process.serve(
+            control_application, control_port
+        )
+        self._runners = [call_runner, control_runner]
         self._worker.address = self.address
-        await self._announcer.start(self._announcement())
+        await self._announcer.start(self._build_announcement())
 
     async def drain(self) -> None:
-        """Announces the leave and returns when nothing is in flight."""
+        """Announces that it drains and waits until no call is in flight."""
         self.state = "draining"
-        await self._announcer.announce(self._announcement())
+        await self._announcer.announce(self._build_announcement())
         await self._worker.wait_idle()
 
     async def close(self) -> None:
         """Announces that it is down and closes both ports."""
         self.state = "down"
-        await self._announcer.announce(self._announcement())
+        await self._announcer.announce(self._build_announcement())
         await self._announcer.close()
         for runner in self._runners:
             await runner.cleanup()
-        await self._caller.close()
+        await self._nested_caller.close()
         self._ledger.close()
 
-    def _announcement(self) -> announcements.Announcement:
+    def _build_announcement(self) -> announcements.Announcement:
         return announcements.Announcement(
             self.settings.service,
             self.address,
@@ -121,10 +135,10 @@
 
     async def _change_faults(self, request: web.Request) -> web.Response:
         try:
-            new = worker.Faults(**await request.json())
+            faults = worker.Faults(**await request.json())
         except (TypeError, ValueError) as error:
             return web.json_response({"error": str(error)}, status=400)
-        self._worker.set_faults(new)
+        self._worker.set_faults(faults)
         return web.json_response({})
 
     async def _handle_drain(self, _request: web.Request) -> web.Response:
@@ -134,13 +148,13 @@
 
 async def _run(
     settings: worker.Settings,
-    admin: str,
+    admin_address: str,
     ledger_path: str,
-    daemon: str,
+    daemon_url: str,
     port: int,
 ) -> None:
     stop = process.wait_for_stop_signal()
-    backend = BackendStandin(settings, admin, ledger_path, daemon)
+    backend = BackendStandin(settings, admin_address, ledger_path, daemon_url)
     await backend.start(port)
     process.print_ready(
         "backend",
@@ -150,14 +164,14 @@
     )
     await stop.wait()
     await backend.drain()
-    await asyncio.sleep(_STOP_ANNOUNCING_AFTER_S)
-    # A call that was sent before the leave was known may have come since.
+    await asyncio.sleep(_DRAIN_PROPAGATION_S)
+    # A daemon that had not learned of the drain yet may have sent a call since.
     await backend.drain()
     await backend.close()
 
 
-def _parse_work(texts: tuple[str, ...]) -> dict[str, float]:
-    pairs = [text.partition("=") for text in texts]
+def _parse_work(options: tuple[str, ...]) -> dict[str, float]:
+    pairs = [option.partition("=") for option in options]
     return {prefix: float(ms) for prefix, _, ms in pairs}
 
 
@@ -166,11 +180,13 @@
 @click.option("--admin", default="", help="Admin address of its daemon.")
 @click.option("--daemon", default="", help="URL of its daemon for calls.")
 @click.option("--port", default=0, help="Port for calls; 0: a free one.")
-@click.option("--slots", default=12, help="Calls it runs at once.")
+@click.option("--slots", default=12, help="Calls it runs concurrently.")
 @click.option("--work", "work_ms", multiple=True, help="/prefix=ms of work.")
-@click.option("--cold-start-s", default=2.0, help="Seconds of cold start.")
-@click.option("--cold-factor", default=3.0, help="How much slower it is then.")
-@click.option("--ledger", "ledger_path", default="", help="File of runs.")
+@click.option("--cold-start-s", default=2.0, help="Cold start in seconds.")
+@click.option("--cold-factor", default=3.0, help="Slowdown in a cold start.")
+@click.option(
+    "--ledger", "ledger_path", default="", help="File that records runs."
+)
 def main(
     service: str,
     admin: str,
@@ -182,7 +198,7 @@
     cold_factor: float,
     ledger_path: str,
 ) -> None:
-    """Runs the stand-in of a backend server; SIGTERM drains and stops it."""
+    """Runs the stand-in for a backend server; SIGTERM drains and stops it."""
     process.configure_logging(f"{service} stand-in")
     settings = worker.Settings(
         service, slots, _parse_work(work_ms), cold_start_s, cold_factor
--- a/standins/content.py
+++ b/standins/content.py
@@ -1,4 +1,4 @@
-"""Bodies that the backend server stand-in sends and callers can check."""
+"""Generates download bodies that callers can verify by their hasher."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 def generate_chunks(request_id: str, total_bytes: int) -> Iterator[bytes]:
-    """Yields the body that belongs to one request, in chunks.
+    """Yields the body for a request in chunks of at most `CHUNK_BYTES`.
 
-    No two requests have the same body, and every chunk bears its number, so
-    that a mixed-up, doubled or missing piece changes the checksum.
+    Each request has a body of its own, and each chunk contains its number, so
+    a reordered, duplicated or missing chunk changes the hasher.
     """
     filler = hashlib.shake_256(request_id.encode()).digest(CHUNK_BYTES - 8)
-    sent = 0
-    while sent < total_bytes:
-        number = (sent // CHUNK_BYTES).to_bytes(8, "big")
-        chunk = (number + filler)[: total_bytes - sent]
-        sent += len(chunk)
+    offset = 0
+    while offset < total_bytes:
+        chunk_number = (offset // CHUNK_BYTES).to_bytes(8, "big")
+        chunk = (chunk_number + filler)[: total_bytes - offset]
+        offset += len(chunk)
         yield chunk
 
 
 def compute_checksum(request_id: str, total_bytes: int) -> str:
-    """Returns the SHA-256 in hex of the whole body of one request."""
-    digest = hashlib.sha256()
+    """Returns the SHA-256, in hex, of the complete body for a request."""
+    hasher = hashlib.sha256()
     for chunk in generate_chunks(request_id, total_bytes):
-        digest.update(chunk)
-    return digest.hexdigest()
+        hasher.update(chunk)
+    return hasher.hexdigest()
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -1,4 +1,4 @@
-"""Record of every run of every request, so that harm can be counted."""
+"""Records each run of a request, so that lost or repeated runs are counted."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class Ledger:
-    """Records runs in memory and, if asked, in a file that survives crashes.
+    """Records runs in memory and optionally in a file that survives crashes.
 
     Attributes:
-        records: What happened, oldest first.
+        records: Events of the runs, oldest first.
     """
 
     def __init__(self, path: str = ""):
-        """Opens the ledger.
+        """Initializes a ledger without records.
 
         Args:
-            path: File to append JSON lines to; several processes may share
-                it. Empty: none.
+            path: File to append JSON lines to, which several processes may
+                share; if empty, records stay in memory only.
         """
         self.records: list[dict[str, Any]] = []
         self._path = path
         self._file = -1
 
     def start(self) -> None:
-        """Opens the file."""
+        """Opens the file, if there is one."""
         if self._path:
             flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
             self._file = os.open(self._path, flags, 0o600)
 
     def close(self) -> None:
-        """Closes the file."""
+        """Closes the file, if it is open."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
@@ -43,23 +43,23 @@
 
         Args:
             event: "started", "done", "cancelled" or "shed" (it did not run).
-            request_id: Identity of the request.
-            fields: More to record.
+            request_id: Id of the request.
+            fields: Further fields of the record.
         """
-        line = {
+        record = {
             "event": event,
             "request_id": request_id,
             "at_ms": time.time_ns() // 1_000_000,
             **fields,
         }
-        self.records.append(line)
+        self.records.append(record)
         if self._file >= 0:
-            # One write call each: the line stands even if the process is
+            # A single write call per line keeps the line even if the process is
             # killed right after, and lines of several processes do not mix.
-            os.write(self._file, (json.dumps(line) + "\n").encode())
+            os.write(self._file, (json.dumps(record) + "\n").encode())
 
 
 def read_ledger(path: str) -> list[dict[str, Any]]:
-    """Reads the records that processes appended to a file."""
+    """Returns the records that processes appended to a file."""
     with open(path, encoding="utf-8") as file:
         return [json.loads(line) for line in file]
--- a/standins/nested_calls.py
+++ b/standins/nested_calls.py
@@ -1,4 +1,4 @@
-"""Calls that the backend server stand-in makes on behalf of a request."""
+"""Makes the nested calls of the backend server stand-in for a request."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 if TYPE_CHECKING:
     from aiohttp import web
 
-# Paths to call one after another, each by the one before: "kassa/seals,...".
+# Query parameter with the paths of a chain of nested calls: "kassa/seals,...".
+# The backend server calls the first and passes the others on to it.
 NEXT_PATHS_PARAMETER = "then"
-_PASSED_ON = (
+_FORWARDED_HEADERS = (
     "Request-Id",
     "Attempt-Id",
     "Merlintrestle-Deadline-Ms",
     "Merlintrestle-Depth",
     "Merlintrestle-Attempt",
 )
-_TIMEOUT = aiohttp.ClientTimeout(total=10.0)
+_CALL_TIMEOUT = aiohttp.ClientTimeout(total=10.0)
 
 
 class NestedCaller:
-    """Calls other services by way of the daemon beside the backend server.
+    """Calls other services through the daemon of the backend server.
 
     Attributes:
-        daemon_url: URL of the daemon for callers; empty: no calls are made.
+        daemon_url: URL of the daemon for callers; if empty, no calls are made.
     """
 
     def __init__(self, daemon_url: str):
@@ -33,35 +34,39 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Opens the client."""
-        self._session = aiohttp.ClientSession(timeout=_TIMEOUT)
+        """Opens the HTTP client."""
+        self._session = aiohttp.ClientSession(timeout=_CALL_TIMEOUT)
 
     async def close(self) -> None:
-        """Closes the client."""
+        """Closes the HTTP client."""
         if self._session is not None:
             await self._session.close()
 
     async def call(self, request: web.Request) -> int:
-        """Makes the next call that a request asks for.
+        """Makes the next nested call that a request asks for, if any.
 
         Returns:
-            Status of the answer; 200 where no call is asked for, 502 where
+            Status of the answer; 200 if the request asks for no call, 502 if
             there is no answer.
         """
-        first, _, rest = request.query.get(NEXT_PATHS_PARAMETER, "").partition(
-            ","
-        )
-        if not first or not self.daemon_url or self._session is None:
+        path, _, remaining_paths = request.query.get(
+            NEXT_PATHS_PARAMETER, ""
+        ).partition(",")
+        if not path or not self.daemon_url or self._session is None:
             return 200
-        url = f"{self.daemon_url}/{first}/nested"
+        url = f"{self.daemon_url}/{path}/nested"
         headers = {
             name: request.headers[name]
-            for name in _PASSED_ON
+            for name in _FORWARDED_HEADERS
             if name in request.headers
         }
         query = {
             "work_ms": "0",
-            **({NEXT_PATHS_PARAMETER: rest} if rest else {}),
+            **(
+                {NEXT_PATHS_PARAMETER: remaining_paths}
+                if remaining_paths
+                else {}
+            ),
         }
         try:
             async with self._session.get(
--- a/standins/platform_backend.py
+++ b/standins/platform_backend.py
@@ -1,4 +1,4 @@
-"""Stand-in of a backend server of the users' platform, by its pages."""
+"""Stand-in for a backend server, as the users' platform documents it."""
 
 from __future__ import annotations
 
@@ -14,20 +14,24 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-_ids = itertools.count(1)
+_instance_numbers = itertools.count(1)
 
 
 class PlatformBackendStandin:
-    """A backend server; each start of one has another id.
+    """A backend server with a new instance id, as each start of one has.
 
     Attributes:
-        instance_id: Its id.
-        port: Its port; known after `start`.
-        executed_attempts: Ids of the attempts that it ran, in order.
-        received_headers: Headers of the requests that it got, in order.
-        handler: Answers what it runs; the test may replace it.
-        rejects_requests: Refuses every request as not run.
+        instance_id: Id of its instance.
+        service: Service that it serves.
+        zone: Its availability zone.
         version: Version of its software.
+        slots: Number of calls that it reports to run concurrently.
+        port: Port for calls; set by `start`.
+        executed_attempts: Ids of the attempts that it executed, in order.
+        received_headers: Headers of the requests that it received, in order.
+        rejects_requests: Whether it rejects every request as not executed and
+            fails its health checks.
+        handler: Answers the requests that it executes; tests may replace it.
     """
 
     def __init__(
@@ -37,7 +41,7 @@
         slots: int = 12,
         version: str = "v1",
     ):
-        self.instance_id = f"i-{next(_ids):08x}"
+        self.instance_id = f"i-{next(_instance_numbers):08x}"
         self.service = service
         self.zone = zone
         self.version = version
@@ -53,7 +57,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Opens the port."""
+        """Opens the port for calls."""
         application = web.Application()
         application.router.add_route("*", "/{path:.*}", self._handle)
         self._runner, self.port = await process.serve(
@@ -64,7 +68,7 @@
         )
 
     async def close(self) -> None:
-        """Closes the port."""
+        """Closes the port for calls."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -74,7 +78,16 @@
         state: str = "ready",
         sequence: int | None = None,
     ) -> int:
-        """Announces itself to a daemon; returns the status of the answer."""
+        """Reports its state to a daemon.
+
+        Args:
+            heartbeat_address: Address of the daemon for heartbeats, "ip:port".
+            state: State to report, such as "ready".
+            sequence: Sequence number to send in place of the next one.
+
+        Returns:
+            Status of the answer.
+        """
         self._sequence += 1
         body = {
             "service": self.service,
@@ -90,18 +103,25 @@
         return await _post(f"http://{heartbeat_address}{path}", body)
 
     async def send_leave(self, heartbeat_address: str) -> int:
-        """Says that it takes no new work; returns the status of the answer."""
+        """Reports to a daemon that it accepts no new requests.
+
+        Args:
+            heartbeat_address: Address of the daemon for heartbeats, "ip:port".
+
+        Returns:
+            Status of the answer.
+        """
         path = f"/merlintrestle/Instances.Leave/{self.instance_id}"
         return await _post(f"http://{heartbeat_address}{path}", {})
 
     async def answer(self, request: web.Request) -> web.StreamResponse:
-        """Answers with a signature and a body."""
+        """Answers a request with a signature and a fixed body."""
         return web.Response(
             body=b"whole", headers=self.build_answer_headers(request)
         )
 
     def build_answer_headers(self, request: web.Request) -> dict[str, str]:
-        """Returns the headers of an answer of its own."""
+        """Returns the headers of a signed answer to a request."""
         return {
             "X-Attempt-Id": request.headers["X-Attempt-Id"],
             "X-Response-Signature": f"sig-{self.instance_id}",
@@ -111,17 +131,19 @@
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         if request.path == "/health":
-            return self._answer_status()
+            return self._answer_health_check()
         self.received_headers.append(dict(request.headers))
-        wanted = request.headers.get("X-Target-Instance", self.instance_id)
-        if wanted != self.instance_id:
+        target_instance = request.headers.get(
+            "X-Target-Instance", self.instance_id
+        )
+        if target_instance != self.instance_id:
             return web.Response(status=421)
         if self.rejects_requests:
             return web.Response(status=503, headers={"X-Not-Executed": "1"})
         self.executed_attempts.append(request.headers["X-Attempt-Id"])
         return await self.handler(request)
 
-    def _answer_status(self) -> web.Response:
+    def _answer_health_check(self) -> web.Response:
         return web.Response(
             status=503 if self.rejects_requests else 200,
             headers={
--- a/standins/process.py
+++ b/standins/process.py
@@ -1,4 +1,4 @@
-"""What every stand-in process does: ready line, signals, HTTP ports."""
+"""Common parts of the stand-in processes: ready line, signals, HTTP ports."""
 
 from __future__ import annotations
 
@@ -24,16 +24,21 @@
 
 
 def print_ready(name: str, **fields: object) -> None:
-    """Prints the one JSON line that says that the ports are open."""
+    """Prints the only line on stdout, JSON that says that the ports are open.
+
+    Args:
+        name: Name of the process.
+        fields: Further fields of the line, such as addresses and ports.
+    """
     print(json.dumps({"ready": name, **fields}), flush=True)
 
 
 def wait_for_stop_signal() -> asyncio.Event:
-    """Returns an event that SIGTERM and SIGINT set."""
+    """Returns an event that is set on SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     return stop
 
 
@@ -43,7 +48,19 @@
     handler_cancellation: bool = False,
     shutdown_timeout: float = 60.0,
 ) -> tuple[web.AppRunner, int]:
-    """Serves an application on loopback and returns runner and port."""
+    """Serves an application on loopback.
+
+    Args:
+        application: Application to serve.
+        port: Port to listen on; 0 chooses a free one.
+        handler_cancellation: Whether a handler is cancelled when its caller
+            disconnects.
+        shutdown_timeout: Time in seconds that open requests get when the
+            runner is cleaned up.
+
+    Returns:
+        The runner, which the caller cleans up, and the port.
+    """
     runner = web.AppRunner(
         application,
         access_log=None,
@@ -57,5 +74,5 @@
 
 
 def run(main: Callable[[], object]) -> None:
-    """Runs the coroutine function of a stand-in until it returns."""
+    """Runs the main coroutine function of a stand-in until it returns."""
     asyncio.run(main())  # type: ignore[arg-type]
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,4 +1,4 @@
-"""How the backend server stand-in runs requests."""
+"""Runs the requests of the backend server stand-in."""
 
 from __future__ import annotations
 
@@ -27,18 +27,20 @@
 DEADLINE_HEADER = "Merlintrestle-Deadline-Ms"
 CRASH_HEADER = "Crash"
 _CRASH_STATUS = 70
-_DEFAULT_RATE = 50_000_000
+_DEFAULT_RATE_BYTES_PER_S = 50_000_000
 
 
 class Settings(NamedTuple):
-    """How a backend server behaves.
+    """Capacity of a backend server and duration of its work.
 
     Attributes:
         service: Service that it serves.
-        slots: Calls it runs at once; more are shed with status 503.
-        work_ms: Milliseconds of work by path prefix; longest match decides.
-        cold_start_s: Seconds after the start in which it is slower.
-        cold_factor: How many times slower it is then.
+        slots: Number of calls that it runs concurrently; others are shed with
+            status 503.
+        work_ms: Duration of the work in milliseconds by path prefix; the
+            longest matching prefix decides.
+        cold_start_s: Duration of the cold start in seconds.
+        cold_factor: Factor by which work takes longer during the cold start.
     """
 
     service: str
@@ -50,18 +52,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """Faults in force.
+    """Active faults of a backend server.
 
     Attributes:
-        healthy: What the health endpoint says, true or not.
-        reported_load: What the load endpoint says; None: how things stood
-            `load_lag_s` ago.
-        load_lag_s: Seconds that the load endpoint lags.
-        slow_factor: How many times longer each piece of work takes.
-        silent: Connections open now never carry an answer again.
-        cut: Connections open now are cut, once.
-        breaks: Calls run and then break their connection unanswered.
-        sheds: Every call is shed, whatever runs.
+        healthy: Whether the health endpoint reports that it is healthy,
+            regardless of its real state.
+        reported_load: Load that the load endpoint reports, 0 to 1; None for
+            the real load `load_lag_s` ago.
+        load_lag_s: Delay of the reported load in seconds.
+        slow_factor: Factor by which all work takes longer.
+        silent: Whether connections that are open when this fault is set never
+            carry an answer again.
+        cut: Whether connections that are open when this fault is set are
+            aborted, once.
+        breaks: Whether calls do their work and then abort their connection
+            unanswered.
+        sheds: Whether every call is shed, even if slots are free.
     """
 
     healthy: bool = True
@@ -75,82 +81,89 @@
 
 
 class Worker:
-    """Runs requests in slots and records each run.
+    """Runs requests in slots and records each run in a ledger.
 
     Attributes:
-        address: Address under which it answers, "ip:port".
-        faults: Faults in force.
-        in_flight: Requests that run now.
+        address: Address for calls, "ip:port".
+        faults: Active faults; change them with `set_faults`.
+        in_flight: Number of requests that are running.
     """
 
     def __init__(
         self,
         settings: Settings,
-        runs: ledger.Ledger,
-        caller: nested_calls.NestedCaller,
+        run_ledger: ledger.Ledger,
+        nested_caller: nested_calls.NestedCaller,
     ):
         self.address = ""
         self.faults = Faults()
         self.in_flight = 0
         self._settings = settings
-        self._runs = runs
-        self._caller = caller
-        self._started = time.monotonic()
+        self._ledger = run_ledger
+        self._nested_caller = nested_caller
+        self._started_at = time.monotonic()
         self._idle = asyncio.Event()
         self._idle.set()
-        self._open: weakref.WeakSet[Any] = weakref.WeakSet()
-        self._silent: set[Any] = set()
-        # Seconds and load; a call costs the same however long this is.
+        self._open_transports: weakref.WeakSet[Any] = weakref.WeakSet()
+        self._hanging_transports: set[Any] = set()
+        # Times in seconds and loads, oldest first. In a deque, the cost of a
+        # call does not grow with the length of the history.
         self._load_history: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
 
-    def set_faults(self, new: Faults) -> None:
-        """Puts faults in force in place of those before."""
-        self._silent = set(self._open) if new.silent else set()
-        if new.cut:
-            for transport in list(self._open):
+    def set_faults(self, new_faults: Faults) -> None:
+        """Replaces the active faults."""
+        self._hanging_transports = (
+            set(self._open_transports) if new_faults.silent else set()
+        )
+        if new_faults.cut:
+            for transport in list(self._open_transports):
                 transport.abort()
-        self.faults = new
+        self.faults = new_faults
 
     async def wait_idle(self) -> None:
-        """Returns when no request is in flight."""
+        """Waits until no request is in flight."""
         await self._idle.wait()
 
     def read_reported_load(self) -> dict[str, float]:
-        """Returns the load as the load endpoint tells it, 0 to 1."""
+        """Returns the answer of the load endpoint, with a load from 0 to 1."""
         if self.faults.reported_load is not None:
             return {"load": self.faults.reported_load}
-        limit = time.monotonic() - self.faults.load_lag_s
-        loads = [load for at, load in self._load_history if at <= limit]
+        latest_at = time.monotonic() - self.faults.load_lag_s
+        loads = [
+            load
+            for measured_at, load in self._load_history
+            if measured_at <= latest_at
+        ]
         return {"load": loads[-1] if loads else 0.0}
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Runs one request, or sheds it when all slots are taken."""
-        self._open.add(request.transport)
-        await self._hang_if_silent(request)
+        """Runs a request, or sheds it if all slots are taken."""
+        self._open_transports.add(request.transport)
+        await self._hang_if_silenced(request)
         request_id = request.headers.get(REQUEST_ID_HEADER, "")
-        fields = self._describe(request)
+        fields = self._build_run_fields(request)
         if self.faults.sheds or self.in_flight >= self._settings.slots:
-            self._runs.record("shed", request_id, **fields)
+            self._ledger.record("shed", request_id, **fields)
             return web.json_response(
                 {"shed": True}, status=503, headers={"Retry-After": "1"}
             )
-        self._enter()
-        self._runs.record("started", request_id, **fields)
+        self._start_request()
+        self._ledger.record("started", request_id, **fields)
         if CRASH_HEADER in request.headers:
             os._exit(_CRASH_STATUS)
         event = "cancelled"
         try:
             answer = await self._run(request, request_id)
-            await self._hang_if_silent(request)
+            await self._hang_if_silenced(request)
             event = "done"
             return answer
         finally:
-            self._runs.record(event, request_id, **fields)
-            self._leave()
+            self._ledger.record(event, request_id, **fields)
+            self._finish_request()
 
-    def _describe(self, request: web.Request) -> dict[str, str]:
+    def _build_run_fields(self, request: web.Request) -> dict[str, str]:
         return {
             "key": request.headers.get(IDEMPOTENCY_KEY_HEADER, ""),
             "attempt_id": request.headers.get(ATTEMPT_ID_HEADER, ""),
@@ -170,7 +183,7 @@
         await asyncio.sleep(work_s)
         if self.faults.breaks and request.transport is not None:
             request.transport.abort()
-        status = await self._caller.call(request)
+        status = await self._nested_caller.call(request)
         if status >= 400:
             return web.json_response({"nested": status}, status=502)
         if "bytes" in request.query:
@@ -188,17 +201,23 @@
     async def _send_download(
         self, request: web.Request, request_id: str
     ) -> web.StreamResponse:
-        total = int(request.query["bytes"])
-        rate = float(request.query.get("rate", _DEFAULT_RATE))
-        answer = web.StreamResponse(headers={"Content-Length": str(total)})
+        total_bytes = int(request.query["bytes"])
+        rate_bytes_per_s = float(
+            request.query.get("rate", _DEFAULT_RATE_BYTES_PER_S)
+        )
+        answer = web.StreamResponse(
+            headers={"Content-Length": str(total_bytes)}
+        )
         await answer.prepare(request)
-        began = time.monotonic()
-        sent = 0
-        for chunk in content.generate_chunks(request_id, total):
+        started_at = time.monotonic()
+        sent_bytes = 0
+        for chunk in content.generate_chunks(request_id, total_bytes):
             await answer.write(chunk)
-            await self._hang_if_silent(request)
-            sent += len(chunk)
-            ahead_s = sent / rate - (time.monotonic() - began)
+            await self._hang_if_silenced(request)
+            sent_bytes += len(chunk)
+            ahead_s = sent_bytes / rate_bytes_per_s - (
+                time.monotonic() - started_at
+            )
             if ahead_s > 0:
                 await asyncio.sleep(ahead_s)
         await answer.write_eof()
@@ -209,33 +228,39 @@
             work_ms = float(request.query["work_ms"])
         else:
             prefixes = self._settings.work_ms
-            fitting = [p for p in prefixes if request.path.startswith(p)]
-            work_ms = prefixes[max(fitting, key=len)] if fitting else 0.0
-        age_s = time.monotonic() - self._started
+            matching_prefixes = [
+                p for p in prefixes if request.path.startswith(p)
+            ]
+            work_ms = (
+                prefixes[max(matching_prefixes, key=len)]
+                if matching_prefixes
+                else 0.0
+            )
+        age_s = time.monotonic() - self._started_at
         if age_s < self._settings.cold_start_s:
             work_ms *= self._settings.cold_factor
         return work_ms * self.faults.slow_factor / 1000
 
-    async def _hang_if_silent(self, request: web.Request) -> None:
-        """Never returns on a connection that has gone silent."""
-        if request.transport in self._silent:
+    async def _hang_if_silenced(self, request: web.Request) -> None:
+        """Hangs for ever if the `silent` fault affects the connection."""
+        if request.transport in self._hanging_transports:
             await asyncio.Event().wait()
 
-    def _enter(self) -> None:
+    def _start_request(self) -> None:
         self.in_flight += 1
         self._idle.clear()
-        self._note_load()
+        self._record_load()
 
-    def _leave(self) -> None:
+    def _finish_request(self) -> None:
         self.in_flight -= 1
         if not self.in_flight:
             self._idle.set()
-        self._note_load()
+        self._record_load()
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now = time.monotonic()
-        oldest = now - 2 * self.faults.load_lag_s
-        while self._load_history and self._load_history[0][0] < oldest:
+        oldest_at = now - 2 * self.faults.load_lag_s
+        while self._load_history and self._load_history[0][0] < oldest_at:
             self._load_history.popleft()
         load = self.in_flight / self._settings.slots
         self._load_history.append((now, load))
--- a/tests/standins/builders.py
+++ b/tests/standins/builders.py
@@ -1,4 +1,4 @@
-"""Builders of stand-ins for tests."""
+"""Starts stand-ins for tests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def start_store(
     case: unittest.IsolatedAsyncioTestCase,
 ) -> store.StoreStandin:
-    """Starts a store on a free port that is closed after the test."""
+    """Starts a store on a free port and closes it after the test."""
     standin = store.StoreStandin()
     await standin.start()
     case.addAsyncCleanup(standin.close)
@@ -31,11 +31,11 @@
     standin: store.StoreStandin,
     timeout_s: float = 5.0,
 ) -> client.StoreClient:
-    """Starts a client of a store that is closed after the test."""
-    made = client.StoreClient(standin.address, timeout_s)
-    await made.start()
-    case.addAsyncCleanup(made.close)
-    return made
+    """Starts a client of a store and closes it after the test."""
+    store_client = client.StoreClient(standin.address, timeout_s)
+    await store_client.start()
+    case.addAsyncCleanup(store_client.close)
+    return store_client
 
 
 async def start_recording_server(
@@ -43,36 +43,55 @@
     status: int = 200,
     headers: dict[str, str] | None = None,
 ) -> tuple[str, list[web.Request]]:
-    """Starts a server that answers all alike; returns URL and requests."""
-    seen: list[web.Request] = []
+    """Starts a server that records requests and closes it after the test.
 
-    async def answer(request: web.Request) -> web.Response:
-        seen.append(request)
+    Args:
+        case: Test that the server is closed after.
+        status: Status of each answer.
+        headers: Headers of each answer.
+
+    Returns:
+        The server's URL and the requests that it receives.
+    """
+    requests: list[web.Request] = []
+
+    async def record_request(request: web.Request) -> web.Response:
+        requests.append(request)
         return web.Response(status=status, headers=headers)
 
     application = web.Application()
-    application.router.add_get("/{path:.*}", answer)
+    application.router.add_get("/{path:.*}", record_request)
     runner, port = await process.serve(application)
     case.addAsyncCleanup(runner.cleanup)
-    return f"http://{process.HOST}:{port}", seen
+    return f"http://{process.HOST}:{port}", requests
 
 
 async def start_backend(
-    case: unittest.IsolatedAsyncioTestCase, slots: int = 12, daemon: str = ""
+    case: unittest.IsolatedAsyncioTestCase,
+    slots: int = 12,
+    daemon_url: str = "",
 ) -> backend.BackendStandin:
-    """Starts a backend server without a daemon, closed after the test."""
+    """Starts a backend server that announces itself to no daemon.
+
+    It is closed after the test.
+
+    Args:
+        case: Test that the backend server is closed after.
+        slots: Number of calls that it runs concurrently.
+        daemon_url: URL of the daemon for nested calls; if empty, it makes none.
+    """
     settings = worker.Settings("balie", slots)
-    standin = backend.BackendStandin(settings, daemon=daemon)
+    standin = backend.BackendStandin(settings, daemon_url=daemon_url)
     await standin.start()
     case.addAsyncCleanup(standin.close)
     return standin
 
 
 class ManualClock:
-    """A clock that moves when it is told to.
+    """A clock that tests advance by hand.
 
     Attributes:
-        now: Seconds.
+        now: Time in seconds.
     """
 
     def __init__(self) -> None:
