--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the store stand-in can be told to show."""
+"""Faults that the stand-in for the store can inject."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Outage(enum.StrEnum):
-    """How the store fails.
+    """Way in which the store is unavailable.
 
     Attributes:
-        NONE: It answers.
-        UNAVAILABLE: It refuses every call at once and ends watches.
-        REFUSED: It does not listen; connections are refused.
-        HANGING: It takes calls and never answers.
+        NONE: The store answers.
+        UNAVAILABLE: The store rejects every call immediately and ends watches.
+        REFUSED: The store does not listen; connections are refused.
+        HANGING: The store accepts calls and never answers them.
     """
 
     NONE = "none"
@@ -25,17 +25,18 @@
 
 @dataclasses.dataclass(slots=True)
 class StoreFaults:
-    """Faults in force.
+    """Active faults of the store.
 
     Attributes:
-        outage: How it fails.
-        latency_s: Time in seconds added to every call.
-        lose_answers: Writes still to come that take effect unanswered.
-        stale: Reads are answered as things stood when this was set, or, if
-            the store was told to remember before, as they stood then.
-        fail_after_key: The next write of this key begins an outage, in which
-            every call is refused at once; empty: none.
-        fail_after_s: Seconds between that write and the outage.
+        outage: Way in which the store is unavailable.
+        latency_s: Delay in seconds that is added to every call.
+        lose_answers: Number of upcoming writes that take effect, but whose
+            answers are lost.
+        stale: Whether reads return the snapshot of the entries that was taken
+            before; without one, the entries when this fault was set.
+        fail_after_key: Key whose next write starts an outage in which every
+            call is rejected immediately; if empty, none does.
+        fail_after_s: Delay in seconds between that write and the outage.
     """
 
     outage: Outage = Outage.NONE
@@ -47,11 +48,11 @@
 
 
 def parse_faults(fields: dict[str, Any]) -> StoreFaults:
-    """Builds faults from JSON; what is not named is not in force.
+    """Parses faults from decoded JSON; faults that are left out are inactive.
 
     Raises:
-        ValueError: The outage is not known.
-        TypeError: A field is not known.
+        ValueError: The outage is unknown.
+        TypeError: A field is unknown.
     """
     faults = StoreFaults(**fields)
     faults.outage = Outage(faults.outage)
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""Key-value data of the store stand-in: revisions, leases and watches."""
+"""Key-value map with revisions, leases and watches for the store stand-in."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Entry(NamedTuple):
-    """One key.
+    """State of a key.
 
     Attributes:
-        key: Its name.
+        key: Name of the key.
         value: Its bytes.
-        revision: Revision of its last write; 0 where it is not there.
-        lease_id: Lease under which it was written; 0: none.
+        revision: Revision of its last write; 0 if the key does not exist.
+        lease_id: Id of the lease that it was written with; 0 if none.
     """
 
     key: str
@@ -31,31 +31,38 @@
 
 @dataclasses.dataclass(slots=True)
 class _Lease:
+    """Lease that removes its keys when it expires.
+
+    Attributes:
+        seconds: Time to live, in seconds.
+        expires_at: Time of expiry on the clock of the map, in seconds.
+    """
+
     seconds: int
-    ends_at: float
+    expires_at: float
 
 
 class ValueTooLargeError(Exception):
-    """A value is over `MAX_VALUE_BYTES`."""
+    """A value is larger than `MAX_VALUE_BYTES`."""
 
 
 class LeaseNotFoundError(Exception):
-    """A write names a lease that has ended or never was."""
+    """The lease of a write has expired or never existed."""
 
 
 class KeyValueStore:
     """A revisioned map with compare-and-swap, leases and watches.
 
     Attributes:
-        revision: Revision of the last write of any key.
-        waiting_watches: Watches that wait at this moment.
+        revision: Revision of the last change of any key.
+        waiting_watches: Number of open watches.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
-        """Makes an empty map.
+        """Initializes an empty map.
 
         Args:
-            clock: Seconds on any scale that never goes back.
+            clock: Returns the time in seconds of any monotonic clock.
         """
         self.revision = 0
         self.waiting_watches = 0
@@ -63,17 +70,33 @@
         self._entries: dict[str, Entry] = {}
         self._leases: dict[int, _Lease] = {}
         self._next_lease_id = 1
-        self._wakers: dict[str, set[asyncio.Event]] = {}
+        self._change_events: dict[str, set[asyncio.Event]] = {}
 
     def get(self, key: str) -> Entry:
-        """Reads one key; revision 0 where it is not there."""
+        """Returns the entry of a key, with revision 0 if it does not exist."""
         self.expire_leases()
         return self._entries.get(key, Entry(key))
 
     def put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int = 0
     ) -> bool:
-        """Writes a key if its revision is the expected one (0: absent)."""
+        """Writes a key if it has the expected revision.
+
+        Args:
+            key: Key to write.
+            value: Its new value.
+            expected_revision: Revision that the key must have; 0 if it must
+                not exist.
+            lease_id: Id of the lease that removes the key when it expires; 0
+                for none.
+
+        Returns:
+            Whether the key was written.
+
+        Raises:
+            ValueTooLargeError: The value is larger than `MAX_VALUE_BYTES`.
+            LeaseNotFoundError: The lease has expired or never existed.
+        """
         if len(value) > MAX_VALUE_BYTES:
             raise ValueTooLargeError(f"{len(value)} bytes")
         if self.get(key).revision != expected_revision:
@@ -82,11 +105,15 @@
             raise LeaseNotFoundError(f"lease {lease_id}")
         self.revision += 1
         self._entries[key] = Entry(key, value, self.revision, lease_id)
-        self._wake(key)
+        self._notify_watches(key)
         return True
 
     def delete(self, key: str, expected_revision: int) -> bool:
-        """Removes a key if it is there with the expected revision."""
+        """Removes a key if it exists with the expected revision.
+
+        Returns:
+            Whether the key was removed.
+        """
         entry = self.get(key)
         if not entry.revision or entry.revision != expected_revision:
             return False
@@ -94,41 +121,45 @@
         return True
 
     def list(self, prefix: str, after: str, limit: int) -> list[Entry]:
-        """Reads keys with a prefix in order of name; limit 0: all."""
+        """Returns the stored entries that `select_entries` selects."""
         self.expire_leases()
         return select_entries(self._entries, prefix, after, limit)
 
     def copy(self) -> dict[str, Entry]:
-        """Returns all entries as they stand."""
+        """Returns a snapshot of all entries."""
         self.expire_leases()
         return dict(self._entries)
 
     def grant_lease(self, seconds: int) -> int:
-        """Opens a lease and returns its id."""
+        """Grants a lease for a number of seconds and returns its id."""
         lease_id = self._next_lease_id
         self._next_lease_id += 1
         self._leases[lease_id] = _Lease(seconds, self._clock() + seconds)
         return lease_id
 
     def keep_lease(self, lease_id: int) -> int:
-        """Extends a lease and returns its seconds; 0: it has ended."""
+        """Renews a lease and returns its seconds; 0 if it has expired."""
         self.expire_leases()
         lease = self._leases.get(lease_id)
         if lease is None:
             return 0
-        lease.ends_at = self._clock() + lease.seconds
+        lease.expires_at = self._clock() + lease.seconds
         return lease.seconds
 
     def expire_leases(self) -> None:
-        """Ends leases whose time is over and removes their keys."""
+        """Removes leases whose time to live is over, and their keys."""
         now = self._clock()
-        ended = {i for i, lease in self._leases.items() if lease.ends_at <= now}
-        if not ended:
+        expired_lease_ids = {
+            lease_id
+            for lease_id, lease in self._leases.items()
+            if lease.expires_at <= now
+        }
+        if not expired_lease_ids:
             return
-        for lease_id in ended:
+        for lease_id in expired_lease_ids:
             del self._leases[lease_id]
         for entry in list(self._entries.values()):
-            if entry.lease_id in ended:
+            if entry.lease_id in expired_lease_ids:
                 self._remove(entry.key)
 
     async def watch(
@@ -136,44 +167,59 @@
     ) -> AsyncIterator[Entry]:
         """Yields the newest entry of a key whenever it changes.
 
-        Writes in quick succession are joined. A removal is an entry with
-        revision 0 and is told only to watches that saw the key before.
+        Writes in quick succession are merged into one entry. A removal is an
+        entry with revision 0; it is yielded only if this watch has yielded the
+        key before.
+
+        Args:
+            key: Key to watch.
+            after_revision: Revision that the caller knows already; only newer
+                ones are yielded.
         """
-        waker = asyncio.Event()
-        self._wakers.setdefault(key, set()).add(waker)
+        change_event = asyncio.Event()
+        self._change_events.setdefault(key, set()).add(change_event)
         self.waiting_watches += 1
-        seen = after_revision
-        told = False
+        latest_revision = after_revision
+        key_reported = False
         try:
             while True:
-                waker.clear()
+                change_event.clear()
                 entry = self.get(key)
-                if entry.revision > seen:
-                    seen = entry.revision
-                    told = True
+                if entry.revision > latest_revision:
+                    latest_revision = entry.revision
+                    key_reported = True
                     yield entry
-                elif not entry.revision and told:
-                    told = False
+                elif not entry.revision and key_reported:
+                    key_reported = False
                     yield entry
                 else:
-                    await waker.wait()
+                    await change_event.wait()
         finally:
             self.waiting_watches -= 1
-            self._wakers[key].discard(waker)
+            self._change_events[key].discard(change_event)
 
     def _remove(self, key: str) -> None:
         self.revision += 1
         del self._entries[key]
-        self._wake(key)
+        self._notify_watches(key)
 
-    def _wake(self, key: str) -> None:
-        for waker in self._wakers.get(key, ()):
-            waker.set()
+    def _notify_watches(self, key: str) -> None:
+        for change_event in self._change_events.get(key, ()):
+            change_event.set()
 
 
 def select_entries(
     entries: dict[str, Entry], prefix: str, after: str, limit: int
 ) -> list[Entry]:
-    """Returns entries with a prefix after a key, in order; limit 0: all."""
-    names = sorted(k for k in entries if k.startswith(prefix) and k > after)
-    return [entries[name] for name in names[: limit or None]]
+    """Returns entries with a prefix, in the order of their keys.
+
+    Args:
+        entries: Entries by key.
+        prefix: Prefix of the keys.
+        after: Returns only keys after this one.
+        limit: Number of entries at most; 0 for all.
+    """
+    keys = sorted(
+        key for key in entries if key.startswith(prefix) and key > after
+    )
+    return [entries[key] for key in keys[: limit or None]]
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the store of the users' platform, over HTTP, by its pages."""
+"""Stand-in for the HTTP store, as the users' platform documents it."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 from standins import process
 
-_BASE = "/merlintrestle/kv-"
-_PAGE_ITEMS = 500
-_MAX_ENTRIES = 32
-_PART_BYTES = 16 * 1024
+_PATH_PREFIX = "/merlintrestle/kv-"
+_MAX_PAGE_ITEMS = 500
+_MAX_TRANSACTION_ENTRIES = 32
+_CHUNK_BYTES = 16 * 1024
 _FORBIDDEN_PREFIXES = ("op/", "servers/")
 
 
 class Item(NamedTuple):
-    """One key, as it was written last.
+    """A key and its last write.
 
     Attributes:
-        key: Its name.
+        key: Name of the key.
         value: Its bytes.
-        revision: Revision of its last change.
-        created: Revision of its creation.
-        lease: Lease under which it was written; 0: none.
+        revision: Revision of its last write.
+        created: Revision at which it was created.
+        lease: Id of the lease that it was written with; 0 if none.
     """
 
     key: str
@@ -38,23 +38,24 @@
     lease: int
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the item as the store writes it."""
-        text = base64.b64encode(self.value).decode()
-        return {**self._asdict(), "value": text}
+        """Returns the item as the JSON object that the store sends."""
+        encoded_value = base64.b64encode(self.value).decode()
+        return {**self._asdict(), "value": encoded_value}
 
 
 @dataclasses.dataclass
 class Faults:
-    """What the store does wrong.
+    """Active faults of the store.
 
     Attributes:
-        status: Answers every call so; 0: answers rightly.
-        lose_answers: So many writes are done and their answers lost.
-        hang: Answers nothing at all.
-        truncate_answers: Cuts off the answer in the middle.
-        suppress_events: Tells watches of no change.
-        chunk_delay_s: Sends an answer in parts, so many seconds apart; 0: at
-            once.
+        status: Status with which every call fails; 0 for none.
+        lose_answers: Number of upcoming POST calls that take effect, but whose
+            answers are lost.
+        hang: Whether calls are never answered.
+        truncate_answers: Whether the second half of each answer is cut off.
+        suppress_events: Whether watches receive no events.
+        chunk_delay_s: Delay in seconds between the chunks of an answer; if 0,
+            an answer is sent whole.
     """
 
     status: int = 0
@@ -66,13 +67,13 @@
 
 
 class PlatformStoreStandin:
-    """The store as a server.
+    """A server of the store's HTTP interface.
 
     Attributes:
-        port: Its port; known after `start`.
-        faults: What it does wrong now.
-        calls: Calls by kind.
-        sent_bytes: Bytes of the answers by kind.
+        port: Its port; set by `start`.
+        faults: Active faults.
+        calls: Number of calls by kind, such as "range".
+        sent_bytes: Bytes of the bodies of the answers by kind of call.
     """
 
     def __init__(self) -> None:
@@ -83,10 +84,12 @@
         self._revision = 1
         self._items: dict[str, Item] = {}
         self._events: list[dict[str, Any]] = []
-        self._compacted = 0
+        self._compacted_revision = 0
+        # Expiry on the monotonic clock in seconds and time to live in ms, by
+        # lease id.
         self._leases: dict[int, tuple[float, float]] = {}
         self._lease_ids = itertools.count(77_000)
-        self._changed = asyncio.Condition()
+        self._change_condition = asyncio.Condition()
         self._runner: web.AppRunner | None = None
 
     @property
@@ -96,16 +99,18 @@
 
     async def start(self) -> None:
         """Opens the port."""
-        application = web.Application(middlewares=[self._spoil])
+        application = web.Application(middlewares=[self._inject_faults])
         application.add_routes(
             [
-                web.get(_BASE + "key", self._handle_key),
-                web.get(_BASE + "range", self._handle_range),
-                web.get(_BASE + "watch", self._handle_watch),
-                web.post(_BASE + "txn", self._handle_txn),
-                web.post(_BASE + "lease", self._handle_lease),
-                web.post(_BASE + "keep/{lease}", self._handle_keep),
-                web.delete(_BASE + "lease-end/{lease}", self._handle_end),
+                web.get(_PATH_PREFIX + "key", self._handle_key),
+                web.get(_PATH_PREFIX + "range", self._handle_range),
+                web.get(_PATH_PREFIX + "watch", self._handle_watch),
+                web.post(_PATH_PREFIX + "txn", self._handle_txn),
+                web.post(_PATH_PREFIX + "lease", self._handle_lease),
+                web.post(_PATH_PREFIX + "keep/{lease}", self._handle_keep),
+                web.delete(
+                    _PATH_PREFIX + "lease-end/{lease}", self._handle_lease_end
+                ),
             ]
         )
         self._runner, self.port = await process.serve(
@@ -118,28 +123,28 @@
             await self._runner.cleanup()
 
     async def write(self, key: str, value: bytes) -> int:
-        """Writes a key as the operator does; returns the revision."""
+        """Writes a key as the operator does and returns its revision."""
         self._revision += 1
         self._put(key, value, 0)
-        await self._wake()
+        await self._notify_watches()
         return self._revision
 
     async def compact(self) -> None:
-        """Forgets the history and cuts the watches that wait."""
-        self._compacted = self._revision
+        """Discards the events so far; watches that need them get status 410."""
+        self._compacted_revision = self._revision
         self._events.clear()
-        await self._wake()
+        await self._notify_watches()
 
     async def delete_prefix(self, prefix: str) -> None:
-        """Takes keys away, as if their leases had run out."""
+        """Deletes the keys with a prefix, as if their leases had expired."""
         self._revision += 1
         for key in [key for key in self._items if key.startswith(prefix)]:
             self._remove(key)
-        await self._wake()
+        await self._notify_watches()
 
     @web.middleware
-    async def _spoil(self, request: web.Request, handler: Any) -> Any:
-        kind = request.path.removeprefix(_BASE).partition("/")[0]
+    async def _inject_faults(self, request: web.Request, handler: Any) -> Any:
+        kind = request.path.removeprefix(_PATH_PREFIX).partition("/")[0]
         self.calls[kind] = self.calls.get(kind, 0) + 1
         if self.faults.hang:
             await asyncio.sleep(3600)
@@ -154,23 +159,25 @@
             assert request.transport is not None
             request.transport.close()
         if self.faults.chunk_delay_s:
-            return await self._dribble(request, answer)
+            return await self._send_in_chunks(request, answer)
         return answer
 
-    async def _dribble(
+    async def _send_in_chunks(
         self, request: web.Request, answer: web.Response
     ) -> web.StreamResponse:
-        """Sends an answer as a full link does, in parts with pauses."""
+        """Sends an answer in delayed chunks, as over a saturated link."""
         body = answer.body
         assert isinstance(body, bytes)
-        slow = web.StreamResponse(status=answer.status)
-        slow.content_length = len(body)
-        await slow.prepare(request)
-        for start in range(0, len(body), _PART_BYTES):
-            await slow.write(body[start : start + _PART_BYTES])
-            if start + _PART_BYTES < len(body):
+        streamed_answer = web.StreamResponse(status=answer.status)
+        streamed_answer.content_length = len(body)
+        await streamed_answer.prepare(request)
+        for chunk_start in range(0, len(body), _CHUNK_BYTES):
+            await streamed_answer.write(
+                body[chunk_start : chunk_start + _CHUNK_BYTES]
+            )
+            if chunk_start + _CHUNK_BYTES < len(body):
                 await asyncio.sleep(self.faults.chunk_delay_s)
-        return slow
+        return streamed_answer
 
     async def _handle_key(self, request: web.Request) -> web.Response:
         self._expire()
@@ -182,23 +189,25 @@
     async def _handle_range(self, request: web.Request) -> web.Response:
         self._expire()
         after = request.query.get("after", "")
-        found = [
+        matching_items = [
             self._items[key]
             for key in sorted(self._items)
             if key.startswith(request.query["prefix"]) and key > after
         ]
         return web.json_response(
             {
-                "items": [item.to_json() for item in found[:_PAGE_ITEMS]],
-                "hasMore": len(found) > _PAGE_ITEMS,
+                "items": [
+                    item.to_json() for item in matching_items[:_MAX_PAGE_ITEMS]
+                ],
+                "hasMore": len(matching_items) > _MAX_PAGE_ITEMS,
                 "at": self._revision,
             }
         )
 
     async def _handle_watch(self, request: web.Request) -> web.Response:
         after = int(request.query["after"])
-        ends_at = time.monotonic() + int(request.query["waitMs"]) / 1000
-        while after >= self._compacted:
+        deadline = time.monotonic() + int(request.query["waitMs"]) / 1000
+        while after >= self._compacted_revision:
             events = [
                 event
                 for event in self._events
@@ -206,27 +215,27 @@
                 and not self.faults.suppress_events
                 and event["key"].startswith(request.query["prefix"])
             ]
-            left_s = ends_at - time.monotonic()
-            if events or left_s <= 0:
+            remaining_s = deadline - time.monotonic()
+            if events or remaining_s <= 0:
                 body = {"events": events, "at": self._revision}
                 return web.json_response(body)
             try:
-                async with asyncio.timeout(left_s), self._changed:
-                    await self._changed.wait()
+                async with asyncio.timeout(remaining_s), self._change_condition:
+                    await self._change_condition.wait()
             except TimeoutError:
                 continue
         return web.json_response({}, status=410)
 
     async def _handle_txn(self, request: web.Request) -> web.Response:
         self._expire()
-        change = await request.json()
-        expected = change.get("expectedRev", [])
-        writes = change.get("writes", [])
-        removed = change.get("remove", [])
-        keys = [write["key"] for write in writes] + removed
+        transaction = await request.json()
+        expected = transaction.get("expectedRev", [])
+        writes = transaction.get("writes", [])
+        removed_keys = transaction.get("remove", [])
+        keys = [write["key"] for write in writes] + removed_keys
         if any(key.startswith(_FORBIDDEN_PREFIXES) for key in keys):
             return web.json_response({}, status=403)
-        if len(expected) + len(keys) > _MAX_ENTRIES:
+        if len(expected) + len(keys) > _MAX_TRANSACTION_ENTRIES:
             return web.json_response({}, status=400)
         if any(
             write.get("lease", 0) not in self._leases
@@ -235,22 +244,22 @@
         ):
             return web.json_response({}, status=404)
         if any(
-            self._get_revision(row["key"]) != row["revision"]
-            for row in expected
+            self._get_revision(expectation["key"]) != expectation["revision"]
+            for expectation in expected
         ):
             items = [
-                self._items[row["key"]].to_json()
-                for row in expected
-                if row["key"] in self._items
+                self._items[expectation["key"]].to_json()
+                for expectation in expected
+                if expectation["key"] in self._items
             ]
             return web.json_response({"items": items}, status=412)
         self._revision += 1
         for write in writes:
             value = base64.b64decode(write["value"])
             self._put(write["key"], value, write.get("lease", 0))
-        for key in removed:
+        for key in removed_keys:
             self._remove(key)
-        await self._wake()
+        await self._notify_watches()
         return web.json_response({"revision": self._revision})
 
     async def _handle_lease(self, request: web.Request) -> web.Response:
@@ -268,7 +277,7 @@
         self._leases[lease] = (time.monotonic() + ttl_ms / 1000, ttl_ms)
         return web.json_response({"ttlMs": ttl_ms})
 
-    async def _handle_end(self, request: web.Request) -> web.Response:
+    async def _handle_lease_end(self, request: web.Request) -> web.Response:
         self._leases.pop(int(request.match_info["lease"]), None)
         self._expire()
         return web.json_response({})
@@ -278,8 +287,8 @@
         return item.revision if item else 0
 
     def _put(self, key: str, value: bytes, lease: int) -> None:
-        held = self._items.get(key)
-        created = held.created if held else self._revision
+        existing_item = self._items.get(key)
+        created = existing_item.created if existing_item else self._revision
         item = Item(key, value, self._revision, created, lease)
         self._items[key] = item
         self._events.append(item.to_json())
@@ -293,18 +302,20 @@
     def _expire(self) -> None:
         now = time.monotonic()
         self._leases = {
-            lease: held for lease, held in self._leases.items() if held[0] > now
+            lease: expiry_and_ttl
+            for lease, expiry_and_ttl in self._leases.items()
+            if expiry_and_ttl[0] > now
         }
-        ended = [
+        orphaned_keys = [
             item.key
             for item in self._items.values()
             if item.lease and item.lease not in self._leases
         ]
-        if ended:
+        if orphaned_keys:
             self._revision += 1
-        for key in ended:
+        for key in orphaned_keys:
             self._remove(key)
 
-    async def _wake(self) -> None:
-        async with self._changed:
-            self._changed.notify_all()
+    async def _notify_watches(self) -> None:
+        async with self._change_condition:
+            self._change_condition.notify_all()
--- a/standins/servicer.py
+++ b/standins/servicer.py
@@ -1,4 +1,4 @@
-"""What answers the calls of store.proto in the store stand-in."""
+"""Implements the gRPC service of store.proto for the store stand-in."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-_KEPT_WRITES = 10_000
-_KEPT_SECONDS = 120
+_MAX_KEPT_WRITES = 10_000
+_MAX_COUNTED_SECONDS = 120
 
 
 class Write(NamedTuple):
-    """One write that took effect.
+    """A write that took effect.
 
     Attributes:
         key: Key that was written.
-        revision: Its revision since.
-        at_ms: Milliseconds since 1970.
+        revision: Revision of the key after the write.
+        at_ms: Time of the write, in milliseconds since 1970.
     """
 
     key: str
@@ -37,15 +37,17 @@
 
 
 class StoreServicer(store_pb2_grpc.StoreServicer):
-    """Answers the calls of store.proto and counts them.
+    """Answers the calls of store.proto, counts them and injects faults.
 
     Attributes:
-        data: What is stored.
-        faults: Faults in force; change them by `set_faults`.
-        calls: Calls by kind, and by kind and first part of the key.
-        calls_by_second: Calls by second since 1970, the newest two minutes.
-        max_waiting_watches: Most watches that ever waited at once.
-        writes: Key, revision and ms since 1970 of each write, oldest first.
+        data: The stored entries.
+        faults: Active faults; change them with `set_faults`.
+        calls: Number of calls by kind ("get"), and by kind and first segment
+            of the key ("get documents").
+        calls_by_second: Number of calls by second since 1970, for the latest
+            120 seconds that had calls.
+        max_waiting_watches: Highest number of watches that were open at once.
+        writes: The latest 10,000 writes, oldest first.
     """
 
     def __init__(self, data: keyvalue.KeyValueStore):
@@ -55,33 +57,37 @@
         self.calls_by_second: dict[int, int] = {}
         self.max_waiting_watches = 0
         self.writes: collections.deque[Write] = collections.deque(
-            maxlen=_KEPT_WRITES
+            maxlen=_MAX_KEPT_WRITES
         )
         self._stale_entries: dict[str, keyvalue.Entry] | None = None
         self._faults_changed = asyncio.Event()
 
     def take_snapshot(self) -> None:
-        """Keeps what is stored now for the stale reads of a later fault."""
+        """Takes the snapshot that stale reads of a later fault return."""
         self._stale_entries = self.data.copy()
 
-    def set_faults(self, new: faults.StoreFaults) -> None:
-        """Puts faults in force in place of those before."""
-        if new.stale and not self.faults.stale and self._stale_entries is None:
+    def set_faults(self, new_faults: faults.StoreFaults) -> None:
+        """Replaces the active faults."""
+        if (
+            new_faults.stale
+            and not self.faults.stale
+            and self._stale_entries is None
+        ):
             self.take_snapshot()
-        if not new.stale and self.faults.stale:
+        if not new_faults.stale and self.faults.stale:
             self._stale_entries = None
-        self.faults = new
+        self.faults = new_faults
         self._faults_changed.set()
         self._faults_changed = asyncio.Event()
 
     async def Get(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Reads one key."""
-        await self._begin("get", context, request.key)
-        return store_pb2.GetReply(entry=_encode(self._read(request.key)))
+        """Reads a key."""
+        await self._begin_call("get", context, request.key)
+        return store_pb2.GetReply(entry=_encode(self._read_entry(request.key)))
 
     async def Put(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Writes one key by compare-and-swap."""
-        await self._begin("put", context, request.key)
+        """Writes a key by compare-and-swap."""
+        await self._begin_call("put", context, request.key)
         try:
             written = self.data.put(
                 request.key,
@@ -101,70 +107,72 @@
         if written:
             at_ms = time.time_ns() // 1_000_000
             self.writes.append(Write(entry.key, entry.revision, at_ms))
-            self._fail_after(entry.key)
-        await self._end_write(context)
+            self._schedule_outage_after(entry.key)
+        await self._abort_if_answer_lost(context)
         return store_pb2.PutReply(written=written, entry=_encode(entry))
 
     async def Delete(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Removes one key by compare-and-swap."""
-        await self._begin("delete", context, request.key)
+        """Removes a key by compare-and-swap."""
+        await self._begin_call("delete", context, request.key)
         deleted = self.data.delete(request.key, request.expected_revision)
-        await self._end_write(context)
+        await self._abort_if_answer_lost(context)
         return store_pb2.DeleteReply(deleted=deleted)
 
     async def List(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Reads keys with a prefix."""
-        await self._begin("list", context, request.prefix)
-        asked = request.prefix, request.after, request.limit
+        """Reads the keys with a prefix."""
+        await self._begin_call("list", context, request.prefix)
+        selection = request.prefix, request.after, request.limit
         if self.faults.stale and self._stale_entries is not None:
-            entries = keyvalue.select_entries(self._stale_entries, *asked)
+            entries = keyvalue.select_entries(self._stale_entries, *selection)
         else:
-            entries = self.data.list(*asked)
-        return store_pb2.ListReply(entries=[_encode(e) for e in entries])
+            entries = self.data.list(*selection)
+        return store_pb2.ListReply(
+            entries=[_encode(entry) for entry in entries]
+        )
 
     async def Watch(  # noqa: N802
         self, request: Any, context: Any
     ) -> AsyncIterator[Any]:
-        """Sends changes of one key until the caller or an outage ends it."""
-        await self._begin("watch", context, request.key)
+        """Sends changes of a key until the caller or an outage ends it."""
+        await self._begin_call("watch", context, request.key)
         stream = self.data.watch(request.key, request.after_revision)
         async with contextlib.aclosing(stream):  # type: ignore[type-var]
             while True:
                 entry = await self._next_entry(stream)
                 if entry is None:
-                    await self._fail_watch(context)
+                    await self._abort_watch(context)
                 else:
                     yield _encode(entry)
 
     async def GrantLease(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Opens a lease."""
-        await self._begin("grant_lease", context)
+        """Grants a lease."""
+        await self._begin_call("grant_lease", context)
         lease_id = self.data.grant_lease(request.seconds)
-        await self._end_write(context)
+        await self._abort_if_answer_lost(context)
         return store_pb2.Lease(lease_id=lease_id, seconds=request.seconds)
 
     async def KeepLease(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Extends a lease."""
-        await self._begin("keep_lease", context)
+        """Renews a lease."""
+        await self._begin_call("keep_lease", context)
         seconds = self.data.keep_lease(request.lease_id)
-        await self._end_write(context)
+        await self._abort_if_answer_lost(context)
         return store_pb2.Lease(lease_id=request.lease_id, seconds=seconds)
 
-    def _read(self, key: str) -> keyvalue.Entry:
+    def _read_entry(self, key: str) -> keyvalue.Entry:
         if self.faults.stale and self._stale_entries is not None:
             return self._stale_entries.get(key, keyvalue.Entry(key))
         return self.data.get(key)
 
-    def _count_second(self) -> None:
+    def _count_call(self) -> None:
         second = int(time.time())
         if second not in self.calls_by_second:
             self.calls_by_second[second] = 0
-            if len(self.calls_by_second) > _KEPT_SECONDS:
+            if len(self.calls_by_second) > _MAX_COUNTED_SECONDS:
                 del self.calls_by_second[min(self.calls_by_second)]
         self.calls_by_second[second] += 1
 
-    async def _begin(self, kind: str, context: Any, key: str = "") -> None:
-        self._count_second()
+    async def _begin_call(self, kind: str, context: Any, key: str = "") -> None:
+        self._count_call()
         self.calls[kind] += 1
         if key:
             self.calls[f"{kind} {key.split('/')[0]}"] += 1
@@ -175,12 +183,12 @@
         if self.faults.outage is not faults.Outage.NONE:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "outage")
 
-    async def _end_write(self, context: Any) -> None:
+    async def _abort_if_answer_lost(self, context: Any) -> None:
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             await context.abort(grpc.StatusCode.UNAVAILABLE, "answer lost")
 
-    def _fail_after(self, key: str) -> None:
+    def _schedule_outage_after(self, key: str) -> None:
         if key == self.faults.fail_after_key:
             outage = faults.StoreFaults(faults.Outage.UNAVAILABLE)
             loop = asyncio.get_running_loop()
@@ -189,31 +197,42 @@
     async def _next_entry(
         self, stream: AsyncIterator[keyvalue.Entry]
     ) -> keyvalue.Entry | None:
-        """Returns the next entry to send; None: an outage ends the watch."""
-        following = asyncio.ensure_future(anext(stream))
+        """Returns the next entry to send, or None if an outage ends the watch.
+
+        While reads are stale or calls hang, it waits and sends nothing.
+        """
+        next_entry = asyncio.ensure_future(anext(stream))
         try:
             while True:
                 self.max_waiting_watches = max(
                     self.max_waiting_watches, self.data.waiting_watches
                 )
-                silent = self.faults.stale
+                suppressed = self.faults.stale
                 if self.faults.outage is faults.Outage.HANGING:
-                    silent = True
+                    suppressed = True
                 elif self.faults.outage is not faults.Outage.NONE:
                     return None
-                changed = asyncio.ensure_future(self._faults_changed.wait())
-                waited = {changed} if silent else {changed, following}
-                await asyncio.wait(waited, return_when=asyncio.FIRST_COMPLETED)
-                changed.cancel()
-                if following.done() and not silent:
-                    return following.result()
+                faults_change = asyncio.ensure_future(
+                    self._faults_changed.wait()
+                )
+                awaited_tasks = (
+                    {faults_change}
+                    if suppressed
+                    else {faults_change, next_entry}
+                )
+                await asyncio.wait(
+                    awaited_tasks, return_when=asyncio.FIRST_COMPLETED
+                )
+                faults_change.cancel()
+                if next_entry.done() and not suppressed:
+                    return next_entry.result()
         finally:
-            if not following.done():
-                following.cancel()
+            if not next_entry.done():
+                next_entry.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
-                    await following
+                    await next_entry
 
-    async def _fail_watch(self, context: Any) -> None:
+    async def _abort_watch(self, context: Any) -> None:
         await context.abort(grpc.StatusCode.UNAVAILABLE, "outage")
 
 
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's key-value store, for tests and measurements.
+"""Stand-in for the platform's key-value store, for tests and measurements.
 
 Run it with `python -m standins.store --port 0`.
 """
@@ -23,16 +23,17 @@
 logger = logging.getLogger(__name__)
 
 _MAX_MESSAGE_BYTES = 8 * 1024 * 1024
-_EXPIRE_EVERY_S = 0.1
+_LEASE_CHECK_INTERVAL_S = 0.1
 
 
 class StoreStandin:
-    """The store as a server, with a control port for its faults.
+    """A gRPC server of the store with a control port that injects faults.
 
     Attributes:
-        servicer: What answers the calls.
-        port: Port of the store; known after `start`.
-        control_port: Port of the fault controls; known after `start`.
+        servicer: Answers the calls.
+        port: Port of the store; set by `start`, and 0 chooses a free one.
+        control_port: Port of the control API; set by `start`, and 0 chooses a
+            free one.
     """
 
     def __init__(self, port: int = 0, control_port: int = 0):
@@ -40,8 +41,8 @@
         self.port = port
         self.control_port = control_port
         self._server: Any = None
-        self._runner: web.AppRunner | None = None
-        self._expiring: asyncio.Task[None] | None = None
+        self._control_runner: web.AppRunner | None = None
+        self._expiry_task: asyncio.Task[None] | None = None
 
     @property
     def address(self) -> str:
@@ -51,34 +52,34 @@
     async def start(self) -> None:
         """Opens both ports."""
         await self._listen()
-        application = web.Application()
-        application.router.add_get("/counters", self._show_counters)
-        application.router.add_get("/writes", self._show_writes)
-        application.router.add_post("/remember", self._remember)
-        application.router.add_post("/faults", self._change_faults)
-        self._runner, self.control_port = await process.serve(
-            application, self.control_port
+        control_application = web.Application()
+        control_application.router.add_get("/counters", self._show_counters)
+        control_application.router.add_get("/writes", self._show_writes)
+        control_application.router.add_post("/remember", self._handle_remember)
+        control_application.router.add_post("/faults", self._change_faults)
+        self._control_runner, self.control_port = await process.serve(
+            control_application, self.control_port
         )
-        self._expiring = asyncio.create_task(self._expire_leases())
+        self._expiry_task = asyncio.create_task(self._expire_leases())
 
     async def close(self) -> None:
-        """Closes both ports and ends every call."""
-        if self._expiring is not None:
-            self._expiring.cancel()
-        if self._runner is not None:
-            await self._runner.cleanup()
+        """Closes both ports and cancels every call."""
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
+        if self._control_runner is not None:
+            await self._control_runner.cleanup()
         await self._stop_listening()
 
-    async def set_faults(self, new: faults.StoreFaults) -> None:
-        """Puts faults in force in place of those before."""
-        self.servicer.set_faults(new)
-        if new.outage is faults.Outage.REFUSED:
+    async def set_faults(self, new_faults: faults.StoreFaults) -> None:
+        """Replaces the active faults; the port is closed while it refuses."""
+        self.servicer.set_faults(new_faults)
+        if new_faults.outage is faults.Outage.REFUSED:
             await self._stop_listening()
         elif self._server is None:
             await self._listen()
 
     def read_counters(self) -> dict[str, Any]:
-        """Returns calls by kind and watches that wait."""
+        """Returns the counts of calls and open watches and the revision."""
         return {
             "calls": dict(self.servicer.calls),
             "calls_by_second": self.servicer.calls_by_second,
@@ -106,7 +107,7 @@
 
     async def _expire_leases(self) -> None:
         while True:
-            await asyncio.sleep(_EXPIRE_EVERY_S)
+            await asyncio.sleep(_LEASE_CHECK_INTERVAL_S)
             self.servicer.data.expire_leases()
 
     async def _show_counters(self, _request: web.Request) -> web.Response:
@@ -114,19 +115,21 @@
 
     async def _show_writes(self, request: web.Request) -> web.Response:
         key = request.query.get("key")
-        writes = [w for w in self.servicer.writes if key in (None, w.key)]
+        writes = [
+            write for write in self.servicer.writes if key in (None, write.key)
+        ]
         return web.json_response([write._asdict() for write in writes])
 
-    async def _remember(self, _request: web.Request) -> web.Response:
+    async def _handle_remember(self, _request: web.Request) -> web.Response:
         self.servicer.take_snapshot()
         return web.json_response({})
 
     async def _change_faults(self, request: web.Request) -> web.Response:
         try:
-            new = faults.parse_faults(await request.json())
+            new_faults = faults.parse_faults(await request.json())
         except (ValueError, TypeError) as error:
             return web.json_response({"error": str(error)}, status=400)
-        await self.set_faults(new)
+        await self.set_faults(new_faults)
         return web.json_response({})
 
 
@@ -145,9 +148,9 @@
 
 @click.command()
 @click.option("--port", default=0, help="Port of the store; 0: a free one.")
-@click.option("--control-port", default=0, help="Port of the fault controls.")
+@click.option("--control-port", default=0, help="Port of the control API.")
 def main(port: int, control_port: int) -> None:
-    """Runs the stand-in of the platform's store until SIGTERM."""
+    """Runs the stand-in for the platform's store until SIGTERM."""
     process.configure_logging("store stand-in")
     process.run(functools.partial(_run, port, control_port))
 
