--- a/standins/plain_proxy.py
+++ b/standins/plain_proxy.py
@@ -1,4 +1,4 @@
-"""Baseline of the latency measurement: a plain aiohttp reverse proxy.
+"""Baseline for the latency measurement: a plain aiohttp reverse proxy.
 
 Run it with `python -m standins.plain_proxy --upstream IP:PORT`.
 """
@@ -19,11 +19,11 @@
 
 
 class PlainProxy:
-    """Passes `/<service>/<path>` on to one upstream as `/<path>`.
+    """Forwards `/<service>/<path>` to one upstream as `/<path>`.
 
     Attributes:
         upstream: Address of the upstream, "ip:port".
-        port: Port for calls; known after `start`.
+        port: Port for calls; set by `start`.
     """
 
     def __init__(self, upstream: str):
@@ -33,7 +33,7 @@
         self._runner: web.AppRunner
 
     async def start(self) -> None:
-        """Opens the port."""
+        """Opens the port for calls."""
         self._session = relay.create_session()
         application = web.Application()
         application.router.add_route("*", "/{service}/{path:.*}", self._handle)
--- a/standins/plain_random_proxy.py
+++ b/standins/plain_random_proxy.py
@@ -1,8 +1,8 @@
-"""Baseline of the failures measurement: random upstreams, blind retries.
+"""Baseline for the failures measurement: random upstreams, retries always.
 
-It picks an upstream of the service at random and retries every failure three
-times, whatever the request. Run it with `python -m
-standins.plain_random_proxy`; tell it the upstreams on its admin port.
+It chooses an upstream of the service at random and retries every failure three
+times, even for a request that may not be repeated. Run it with `python -m
+standins.plain_random_proxy` and set the upstreams on its admin port.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
     from collections.abc import Mapping
 
 MAX_RETRIES = 3
-_TIMEOUT = aiohttp.ClientTimeout(sock_connect=1.0, sock_read=5.0)
+_CALL_TIMEOUT = aiohttp.ClientTimeout(sock_connect=1.0, sock_read=5.0)
 
 
 class PlainRandomProxy:
-    """Passes `/<service>/<path>` on to any upstream of the service.
+    """Forwards `/<service>/<path>` to a random upstream of the service.
 
     Attributes:
-        upstreams: Addresses by service.
-        port: Port for calls; known after `start`.
-        admin_port: Port for `POST /upstreams`; known after `start`.
+        upstreams: Addresses of the upstreams, "ip:port", by service.
+        port: Port for calls; set by `start`.
+        admin_port: Port for `POST /upstreams`; set by `start`.
     """
 
     def __init__(self) -> None:
@@ -42,16 +42,22 @@
         self._runners: list[web.AppRunner] = []
 
     async def start(self, port: int = 0, admin_port: int = 0) -> None:
-        """Opens both ports."""
-        self._session = relay.create_session(_TIMEOUT)
-        calls = web.Application()
-        calls.router.add_route("*", "/{service}/{path:.*}", self._handle)
-        runner, self.port = await process.serve(calls, port)
-        admin = web.Application()
-        admin.router.add_post("/upstreams", self._take_upstreams)
-        admin.router.add_post("/announce", self._ignore_announcement)
-        other, self.admin_port = await process.serve(admin, admin_port)
-        self._runners = [runner, other]
+        """Opens both ports; a port of 0 chooses a free one."""
+        self._session = relay.create_session(_CALL_TIMEOUT)
+        call_application = web.Application()
+        call_application.router.add_route(
+            "*", "/{service}/{path:.*}", self._handle
+        )
+        call_runner, self.port = await process.serve(call_application, port)
+        admin_application = web.Application()
+        admin_application.router.add_post("/upstreams", self._update_upstreams)
+        admin_application.router.add_post(
+            "/announce", self._ignore_announcement
+        )
+        admin_runner, self.admin_port = await process.serve(
+            admin_application, admin_port
+        )
+        self._runners = [call_runner, admin_runner]
 
     async def close(self) -> None:
         """Closes both ports and the connections to the upstreams."""
@@ -67,16 +73,20 @@
         body = await request.read()
         for attempt in range(1 + MAX_RETRIES):
             url = f"http://{random.choice(addresses)}/{path}"
-            last = attempt == MAX_RETRIES
+            is_last_attempt = attempt == MAX_RETRIES
             try:
                 return await relay.relay_request(
-                    self._session, request, body, url, raise_failures=not last
+                    self._session,
+                    request,
+                    body,
+                    url,
+                    raise_failures=not is_last_attempt,
                 )
             except (aiohttp.ClientError, TimeoutError):
                 continue
         return web.Response(status=502)
 
-    async def _take_upstreams(self, request: web.Request) -> web.Response:
+    async def _update_upstreams(self, request: web.Request) -> web.Response:
         self.upstreams = await request.json()
         return web.json_response({})
 
--- a/standins/plain_watcher.py
+++ b/standins/plain_watcher.py
@@ -1,7 +1,8 @@
-"""Baseline of the convergence measurement: watch the store, fetch the whole.
+"""Baseline for the convergence measurement: fetches all documents on a change.
 
-Run it with `python -m standins.plain_watcher --store IP:PORT`; one process
-stands for each daemon.
+It watches the head in the store and fetches every document of a new version.
+Run it with `python -m standins.plain_watcher --store IP:PORT`, one process in
+place of each daemon.
 """
 
 from __future__ import annotations
@@ -22,15 +23,15 @@
 
 logger = logging.getLogger(__name__)
 
-_RETRY_S = 0.5
+_RETRY_DELAY_S = 0.5
 
 
 class PlainWatcher:
-    """Holds the newest documents as the store has them.
+    """Keeps the newest documents of the store in memory.
 
     Attributes:
-        versions: Version and ms since 1970 at which it was taken into use.
-        admin_port: Port for `GET /versions`; known after `start`.
+        versions: Fetched versions, each with its time in ms since 1970.
+        admin_port: Port for `GET /versions`; set by `start`.
     """
 
     def __init__(self, store: str):
@@ -40,40 +41,42 @@
         self._documents: dict[str, bytes] = {}
         self._revision = 0
         self._runner: web.AppRunner
-        self._watching: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
 
     async def start(self, admin_port: int = 0) -> None:
-        """Opens the port and begins to watch."""
+        """Opens the admin port and starts to watch the head."""
         await self._store.start()
-        admin = web.Application()
-        admin.router.add_get("/versions", self._show_versions)
-        self._runner, self.admin_port = await process.serve(admin, admin_port)
-        self._watching = asyncio.create_task(self._watch_for_ever())
+        admin_application = web.Application()
+        admin_application.router.add_get("/versions", self._show_versions)
+        self._runner, self.admin_port = await process.serve(
+            admin_application, admin_port
+        )
+        self._watch_task = asyncio.create_task(self._watch_forever())
 
     async def close(self) -> None:
-        """Stops watching and closes the port."""
-        if self._watching is not None:
-            self._watching.cancel()
+        """Stops watching and closes the admin port."""
+        if self._watch_task is not None:
+            self._watch_task.cancel()
         await self._runner.cleanup()
         await self._store.close()
 
-    async def _watch_for_ever(self) -> None:
+    async def _watch_forever(self) -> None:
         while True:
             try:
                 async for entry in self._store.watch("head", self._revision):
-                    await self._take(entry)
+                    await self._fetch_documents(entry)
             except errors.StoreError as error:
                 logger.info("%s", error)
-            await asyncio.sleep(_RETRY_S * (0.5 + random.random()))
+            await asyncio.sleep(_RETRY_DELAY_S * (0.5 + random.random()))
 
-    async def _take(self, entry: client.Entry) -> None:
+    async def _fetch_documents(self, entry: client.Entry) -> None:
         head = document_pb2.Head()
         head.ParseFromString(entry.value)
         documents = {}
         for organisation, digest in head.documents.items():
-            found = await self._store.get(f"documents/{digest.hex()}")
-            if found is not None:
-                documents[organisation] = found.value
+            document_entry = await self._store.get(f"documents/{digest.hex()}")
+            if document_entry is not None:
+                documents[organisation] = document_entry.value
         self._documents = documents
         self._revision = entry.revision
         at_ms = time.time_ns() // 1_000_000
@@ -81,7 +84,10 @@
 
     async def _show_versions(self, _request: web.Request) -> web.Response:
         return web.json_response(
-            [{"version": v, "at_ms": at_ms} for v, at_ms in self.versions]
+            [
+                {"version": version, "at_ms": at_ms}
+                for version, at_ms in self.versions
+            ]
         )
 
 
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""Passes one HTTP call on, as the plain proxies of the baselines do."""
+"""Relays an HTTP call to an upstream, for the proxies of the baselines."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from aiohttp import hdrs
 from aiohttp import web
 
-_READ_BYTES = 64 * 1024
-_NO_LIMIT = aiohttp.ClientTimeout()
+_READ_CHUNK_BYTES = 64 * 1024
+_NO_TIMEOUT = aiohttp.ClientTimeout()
 _HOP_BY_HOP = frozenset(
     name.lower()
     for name in (
@@ -24,9 +24,9 @@
 
 
 def create_session(
-    timeout: aiohttp.ClientTimeout = _NO_LIMIT,
+    timeout: aiohttp.ClientTimeout = _NO_TIMEOUT,
 ) -> aiohttp.ClientSession:
-    """Makes a client that changes nothing of what it passes on."""
+    """Creates a client that relays bodies and cookies unchanged."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0),
         auto_decompress=False,
@@ -42,18 +42,21 @@
     url: str,
     raise_failures: bool = False,
 ) -> web.StreamResponse:
-    """Sends a call to a URL and streams the answer back.
+    """Sends a request to a URL and streams the answer to the caller.
 
     Args:
-        session: Client to send by.
-        request: The call.
-        body: Its body.
-        url: Where to send it.
-        raise_failures: Raise on a status of 500 or above as well.
+        session: Client to send the request with.
+        request: Request of the caller.
+        body: Body of the request.
+        url: URL of the upstream.
+        raise_failures: Whether to raise on a status of 500 or above too.
+
+    Returns:
+        The answer, which has been sent.
 
     Raises:
-        aiohttp.ClientError: The upstream failed before its answer began; once
-            it has begun, the caller's connection is cut instead.
+        aiohttp.ClientError: The upstream failed before its answer started; a
+            later failure aborts the caller's connection instead.
     """
     headers = [
         (name, value)
@@ -62,18 +65,20 @@
     ]
     async with session.request(
         request.method, url, headers=headers, data=body or None
-    ) as upstream:
-        if raise_failures and upstream.status >= 500:
-            upstream.raise_for_status()
-        answer = web.StreamResponse(status=upstream.status)
-        for name, value in upstream.headers.items():
+    ) as upstream_answer:
+        if raise_failures and upstream_answer.status >= 500:
+            upstream_answer.raise_for_status()
+        answer = web.StreamResponse(status=upstream_answer.status)
+        for name, value in upstream_answer.headers.items():
             if name.lower() not in _HOP_BY_HOP:
                 answer.headers.add(name, value)
-        if upstream.content_length is not None:
-            answer.content_length = upstream.content_length
+        if upstream_answer.content_length is not None:
+            answer.content_length = upstream_answer.content_length
         await answer.prepare(request)
         try:
-            async for chunk in upstream.content.iter_chunked(_READ_BYTES):
+            async for chunk in upstream_answer.content.iter_chunked(
+                _READ_CHUNK_BYTES
+            ):
                 await answer.write(chunk)
         except (aiohttp.ClientError, TimeoutError):
             if request.transport is not None:
