--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -1,4 +1,4 @@
-"""Tests of the backend server stand-in."""
+"""Tests for the backend server stand-in."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
         self.session = aiohttp.ClientSession()
         self.addAsyncCleanup(self.session.close)
 
-    async def test_answer_names_the_request_and_its_body(self) -> None:
+    async def test_answer_contains_request_id_and_checksum(self) -> None:
         backend = await builders.start_backend(self)
         headers = {
             worker.REQUEST_ID_HEADER: "r1",
             worker.IDEMPOTENCY_KEY_HEADER: "k1",
         }
         url = f"http://{backend.address}/payouts/1"
-        async with self.session.post(url, data=b"x", headers=headers) as got:
-            fields = await got.json()
-        self.assertEqual(fields["request_id"], "r1")
+        async with self.session.post(url, data=b"x", headers=headers) as answer:
+            json_body = await answer.json()
+        self.assertEqual(json_body["request_id"], "r1")
         body_sha256 = hashlib.sha256(b"x").hexdigest()
-        self.assertEqual(fields["body_sha256"], body_sha256)
+        self.assertEqual(json_body["body_sha256"], body_sha256)
         runs = await self._read_runs(backend)
         events = [(run["event"], run["key"]) for run in runs]
         self.assertEqual(events, [("started", "k1"), ("done", "k1")])
@@ -40,21 +40,21 @@
         backend = await builders.start_backend(self)
         headers = {worker.REQUEST_ID_HEADER: "r1"}
         url = f"http://{backend.address}/footage/1?bytes=50001"
-        async with self.session.get(url, headers=headers) as got:
-            body = await got.read()
-        own = content.compute_checksum("r1", 50001)
-        self.assertEqual(hashlib.sha256(body).hexdigest(), own)
-        self.assertNotEqual(own, content.compute_checksum("r2", 50001))
+        async with self.session.get(url, headers=headers) as answer:
+            body = await answer.read()
+        checksum = content.compute_checksum("r1", 50001)
+        self.assertEqual(hashlib.sha256(body).hexdigest(), checksum)
+        self.assertNotEqual(checksum, content.compute_checksum("r2", 50001))
 
-    async def test_call_over_the_slots_is_shed_unrun(self) -> None:
+    async def test_call_beyond_the_slots_is_shed_and_not_run(self) -> None:
         backend = await builders.start_backend(self, slots=1)
-        first = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
-        self.addCleanup(first.cancel)
+        call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
+        self.addCleanup(call.cancel)
         await self._wait_events(backend, ["started"])
         self.assertEqual(await self._get(backend, "/b?work_ms=0"), 503)
         await self._wait_events(backend, ["started", "shed"])
 
-    async def test_work_stops_when_its_caller_leaves(self) -> None:
+    async def test_work_is_cancelled_when_the_caller_disconnects(self) -> None:
         backend = await builders.start_backend(self)
         call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
         await self._wait_events(backend, ["started"])
@@ -78,35 +78,41 @@
         call.cancel()
         await asyncio.wait_for(drain, _TEST_TIMEOUT_S)
 
-    async def test_silent_connection_hangs_and_a_new_one_works(self) -> None:
-        """A pooled connection never answers again, a fresh one does at once.
+    async def test_only_connections_open_at_the_fault_hang(self) -> None:
+        """A pooled connection never answers again; a new one answers at once.
 
-        The caller's first call opens a connection; then everything open goes
-        silent, so its next call on that connection gets nothing.
+        The caller's first call opens a connection. The fault then silences all
+        open connections, so the next call on that connection gets no answer.
         """
         backend = await builders.start_backend(self)
         self.assertEqual(await self._get(backend, "/a?work_ms=0"), 200)
-        url = f"http://127.0.0.1:{backend.control_port}/faults"
-        async with aiohttp.ClientSession() as other:
-            async with other.post(url, json={"silent": True}) as answer:
+        faults_url = f"http://127.0.0.1:{backend.control_port}/faults"
+        async with aiohttp.ClientSession() as new_session:
+            async with new_session.post(
+                faults_url, json={"silent": True}
+            ) as answer:
                 self.assertEqual(answer.status, 200)
-            hanging = asyncio.create_task(self._get(backend, "/a?work_ms=0"))
-            address = f"http://{backend.address}/b?work_ms=0"
-            async with other.get(address) as answer:
+            hanging_call = asyncio.create_task(
+                self._get(backend, "/a?work_ms=0")
+            )
+            url = f"http://{backend.address}/b?work_ms=0"
+            async with new_session.get(url) as answer:
                 self.assertEqual(answer.status, 200)
-        # Without the fault it is answered in far less.
-        done, _ = await asyncio.wait({hanging}, timeout=0.3)
+        # Without the fault, the answer takes far less time than this timeout.
+        done, _ = await asyncio.wait({hanging_call}, timeout=0.3)
         self.assertFalse(done)
-        hanging.cancel()
+        hanging_call.cancel()
 
-    async def test_nested_calls_pass_on_what_bounds_them(self) -> None:
-        """A nested call has the deadline, depth and attempt of the first.
+    async def test_nested_call_forwards_deadline_depth_and_attempt(
+        self,
+    ) -> None:
+        """A nested call has the deadline, depth and attempt of its request.
 
-        A daemon in between removes such headers, so the backend server copies
-        them; without them the nested call would be taken for a fresh one.
+        A daemon in between removes these headers, so the backend server copies
+        them; without them the nested call would be taken for a new request.
         """
-        url, seen = await builders.start_recording_server(self)
-        backend = await builders.start_backend(self, daemon=url)
+        daemon_url, requests = await builders.start_recording_server(self)
+        backend = await builders.start_backend(self, daemon_url=daemon_url)
         headers = {
             worker.REQUEST_ID_HEADER: "r1",
             worker.DEADLINE_HEADER: "900",
@@ -115,22 +121,22 @@
         }
         path = "/a?work_ms=0&then=kassa/seals,balie/tickets"
         self.assertEqual(await self._get(backend, path, headers), 200)
-        [nested] = seen
-        self.assertEqual(nested.path, "/kassa/seals/nested")
-        self.assertEqual(nested.query["then"], "balie/tickets")
+        [nested_request] = requests
+        self.assertEqual(nested_request.path, "/kassa/seals/nested")
+        self.assertEqual(nested_request.query["then"], "balie/tickets")
         for name, value in headers.items():
-            self.assertEqual(nested.headers[name], value)
+            self.assertEqual(nested_request.headers[name], value)
 
-    async def test_cut_download_is_seen_to_be_cut(self) -> None:
+    async def test_caller_detects_truncated_download(self) -> None:
         backend = await builders.start_backend(self)
         url = f"http://{backend.address}/footage/1?bytes=500000&rate=100000"
-        async with self.session.get(url) as got:
-            await got.content.read(1)
-            control = f"http://127.0.0.1:{backend.control_port}/faults"
-            async with aiohttp.ClientSession() as other:
-                await other.post(control, json={"cut": True})
+        async with self.session.get(url) as answer:
+            await answer.content.read(1)
+            faults_url = f"http://127.0.0.1:{backend.control_port}/faults"
+            async with aiohttp.ClientSession() as control_session:
+                await control_session.post(faults_url, json={"cut": True})
             with self.assertRaises(aiohttp.ClientError):
-                await got.read()
+                await answer.read()
 
     async def _get(self, backend, path, headers=None) -> int:
         url = f"http://{backend.address}{path}"
--- a/tests/standins/test_keyvalue.py
+++ b/tests/standins/test_keyvalue.py
@@ -1,4 +1,4 @@
-"""Tests of the store stand-in's data against a plain dict."""
+"""Tests for the data of the store stand-in against a dict as a model."""
 
 from __future__ import annotations
 
@@ -17,81 +17,98 @@
 
 
 class KeyValueMachine(stateful.RuleBasedStateMachine):
-    """Compare-and-swap, leases and lists as a dict would have them."""
+    """Compares writes, leases and lists of the map with those of a dict.
+
+    Attributes:
+        clock: Clock of the map.
+        actual: Map under test.
+        model: Expected entries by key.
+        lease_expiries: Expiry of each lease in seconds, by lease id.
+        revision: Expected revision of the map.
+    """
 
     def __init__(self):
         super().__init__()
         self.clock = builders.ManualClock()
-        self.real = keyvalue.KeyValueStore(self.clock)
+        self.actual = keyvalue.KeyValueStore(self.clock)
         self.model: dict[str, keyvalue.Entry] = {}
-        self.ends: dict[int, float] = {}
+        self.lease_expiries: dict[int, float] = {}
         self.revision = 0
 
-    @stateful.rule(key=_KEYS, value=_VALUES, right=strategies.booleans())
-    def put(self, key, value, right):
-        self._put(key, value, right, 0)
+    @stateful.rule(key=_KEYS, value=_VALUES, is_current=strategies.booleans())
+    def put(self, key, value, is_current):
+        self._put(key, value, is_current, 0)
 
-    @stateful.rule(key=_KEYS, value=_VALUES, lease=strategies.integers(1, 3))
-    def put_with_lease(self, key, value, lease):
-        if lease in self.ends:
-            self._put(key, value, True, lease)
+    @stateful.rule(key=_KEYS, value=_VALUES, lease_id=strategies.integers(1, 3))
+    def put_with_lease(self, key, value, lease_id):
+        if lease_id in self.lease_expiries:
+            self._put(key, value, True, lease_id)
         else:
-            revision = self._revision_of(key)
+            revision = self._get_revision(key)
             with _CASE.assertRaises(keyvalue.LeaseNotFoundError):
-                self.real.put(key, value, revision, lease)
-
-    @stateful.rule(key=_KEYS, right=strategies.booleans())
-    def delete(self, key, right):
-        revision = self._revision_of(key)
-        deleted = self.real.delete(key, revision if right else revision + 1)
-        assert deleted == (right and key in self.model)
+                self.actual.put(key, value, revision, lease_id)
+
+    @stateful.rule(key=_KEYS, is_current=strategies.booleans())
+    def delete(self, key, is_current):
+        revision = self._get_revision(key)
+        deleted = self.actual.delete(
+            key, revision if is_current else revision + 1
+        )
+        assert deleted == (is_current and key in self.model)
         if deleted:
-            self._forget(key)
+            self._remove_from_model(key)
 
     @stateful.rule()
     def grant_lease(self):
-        lease_id = self.real.grant_lease(_LEASE_S)
-        assert lease_id not in self.ends
-        self.ends[lease_id] = self.clock.now + _LEASE_S
+        lease_id = self.actual.grant_lease(_LEASE_S)
+        assert lease_id not in self.lease_expiries
+        self.lease_expiries[lease_id] = self.clock.now + _LEASE_S
 
-    @stateful.rule(lease=strategies.integers(1, 3))
-    def keep_lease(self, lease):
-        seconds = self.real.keep_lease(lease)
-        assert seconds == (_LEASE_S if lease in self.ends else 0)
-        if lease in self.ends:
-            self.ends[lease] = self.clock.now + _LEASE_S
+    @stateful.rule(lease_id=strategies.integers(1, 3))
+    def keep_lease(self, lease_id):
+        seconds = self.actual.keep_lease(lease_id)
+        assert seconds == (_LEASE_S if lease_id in self.lease_expiries else 0)
+        if lease_id in self.lease_expiries:
+            self.lease_expiries[lease_id] = self.clock.now + _LEASE_S
 
     @stateful.rule(seconds=strategies.integers(1, 7))
-    def let_time_pass(self, seconds):
+    def advance_clock(self, seconds):
         self.clock.now += seconds
-        over = {i for i, end in self.ends.items() if end <= self.clock.now}
-        for lease in over:
-            del self.ends[lease]
+        expired_lease_ids = {
+            lease_id
+            for lease_id, expires_at in self.lease_expiries.items()
+            if expires_at <= self.clock.now
+        }
+        for lease_id in expired_lease_ids:
+            del self.lease_expiries[lease_id]
         for entry in list(self.model.values()):
-            if entry.lease_id in over:
-                self._forget(entry.key)
+            if entry.lease_id in expired_lease_ids:
+                self._remove_from_model(entry.key)
 
     @stateful.invariant()
-    def same_entries(self):
-        listed = self.real.list("", "", 0)
-        assert listed == [self.model[key] for key in sorted(self.model)]
-        page = self.real.list("a", "a", 1)
-        assert page == [e for e in listed if e.key.startswith("a/")][:1]
-        assert self.real.revision == self.revision
-
-    def _put(self, key, value, right, lease):
-        revision = self._revision_of(key)
-        expected = revision if right else revision + 1
-        assert self.real.put(key, value, expected, lease) == right
-        if right:
+    def check_entries(self):
+        entries = self.actual.list("", "", 0)
+        assert entries == [self.model[key] for key in sorted(self.model)]
+        first_page = self.actual.list("a", "a", 1)
+        assert first_page == [e for e in entries if e.key.startswith("a/")][:1]
+        assert self.actual.revision == self.revision
+
+    def _put(self, key, value, is_current, lease_id):
+        revision = self._get_revision(key)
+        expected_revision = revision if is_current else revision + 1
+        assert (
+            self.actual.put(key, value, expected_revision, lease_id)
+            == is_current
+        )
+        if is_current:
             self.revision += 1
-            entry = keyvalue.Entry(key, value, self.revision, lease)
+            entry = keyvalue.Entry(key, value, self.revision, lease_id)
             self.model[key] = entry
 
-    def _revision_of(self, key):
+    def _get_revision(self, key):
         return self.model.get(key, keyvalue.Entry(key)).revision
 
-    def _forget(self, key):
+    def _remove_from_model(self, key):
         self.revision += 1
         del self.model[key]
 
@@ -100,22 +117,22 @@
 
 
 class LeaseTest(unittest.IsolatedAsyncioTestCase):
-    async def test_watch_tells_that_a_lease_ended(self) -> None:
-        """A watcher of a leased key learns that it went away.
+    async def test_watch_reports_that_a_lease_expired(self) -> None:
+        """A watch of a leased key reports that the key was removed.
 
-        The holder of the lease pauses past its end; the key goes without a
-        call of anyone, and whoever watches is told.
+        The holder of the lease pauses beyond its expiry, so the key is removed
+        without any call; its watchers must still learn of it.
         """
         clock = builders.ManualClock()
         data = keyvalue.KeyValueStore(clock)
-        lease = data.grant_lease(_LEASE_S)
-        data.put("key", b"x", 0, lease)
+        lease_id = data.grant_lease(_LEASE_S)
+        data.put("key", b"x", 0, lease_id)
         stream = data.watch("key", 0)
         self.assertEqual((await anext(stream)).value, b"x")
         clock.now = float(_LEASE_S)
         data.expire_leases()
         self.assertEqual((await anext(stream)).revision, 0)
-        self.assertEqual(data.keep_lease(lease), 0)
+        self.assertEqual(data.keep_lease(lease_id), 0)
 
 
 if __name__ == "__main__":
--- a/tests/standins/test_store.py
+++ b/tests/standins/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store stand-in through the product's own client."""
+"""Tests for the store stand-in with the client of the product."""
 
 from __future__ import annotations
 
@@ -19,39 +19,41 @@
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    """Calls of a store that is well."""
+    """Tests calls of a store without faults."""
 
     async def asyncSetUp(self) -> None:
         self.store = await builders.start_store(self)
         self.client = await builders.start_client(self, self.store)
 
-    async def test_second_writer_of_a_revision_loses(self) -> None:
-        first = await self.client.put("head", b"a", 0)
-        second = await self.client.put("head", b"b", 0)
-        self.assertTrue(first.written)
-        self.assertFalse(second.written)
-        self.assertEqual(second.entry, first.entry)
+    async def test_second_write_of_a_revision_fails(self) -> None:
+        first_reply = await self.client.put("head", b"a", 0)
+        second_reply = await self.client.put("head", b"b", 0)
+        self.assertTrue(first_reply.written)
+        self.assertFalse(second_reply.written)
+        self.assertEqual(second_reply.entry, first_reply.entry)
 
-    async def test_value_over_a_megabyte_is_refused(self) -> None:
-        largest = b"x" * keyvalue.MAX_VALUE_BYTES
-        reply = await self.client.put("key", largest, 0)
+    async def test_value_over_a_megabyte_is_rejected(self) -> None:
+        largest_value = b"x" * keyvalue.MAX_VALUE_BYTES
+        reply = await self.client.put("key", largest_value, 0)
         self.assertTrue(reply.written)
         with self.assertRaises(errors.StoreUnknownOutcomeError):
-            await self.client.put("key", largest + b"x", reply.entry.revision)
+            await self.client.put(
+                "key", largest_value + b"x", reply.entry.revision
+            )
         entry = await self.client.get("key")
         assert entry is not None
         self.assertEqual(entry, reply.entry)
 
-    async def test_watch_sends_the_newest_at_once_then_changes(self) -> None:
-        first = await self.client.put("head", b"1", 0)
+    async def test_watch_sends_the_newest_entry_and_then_changes(self) -> None:
+        first_reply = await self.client.put("head", b"1", 0)
         async with contextlib.aclosing(
             self.client.watch("head", 0)  # type: ignore[type-var]
         ) as stream:
-            seen = await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
-            self.assertEqual(seen, first.entry)
-            second = await self.client.put("head", b"2", seen.revision)
-            seen = await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
-            self.assertEqual(seen, second.entry)
+            entry = await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
+            self.assertEqual(entry, first_reply.entry)
+            second_reply = await self.client.put("head", b"2", entry.revision)
+            entry = await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
+            self.assertEqual(entry, second_reply.entry)
 
     async def test_calls_and_waiting_watches_are_counted(self) -> None:
         await self.client.get("documents/a")
@@ -66,17 +68,17 @@
 
 
 class FaultTest(unittest.IsolatedAsyncioTestCase):
-    """Calls of a store that fails."""
+    """Tests calls of a store with faults."""
 
     async def asyncSetUp(self) -> None:
         self.store = await builders.start_store(self)
         self.client = await builders.start_client(self, self.store)
 
-    async def test_lost_answer_of_a_write_that_took_effect(self) -> None:
-        """The writer is told nothing although its write stands.
+    async def test_write_takes_effect_although_its_answer_is_lost(self) -> None:
+        """A writer gets no answer although its write took effect.
 
         The store applies the write and drops the answer, as the platform
-        does at times. Only a read tells the writer what became of it.
+        sometimes does. Only a read tells the writer the outcome.
         """
         await self.store.set_faults(faults.StoreFaults(lose_answers=1))
         with self.assertRaises(errors.StoreUnknownOutcomeError):
@@ -87,11 +89,11 @@
         reply = await self.client.put("head", b"2", entry.revision)
         self.assertTrue(reply.written)
 
-    async def test_every_outage_fails_calls_and_watches_then_ends(self) -> None:
-        """Reads fail and an open watch ends in an outage, and heal after it.
+    async def test_outages_fail_calls_and_watches_until_they_end(self) -> None:
+        """Reads fail and an open watch ends in an outage; later reads succeed.
 
-        A refused port and a refused call look alike to the client; each ends
-        the watch that was open, so that a watcher notices.
+        The client cannot tell a closed port from a rejected call. Both end the
+        open watch, so that the watcher notices the outage.
         """
         await self.client.put("head", b"1", 0)
         for outage in (faults.Outage.UNAVAILABLE, faults.Outage.REFUSED):
@@ -108,38 +110,44 @@
                     await _wait_until_answered(self.client)
 
     async def test_hanging_store_never_answers(self) -> None:
-        impatient = await builders.start_client(self, self.store, 0.2)
-        await impatient.get("head")
-        hanging = faults.StoreFaults(faults.Outage.HANGING)
-        await self.store.set_faults(hanging)
+        short_timeout_client = await builders.start_client(
+            self, self.store, 0.2
+        )
+        await short_timeout_client.get("head")
+        hanging_faults = faults.StoreFaults(faults.Outage.HANGING)
+        await self.store.set_faults(hanging_faults)
         with self.assertRaises(errors.StoreUnavailableError):
-            await impatient.get("head")
+            await short_timeout_client.get("head")
 
-    async def test_stale_reads_answer_from_before_the_fault(self) -> None:
-        """A read shows the old value although a newer one was written.
+    async def test_stale_reads_return_entries_from_before_the_fault(
+        self,
+    ) -> None:
+        """A read returns the old value although a newer one was written.
 
-        Reads are frozen as they were when the fault began; compare-and-swap
-        still judges by what is really stored.
+        Reads return the entries from when the fault began; compare-and-swap
+        still compares with the entries that are really stored.
         """
-        first = await self.client.put("head", b"old", 0)
+        first_reply = await self.client.put("head", b"old", 0)
         await self.store.set_faults(faults.StoreFaults(stale=True))
-        reply = await self.client.put("head", b"new", first.entry.revision)
+        reply = await self.client.put(
+            "head", b"new", first_reply.entry.revision
+        )
         self.assertTrue(reply.written)
-        self.assertEqual(await self.client.get("head"), first.entry)
-        self.assertEqual(await self.client.list(""), [first.entry])
+        self.assertEqual(await self.client.get("head"), first_reply.entry)
+        self.assertEqual(await self.client.list(""), [first_reply.entry])
         await self.store.set_faults(faults.StoreFaults())
         self.assertEqual(await self.client.get("head"), reply.entry)
 
-    async def test_stale_reads_answer_from_what_was_remembered(self) -> None:
-        first = await self.client.put("head", b"old", 0)
+    async def test_stale_reads_return_the_earlier_snapshot(self) -> None:
+        first_reply = await self.client.put("head", b"old", 0)
         self.store.servicer.take_snapshot()
-        await self.client.put("head", b"new", first.entry.revision)
+        await self.client.put("head", b"new", first_reply.entry.revision)
         await self.store.set_faults(faults.StoreFaults(stale=True))
-        self.assertEqual(await self.client.get("head"), first.entry)
+        self.assertEqual(await self.client.get("head"), first_reply.entry)
 
 
 async def _wait_until_answered(store: client.StoreClient) -> None:
-    """Returns once a read is answered; gRPC connects again by itself."""
+    """Reads until a read is answered; gRPC reconnects by itself."""
     while True:
         with contextlib.suppress(errors.StoreUnavailableError):
             await store.get("head")
@@ -148,9 +156,9 @@
 
 
 class FaultParsingTest(unittest.TestCase):
-    """Faults as the control port takes them."""
+    """Tests the parser of the faults that the control port receives."""
 
-    def test_unknown_faults_are_refused(self) -> None:
+    def test_unknown_faults_are_rejected(self) -> None:
         with self.assertRaises(ValueError):
             faults.parse_faults({"outage": "odd"})
         with self.assertRaises(TypeError):
