--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins of the platform."""
+"""Tests for the stand-ins for the platform."""
