--- a/tools/failures.py
+++ b/tools/failures.py
@@ -77,7 +77,7 @@
 
         async def refresh() -> None:
             if not is_product:
-                await tell_upstreams(shown)
+                await send_upstreams(shown)
 
         await refresh()
         if is_product:
@@ -103,24 +103,26 @@
     """
     await shown.apply(*workload.list_documents(shown.layout.name))
     version = (await shown.read_head()).version
-    taken = await shown.wait_in_force(
+    taken = await shown.wait_until_active(
         version, _IN_FORCE_WITHIN_S, shown.instances
     )
     if taken is None:
         raise processes.ProcessError("the first version is not in force")
 
 
-async def tell_upstreams(shown: fleet.Fleet) -> None:
+async def send_upstreams(shown: fleet.Fleet) -> None:
     """Tells every proxy of the baseline the upstreams of each service."""
     upstreams: dict[str, list[str]] = {}
     for instance in shown.instances:
         assert instance.backend is not None
-        address = instance.backend.ready["address"]
+        address = instance.backend.ready_fields["address"]
         upstreams.setdefault(instance.place.service, []).append(address)
     for instance in shown.instances:
         # A proxy that stops has closed its port; it is told at its restart.
         with contextlib.suppress(aiohttp.ClientError):
-            await shown.post_json(instance.admin, "/upstreams", upstreams)
+            await shown.post_json(
+                instance.admin_address, "/upstreams", upstreams
+            )
 
 
 async def _run_loaders(
@@ -150,7 +152,7 @@
     results = []
     for loader, path in started:
         if await loader.wait():
-            raise processes.ProcessError(loader.read_errors())
+            raise processes.ProcessError(loader.read_last_stderr_lines())
         results += load.read_results(path)
     return results
 
@@ -176,10 +178,13 @@
         "downloads_cut_by_planned_stop": _count_cut(results, runs, caused),
         "new_work_after_leave": sum(
             harm.count_new_work(
-                runs, stop.address, stop.at_ms + _LEAVE_WITHIN_MS, stop.until_ms
+                runs,
+                stop.address,
+                stop.at_ms + _LEAVE_WITHIN_MS,
+                stop.restarted_ms,
             )
-            for stop in caused.stops
-            if not stop.daemon
+            for stop in caused.planned_stops
+            if not stop.stops_daemon
         ),
         "version_regressions": sum(map(harm.count_regressions, versions)),
         "dangling_routes": _count_dangling(results),
@@ -187,9 +192,9 @@
         "met_target": _compute_shares(ordinary),
         "verdicts": _count_verdicts(ordinary),
         "crash_requests": len(results) - len(ordinary),
-        "not_in_force_at_end": caused.not_in_force,
+        "not_in_force_at_end": caused.outdated_daemons,
         "backends_crashed": caused.crashes,
-        "changes_accepted": caused.accepted,
+        "changes_accepted": caused.accepted_changes,
         "versions_read": sum(map(len, versions)),
     }
 
@@ -216,10 +221,10 @@
             ended_ms > stop.at_ms
             and any(
                 at_ms < stop.at_ms
-                and (at == stop.address or attempt.entry == stop.entry)
+                and (at == stop.address or attempt.entry == stop.daemon_url)
                 for at, at_ms in places
             )
-            for stop in caused.stops
+            for stop in caused.planned_stops
         )
     return cut
 
