--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -14,7 +14,7 @@
 from standins import process
 
 _PATH_PREFIX = "/merlintrestle/kv-"
-_MAX_PAGE_ITEMS = 500
+_PAGE_ITEMS = 500
 _MAX_TRANSACTION_ENTRIES = 32
 _CHUNK_BYTES = 16 * 1024
 _FORBIDDEN_PREFIXES = ("op/", "servers/")
@@ -197,9 +197,9 @@
         return web.json_response(
             {
                 "items": [
-                    item.to_json() for item in matching_items[:_MAX_PAGE_ITEMS]
+                    item.to_json() for item in matching_items[:_PAGE_ITEMS]
                 ],
-                "hasMore": len(matching_items) > _MAX_PAGE_ITEMS,
+                "hasMore": len(matching_items) > _PAGE_ITEMS,
                 "at": self._revision,
             }
         )
