--- a/tests/tools/test_model.py
+++ b/tests/tools/test_model.py
@@ -1,4 +1,4 @@
-"""The thin model of a fleet, and what callers get in its plays."""
+"""Tests of the simulation of a fleet and of the results of its callers."""
 
 from __future__ import annotations
 
@@ -8,85 +8,103 @@
 from tools import model
 from tools import policies
 
-_LENGTH_S = 3.0
+_DURATION_S = 3.0
 
 
-def _play(
+def _simulate(
     load: str,
     seed: int = 1,
     min_timeout_fraction: float = 0.83,
-    play_seed: int | None = None,
+    simulation_seed: int | None = None,
 ) -> model.Result:
-    chance = random.Random(seed)
-    servers = policies.build_servers(chance)
-    works = [
-        work._replace(min_timeout_fraction=min_timeout_fraction)
-        for work in policies.build_work_classes(
+    """Simulates a load.
+
+    Args:
+        load: Name of the load.
+        seed: Seed of the fleet.
+        min_timeout_fraction: Shortest timeout of a caller, as a fraction of the
+            longest one.
+        simulation_seed: Seed of the simulation; None: the seed of the fleet.
+    """
+    rng = random.Random(seed)
+    servers = policies.build_servers(rng)
+    work_classes = [
+        work_class._replace(min_timeout_fraction=min_timeout_fraction)
+        for work_class in policies.build_work_classes(
             policies.LOADS[load].rate_factor
         )
     ]
-    return model.simulate(servers, works, _LENGTH_S, play_seed or seed)
+    return model.simulate(
+        servers, work_classes, _DURATION_S, simulation_seed or seed
+    )
 
 
 class ModelTest(unittest.TestCase):
-    """Fourteen daemons; figures in brackets are those of the first run."""
+    """Simulations of fourteen daemons.
 
-    def test_the_same_seed_gives_the_same_result(self) -> None:
-        self.assertEqual(_play("busy"), _play("busy"))
+    Figures in brackets are those of the first run of a test.
+    """
 
-    def test_impatient_callers_are_served_as_well(self) -> None:
-        """Callers that wait half as long as others get their answers too.
+    def test_same_seed_gives_same_result(self) -> None:
+        self.assertEqual(_simulate("busy"), _simulate("busy"))
 
-        First requests state 0.4 to 1 of the longest time. Taken for callers
-        that had waited, the impatient ones were refused beside free slots.
+    def test_callers_with_short_timeouts_are_served(self) -> None:
+        """Callers with short timeouts get their answers as others do.
+
+        First requests state timeouts of 0.4 to 1 of the longest one. When a
+        short timeout was taken for the remaining time of a caller that had
+        waited, such callers were refused although slots were free.
         """
-        result = _play("busy", min_timeout_fraction=0.4)
+        result = _simulate("busy", min_timeout_fraction=0.4)
         self.assertGreater(result.earned, 0.98)
         self.assertEqual(
             result.compute_fraction("lookup", "refused again"), 0.0
         )
 
-    def test_a_service_with_too_much_to_do(self) -> None:
-        """At 2.2 times a calm day lookups and grants are in time (0.98)."""
-        result = _play("full")
+    def test_overloaded_service_answers_in_time(self) -> None:
+        """At 2.2 times the calm rate lookups and grants are in time (0.98)."""
+        result = _simulate("full")
         self.assertGreater(result.compute_fraction("lookup", "in time"), 0.95)
         self.assertGreater(result.compute_fraction("grant", "in time"), 0.95)
         self.assertLess(result.compute_fraction("grant", "refused again"), 0.02)
 
-    def test_callers_are_not_told_to_come_back_to_the_same_queue(self) -> None:
-        """Few grants are refused twice, whatever the luck of the callers.
+    def test_retries_are_not_sent_back_to_the_same_queue(self) -> None:
+        """Few grants are refused again after a retry, with any seed.
 
-        Refused after 0.2 s in a full queue and told to come back at once, they
-        met the same calls there, too late to wait and too early to be late:
-        0.026 of them in the mean of twelve seeds, now 0.004.
+        When a call was refused after 0.2 s in a full queue and its caller was
+        told to retry at once, the retry met the same calls in that queue, too
+        late to wait and too early to count as late. Then 0.026 of the grants
+        were refused again (mean of twelve seeds); now it is 0.004.
         """
-        parts = [
-            _play("full", 1, play_seed=seed).compute_fraction(
+        fractions = [
+            _simulate("full", 1, simulation_seed=seed).compute_fraction(
                 "grant", "refused again"
             )
             for seed in range(2, 6)
         ]
-        self.assertLess(max(parts), 0.02)
-        self.assertLess(sum(parts) / len(parts), 0.01)
+        self.assertLess(max(fractions), 0.02)
+        self.assertLess(sum(fractions) / len(fractions), 0.01)
 
-    def test_backend_servers_that_turn_calls_away(self) -> None:
-        """Most callers get what they ask for (0.93 of the worth).
+    def test_shedding_backend_servers_are_avoided(self) -> None:
+        """Callers earn most of the value although backend servers shed (0.93).
 
-        Four in ten of 32 backend servers turn away nearly every other call and
-        report that they are well. Only the daemons beside them know: each
-        other daemon sends one of them a call in some seconds. Calls that meet
-        one without having asked use up the budget of retries (0.89).
+        Four in ten of 32 backend servers shed nearly every other call but
+        report that they are healthy. Only their own daemons see this, as any
+        other daemon sends a given one a call only every few seconds. If calls
+        are sent there without asking these daemons, their retries use up the
+        retry budget, and less value is earned (0.89).
         """
         result = policies.simulate_load("shedding", 1, 4.0)
         self.assertGreater(result.earned, 0.91)
-        # A daemon has one repeat in a window beside those for its calls.
+        # Besides the retries that its calls allow, a daemon may make one retry
+        # in each window.
         self.assertLess(
             max(result.repeat_ratios.values()), model.RETRY_RATIO + 0.03
         )
 
-    def test_a_change_of_a_constant_is_played(self) -> None:
-        usual = policies.simulate_variant(
+    def test_variant_is_simulated(self) -> None:
+        figures = policies.simulate_variant(
             "calm", 1, policies.Variant("usual", {})
         )
-        self.assertGreater(usual["earned"], 0.98)
-        self.assertLess(usual["far"], 0.2)
+        self.assertGreater(figures["earned"], 0.98)
+        self.assertLess(figures["far"], 0.2)
--- a/tools/model.py
+++ b/tools/model.py
@@ -1,9 +1,10 @@
-"""A thin model of a fleet under load, in simulated time.
+"""Simulation of a fleet under load, in simulated time.
 
-Callers, daemons and backend servers; what decides is the product's own code:
-picking, admission, queues, retries and their budgets, callers that come back.
-Bytes, processor time, membership and the store are left out. A play of ten
-seconds over fourteen daemons takes a few seconds.
+Callers, daemons and backend servers are modelled. The decisions are made by
+the product's code: picking, admission, queues, retries, retry budgets and the
+recognition of callers that retry. Bytes, processor time, membership and the
+store are not modelled. A simulation of ten seconds with fourteen daemons takes
+a few seconds.
 """
 
 from __future__ import annotations
@@ -32,61 +33,64 @@
 from merlintrestle.requests.transport import bodies
 from merlintrestle.requests.transport import headers
 from merlintrestle.rollouts import subsets
-from merlintrestle.rollouts import tracker as books
+from merlintrestle.rollouts import tracker as trackers
 from merlintrestle.schema import control_pb2
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Marks what is made on behalf of a repeat; daemons do not look at it.
-_UNDER_REPEAT = "Under-Repeat"
-# Spread of the time that a call needs: the logarithm's standard deviation, so
-# that one in twenty takes more than twice the mean.
-_SPREAD = 0.5
-# Repeats that the fleet may make for each call.
+# Header of calls that are nested in a repeat; daemons ignore it.
+_NESTED_IN_REPEAT = "Under-Repeat"
+# Standard deviation of the logarithm of the work time. With it one call in
+# twenty takes more than twice the mean.
+_WORK_LOG_DEVIATION = 0.5
+# Retries that the fleet may make for each call of a service.
 RETRY_RATIO = 0.2
-_OK = 200
-_FAILED = 500
-# One way between two daemons, in seconds: of one zone, and of two.
-_NEAR_S = 0.0003
-_FAR_S = 0.0012
-# Length of the windows by which the worst seconds are found, in seconds.
+_STATUS_OK = 200
+_STATUS_FAILED = 500
+# One-way delay between two daemons of one zone and of different zones.
+_SAME_ZONE_DELAY_S = 0.0003
+_CROSS_ZONE_DELAY_S = 0.0012
+# Length of the windows among which the worst ones are determined.
 _WINDOW_S = 2.0
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on only when nothing is left to do."""
+    """An event loop whose time advances only when no callback is ready."""
 
     def __init__(self) -> None:
         self._now = 1000.0
         super().__init__()
         selector: Any = vars(self)["_selector"]
         self._select = selector.select
-        selector.select = self._skip
+        selector.select = self._advance
 
     def time(self) -> float:
         """Returns the simulated time in seconds."""
         return self._now
 
-    def _skip(self, timeout: float | None = None) -> Any:
+    def _advance(self, timeout: float | None = None) -> Any:
+        """Advances the time by the timeout instead of waiting for events."""
         self._now += timeout or 0.0
         return self._select(0)
 
 
 class WorkClass(NamedTuple):
-    """A class of work and those who ask for it.
+    """A class of work and the callers that send its calls.
 
     Attributes:
-        plan: The class; its service is where it goes.
-        rate: Calls of callers a second; 0: it is made by other work alone.
-        work_s: Mean time at a backend server of usual speed, in seconds.
-        timeout_s: How long the most patient caller waits, in seconds.
-        min_timeout_fraction: Part of that for which the least patient one
-            waits.
-        retries: How often a caller comes back.
-        worth: What an answer in time is worth to its caller.
-        late_worth: What a late one is worth.
-        downstream_classes: Names of the work that each of its calls asks for.
+        plan: Declared targets of the class.
+        rate: Calls per second of all callers; 0 if all calls are nested in
+            calls of other classes.
+        work_s: Mean work time at a backend server of usual speed, in seconds.
+        timeout_s: Longest timeout of a caller, in seconds.
+        min_timeout_fraction: Shortest timeout of a caller, as a fraction of the
+            longest one.
+        retries: Maximum number of retries of a caller.
+        worth: Value of an answer within the latency target.
+        late_worth: Value of a later answer.
+        downstream_classes: Names of the classes of the nested calls that each
+            call makes.
     """
 
     plan: snapshots.ClassPlan
@@ -101,15 +105,15 @@
 
 
 class Server(NamedTuple):
-    """A backend server and the instance that it runs on.
+    """A backend server and its instance.
 
     Attributes:
-        service: What it serves.
-        zone: Availability zone.
-        slots: Calls it runs at once.
-        slowness: Time that it needs, as a multiple of the usual.
-        shed_fraction: Part of the calls that it does not take, with room or
-            not.
+        service: Service that the backend server serves.
+        zone: Availability zone of the instance.
+        slots: Number of calls that the backend server runs at once.
+        slowness: Work time, as a multiple of the usual one.
+        shed_fraction: Fraction of the calls that the backend server sheds, even
+            if it has capacity.
     """
 
     service: str
@@ -120,12 +124,12 @@
 
 
 class ServerChange(NamedTuple):
-    """A backend server that changes while the play goes on.
+    """A change of a backend server during the simulation.
 
     Attributes:
-        at_s: When, in seconds from the start.
-        server: Its number.
-        slowness: Its slowness from then on; 0: it takes no new work.
+        at_s: Time of the change, in seconds from the start.
+        server: Number of the backend server.
+        slowness: Slowness of the backend server from then on; 0 if it drains.
     """
 
     at_s: float
@@ -134,16 +138,17 @@
 
 
 class Result(NamedTuple):
-    """What callers got.
+    """Results of the callers.
 
     Attributes:
-        counts: Calls by class and by what became of them: "in time", "late",
-            "refused", "refused again" or "failed".
-        earned: Worth that was earned, as a part of what was asked for.
-        served: Part of the calls that were answered.
-        worst: The part earned in the two worst windows.
-        far: Part of the answers between daemons that left their zone.
-        repeat_ratios: Repeats that came to backend servers, as a part of the
+        counts: Number of requests by name of the class and result: "in time",
+            "late", "refused", "refused again" or "failed".
+        earned: Value of the answers, as a fraction of the value that all
+            requests would have if answered in time.
+        served: Fraction of the requests that were answered.
+        worst: Mean of `earned` in the two worst windows.
+        far: Fraction of the answers between daemons that crossed zones.
+        repeat_ratios: Repeats that reached backend servers, as a ratio to the
             calls, by service.
     """
 
@@ -155,17 +160,24 @@
     repeat_ratios: dict[str, float]
 
     def compute_fraction(self, name: str, result: str) -> float:
-        """Returns the part of the calls of a class with one result."""
-        total = sum(n for key, n in self.counts.items() if key[0] == name)
+        """Returns the fraction of a class's requests with a result.
+
+        Args:
+            name: Name of the class.
+            result: The result, as in `counts`.
+        """
+        total = sum(
+            count for key, count in self.counts.items() if key[0] == name
+        )
         return self.counts[name, result] / max(1, total)
 
 
-class _Table:
-    """The upstreams of all services; every daemon knows the same."""
+class _MemberTable:
+    """The upstreams of all services, common to all daemons."""
 
     def __init__(self, servers: Iterable[Server]):
         self._members = {
-            number: _describe(number, server)
+            number: _build_upstream(number, server)
             for number, server in enumerate(servers)
         }
         self._services = {
@@ -174,7 +186,10 @@
         self._upstreams: dict[str, tuple[tables.Upstream, ...]] = {}
 
     def get_upstreams(self, service: str) -> tuple[tables.Upstream, ...]:
-        """Returns the upstreams of a service; the same tuple until changed."""
+        """Returns the upstreams of a service.
+
+        Each call returns the same tuple object until an upstream is removed.
+        """
         if service not in self._upstreams:
             self._upstreams[service] = tuple(
                 member
@@ -184,66 +199,84 @@
         return self._upstreams[service]
 
     def count_usable(self) -> int:
-        """Returns the number of daemons."""
+        """Returns the number of daemons, those of removed upstreams too."""
         return len(self._services)
 
     def remove(self, number: int) -> None:
-        """Forgets an upstream."""
+        """Removes an upstream."""
         self._members.pop(number, None)
         self._upstreams.clear()
 
 
-class _Holder:
-    """Names no classes: they are known from their calls alone."""
+class _EmptyVersion:
+    """An active version without targets.
+
+    Admission learns the classes of work from their calls alone.
+    """
 
     running = snapshots.Snapshot(1, {}, {})
     closed_reason = ""
 
 
-class _Answer:
-    """The head of an answer."""
+class _Response:
+    """Status and headers of a backend server's answer."""
 
     def __init__(self, status: int, load: str):
         self.status = status
         self.headers = multidict.CIMultiDict({headers.LOAD: load})
 
 
-class _Daemon:
-    """A daemon and the backend server beside it."""
+class _SimulatedDaemon:
+    """A daemon with its backend server.
+
+    The daemon is also the local runner and the forwarder of its dispatcher.
+
+    Attributes:
+        server: Configuration of the backend server.
+        slowness: Present slowness of the backend server.
+        backend: State of the backend server as the daemon knows it.
+        refused_callers: Callers that the daemon refused and that may retry.
+        repeats: Counts the repeats that run at the backend server.
+        dispatcher: Sends callers' calls to upstreams.
+    """
 
-    def __init__(self, play: Simulation, number: int):
-        self._play = play
-        self.server = play.servers[number]
+    def __init__(self, simulation: Simulation, number: int):
+        self._simulation = simulation
+        self.server = simulation.servers[number]
         self.slowness = self.server.slowness
         loop = asyncio.get_running_loop()
-        own = backends.LocalBackend()
-        own.announce(self.server.service, "127.0.0.1:1", self.server.slots)
-        self.backend = own
-        holder: Any = _Holder()
-        self._slots = admission.Admission(own, holder, play.table, loop.time)
-        self.returns = refused_callers.RefusedCallers(loop.time)
+        backend = backends.LocalBackend()
+        backend.announce(self.server.service, "127.0.0.1:1", self.server.slots)
+        self.backend = backend
+        active_version: Any = _EmptyVersion()
+        self._admission = admission.Admission(
+            backend, active_version, simulation.table, loop.time
+        )
+        self.refused_callers = refused_callers.RefusedCallers(loop.time)
         self.repeats = repeats.Repeats()
-        bounds = budgets.Budgets(play.table.count_usable, loop.time)
-        bounds.set_bounds(RETRY_RATIO, 64.0, 10.0)
-        member_id = _name(number)
+        retry_budgets = budgets.Budgets(
+            simulation.table.count_usable, loop.time
+        )
+        retry_budgets.set_bounds(RETRY_RATIO, 64.0, 10.0)
+        member_id = _get_member_id(number)
         picker = picking.Picker(
             self.server.zone,
             lambda: member_id,
-            self._slots.has_capacity,
+            self._admission.has_capacity,
             loop.time,
-            play.chance,
+            simulation.rng,
         )
-        side: Any = self
-        self.dispatch = dispatches.Dispatcher(
+        runner_and_forwarder: Any = self
+        self.dispatcher = dispatches.Dispatcher(
             lambda: member_id,
-            play.table,
+            simulation.table,
             picker,
-            side,
-            side,
+            runner_and_forwarder,
+            runner_and_forwarder,
             loop.time,
-            bounds,
+            retry_budgets,
             subsets.SubsetSelector(
-                books.RolloutTracker(play.table.get_upstreams)
+                trackers.RolloutTracker(simulation.table.get_upstreams)
             ),
         )
 
@@ -252,150 +285,190 @@
         address: str,
         target: str,
         call: calls.Call,
-        sent: multidict.CIMultiDict[str],
-        *others: Any,
+        sent_headers: multidict.CIMultiDict[str],
+        *unused: Any,
     ) -> outcomes.Outcome:
-        """Passes a call on to the daemon beside another backend server."""
-        del target, others
-        passed = dataclasses.replace(call)
-        asked = metadata.decode_metadata(sent[headers.METADATA])
-        assert asked is not None
-        passed.wait = asked.wait
-        passed.repeat = asked.repeat
-        peer = self._play.find(address)
-        far = peer.server.zone != self.server.zone
-        way_s = _FAR_S if far else _NEAR_S
-        await asyncio.sleep(way_s)
-        outcome = await peer.run(passed)
+        """Forwards a call to the daemon of another backend server."""
+        del target, unused
+        forwarded_call = dataclasses.replace(call)
+        call_metadata = metadata.decode_metadata(sent_headers[headers.METADATA])
+        assert call_metadata is not None
+        forwarded_call.wait = call_metadata.wait
+        forwarded_call.repeat = call_metadata.repeat
+        peer = self._simulation.get_daemon(address)
+        crosses_zones = peer.server.zone != self.server.zone
+        delay_s = _CROSS_ZONE_DELAY_S if crosses_zones else _SAME_ZONE_DELAY_S
+        await asyncio.sleep(delay_s)
+        outcome = await peer.run(forwarded_call)
         if isinstance(outcome, outcomes.Answered):
-            self._play.hops[far] += 1
-        await asyncio.sleep(way_s)
+            self._simulation.peer_answers[crosses_zones] += 1
+        await asyncio.sleep(delay_s)
         return outcome
 
     async def run(self, call: calls.Call) -> outcomes.Outcome:
         """Admits a call and runs it, or refuses it."""
-        refusal = await self._slots.acquire(call)
+        refusal = await self._admission.acquire(call)
         if refusal is not None:
             return refusal
-        self._play.count_arrival(self.server.service, call)
-        shed = self._play.chance.random() < self.server.shed_fraction
-        self._slots.record_acceptance(not shed)
+        self._simulation.count_repeat(self.server.service, call)
+        shed = self._simulation.rng.random() < self.server.shed_fraction
+        self._admission.record_acceptance(not shed)
         if shed:
-            self._slots.release(call)
+            self._admission.release(call)
             return outcomes.NotRun(
                 "the backend server sheds",
                 elsewhere=True,
                 overloaded=True,
                 reached=True,
-                retry_after_s=self._slots.estimate_retry_delay(call),
+                retry_after_s=self._admission.estimate_retry_delay(call),
             )
         repeat = self.repeats.begin(call)
         try:
-            status = await self._work(call)
+            status = await self._run_at_backend(call)
         finally:
-            self._slots.release(call)
+            self._admission.release(call)
             self.repeats.end(repeat)
-        answer: Any = _Answer(status, loads.encode_load(self._slots.get_load()))
-        return outcomes.Answered(answer, b"", [])
-
-    async def _work(self, call: calls.Call) -> int:
-        """Runs a call and those that it makes; returns the answer's status."""
-        work = self._play.works[call.plan.name]
-        chance = self._play.chance
-        spread = chance.lognormvariate(-(_SPREAD**2) / 2, _SPREAD)
-        await asyncio.sleep(work.work_s * self.slowness * spread)
-        for name in work.downstream_classes:
-            made = await self._play.make(
-                self, name, call.deadline, call.repeat or _under_repeat(call)
+        response: Any = _Response(
+            status, loads.encode_load(self._admission.get_load())
+        )
+        return outcomes.Answered(response, b"", [])
+
+    async def _run_at_backend(self, call: calls.Call) -> int:
+        """Runs a call and its nested calls; returns the answer's status."""
+        work_class = self._simulation.work_classes[call.plan.name]
+        rng = self._simulation.rng
+        factor = rng.lognormvariate(
+            -(_WORK_LOG_DEVIATION**2) / 2, _WORK_LOG_DEVIATION
+        )
+        await asyncio.sleep(work_class.work_s * self.slowness * factor)
+        for name in work_class.downstream_classes:
+            failure = await self._simulation.make_nested_call(
+                self,
+                name,
+                call.deadline,
+                call.repeat or _is_nested_in_repeat(call),
             )
-            if made is not None:
-                return _FAILED
-        return _OK
+            if failure is not None:
+                return _STATUS_FAILED
+        return _STATUS_OK
 
 
 class Simulation:
-    """One play.
+    """Simulation of a fleet and its callers.
 
     Attributes:
-        servers: The backend servers.
-        works: The classes of work by name.
-        chance: The source of chance.
-        table: The upstreams that daemons know.
-        hops: Answers between daemons, by whether they left their zone.
-        requests: Calls by service, each attempt of a caller for itself.
-        repeats: Those of them that came to a backend server after a first
-            send, or on behalf of a call that had.
+        servers: Backend servers by number.
+        work_classes: Classes of work by name.
+        rng: Source of random numbers.
+        table: Member table of the daemons.
+        peer_answers: Number of answers between daemons, by whether they
+            crossed zones.
+        requests: Number of calls by service; each attempt of a caller counts.
+        repeats: Number of repeats among them that reached a backend server,
+            by service. Calls that are nested in a repeat count as repeats.
     """
 
     def __init__(
-        self, servers: list[Server], works: list[WorkClass], seed: int = 1
+        self,
+        servers: list[Server],
+        work_classes: list[WorkClass],
+        seed: int = 1,
     ):
         self.servers = servers
-        self.works = {work.plan.name: work for work in works}
-        self.chance = random.Random(seed)
-        self.table = _Table(servers)
-        self.hops: collections.Counter[bool] = collections.Counter()
+        self.work_classes = {
+            work_class.plan.name: work_class for work_class in work_classes
+        }
+        self.rng = random.Random(seed)
+        self.table = _MemberTable(servers)
+        self.peer_answers: collections.Counter[bool] = collections.Counter()
         self.requests: collections.Counter[str] = collections.Counter()
         self.repeats: collections.Counter[str] = collections.Counter()
         self._counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
-        self._owed: dict[int, float] = collections.defaultdict(float)
-        self._earned: dict[int, float] = collections.defaultdict(float)
+        # Values of the requests and of their answers, by number of the window
+        # in which the requests began.
+        self._requested_value: dict[int, float] = collections.defaultdict(float)
+        self._earned_value: dict[int, float] = collections.defaultdict(float)
         self._loop = asyncio.get_running_loop()
-        self._began = self._loop.time()
-        self._daemons = [_Daemon(self, i) for i in range(len(servers))]
-        self._by_address = {
+        self._started_at = self._loop.time()
+        self._daemons = [
+            _SimulatedDaemon(self, number) for number in range(len(servers))
+        ]
+        self._daemons_by_address = {
             f"10.0.0.{number}:2": daemon
             for number, daemon in enumerate(self._daemons)
         }
 
-    def find(self, address: str) -> _Daemon:
-        """Returns the daemon at an address."""
-        return self._by_address[address]
+    def get_daemon(self, address: str) -> _SimulatedDaemon:
+        """Returns the daemon at a peer address, "ip:port"."""
+        return self._daemons_by_address[address]
 
     async def run(
-        self, length_s: float, changes: Iterable[ServerChange]
+        self, duration_s: float, changes: Iterable[ServerChange]
     ) -> Result:
-        """Plays for a time and returns what callers got."""
+        """Simulates callers until all their requests have ended.
+
+        Args:
+            duration_s: Time in which callers make requests, in seconds.
+            changes: Changes of backend servers.
+        """
         async with asyncio.TaskGroup() as group:
             for change in changes:
-                group.create_task(self._change(change))
-            for work in self.works.values():
-                if work.rate:
-                    group.create_task(self._ask(work, length_s, group))
-        return self._sum_up()
-
-    async def make(
+                group.create_task(self._apply_change(change))
+            for work_class in self.work_classes.values():
+                if work_class.rate:
+                    group.create_task(
+                        self._start_callers(work_class, duration_s, group)
+                    )
+        return self._build_result()
+
+    async def make_nested_call(
         self,
-        daemon: _Daemon,
+        daemon: _SimulatedDaemon,
         name: str,
         deadline: float,
-        under_repeat: bool = False,
+        nested_in_repeat: bool = False,
     ) -> outcomes.Outcome | None:
-        """Makes a call on behalf of another; returns what went wrong."""
-        work = self.works[name]
+        """Makes a call that is nested in another one.
+
+        Args:
+            daemon: Daemon of the backend server that makes the call.
+            name: Name of the class.
+            deadline: Deadline of the other call, in seconds.
+            nested_in_repeat: Whether the other call is a repeat or is nested
+                in one.
+
+        Returns:
+            The outcome of the call if it failed or was late; None if it was
+            answered.
+        """
+        work_class = self.work_classes[name]
         now = self._loop.time()
-        deadline = min(deadline, now + work.timeout_s)
-        due = now + work.plan.latency_s
-        self.requests[work.plan.service] += 1
-        call = _build_call(work, deadline, due)
-        if under_repeat:
-            call.headers[_UNDER_REPEAT] = "1"
-        outcome = await daemon.dispatch.run(call)
+        deadline = min(deadline, now + work_class.timeout_s)
+        latency_deadline = now + work_class.plan.latency_s
+        self.requests[work_class.plan.service] += 1
+        call = _build_call(work_class, deadline, latency_deadline)
+        if nested_in_repeat:
+            call.headers[_NESTED_IN_REPEAT] = "1"
+        outcome = await daemon.dispatcher.run(call)
         if isinstance(outcome, outcomes.Answered):
-            if outcome.response.status == _OK and self._loop.time() < deadline:
+            if (
+                outcome.response.status == _STATUS_OK
+                and self._loop.time() < deadline
+            ):
                 outcome.release()
                 return None
             outcome.release()
         return outcome
 
-    def count_arrival(self, service: str, call: calls.Call) -> None:
-        """Counts a call that comes to a backend server."""
-        if call.repeat or _under_repeat(call):
+    def count_repeat(self, service: str, call: calls.Call) -> None:
+        """Counts a call that reached a backend server if it is a repeat."""
+        if call.repeat or _is_nested_in_repeat(call):
             self.repeats[service] += 1
 
-    async def _change(self, change: ServerChange) -> None:
+    async def _apply_change(self, change: ServerChange) -> None:
+        """Changes a backend server at the time of the change."""
         await asyncio.sleep(change.at_s)
         daemon = self._daemons[change.server]
         if change.slowness:
@@ -404,113 +477,153 @@
         self.table.remove(change.server)
         daemon.backend.state = control_pb2.DRAINING
 
-    async def _ask(
-        self, work: WorkClass, length_s: float, group: asyncio.TaskGroup
+    async def _start_callers(
+        self, work_class: WorkClass, duration_s: float, group: asyncio.TaskGroup
     ) -> None:
-        until = self._began + length_s
-        while self._loop.time() < until:
-            await asyncio.sleep(self.chance.expovariate(work.rate))
-            group.create_task(self._serve(work))
-
-    async def _serve(self, work: WorkClass) -> None:
-        began = self._loop.time()
-        daemon = self.chance.choice(self._daemons)
-        limit_s = work.timeout_s * self.chance.uniform(
-            work.min_timeout_fraction, 1.0
+        """Starts the callers of a class of work at random times."""
+        end = self._started_at + duration_s
+        while self._loop.time() < end:
+            await asyncio.sleep(self.rng.expovariate(work_class.rate))
+            group.create_task(self._run_caller(work_class))
+
+    async def _run_caller(self, work_class: WorkClass) -> None:
+        """Makes the request of a caller, with its retries."""
+        started_at = self._loop.time()
+        daemon = self.rng.choice(self._daemons)
+        timeout_s = work_class.timeout_s * self.rng.uniform(
+            work_class.min_timeout_fraction, 1.0
         )
-        until = began + limit_s
-        asks_for = (work.plan.name, str(self.chance.getrandbits(24)))
+        caller_deadline = started_at + timeout_s
+        request_key = (work_class.plan.name, str(self.rng.getrandbits(24)))
         outcome: outcomes.Outcome | None = None
-        for attempt in range(work.retries + 1):
-            outcome = await self._attempt(daemon, work, asks_for, until)
-            if _is_good(outcome) or self._loop.time() >= until:
+        for attempt in range(work_class.retries + 1):
+            outcome = await self._attempt(
+                daemon, work_class, request_key, caller_deadline
+            )
+            if _is_success(outcome) or self._loop.time() >= caller_deadline:
                 break
-            if attempt == work.retries or not _may_come_back(work, outcome):
+            if attempt == work_class.retries or not _may_retry(
+                work_class, outcome
+            ):
                 break
-            left_s = until - self._loop.time()
-            await asyncio.sleep(min(_get_retry_after(outcome), left_s / 3))
-        self._count(work, outcome, began, until, attempt)
+            remaining_s = caller_deadline - self._loop.time()
+            await asyncio.sleep(min(_get_retry_delay(outcome), remaining_s / 3))
+        self._record_result(
+            work_class, outcome, started_at, caller_deadline, attempt
+        )
 
     async def _attempt(
         self,
-        daemon: _Daemon,
-        work: WorkClass,
-        asks_for: tuple[str, str],
-        until: float,
+        daemon: _SimulatedDaemon,
+        work_class: WorkClass,
+        request_key: tuple[str, str],
+        caller_deadline: float,
     ) -> outcomes.Outcome:
+        """Makes one attempt of a caller.
+
+        Args:
+            daemon: Daemon that receives the call.
+            work_class: Class of work of the call.
+            request_key: Recognises the retries of the caller.
+            caller_deadline: When the caller's timeout ends, in seconds.
+        """
         now = self._loop.time()
-        since = daemon.returns.pop(asks_for, until) or now
-        due = since + work.plan.latency_s
-        deadline = min(until, now + work.plan.deadline_s)
-        self.requests[work.plan.service] += 1
-        outcome = await daemon.dispatch.run(_build_call(work, deadline, due))
+        first_request_at = (
+            daemon.refused_callers.pop(request_key, caller_deadline) or now
+        )
+        latency_deadline = first_request_at + work_class.plan.latency_s
+        deadline = min(caller_deadline, now + work_class.plan.deadline_s)
+        self.requests[work_class.plan.service] += 1
+        outcome = await daemon.dispatcher.run(
+            _build_call(work_class, deadline, latency_deadline)
+        )
         if isinstance(outcome, outcomes.Answered):
             outcome.release()
         else:
-            daemon.returns.add(asks_for, until, since)
+            daemon.refused_callers.add(
+                request_key, caller_deadline, first_request_at
+            )
         return outcome
 
-    def _count(
+    def _record_result(
         self,
-        work: WorkClass,
+        work_class: WorkClass,
         outcome: outcomes.Outcome | None,
-        began: float,
-        until: float,
-        attempt: int,
+        started_at: float,
+        caller_deadline: float,
+        retries: int,
     ) -> None:
+        """Records the result of a caller's request."""
         now = self._loop.time()
-        window = int((began - self._began) / _WINDOW_S)
-        self._owed[window] += work.worth
-        earned = 0.0
-        if _is_good(outcome) and now <= until:
-            in_time = now - began <= work.plan.latency_s
+        window = int((started_at - self._started_at) / _WINDOW_S)
+        self._requested_value[window] += work_class.worth
+        earned_value = 0.0
+        if _is_success(outcome) and now <= caller_deadline:
+            in_time = now - started_at <= work_class.plan.latency_s
             result = "in time" if in_time else "late"
-            earned = work.worth if in_time else work.late_worth
+            earned_value = (
+                work_class.worth if in_time else work_class.late_worth
+            )
         elif isinstance(outcome, outcomes.NotRun):
-            result = "refused again" if attempt else "refused"
+            result = "refused again" if retries else "refused"
         else:
             result = "failed"
-        self._earned[window] += earned
-        self._counts[work.plan.name, result] += 1
+        self._earned_value[window] += earned_value
+        self._counts[work_class.plan.name, result] += 1
 
-    def _sum_up(self) -> Result:
-        good = sum(
+    def _build_result(self) -> Result:
+        answered = sum(
             count
             for (_, result), count in self._counts.items()
             if result in ("in time", "late")
         )
-        windows = sorted(
-            self._earned[window] / owed for window, owed in self._owed.items()
+        window_fractions = sorted(
+            self._earned_value[window] / requested_value
+            for window, requested_value in self._requested_value.items()
         )
         return Result(
             self._counts,
-            sum(self._earned.values()) / sum(self._owed.values()),
-            good / self._counts.total(),
-            sum(windows[:2]) / len(windows[:2]),
-            self.hops[True] / max(1, self.hops.total()),
-            {name: self.repeats[name] / n for name, n in self.requests.items()},
+            sum(self._earned_value.values())
+            / sum(self._requested_value.values()),
+            answered / self._counts.total(),
+            sum(window_fractions[:2]) / len(window_fractions[:2]),
+            self.peer_answers[True] / max(1, self.peer_answers.total()),
+            {
+                service: self.repeats[service] / count
+                for service, count in self.requests.items()
+            },
         )
 
 
 def simulate(
     servers: list[Server],
-    works: list[WorkClass],
-    length_s: float,
+    work_classes: list[WorkClass],
+    duration_s: float,
     seed: int = 1,
     changes: Iterable[ServerChange] = (),
 ) -> Result:
-    """Plays the load of some callers over a fleet."""
+    """Simulates the load of callers on a fleet.
+
+    Args:
+        servers: Backend servers, each with a daemon.
+        work_classes: Classes of work_class.
+        duration_s: Time in which callers make requests, in seconds.
+        seed: Seed of the random numbers.
+        changes: Changes of backend servers during the simulation.
+    """
 
     async def run() -> Result:
-        return await Simulation(servers, works, seed).run(length_s, changes)
+        return await Simulation(servers, work_classes, seed).run(
+            duration_s, changes
+        )
 
     with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
         return runner.run(run())
 
 
-def _describe(number: int, server: Server) -> tables.Upstream:
+def _build_upstream(number: int, server: Server) -> tables.Upstream:
     return tables.Upstream(
-        member_id=_name(number),
+        member_id=_get_member_id(number),
         address=f"10.0.0.{number}",
         peer_port=2,
         zone=server.zone,
@@ -521,42 +634,46 @@
     )
 
 
-def _name(number: int) -> str:
+def _get_member_id(number: int) -> str:
     return f"10.0.0.{number}:1"
 
 
-def _build_call(work: WorkClass, deadline: float, due: float) -> calls.Call:
+def _build_call(
+    work_class: WorkClass, deadline: float, latency_deadline: float
+) -> calls.Call:
     return calls.Call(
-        service=work.plan.service,
-        plan=work.plan,
+        service=work_class.plan.service,
+        plan=work_class.plan,
         method="GET",
         target="/",
-        organisation=work.plan.organisation,
+        organisation=work_class.plan.organisation,
         headers=multidict.CIMultiDict(),
         body=bodies.Body(b"", 0),
         deadline=deadline,
-        latency_deadline=due,
+        latency_deadline=latency_deadline,
         depth=0,
         attempt=0,
         key="",
     )
 
 
-def _under_repeat(call: calls.Call) -> bool:
-    return _UNDER_REPEAT in call.headers
+def _is_nested_in_repeat(call: calls.Call) -> bool:
+    return _NESTED_IN_REPEAT in call.headers
 
 
-def _is_good(outcome: outcomes.Outcome | None) -> bool:
+def _is_success(outcome: outcomes.Outcome | None) -> bool:
     if not isinstance(outcome, outcomes.Answered):
         return False
-    return outcome.response.status == _OK
+    return outcome.response.status == _STATUS_OK
 
 
-def _may_come_back(work: WorkClass, outcome: outcomes.Outcome) -> bool:
-    return work.plan.repeatable or isinstance(outcome, outcomes.NotRun)
+def _may_retry(work_class: WorkClass, outcome: outcomes.Outcome) -> bool:
+    """Returns whether a caller may repeat a call that has failed."""
+    return work_class.plan.repeatable or isinstance(outcome, outcomes.NotRun)
 
 
-def _get_retry_after(outcome: outcomes.Outcome) -> float:
+def _get_retry_delay(outcome: outcomes.Outcome) -> float:
+    """Returns the seconds after which the daemon asks a caller to retry."""
     if isinstance(outcome, outcomes.NotRun):
         return outcome.retry_after_s or 0.0
     return 0.0
--- a/tools/policies.py
+++ b/tools/policies.py
@@ -1,7 +1,7 @@
-"""Compares policies on plays of the model, by paired seeds.
+"""Compares policies in simulations of a fleet with the same seeds.
 
 `python -m tools.policies --set load.queues._TYPICAL_HOLD_RATIO=2.0 --seeds 8`
-plays each load with the code as it stands and with one constant changed.
+simulates each load with the present code and with one constant changed.
 """
 
 from __future__ import annotations
@@ -20,34 +20,40 @@
 from tools import model
 
 _ZONES = ("a", "b", "c", "d")
-_LENGTH_S = 12.0
-# Calls of callers a second on a calm day.
-_RATE = 506.0
-# Spread of the speeds of backend servers: the logarithm's standard deviation.
-_SPEEDS = 0.3
+_DURATION_S = 12.0
+# Calls per second of all callers on a calm day.
+_CALM_RATE = 506.0
+# Standard deviation of the logarithm of the slowness of backend servers.
+_SLOWNESS_LOG_DEVIATION = 0.3
+# Service of each backend server.
 _SERVICES = ("board",) * 6 + ("desk",) * 4 + ("store",) * 4
-_SLOTS = 18
-# In a wide fleet: times as many backend servers, and slots of each.
-_WIDE = 8
-_WIDE_SLOTS = 4
-# Part of the backend servers of a service that shed, and of their calls that
-# they turn away.
-_SHEDDING = 0.4
-_TURNED_AWAY = 0.45
-# While they are cold, backend servers need so many times the usual time.
-_COLD = 2.2
-_FIGURES = ("earned", "served", "worst", "far")
+_SLOTS_PER_SERVER = 18
+# In a wide fleet: factor on the number of backend servers, and their slots.
+_WIDE_SERVER_FACTOR = 8
+_WIDE_SLOTS_PER_SERVER = 4
+# Fraction of the backend servers of a service that shed calls, and of their
+# calls that these shed.
+_SHEDDING_SERVER_FRACTION = 0.4
+_SHED_FRACTION = 0.45
+# Factor on the work time while backend servers are cold.
+_COLD_SLOWNESS = 2.2
+# Fields of the result that are printed.
+_RESULT_FIELDS = ("earned", "served", "worst", "far")
 
 
 class Load(NamedTuple):
-    """What is asked of a fleet, and what happens to it.
+    """Load on a fleet, and the changes of its backend servers meanwhile.
 
     Attributes:
-        rate_factor: Rate of all callers, as a multiple of a calm day's.
-        leaves: One backend server leaves, two are slow for a while.
-        cold: All are slow for three seconds, as after a restart.
-        wide: Eight times as many backend servers, of few slots each.
-        shedding: Most of those of one service turn away every other call.
+        rate_factor: Call rate, as a multiple of the rate on a calm day.
+        leaves: Whether one backend server drains, one is slow for a while and
+            one stays slow.
+        cold: Whether all backend servers are slow for three seconds, as after
+            a restart.
+        wide: Whether the fleet has eight times as many backend servers, with
+            few slots each.
+        shedding: Whether four in ten backend servers of one service shed
+            nearly every other call.
     """
 
     rate_factor: float
@@ -58,15 +64,16 @@
 
 
 class Variant(NamedTuple):
-    """The code as it stands, or with constants changed.
+    """The present code, or the code with some constants changed.
 
     Attributes:
-        label: What it is called.
-        changed: Values by "module.NAME" under `merlintrestle.requests`.
+        label: Name of the variant in the output.
+        overrides: Changed values by "module.NAME", where the module is named
+            relative to `merlintrestle.requests`.
     """
 
     label: str
-    changed: dict[str, Any]
+    overrides: dict[str, Any]
 
 
 LOADS = {
@@ -81,38 +88,46 @@
 
 
 def build_servers(
-    chance: random.Random, load: Load = LOADS["calm"]
+    rng: random.Random, load: Load = LOADS["calm"]
 ) -> list[model.Server]:
-    """Builds backend servers of three services, of uneven speed."""
-    services = _SERVICES * _WIDE if load.wide else _SERVICES
+    """Builds backend servers of three services, with different slowness."""
+    services = _SERVICES * _WIDE_SERVER_FACTOR if load.wide else _SERVICES
     return [
         model.Server(
-            name,
+            service,
             _ZONES[number % len(_ZONES)],
-            _WIDE_SLOTS if load.wide else _SLOTS,
-            chance.lognormvariate(0.0, _SPEEDS),
-            _choose_turned_away(name, load, chance),
+            _WIDE_SLOTS_PER_SERVER if load.wide else _SLOTS_PER_SERVER,
+            rng.lognormvariate(0.0, _SLOWNESS_LOG_DEVIATION),
+            _choose_shed_fraction(service, load, rng),
         )
-        for number, name in enumerate(services)
+        for number, service in enumerate(services)
     ]
 
 
-def _choose_turned_away(
-    service: str, load: Load, chance: random.Random
+def _choose_shed_fraction(
+    service: str, load: Load, rng: random.Random
 ) -> float:
-    """Returns the part of the calls that a backend server turns away."""
-    sheds = load.shedding and service == "desk"
-    return _TURNED_AWAY if sheds and chance.random() < _SHEDDING else 0.0
+    """Returns the fraction of the calls that a backend server sheds."""
+    may_shed = load.shedding and service == "desk"
+    return (
+        _SHED_FRACTION
+        if may_shed and rng.random() < _SHEDDING_SERVER_FRACTION
+        else 0.0
+    )
+
 
+def build_work_classes(rate_factor: float) -> list[model.WorkClass]:
+    """Builds lookups, grants, downloads and the checks nested in them.
 
-def build_work_classes(factor: float) -> list[model.WorkClass]:
-    """Builds lookups, grants, downloads and the checks that they make."""
+    Args:
+        rate_factor: Call rate, as a multiple of the rate on a calm day.
+    """
     check = _build_plan("desk", "check", 0.12, 0.4, 4)
     verify = _build_plan("store", "verify", 0.12, 0.4, 4)
     lookup = _build_plan("board", "lookup", 0.4, 0.8, 3)
     grant = _build_plan("desk", "grant", 0.5, 1.0, 4)
     packet = _build_plan("store", "packet", 0.4, 0.8, 3)
-    rate = _RATE * factor
+    rate = _CALM_RATE * rate_factor
     return [
         model.WorkClass(check, 0.0, 0.03, 0.4),
         model.WorkClass(verify, 0.0, 0.03, 0.4),
@@ -133,102 +148,133 @@
 
 
 def build_changes(
-    load: Load, servers: list[model.Server], chance: random.Random
+    load: Load, servers: list[model.Server], rng: random.Random
 ) -> list[model.ServerChange]:
-    """Builds what happens to backend servers."""
+    """Builds the changes of the backend servers under a load."""
     changes = []
     if load.leaves:
-        gone, slow = chance.sample(range(6), 2)
-        usual = servers[slow].slowness
+        draining, slow = rng.sample(range(6), 2)
+        usual_slowness = servers[slow].slowness
         changes += [
-            model.ServerChange(2.0, gone, 0.0),
-            model.ServerChange(3.0, slow, 4.0 * usual),
-            model.ServerChange(8.0, slow, usual),
-            model.ServerChange(4.0, 6 + chance.randrange(4), 3.0),
+            model.ServerChange(2.0, draining, 0.0),
+            model.ServerChange(3.0, slow, 4.0 * usual_slowness),
+            model.ServerChange(8.0, slow, usual_slowness),
+            model.ServerChange(4.0, 6 + rng.randrange(4), 3.0),
         ]
     if load.cold:
         for number, server in enumerate(servers):
-            cold = _COLD * server.slowness
-            changes.append(model.ServerChange(4.0, number, cold))
+            cold_slowness = _COLD_SLOWNESS * server.slowness
+            changes.append(model.ServerChange(4.0, number, cold_slowness))
             changes.append(model.ServerChange(7.0, number, server.slowness))
     return changes
 
 
 def simulate_load(
-    name: str, seed: int, length_s: float = _LENGTH_S
+    name: str, seed: int, duration_s: float = _DURATION_S
 ) -> model.Result:
-    """Plays one load with the code as it stands."""
+    """Simulates one load.
+
+    Args:
+        name: Name of the load in `LOADS`.
+        seed: Seed of the simulation.
+        duration_s: Time in which callers make requests, in seconds.
+    """
     load = LOADS[name]
-    chance = random.Random(seed)
-    servers = build_servers(chance, load)
-    changes = build_changes(load, servers, chance)
+    rng = random.Random(seed)
+    servers = build_servers(rng, load)
+    changes = build_changes(load, servers, rng)
     slots = sum(server.slots for server in servers)
-    works = build_work_classes(
-        load.rate_factor * slots / (_SLOTS * len(_SERVICES))
+    work_classes = build_work_classes(
+        load.rate_factor * slots / (_SLOTS_PER_SERVER * len(_SERVICES))
     )
-    return model.simulate(servers, works, length_s, seed, changes)
+    return model.simulate(servers, work_classes, duration_s, seed, changes)
 
 
 def simulate_variant(
     name: str, seed: int, variant: Variant
 ) -> dict[str, float]:
-    """Plays one load with some constants changed; returns its figures."""
-    for place, value in variant.changed.items():
-        module, constant = place.rsplit(".", 1)
-        found = importlib.import_module(f"merlintrestle.requests.{module}")
-        if not hasattr(found, constant):
-            raise click.UsageError(f"{module} has no {constant}")
-        setattr(found, constant, value)
+    """Simulates one load with a variant of the code.
+
+    Changes the constants for the rest of this process.
+
+    Args:
+        name: Name of the load in `LOADS`.
+        seed: Seed of the simulation.
+        variant: The constants to change.
+
+    Returns:
+        The figures of the simulation by their printed titles.
+    """
+    for path, value in variant.overrides.items():
+        module_path, constant = path.rsplit(".", 1)
+        module = importlib.import_module(
+            f"merlintrestle.requests.{module_path}"
+        )
+        if not hasattr(module, constant):
+            raise click.UsageError(f"{module_path} has no {constant}")
+        setattr(module, constant, value)
     result = simulate_load(name, seed)
-    figures = {name: float(getattr(result, name)) for name in _FIGURES}
-    again = sum(n for key, n in result.counts.items() if "again" in key[1])
-    figures["again"] = again / result.counts.total()
-    for work in ("lookup", "grant", "packet"):
-        for what in ("in time", "late"):
-            figures[f"{work} {what}"] = result.compute_fraction(work, what)
+    figures = {field: float(getattr(result, field)) for field in _RESULT_FIELDS}
+    refused_again = sum(
+        count for key, count in result.counts.items() if "again" in key[1]
+    )
+    figures["again"] = refused_again / result.counts.total()
+    for class_name in ("lookup", "grant", "packet"):
+        for result_name in ("in time", "late"):
+            figures[f"{class_name} {result_name}"] = result.compute_fraction(
+                class_name, result_name
+            )
     return figures
 
 
 @click.command()
-@click.option("--set", "places", multiple=True, help="MODULE.NAME=JSON value.")
+@click.option(
+    "--set", "assignments", multiple=True, help="MODULE.NAME=JSON value."
+)
 @click.option("--load", "names", multiple=True, type=click.Choice(list(LOADS)))
 @click.option("--seeds", default=4, show_default=True)
 @click.option("--jobs", default=2, show_default=True)
 def main(
-    places: tuple[str, ...], names: tuple[str, ...], seeds: int, jobs: int
+    assignments: tuple[str, ...], names: tuple[str, ...], seeds: int, jobs: int
 ) -> None:
-    """Plays each load on some seeds, as it stands and with changes."""
-    pairs = [place.partition("=") for place in places]
-    changed = {name: json.loads(text) for name, _, text in pairs}
+    """Simulates each load with some seeds, without and with changes."""
+    pairs = [assignment.partition("=") for assignment in assignments]
+    overrides = {path: json.loads(value) for path, _, value in pairs}
     variants = [Variant("as it stands", {})]
-    if changed:
-        variants.append(Variant("changed", changed))
-    chosen = names or tuple(LOADS)
+    if overrides:
+        variants.append(Variant("changed", overrides))
+    load_names = names or tuple(LOADS)
+    # A process runs one simulation only, because a variant changes constants.
     with concurrent.futures.ProcessPoolExecutor(
         jobs, max_tasks_per_child=1
     ) as pool:
-        found = {
-            (load, variant.label): [
-                pool.submit(simulate_variant, load, seed, variant)
+        futures_by_load = {
+            (load_name, variant.label): [
+                pool.submit(simulate_variant, load_name, seed, variant)
                 for seed in range(1, seeds + 1)
             ]
-            for load in chosen
+            for load_name in load_names
             for variant in variants
         }
-        for (load, label), futures in found.items():
+        for (load_name, label), futures in futures_by_load.items():
             rows = [future.result() for future in futures]
-            click.echo(f"{load:8} {label:12} {_describe(rows)}")
+            click.echo(f"{load_name:8} {label:12} {_format_means(rows)}")
 
 
-def _describe(rows: list[dict[str, float]]) -> str:
+def _format_means(rows: list[dict[str, float]]) -> str:
+    """Formats the mean of each figure over all simulations of a variant."""
     return ", ".join(
-        f"{name} {statistics.fmean(row[name] for row in rows):.3f}"
-        for name in rows[0]
+        f"{title} {statistics.fmean(row[title] for row in rows):.3f}"
+        for title in rows[0]
     )
 
 
 def _build_plan(
-    service: str, name: str, latency_s: float, deadline_s: float, rank: int
+    service: str,
+    name: str,
+    latency_s: float,
+    deadline_s: float,
+    importance: int,
 ) -> snapshots.ClassPlan:
     return snapshots.ClassPlan(
         organisation="o",
@@ -238,7 +284,7 @@
         share=0.99,
         availability=0.999,
         repeatable=True,
-        importance=rank,
+        importance=importance,
         rate=0.0,
         work_s=0.0,
         large=False,
