--- a/tools/rollouts.py
+++ b/tools/rollouts.py
@@ -1,4 +1,4 @@
-"""Plays roll-outs of good and bad versions and tells how they were judged.
+"""Simulates roll-outs of good and bad versions and reports how they ended.
 
 python -m tools.rollouts --plays 1000
 """
@@ -18,34 +18,37 @@
 from merlintrestle.rollouts import analysis
 from merlintrestle.rollouts import observer as observers
 from merlintrestle.rollouts import subsets
-from merlintrestle.rollouts import tracker as books
+from merlintrestle.rollouts import tracker as trackers
 from merlintrestle.schema import control_pb2
 
 KINDS = ("good", "errors", "slow", "under load", "one class", "late")
 _SERVICE = "balie"
 _VERSION = "v2"
-_SLOTS = 6
+_SLOTS_PER_SERVER = 6
+# Speeds of backend servers, as multiples of the usual one.
 _SPEEDS = (0.5, 1.0, 1.0, 1.5)
-_COLD_S = 3.0
-_COLD_FACTOR = 2.0
-# Time between two looks of the daemons, in seconds.
-_LOOK_S = 0.25
-# Part of the slots that a version which fails under load bears.
-_BEARS = 0.7
+# Time in which backend servers of the new version are warming up, and the
+# factor on the time that their calls take meanwhile.
+_WARMUP_S = 3.0
+_WARMUP_FACTOR = 2.0
+# Interval between two updates of the daemons' observers.
+_UPDATE_INTERVAL_S = 0.25
+# Fraction of busy slots from which a version of the kind "under load" fails.
+_FAILING_LOAD = 0.7
 
 
 class WorkClass(NamedTuple):
     """A class of work.
 
     Attributes:
-        name: Its name.
-        part: Part of the calls that are of it.
-        work_s: Its mean work time, in seconds.
-        log_deviation: Standard deviation of the logarithm of that.
+        name: Name of the class.
+        fraction: Fraction of the calls that belong to the class.
+        work_s: Mean work time of a call, in seconds.
+        log_deviation: Standard deviation of the logarithm of the work time.
     """
 
     name: str
-    part: float
+    fraction: float
     work_s: float
     log_deviation: float
 
@@ -56,226 +59,317 @@
 )
 
 
-class Scene(NamedTuple):
-    """What is played.
+class Scenario(NamedTuple):
+    """Conditions of a simulated roll-out.
 
     Attributes:
         kind: What is wrong with the new version, one of `KINDS`.
-        servers: Backend servers of each version.
-        load: Part of the slots that the calls take.
-        failing: Part of the calls that fail whatever the version.
-        bad: Part of the answers of a bad version that are bad.
-        sick: Part of the backend servers that fail two answers of five by
-            themselves.
-        late_s: Time after which a version turns bad that does so late.
-        within_s: Time of the roll-out, in seconds.
-        share: Part of the calls for the trial.
+        servers: Number of backend servers of each version.
+        load: Fraction of the slots that the calls occupy.
+        error_fraction: Fraction of the calls that fail with any version.
+        bad_fraction: Fraction of the answers of a bad version that are bad.
+        faulty_server_fraction: Fraction of the backend servers that fail two
+            answers of five with any version.
+        late_s: Time after which a version of the kind "late" turns bad, in
+            seconds.
+        timeout_s: Time in which the roll-out must be decided, in seconds.
+        trial_share: Fraction of the calls that the trial gets.
     """
 
     kind: str
     servers: int = 22
     load: float = 0.7
-    failing: float = 0.02
-    bad: float = 0.4
-    sick: float = 0.0
+    error_fraction: float = 0.02
+    bad_fraction: float = 0.4
+    faulty_server_fraction: float = 0.0
     late_s: float = 3.0
-    within_s: float = 16.0
-    share: float = 0.06
+    timeout_s: float = 16.0
+    trial_share: float = 0.06
 
 
 class Result(NamedTuple):
-    """How a roll-out went.
+    """Outcome of a simulated roll-out.
 
     Attributes:
-        phase: Its last phase.
-        took_s: Time until it was decided, in seconds.
-        exposed: Part of all calls of its time that the new version got before
-            it was decided.
-        bad: Bad answers of the new version.
+        phase: Last phase of the roll-out.
+        decided_s: Time until the roll-out was decided, in seconds.
+        exposed_fraction: Calls that the new version got until it was rolled
+            back or the time was up, as a fraction of all calls that are
+            expected in the time of the roll-out.
+        bad_answers: Number of bad answers of the new version.
     """
 
     phase: analysis.Phase
-    took_s: float
-    exposed: float
-    bad: int
+    decided_s: float
+    exposed_fraction: float
+    bad_answers: int
 
 
 class _Server:
-    """One backend server, and the daemon beside it."""
+    """A backend server with the observer of its daemon.
 
-    def __init__(self, play: _Play, member_id: str, version: str):
+    Attributes:
+        member_id: Id of the daemon.
+        version: Version of the backend server.
+        speed: Speed, as a multiple of the usual one.
+        faulty: Whether the backend server fails calls with any version.
+        call_ends: Heap of the times at which running calls end, in seconds.
+        observer: Observer of the daemon.
+    """
+
+    def __init__(self, simulation: _Simulation, member_id: str, version: str):
         self.member_id = member_id
         self.version = version
-        self.speed = play.chance.choice(_SPEEDS)
-        self.sick = play.chance.random() < play.scene.sick
-        self.running: list[float] = []
+        self.speed = simulation.rng.choice(_SPEEDS)
+        self.faulty = (
+            simulation.rng.random() < simulation.scenario.faulty_server_fraction
+        )
+        self.call_ends: list[float] = []
         backend = backends.LocalBackend()
         backend.service = _SERVICE
         backend.version = version
-        backend.warmup_ends_at = _COLD_S if version == _VERSION else 0.0
+        backend.warmup_ends_at = _WARMUP_S if version == _VERSION else 0.0
         self.observer = observers.Observer(
-            play.book,
+            simulation.tracker,
             backend,
             lambda: member_id,
-            lambda: len(self.running),
-            play.get_time,
+            lambda: len(self.call_ends),
+            simulation.get_time,
         )
 
     def count_running(self, now: float) -> int:
-        """Returns the calls that it runs."""
-        while self.running and self.running[0] <= now:
-            heapq.heappop(self.running)
-        return len(self.running)
+        """Returns the number of calls that run at a time in seconds."""
+        while self.call_ends and self.call_ends[0] <= now:
+            heapq.heappop(self.call_ends)
+        return len(self.call_ends)
 
 
-class _Play:
-    """One roll-out."""
+class _Simulation:
+    """Simulation of one roll-out.
 
-    def __init__(self, scene: Scene, seed: int):
-        self.scene = scene
-        self.chance = random.Random(seed)
+    Attributes:
+        scenario: Conditions of the roll-out.
+        rng: Source of random numbers.
+        now: Simulated time in seconds.
+        upstreams: Upstreams of the service, of both versions.
+        tracker: Tracker of the roll-out, common to all daemons.
+        subset_selector: Chooses which version each call goes to.
+        servers: Backend servers by the id of their daemon.
+    """
+
+    def __init__(self, scenario: Scenario, seed: int):
+        self.scenario = scenario
+        self.rng = random.Random(seed)
         self.now = 0.0
-        names = range(scene.servers)
-        ids = [f"10.0.0.{i + 1}:7600" for i in names]
-        new_ids = [f"10.0.1.{i + 1}:7600" for i in names]
+        numbers = range(scenario.servers)
+        old_ids = [f"10.0.0.{number + 1}:7600" for number in numbers]
+        new_ids = [f"10.0.1.{number + 1}:7600" for number in numbers]
         self.upstreams = tuple(
             tables.Upstream(
-                one, "127.0.0.1", 1, "noord", "west", _SLOTS, 0, False, version
+                member_id,
+                "127.0.0.1",
+                1,
+                "noord",
+                "west",
+                _SLOTS_PER_SERVER,
+                0,
+                False,
+                version,
             )
-            for version, some in (("v1", ids), (_VERSION, new_ids))
-            for one in some
+            for version, member_ids in (("v1", old_ids), (_VERSION, new_ids))
+            for member_id in member_ids
         )
-        self.book = books.RolloutTracker(
+        self.tracker = trackers.RolloutTracker(
             lambda service: self.upstreams, self.get_time
         )
-        self.lanes = subsets.SubsetSelector(self.book, scene.share)
+        self.subset_selector = subsets.SubsetSelector(
+            self.tracker, scenario.trial_share
+        )
         self.servers = {
-            one.member_id: _Server(self, one.member_id, one.version)
-            for one in self.upstreams
+            upstream.member_id: _Server(
+                self, upstream.member_id, upstream.version
+            )
+            for upstream in self.upstreams
         }
-        self._ends: list[tuple[float, int, _Server, WorkClass, bool, float]]
-        self._ends = []
-        self._count = 0
-        self._new_calls = 0
-        self._bad = 0
+        # Heap of the running calls: end, number, backend server, class,
+        # whether the call fails, and its duration; times in seconds.
+        self._running: list[tuple[float, int, _Server, WorkClass, bool, float]]
+        self._running = []
+        self._call_count = 0
+        self._new_version_calls = 0
+        self._bad_answers = 0
 
     def get_time(self) -> float:
-        """Returns the time in seconds."""
+        """Returns the simulated time in seconds."""
         return self.now
 
     def run(self) -> Result:
-        """Plays until the roll-out is decided."""
-        scene = self.scene
-        mean_s = sum(one.part * one.work_s for one in _CLASSES)
-        rate = scene.load * scene.servers * _SLOTS / mean_s
-        self.book.merge_rollout(
+        """Simulates calls until the version is rolled back or time is up."""
+        scenario = self.scenario
+        mean_work_s = sum(
+            work_class.fraction * work_class.work_s for work_class in _CLASSES
+        )
+        rate = (
+            scenario.load * scenario.servers * _SLOTS_PER_SERVER / mean_work_s
+        )
+        self.tracker.merge_rollout(
             control_pb2.Rollout(
                 service=_SERVICE,
                 version=_VERSION,
                 number=1,
-                within_ms=round(scene.within_s * 1000),
+                within_ms=round(scenario.timeout_s * 1000),
             )
         )
-        progress = self.book.get(_SERVICE)
+        progress = self.tracker.get(_SERVICE)
         assert progress is not None
-        look_at = decided_at = 0.0
-        while self.now < scene.within_s:
-            self.now += self.chance.expovariate(rate)
+        next_update_s = decided_s = 0.0
+        while self.now < scenario.timeout_s:
+            self.now += self.rng.expovariate(rate)
             self._end_calls()
-            if self.now >= look_at:
-                look_at = self.now + _LOOK_S
-                self.book.update(_SERVICE)
+            if self.now >= next_update_s:
+                next_update_s = self.now + _UPDATE_INTERVAL_S
+                self.tracker.update(_SERVICE)
                 for server in self.servers.values():
                     server.observer.update()
             if progress.phase is analysis.Phase.BACK:
-                decided_at = self.now
+                decided_s = self.now
                 break
             if progress.phase is not analysis.Phase.NEW:
-                decided_at = self.now
-            self._send()
-        exposed = self._new_calls / (rate * scene.within_s)
-        return Result(progress.phase, decided_at, exposed, self._bad)
-
-    def _send(self) -> None:
-        lane = self.lanes.choose(_SERVICE, self.upstreams).upstreams
-        free = [
+                decided_s = self.now
+            self._send_call()
+        exposed_fraction = self._new_version_calls / (rate * scenario.timeout_s)
+        return Result(
+            progress.phase, decided_s, exposed_fraction, self._bad_answers
+        )
+
+    def _send_call(self) -> None:
+        """Sends a call to a backend server with a free slot, if any."""
+        subset = self.subset_selector.choose(_SERVICE, self.upstreams).upstreams
+        free_servers = [
             server
-            for server in (self.servers[one.member_id] for one in lane)
-            if server.count_running(self.now) < _SLOTS
+            for server in (
+                self.servers[upstream.member_id] for upstream in subset
+            )
+            if server.count_running(self.now) < _SLOTS_PER_SERVER
         ]
-        if not free:
+        if not free_servers:
             return
-        server = self.chance.choice(free)
-        parts = [one.part for one in _CLASSES]
-        work = self.chance.choices(_CLASSES, parts)[0]
-        took_s, failed = self._answer(server, work)
-        heapq.heappush(server.running, self.now + took_s)
-        self._count += 1
-        end = (self.now + took_s, self._count, server, work, failed, took_s)
-        heapq.heappush(self._ends, end)
-        self._new_calls += server.version == _VERSION
-
-    def _answer(self, server: _Server, work: WorkClass) -> tuple[float, bool]:
-        """Returns how long a call takes, and whether it fails."""
-        factor = self.chance.lognormvariate(
-            -(work.log_deviation**2) / 2, work.log_deviation
+        server = self.rng.choice(free_servers)
+        fractions = [work_class.fraction for work_class in _CLASSES]
+        work_class = self.rng.choices(_CLASSES, fractions)[0]
+        duration_s, failed = self._run_call(server, work_class)
+        heapq.heappush(server.call_ends, self.now + duration_s)
+        self._call_count += 1
+        running = (
+            self.now + duration_s,
+            self._call_count,
+            server,
+            work_class,
+            failed,
+            duration_s,
         )
-        took_s = work.work_s * factor / server.speed
-        failed = self.chance.random() < self.scene.failing
-        failed |= server.sick and self.chance.random() < 0.4
+        heapq.heappush(self._running, running)
+        self._new_version_calls += server.version == _VERSION
+
+    def _run_call(
+        self, server: _Server, work_class: WorkClass
+    ) -> tuple[float, bool]:
+        """Returns the duration of a call in seconds and whether it fails."""
+        factor = self.rng.lognormvariate(
+            -(work_class.log_deviation**2) / 2, work_class.log_deviation
+        )
+        duration_s = work_class.work_s * factor / server.speed
+        failed = self.rng.random() < self.scenario.error_fraction
+        failed |= server.faulty and self.rng.random() < 0.4
         if server.version != _VERSION:
-            return took_s, failed
-        if self.now < _COLD_S:
-            took_s *= _COLD_FACTOR
-        if not self._is_bad(server, work):
-            return took_s, failed
-        if self.scene.kind == "slow":
-            return took_s * 8, failed
-        return took_s, True
-
-    def _is_bad(self, server: _Server, work: WorkClass) -> bool:
-        """Returns whether the new version answers badly this time."""
-        scene = self.scene
-        if scene.kind == "good" or self.chance.random() >= scene.bad:
+            return duration_s, failed
+        if self.now < _WARMUP_S:
+            duration_s *= _WARMUP_FACTOR
+        if not self._is_bad(server, work_class):
+            return duration_s, failed
+        if self.scenario.kind == "slow":
+            return duration_s * 8, failed
+        return duration_s, True
+
+    def _is_bad(self, server: _Server, work_class: WorkClass) -> bool:
+        """Returns whether the new version answers this call badly."""
+        scenario = self.scenario
+        if (
+            scenario.kind == "good"
+            or self.rng.random() >= scenario.bad_fraction
+        ):
             return False
-        if scene.kind == "under load":
-            return server.count_running(self.now) >= _BEARS * _SLOTS
-        if scene.kind == "one class":
-            return work.name == "payout"
-        return scene.kind != "late" or self.now >= scene.late_s
+        if scenario.kind == "under load":
+            return (
+                server.count_running(self.now)
+                >= _FAILING_LOAD * _SLOTS_PER_SERVER
+            )
+        if scenario.kind == "one class":
+            return work_class.name == "payout"
+        return scenario.kind != "late" or self.now >= scenario.late_s
 
     def _end_calls(self) -> None:
-        while self._ends and self._ends[0][0] <= self.now:
-            _, _, server, work, failed, took_s = heapq.heappop(self._ends)
-            server.observer.record_call(work.name, failed, took_s)
-            self._bad += failed and server.version == _VERSION
+        """Reports the calls that have ended to the observers."""
+        while self._running and self._running[0][0] <= self.now:
+            _, _, server, work_class, failed, duration_s = heapq.heappop(
+                self._running
+            )
+            server.observer.record_call(work_class.name, failed, duration_s)
+            self._bad_answers += failed and server.version == _VERSION
+
+
+def simulate(scenario: Scenario, seed: int) -> Result:
+    """Simulates one roll-out."""
+    return _Simulation(scenario, seed).run()
 
 
-def play(scene: Scene, seed: int) -> Result:
-    """Plays one roll-out."""
-    return _Play(scene, seed).run()
+def summarize(
+    scenario: Scenario, simulations: int, first_seed: int = 1
+) -> dict[str, Any]:
+    """Simulates several roll-outs of one kind and returns their figures.
 
+    Args:
+        scenario: Conditions of the roll-outs.
+        simulations: Number of roll-outs.
+        first_seed: Seed of the first one; each other has the next number.
 
-def summarize(scene: Scene, plays: int, first_seed: int = 1) -> dict[str, Any]:
-    """Returns the figures of several roll-outs of one kind."""
-    results = [play(scene, first_seed + number) for number in range(plays)]
-    phases = collections.Counter(one.phase.name.lower() for one in results)
-    exposed = sorted(one.exposed for one in results)
-    took_s = sorted(one.took_s for one in results)
-    bad = sorted(one.bad for one in results)
-    last = max(0, round(plays * 0.99) - 1)
+    Returns:
+        The figures that are printed: numbers of roll-outs by their last phase,
+        and the median and the 99th percentile of the other figures.
+    """
+    results = [
+        simulate(scenario, first_seed + number) for number in range(simulations)
+    ]
+    phases = collections.Counter(
+        result.phase.name.lower() for result in results
+    )
+    exposed = sorted(result.exposed_fraction for result in results)
+    decided_s = sorted(result.decided_s for result in results)
+    bad = sorted(result.bad_answers for result in results)
+    last = max(0, round(simulations * 0.99) - 1)
     return {
-        "kind": scene.kind,
-        "plays": plays,
+        "kind": scenario.kind,
+        "plays": simulations,
         "phases": dict(phases),
-        "took_s": [round(took_s[plays // 2], 1), round(took_s[last], 1)],
-        "exposed": [round(exposed[plays // 2], 3), round(exposed[last], 3)],
-        "bad": [bad[plays // 2], bad[last]],
+        "took_s": [
+            round(decided_s[simulations // 2], 1),
+            round(decided_s[last], 1),
+        ],
+        "exposed": [
+            round(exposed[simulations // 2], 3),
+            round(exposed[last], 3),
+        ],
+        "bad": [bad[simulations // 2], bad[last]],
     }
 
 
 @click.command()
-@click.option("--plays", default=100, show_default=True, help="Of each kind.")
+@click.option(
+    "--plays",
+    default=100,
+    show_default=True,
+    help="Number of roll-outs of each kind.",
+)
 @click.option("--load", default=0.7, show_default=True)
 @click.option("--failing", default=0.02, show_default=True)
 @click.option("--sick", default=0.0, show_default=True)
@@ -283,12 +377,16 @@
 def main(
     plays: int, load: float, failing: float, sick: float, servers: int
 ) -> None:
-    """Prints a JSON line for each kind: median, and 99 in 100 are below."""
+    """Prints JSON lines with the median and 99th percentile of each kind."""
     for kind in KINDS:
-        scene = Scene(
-            kind, servers=servers, load=load, failing=failing, sick=sick
+        scenario = Scenario(
+            kind,
+            servers=servers,
+            load=load,
+            error_fraction=failing,
+            faulty_server_fraction=sick,
         )
-        click.echo(json.dumps(summarize(scene, plays)))
+        click.echo(json.dumps(summarize(scenario, plays)))
 
 
 if __name__ == "__main__":
