--- a/tests/tools/builders.py
+++ b/tests/tools/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the developers' programs."""
+"""Builders of test data for the development tools."""
 
 from __future__ import annotations
 
@@ -11,8 +11,13 @@
 
 
 def build_class(name: str = "payout", **fields: Any) -> workload.ClassLoad:
-    """Builds a class of work; fields replace the defaults."""
-    values: dict[str, Any] = {
+    """Builds a class of work.
+
+    Args:
+        name: Name of the class.
+        **fields: Fields that differ from the defaults.
+    """
+    defaults: dict[str, Any] = {
         "organisation": "zaanoever",
         "service": "kassa",
         "name": name,
@@ -27,11 +32,16 @@
         "share": 0.99,
         "deadline_ms": 5000.0,
     }
-    return workload.ClassLoad(**{**values, **fields})
+    return workload.ClassLoad(**{**defaults, **fields})
 
 
 def build_result(request_id: str, *verdicts: calls.Verdict) -> load.Result:
-    """Builds the result of a request whose sendings had these verdicts."""
+    """Builds the result of a request.
+
+    Args:
+        request_id: Id of the request.
+        *verdicts: Verdict on each attempt, in order.
+    """
     attempts = [
         calls.Attempt(f"{request_id}.{number}", "", 0, 1.0, 0, verdict, None)
         for number, verdict in enumerate(verdicts)
@@ -50,7 +60,13 @@
 def build_change_figures(
     delays_s: list[float], missing: int = 0, control_bytes: float = 0.0
 ) -> convergence.ChangeFigures:
-    """Builds what a change took, without calls of the store."""
+    """Builds the figures of a change, without calls to the store.
+
+    Args:
+        delays_s: Time until each daemon ran the version, in seconds.
+        missing: Number of daemons that did not run it in time.
+        control_bytes: Control bytes of the whole fleet.
+    """
     return convergence.ChangeFigures(
         delays_s, missing, control_bytes, 0.0, 0, None
     )
@@ -59,7 +75,14 @@
 def build_run(
     attempt_id: str, key: str = "", at: str = "there", at_ms: int = 0
 ) -> dict[str, Any]:
-    """Builds a backend server's record of a run that began."""
+    """Builds a backend server's record of the start of a run.
+
+    Args:
+        attempt_id: Id of the attempt, which begins with the request's id.
+        key: Idempotency key of the call; empty if there is none.
+        at: Address of the backend server.
+        at_ms: Time of the start, in ms since 1970.
+    """
     return {
         "event": "started",
         "request_id": attempt_id.partition(".")[0],
--- a/tests/tools/test_harm.py
+++ b/tests/tools/test_harm.py
@@ -1,4 +1,4 @@
-"""Tests of the counts of harm."""
+"""Tests of the counts of harmful outcomes."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 
 class HarmTest(unittest.TestCase):
-    def test_nothing_is_counted_of_a_good_run(self) -> None:
+    def test_run_without_harm_has_zero_counts(self) -> None:
         result = builders.build_result("r1", calls.Verdict.RIGHT)
         runs = [builders.build_run("r1.0", key="r1")]
         counts = harm.count_harm([result], runs)
         self.assertEqual(counts, harm.Harm(0, 0, 0, 0))
 
-    def test_each_harm_is_counted(self) -> None:
-        """Every kind of harm shows in its own count.
+    def test_each_kind_of_harm_is_counted(self) -> None:
+        """Each kind of harm has a count of its own.
 
-        One payout runs under two sendings, one sending refused as not run was
-        run all the same, one answer is another's and one body is not whole.
+        One payout runs in two attempts, one attempt that was refused as not
+        run did run, one answer belongs to another call, and one body is
+        truncated.
         """
         verdicts = calls.Verdict
         results = [
@@ -37,16 +38,18 @@
         counts = harm.count_harm(results, runs)
         self.assertEqual(counts, harm.Harm(1, 1, 1, 1))
 
-    def test_amplification_is_the_most_runs_of_one_sending(self) -> None:
-        runs = [builders.build_run(f"r{n}.0") for n in (1, 2, 2, 2)]
+    def test_amplification_is_the_maximum_of_runs_per_attempt(self) -> None:
+        runs = [builders.build_run(f"r{number}.0") for number in (1, 2, 2, 2)]
         self.assertEqual(harm.compute_amplification(runs), 3)
 
-    def test_new_work_is_counted_between_its_times(self) -> None:
-        runs = [builders.build_run("r", at_ms=at) for at in (5, 10, 11, 20)]
+    def test_new_work_is_counted_within_the_interval(self) -> None:
+        runs = [
+            builders.build_run("r", at_ms=at_ms) for at_ms in (5, 10, 11, 20)
+        ]
         self.assertEqual(harm.count_new_work(runs, "there", 10, 20), 1)
         self.assertEqual(harm.count_new_work(runs, "elsewhere", 0), 0)
 
-    def test_each_step_back_is_a_regression(self) -> None:
+    def test_each_move_to_a_lower_version_is_a_regression(self) -> None:
         self.assertEqual(harm.count_regressions([1, 2, 2, 5]), 0)
         self.assertEqual(harm.count_regressions([1, 3, 2, 3, 1]), 2)
 
--- a/tests/tools/test_summaries.py
+++ b/tests/tools/test_summaries.py
@@ -31,7 +31,7 @@
         self.assertEqual(figures["control_bytes_per_daemon_change"], 1000.0)
         self.assertEqual(figures["cpu_share_max"], 0.03)
 
-    def test_missing_daemon_shows(self) -> None:
+    def test_missing_daemon_is_counted(self) -> None:
         idle = costs.IdleCosts(0.0, 0.0, {}, 0, [0.0], [1.0])
         changes = [builders.build_change_figures([], missing=1)]
         figures = convergence.summarize(1, idle, changes)
@@ -41,18 +41,25 @@
 
 
 class LatencyTest(unittest.TestCase):
-    def test_added_is_the_difference_within_a_round(self) -> None:
-        """A machine that slows down in one round does not count as added.
+    def test_added_latency_is_the_difference_within_a_round(self) -> None:
+        """A slowdown of the machine is not counted as added latency.
 
-        In the second round everything takes longer, direct calls as well; the
-        difference within each round is the same.
+        In the second round all calls take longer, the direct ones too, while
+        the differences within each round are the same.
         """
-        ways = {"direct": 0, "daemon": 1, "two_daemons": 2, "baseline": 3}
+        added_ms_by_path = {
+            "direct": 0,
+            "daemon": 1,
+            "two_daemons": 2,
+            "baseline": 3,
+        }
         blocks = [
-            latency_load.Block(name, rate, [base + added] * 4, 0, 0.004, 1.0)
+            latency_load.Block(
+                path, rate, [base_ms + added_ms] * 4, 0, 0.004, 1.0
+            )
             for rate in (200, 0)
-            for base in (1.0, 5.0)
-            for name, added in ways.items()
+            for base_ms in (1.0, 5.0)
+            for path, added_ms in added_ms_by_path.items()
         ]
         figures = latency.summarize(blocks, [200])
         self.assertEqual(figures["added_p50_ms"], 1.0)
@@ -65,10 +72,11 @@
 
 class FailuresTest(unittest.TestCase):
     def test_download_cut_by_a_planned_stop_is_counted(self) -> None:
-        """Only a download in flight at the stopped server counts.
+        """Counts only the downloads that ran at the stopped backend server.
 
-        Two downloads are cut at the time of the stop; one of them ran at
-        another server by way of another daemon, so another failure cut it.
+        Two downloads are cut at the time of the stop. One of them ran at
+        another backend server and went through another daemon, so it was cut
+        by another failure.
         """
         verdict = calls.Verdict.CUT
         results = [
@@ -85,14 +93,14 @@
             builders.build_run("r1.0", at="stopped", at_ms=10),
             builders.build_run("r2.0", at="other", at_ms=10),
         ]
-        caused = self._build_scenario(
+        failure_scenario = self._build_scenario(
             scenario.PlannedStop(50, "entry", "stopped", stops_daemon=False)
         )
-        figures = failures.summarize(results, runs, caused)
+        figures = failures.summarize(results, runs, failure_scenario)
         self.assertEqual(figures["downloads_cut_by_planned_stop"], 1)
         self.assertEqual(figures["goodput_ratio"], 0.0)
 
-    def test_crash_requests_do_not_count_as_unanswered(self) -> None:
+    def test_crash_requests_are_not_counted_as_unanswered(self) -> None:
         results = [
             builders.build_result("r1", calls.Verdict.RIGHT),
             builders.build_result("r2", calls.Verdict.UNKNOWN)._replace(
@@ -105,12 +113,12 @@
         self.assertEqual(figures["crash_requests"], 1)
 
     def _build_scenario(self, *stops: scenario.PlannedStop):
-        nobody = mock.Mock(instances=[])
-        caused = scenario.Scenario(
-            nobody, pathlib.Path(), mock.AsyncMock(), with_versions=False
+        empty_fleet = mock.Mock(instances=[])
+        failure_scenario = scenario.Scenario(
+            empty_fleet, pathlib.Path(), mock.AsyncMock(), with_versions=False
         )
-        caused.planned_stops = list(stops)
-        return caused
+        failure_scenario.planned_stops = list(stops)
+        return failure_scenario
 
 
 if __name__ == "__main__":
--- a/tools/convergence.py
+++ b/tools/convergence.py
@@ -1,4 +1,4 @@
-"""Measures how versions reach every daemon and what that costs (issue 4)."""
+"""Measures how fast versions reach every daemon, and what that costs."""
 
 from __future__ import annotations
 
@@ -24,24 +24,27 @@
 
 logger = logging.getLogger(__name__)
 
-_FIRST_WITHIN_S = 90.0
-_CHANGE_WITHIN_S = 30.0
+# Time in which the first version and each change must be in force.
+_FIRST_VERSION_TIMEOUT_S = 90.0
+_CHANGE_TIMEOUT_S = 30.0
+# Waits before the measurement of an idle fleet, and between the end of a
+# change and the reading of its costs.
 _SETTLE_S = 5.0
 _AFTER_CHANGE_S = 2.0
 
 
 class Options(NamedTuple):
-    """What is measured.
+    """Options of a measurement.
 
     Attributes:
         layout: Fleet whose zones and documents are used.
         daemons: Number of daemons.
         changes: Number of changes.
-        restart_fraction: Share of the daemons killed and started again right
-            after each acceptance.
-        store_down: The store fails right after each acceptance.
-        store_fails_after_s: Seconds between acceptance and failure.
-        spread: The daemons' setting, "fast" or "lean".
+        restart_fraction: Fraction of the daemons that are killed and started
+            again right after each acceptance.
+        store_down: Whether the store fails right after each acceptance.
+        store_fails_after_s: Time between acceptance and failure, in seconds.
+        spread: The daemons' setting of that name, "fast" or "lean".
     """
 
     layout: layouts.Layout
@@ -54,19 +57,20 @@
 
 
 class ChangeFigures(NamedTuple):
-    """What one change took.
+    """Delays and costs of one change.
 
     Attributes:
-        delays_s: Seconds from the store's write of head until each daemon
-            ran the version.
-        missing: Daemons that did not run it in time.
-        control_bytes: Control bytes of the whole fleet meanwhile, idle ones
-            taken off.
-        store_calls: Calls of the store meanwhile, idle ones taken off, the
-            operator's own included.
-        peak_calls_per_s: Most calls of the store in one second.
-        late_s: Seconds from the store's return until the version was in
-            force everywhere, where it was not before; None: not needed.
+        delays_s: Time from the store's write of head until the daemon ran
+            the version, in seconds, for each daemon that ran it.
+        missing: Number of daemons that did not run the version in time.
+        control_bytes: Control bytes of the whole fleet during the change,
+            less those of an idle fleet.
+        store_calls: Calls to the store during the change, those of the
+            operator included, less those of an idle fleet.
+        peak_calls_per_s: Largest number of calls to the store in one second.
+        late_s: Time from the end of the store's outage until the version was
+            in force everywhere, in seconds; None if there was no outage or
+            the version was in force before its end.
     """
 
     delays_s: list[float]
@@ -78,7 +82,7 @@
 
 
 async def measure(options: Options, with_baseline: bool) -> dict[str, Any]:
-    """Measures the product and then the baseline."""
+    """Measures the product and, on request, the baseline after it."""
     build_arguments = functools.partial(
         layouts.build_daemon_arguments, spread=options.spread
     )
@@ -95,7 +99,7 @@
     options: Options, build_arguments: Callable[..., list[str]]
 ) -> dict[str, Any]:
     table = processes.ProcessTable()
-    shown = fleet.Fleet(table, options.layout, build_arguments)
+    example_fleet = fleet.Fleet(table, options.layout, build_arguments)
     zones = options.layout.zones
     services = list(options.layout.backend_counts)
     places = [
@@ -103,30 +107,32 @@
         for i in range(options.daemons)
     ]
     try:
-        await shown.start(places, backends=False)
-        return await _measure_fleet(options, table, shown)
+        await example_fleet.start(places, backends=False)
+        return await _measure_fleet(options, table, example_fleet)
     finally:
-        await shown.close()
+        await example_fleet.close()
         await table.close()
 
 
 async def _measure_fleet(
-    options: Options, table: processes.ProcessTable, shown: fleet.Fleet
+    options: Options, table: processes.ProcessTable, example_fleet: fleet.Fleet
 ) -> dict[str, Any]:
-    began = time.monotonic()
-    await shown.apply(*workload.list_documents(options.layout.name))
-    version = (await shown.read_head()).version
-    if await _find_missing(shown, version, _FIRST_WITHIN_S):
+    started_s = time.monotonic()
+    await example_fleet.apply(*workload.list_documents(options.layout.name))
+    version = (await example_fleet.read_head()).version
+    if await _count_missing(example_fleet, version, _FIRST_VERSION_TIMEOUT_S):
         raise processes.ProcessError(
-            f"the first version is not in force\n{_read_errors(shown)}"
+            f"the first version is not in force\n{_read_errors(example_fleet)}"
         )
-    logger.info("first version after %.1f s", time.monotonic() - began)
+    logger.info(
+        "first version in force after %.1f s", time.monotonic() - started_s
+    )
     await asyncio.sleep(_SETTLE_S)
-    idle = await costs.measure_idle(shown)
+    idle = await costs.measure_idle(example_fleet)
     changes = []
     for number in range(options.changes):
         changes.append(
-            await _measure_change(options, table, shown, number, idle)
+            await _measure_change(options, table, example_fleet, number, idle)
         )
         logger.info("change %d: %s", number, _describe(changes[-1]))
     return summarize(options.daemons, idle, changes)
@@ -135,28 +141,36 @@
 def summarize(
     daemons: int, idle: costs.IdleCosts, changes: list[ChangeFigures]
 ) -> dict[str, Any]:
-    """Returns the figures of one kind of fleet."""
-    delays = [delay for change in changes for delay in change.delays_s]
-    per_change = [change.control_bytes / daemons for change in changes]
-    calls = [change.store_calls for change in changes]
-    late = [c.late_s for c in changes if c.late_s is not None]
+    """Returns the printed figures of the product or the baseline.
+
+    Args:
+        daemons: Number of daemons.
+        idle: Costs of the idle fleet.
+        changes: Delays and costs of each change.
+    """
+    delays_s = [delay_s for change in changes for delay_s in change.delays_s]
+    bytes_per_daemon = [change.control_bytes / daemons for change in changes]
+    store_calls = [change.store_calls for change in changes]
+    late_s = [change.late_s for change in changes if change.late_s is not None]
     return {
         "daemons": daemons,
         "changes": len(changes),
-        "convergence_p50_s": samples.compute_percentile(delays, 0.5),
-        "convergence_p99_s": samples.compute_percentile(delays, 0.99),
-        "convergence_max_s": max(delays, default=None),
-        "convergence_last_p50_s": _compute_last(changes),
+        "convergence_p50_s": samples.compute_percentile(delays_s, 0.5),
+        "convergence_p99_s": samples.compute_percentile(delays_s, 0.99),
+        "convergence_max_s": max(delays_s, default=None),
+        "convergence_last_p50_s": _compute_last_delay(changes),
         "not_converged": sum(change.missing for change in changes),
-        "late_max_s": max(late, default=None),
+        "late_max_s": max(late_s, default=None),
         "control_bytes_per_daemon_s_idle": round(idle.bytes_per_s / daemons, 1),
         "control_bytes_per_daemon_change": round(
-            statistics.median(per_change), 1
+            statistics.median(bytes_per_daemon), 1
         ),
-        "store_calls_per_change": round(statistics.median(calls), 1),
+        "store_calls_per_change": round(statistics.median(store_calls), 1),
         "store_calls_per_s_idle": round(idle.calls_per_s, 2),
         "store_calls_idle_by_kind": idle.calls_by_kind,
-        "store_peak_calls_per_s": max(c.peak_calls_per_s for c in changes),
+        "store_peak_calls_per_s": max(
+            change.peak_calls_per_s for change in changes
+        ),
         "store_watches": idle.watches,
         "cpu_share_median": round(statistics.median(idle.cpu_fractions), 5),
         "cpu_share_max": round(max(idle.cpu_fractions), 5),
@@ -164,8 +178,11 @@
     }
 
 
-def _compute_last(changes: list[ChangeFigures]) -> float | None:
-    """Returns the median of the last daemon's time; None: one is missing."""
+def _compute_last_delay(changes: list[ChangeFigures]) -> float | None:
+    """Returns the median delay of the last daemon, in seconds.
+
+    Returns None if a daemon did not run one of the versions in time.
+    """
     if any(change.missing for change in changes):
         return None
     return statistics.median(max(change.delays_s) for change in changes)
@@ -174,7 +191,7 @@
 async def _measure_change(
     options: Options,
     table: processes.ProcessTable,
-    shown: fleet.Fleet,
+    example_fleet: fleet.Fleet,
     number: int,
     idle: costs.IdleCosts,
 ) -> ChangeFigures:
@@ -182,95 +199,121 @@
     path = demonstration.change_document(
         pathlib.Path(document), table.directory, add_ms=10 * (1 + number)
     )
-    version = (await shown.read_head()).version + 1
+    version = (await example_fleet.read_head()).version + 1
     if options.store_down:
-        await shown.set_store_faults(
+        await example_fleet.set_store_faults(
             fail_after_key="head", fail_after_s=options.store_fails_after_s
         )
-    counters = await shown.read_counters()
-    carried = await costs.read_control_bytes(shown)
-    began = time.monotonic()
-    await shown.apply(str(path))
-    await _restart_share(options, shown, number)
-    missing = await _find_missing(shown, version, _CHANGE_WITHIN_S)
+    counters_before = await example_fleet.read_counters()
+    bytes_before = await costs.read_control_bytes(example_fleet)
+    started_s = time.monotonic()
+    await example_fleet.apply(str(path))
+    await _restart_daemons(options, example_fleet, number)
+    missing = await _count_missing(example_fleet, version, _CHANGE_TIMEOUT_S)
     await asyncio.sleep(_AFTER_CHANGE_S)
-    took_s = time.monotonic() - began
-    sent = samples.compute_added_bytes(
-        carried, await costs.read_control_bytes(shown)
+    elapsed_s = time.monotonic() - started_s
+    added_bytes = samples.compute_added_bytes(
+        bytes_before, await costs.read_control_bytes(example_fleet)
     )
-    later = await shown.read_counters()
-    called = costs.count_calls(later) - costs.count_calls(counters)
-    delays_s = await _read_delays(shown, version)
-    late_s = await _end_outage(options, shown, version, missing)
+    counters = await example_fleet.read_counters()
+    store_calls = costs.count_calls(counters) - costs.count_calls(
+        counters_before
+    )
+    delays_s = await _read_delays(example_fleet, version)
+    late_s = await _end_outage(options, example_fleet, version, missing)
     return ChangeFigures(
         delays_s,
         missing,
-        sent - idle.bytes_per_s * took_s,
-        called - idle.calls_per_s * took_s,
-        costs.find_peak_calls_per_s(later, took_s),
+        added_bytes - idle.bytes_per_s * elapsed_s,
+        store_calls - idle.calls_per_s * elapsed_s,
+        costs.find_peak_calls_per_s(counters, elapsed_s),
         late_s,
     )
 
 
 async def _end_outage(
-    options: Options, shown: fleet.Fleet, version: int, missing: int
+    options: Options, example_fleet: fleet.Fleet, version: int, missing: int
 ) -> float | None:
+    """Ends the store's outage, if any, and waits for the daemons.
+
+    Returns:
+        Time until the daemons that were missing ran the version, in seconds;
+        None if there was no outage or no daemon was missing.
+    """
     if not options.store_down:
         return None
-    await shown.set_store_faults()
-    began = time.monotonic()
+    await example_fleet.set_store_faults()
+    started_s = time.monotonic()
     if not missing:
         return None
-    if await _find_missing(shown, version, _CHANGE_WITHIN_S):
-        return _CHANGE_WITHIN_S
-    return time.monotonic() - began
+    if await _count_missing(example_fleet, version, _CHANGE_TIMEOUT_S):
+        return _CHANGE_TIMEOUT_S
+    return time.monotonic() - started_s
 
 
-async def _restart_share(
-    options: Options, shown: fleet.Fleet, number: int
+async def _restart_daemons(
+    options: Options, example_fleet: fleet.Fleet, number: int
 ) -> None:
+    """Kills and restarts some daemons, other ones after each change."""
     count = round(options.restart_fraction * options.daemons)
     first = number * count
     chosen = [
-        shown.instances[(first + offset) % options.daemons]
+        example_fleet.instances[(first + offset) % options.daemons]
         for offset in range(count)
     ]
     await asyncio.gather(*(instance.daemon.kill() for instance in chosen))
-    await asyncio.gather(*map(shown.restart_daemon, chosen))
+    await asyncio.gather(*map(example_fleet.restart_daemon, chosen))
 
 
-async def _find_missing(
-    shown: fleet.Fleet, version: int, within_s: float
+async def _count_missing(
+    example_fleet: fleet.Fleet, version: int, timeout_s: float
 ) -> int:
-    """Waits until all run a version; returns how many do not in time."""
-    taken = await shown.wait_in_force(version, within_s, shown.instances)
-    if taken is not None:
+    """Waits for a version; returns how many daemons do not run it in time."""
+    in_force_s = await example_fleet.wait_in_force(
+        version, timeout_s, example_fleet.instances
+    )
+    if in_force_s is not None:
         return 0
-    return len(shown.instances) - len(await _read_delays(shown, version))
-
-
-async def _read_delays(shown: fleet.Fleet, version: int) -> list[float]:
-    accepted_ms = await shown.read_accepted_ms()
-    delays = []
-    for instance in shown.instances:
-        versions = await shown.read_versions(instance)
-        times = [ms for number, ms in versions.items() if number >= version]
-        if times:
-            delays.append((min(times) - accepted_ms) / 1000)
-    return delays
+    return len(example_fleet.instances) - len(
+        await _read_delays(example_fleet, version)
+    )
 
 
-def _read_errors(shown: fleet.Fleet) -> str:
-    return "\n".join(i.daemon.read_errors() for i in shown.instances[:3])
+async def _read_delays(example_fleet: fleet.Fleet, version: int) -> list[float]:
+    """Returns the seconds until each daemon ran a version or a later one."""
+    accepted_ms = await example_fleet.read_accepted_ms()
+    delays_s = []
+    for instance in example_fleet.instances:
+        version_times_ms = await example_fleet.read_versions(instance)
+        times_ms = [
+            time_ms
+            for number, time_ms in version_times_ms.items()
+            if number >= version
+        ]
+        if times_ms:
+            delays_s.append((min(times_ms) - accepted_ms) / 1000)
+    return delays_s
+
+
+def _read_errors(example_fleet: fleet.Fleet) -> str:
+    """Returns the errors that the first three daemons have written."""
+    return "\n".join(
+        instance.daemon.read_errors()
+        for instance in example_fleet.instances[:3]
+    )
 
 
 def _describe(change: ChangeFigures) -> str:
-    last = max(change.delays_s, default=None)
-    return f"last after {last} s, {change.missing} missing"
+    last_s = max(change.delays_s, default=None)
+    return f"last daemon after {last_s} s, {change.missing} missing"
 
 
 async def run(options: Options, with_baseline: bool) -> int:
-    """Measures and prints one JSON line; 1 if a daemon did not converge."""
+    """Measures and prints one JSON line.
+
+    Returns:
+        Exit status: 1 if a daemon did not run a version in time, otherwise 0.
+    """
     figures = await measure(options, with_baseline)
     print(json.dumps(figures), flush=True)
     return 1 if figures["not_converged"] else 0
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -1,4 +1,4 @@
-"""What a fleet costs: control bytes, store calls, processor, memory."""
+"""Costs of a fleet: control traffic, store calls, processor time and memory."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 if TYPE_CHECKING:
     from tools import fleet
 
-_IDLE_S = 10.0
+_IDLE_DURATION_S = 10.0
 
 
 class IdleCosts(NamedTuple):
-    """What a fleet costs while nothing changes.
+    """Costs of a fleet while nothing changes.
 
     Attributes:
         bytes_per_s: Control bytes per second of the whole fleet.
-        calls_per_s: Calls of the store per second.
-        calls_by_kind: Calls of the store meanwhile by kind and key.
-        watches: Watches that wait at the store.
-        cpu_fractions: Share of a core by daemon.
-        rss_mb: Resident memory by daemon in MB.
+        calls_per_s: Calls to the store per second.
+        calls_by_kind: Calls to the store during the measurement, by kind and
+            first part of the key.
+        watches: Watches that are open at the store.
+        cpu_fractions: Fraction of one core that each daemon uses.
+        rss_mb: Resident memory of each daemon, in MB (2**20 bytes).
     """
 
     bytes_per_s: float
@@ -34,44 +35,57 @@
     rss_mb: list[float]
 
 
-async def measure_idle(shown: fleet.Fleet) -> IdleCosts:
-    """Measures a fleet for a while in which nothing changes."""
-    pids = [instance.daemon.pid for instance in shown.instances]
-    counters = await shown.read_counters()
-    cpu_s = [samples.read_cpu_s(pid) for pid in pids]
-    carried = await read_control_bytes(shown)
-    began = time.monotonic()
-    await asyncio.sleep(_IDLE_S)
-    took_s = time.monotonic() - began
-    sent = samples.compute_added_bytes(carried, await read_control_bytes(shown))
-    later = await shown.read_counters()
-    used_s = [
-        samples.read_cpu_s(pid) - before
-        for pid, before in zip(pids, cpu_s, strict=True)
+async def measure_idle(example_fleet: fleet.Fleet) -> IdleCosts:
+    """Measures the costs of a fleet over an interval without changes."""
+    pids = [instance.daemon.pid for instance in example_fleet.instances]
+    counters_before = await example_fleet.read_counters()
+    cpu_before_s = [samples.read_cpu_s(pid) for pid in pids]
+    bytes_before = await read_control_bytes(example_fleet)
+    started_s = time.monotonic()
+    await asyncio.sleep(_IDLE_DURATION_S)
+    elapsed_s = time.monotonic() - started_s
+    added_bytes = samples.compute_added_bytes(
+        bytes_before, await read_control_bytes(example_fleet)
+    )
+    counters = await example_fleet.read_counters()
+    cpu_used_s = [
+        samples.read_cpu_s(pid) - before_s
+        for pid, before_s in zip(pids, cpu_before_s, strict=True)
     ]
     return IdleCosts(
-        bytes_per_s=sent / took_s,
-        calls_per_s=(count_calls(later) - count_calls(counters)) / took_s,
-        calls_by_kind=subtract_calls(counters, later),
-        watches=later["waiting_watches"],
-        cpu_fractions=[used / took_s for used in used_s],
+        bytes_per_s=added_bytes / elapsed_s,
+        calls_per_s=(count_calls(counters) - count_calls(counters_before))
+        / elapsed_s,
+        calls_by_kind=subtract_calls(counters_before, counters),
+        watches=counters["waiting_watches"],
+        cpu_fractions=[used_s / elapsed_s for used_s in cpu_used_s],
         rss_mb=[samples.read_rss_mb(pid) for pid in pids],
     )
 
 
 async def read_control_bytes(
-    shown: fleet.Fleet,
+    example_fleet: fleet.Fleet,
 ) -> dict[tuple[int, int], int]:
-    """Returns the bytes of a fleet's control connections, see samples."""
-    ports = [i.daemon.ready.get("control_port") for i in shown.instances]
-    store_port = int(shown.store_address.rpartition(":")[2])
+    """Returns the bytes of a fleet's control connections by pair of ports.
+
+    See `samples.read_control_bytes`.
+    """
+    ports = [
+        instance.daemon.ready.get("control_port")
+        for instance in example_fleet.instances
+    ]
+    store_port = int(example_fleet.store_address.rpartition(":")[2])
     return await samples.read_control_bytes(
         {port for port in ports if port}, store_port
     )
 
 
 def count_calls(counters: dict[str, Any]) -> int:
-    """Returns how many calls there were; kinds with a key repeat others."""
+    """Returns the number of calls that the store has counted.
+
+    Leaves out the kinds that name a key, as the kinds without a key count the
+    same calls.
+    """
     calls: dict[str, int] = counters["calls"]
     return sum(count for kind, count in calls.items() if " " not in kind)
 
@@ -79,7 +93,16 @@
 def subtract_calls(
     before: dict[str, Any], after: dict[str, Any]
 ) -> dict[str, int]:
-    """Returns the calls in between, by kind and first part of the key."""
+    """Returns the calls between two readings of the store's counters.
+
+    Args:
+        before: Counters of the store at the first reading.
+        after: Counters of the store at the second reading.
+
+    Returns:
+        The number of calls by kind and first part of the key; only kinds with
+        calls in between.
+    """
     calls: dict[str, int] = after["calls"]
     added = {
         kind: count - before["calls"].get(kind, 0)
@@ -89,11 +112,20 @@
     return {kind: count for kind, count in added.items() if count}
 
 
-def find_peak_calls_per_s(counters: dict[str, Any], took_s: float) -> int:
-    """Returns the most calls in any of the last seconds."""
-    by_second: dict[str, int] = counters["calls_by_second"]
-    first = time.time() - took_s - 1
+def find_peak_calls_per_s(counters: dict[str, Any], elapsed_s: float) -> int:
+    """Returns the largest number of calls to the store in one second.
+
+    Args:
+        counters: Counters of the store.
+        elapsed_s: Length of the interval to look at, which ends now.
+    """
+    calls_by_second: dict[str, int] = counters["calls_by_second"]
+    first_s = time.time() - elapsed_s - 1
     return max(
-        (count for at, count in by_second.items() if int(at) >= first),
+        (
+            count
+            for second, count in calls_by_second.items()
+            if int(second) >= first_s
+        ),
         default=0,
     )
--- a/tools/harm.py
+++ b/tools/harm.py
@@ -1,4 +1,4 @@
-"""Counts harm from what callers got and what backend servers ran."""
+"""Counts harmful outcomes in callers' results and backend servers' records."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 
 class Harm(NamedTuple):
-    """Counts that must all be 0.
+    """Counts of harmful outcomes, all of which must be 0.
 
     Attributes:
-        wrong_answers: Answers that were not the caller's own.
-        cut_answers_shown_whole: Answers that broke off yet ended cleanly.
-        payouts_run_twice: Keys of work that may not be repeated that ran
+        wrong_answers: Answers that belong to another call.
+        cut_answers_shown_whole: Truncated answers that ended as if they were
+            complete.
+        payouts_run_twice: Idempotency keys of non-repeatable work that ran
             more than once.
-        not_run_but_ran: Sendings refused as not run that did run.
+        not_run_but_ran: Attempts refused as not run that did run.
     """
 
     wrong_answers: int
@@ -34,13 +35,18 @@
 def count_harm(
     results: Iterable[load.Result], runs: Iterable[Mapping[str, Any]]
 ) -> Harm:
-    """Compares callers' results with the backend servers' records."""
+    """Compares callers' results with the backend servers' records.
+
+    Args:
+        results: Results of the callers' requests.
+        runs: Records that backend servers wrote of the calls they ran.
+    """
     attempts = [attempt for result in results for attempt in result.attempts]
     verdicts = collections.Counter(attempt.verdict for attempt in attempts)
     started = [run for run in runs if run["event"] == "started"]
     keys = collections.Counter(run["key"] for run in started if run["key"])
-    ran = {run["attempt_id"] for run in started}
-    refused = {
+    ran_attempts = {run["attempt_id"] for run in started}
+    refused_attempts = {
         attempt.attempt_id
         for attempt in attempts
         if attempt.verdict is calls.Verdict.NOT_RUN
@@ -49,12 +55,12 @@
         wrong_answers=verdicts[calls.Verdict.WRONG],
         cut_answers_shown_whole=verdicts[calls.Verdict.CUT_SHOWN_WHOLE],
         payouts_run_twice=sum(count > 1 for count in keys.values()),
-        not_run_but_ran=len(refused & ran),
+        not_run_but_ran=len(refused_attempts & ran_attempts),
     )
 
 
 def compute_amplification(runs: Iterable[Mapping[str, Any]]) -> int:
-    """Returns the most runs that one sending of a caller caused."""
+    """Returns the largest number of runs that one caller's attempt caused."""
     started = collections.Counter(
         run["attempt_id"] for run in runs if run["event"] == "started"
     )
@@ -67,7 +73,14 @@
     after_ms: int,
     until_ms: float = math.inf,
 ) -> int:
-    """Returns the runs that a backend server began between two times in ms."""
+    """Returns the number of runs that a backend server began in an interval.
+
+    Args:
+        runs: Records of the backend servers.
+        address: Address of the backend server.
+        after_ms: Start of the interval, exclusive, in ms since 1970.
+        until_ms: End of the interval, exclusive, in ms since 1970.
+    """
     return sum(
         run["event"] == "started"
         and run["at"] == address
@@ -77,7 +90,7 @@
 
 
 def count_regressions(versions: Iterable[int]) -> int:
-    """Returns how often a daemon took a lower version than the one before."""
-    listed = list(versions)
-    pairs = zip(listed, listed[1:], strict=False)
+    """Returns how often a daemon moved to a lower version than it ran."""
+    version_list = list(versions)
+    pairs = zip(version_list, version_list[1:], strict=False)
     return sum(later < earlier for earlier, later in pairs)
--- a/tools/layouts.py
+++ b/tools/layouts.py
@@ -1,4 +1,4 @@
-"""Layouts of the example fleets, and how to start each kind of process."""
+"""Layouts of the example fleets and the commands that start their processes."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 F = TypeVar("F", bound="Callable[..., Any]")
 
 HOST = "127.0.0.1"
-# Hosts of one /24 that are used.
-_HOSTS = 250
+# Number of loopback addresses used in each /24 network.
+_ADDRESSES = 250
 
 
 class Place(NamedTuple):
-    """Where one instance runs and what it serves.
+    """Availability zone and service of one instance.
 
     Attributes:
-        zone: Availability zone.
-        service: Service of the backend server.
+        zone: Availability zone in which it runs.
+        service: Service that its backend server serves.
     """
 
     zone: str
@@ -32,8 +32,8 @@
     """The instances of an example fleet.
 
     Attributes:
-        name: Folder of its target documents.
-        region: Region of all its zones.
+        name: Name of the fleet and of the folder of its target documents.
+        region: Region that all its availability zones belong to.
         zones: Availability zones.
         backend_counts: Number of backend servers by service.
     """
@@ -60,11 +60,12 @@
 
 
 def list_places(layout: Layout, scale: float = 1.0) -> list[Place]:
-    """Spreads a layout's instances over its zones, one by one.
+    """Returns a layout's instances, assigned to its zones in turn.
 
     Args:
         layout: The fleet.
-        scale: Factor on the upstreams of each service; one at least stays.
+        scale: Factor on the number of backend servers of each service; each
+            service keeps at least one.
     """
     services = [
         service
@@ -81,16 +82,20 @@
 def get_address(number: int) -> str:
     """Returns the loopback address of an instance.
 
-    Each has its own, as in a mesh. Outgoing connections of this machine use
-    `HOST`, so that none takes the port of a daemon that is being restarted.
+    Each instance has an address of its own, as in a mesh. Outgoing
+    connections of this machine use `HOST`, so that none of them takes the
+    port of a daemon that is being restarted.
+
+    Args:
+        number: Number of the instance, from 0.
     """
-    return f"127.0.{1 + number // _HOSTS}.{1 + number % _HOSTS}"
+    return f"127.0.{1 + number // _ADDRESSES}.{1 + number % _ADDRESSES}"
 
 
 def build_proxy_arguments(
     _place: Place, _region: str, _store: str, _seeds: list[str]
 ) -> list[str]:
-    """Returns module and arguments of the baseline's random proxy."""
+    """Returns the module and arguments of the baseline's random proxy."""
     ports = ["--port", "0", "--admin-port", "0"]
     return ["standins.plain_random_proxy", *ports]
 
@@ -98,7 +103,7 @@
 def build_watcher_arguments(
     _place: Place, _region: str, store: str, _seeds: list[str]
 ) -> list[str]:
-    """Returns module and arguments of the baseline's watcher."""
+    """Returns the module and arguments of the baseline's store watcher."""
     return ["standins.plain_watcher", "--store", store, "--admin-port", "0"]
 
 
@@ -109,7 +114,15 @@
     seeds: list[str],
     spread: str = "fast",
 ) -> list[str]:
-    """Returns module and arguments that start a daemon on free ports."""
+    """Returns the module and arguments that start a daemon on free ports.
+
+    Args:
+        place: Zone and service of the instance.
+        region: Region of the zone.
+        store: Address of the store, "ip:port".
+        seeds: Ids of daemons that the daemon contacts first.
+        spread: The daemon's setting of that name, "fast" or "lean".
+    """
     arguments = [
         *("merlintrestle.daemon.command", "--address", HOST),
         *("--zone", place.zone, "--region", region, "--port", "0"),
@@ -122,10 +135,10 @@
 
 
 def add_fleet_option(text: str) -> Callable[[F], F]:
-    """Returns a decorator that gives a command the option `--fleet`.
+    """Returns a decorator that adds the option `--fleet` to a command.
 
     Args:
-        text: What the command uses the fleet for.
+        text: Help text of the option.
     """
     return click.option(
         "--fleet",
--- a/tools/measuring.py
+++ b/tools/measuring.py
@@ -1,4 +1,4 @@
-"""Command line of the measurements; each prints JSON on its last line."""
+"""Commands of the measurements, which print JSON on their last line."""
 
 from __future__ import annotations
 
@@ -32,13 +32,18 @@
     type=click.FloatRange(0.001, 0.5),
     help="Factor on the expected rates of the classes.",
 )
-@click.option("--loaders", default=2, show_default=True, help="Processes.")
-@click.option("--seed", default=1, show_default=True, help="Of the load.")
+@click.option(
+    "--loaders",
+    default=2,
+    show_default=True,
+    help="Number of processes that make the load.",
+)
+@click.option("--seed", default=1, show_default=True, help="Seed of the load.")
 @click.option(
     "--crash-share",
     default=0.002,
     show_default=True,
-    help="Share of repeatable calls that crash their backend server.",
+    help="Fraction of the repeatable calls that crash their backend server.",
 )
 @click.option(
     "--baseline/--no-baseline",
@@ -54,7 +59,7 @@
     crash_share: float,
     baseline: bool,
 ) -> None:
-    """Counts harm and goodput while processes and the store fail."""
+    """Measures harm and goodput while processes and the store fail."""
     options = failures.Options(
         layouts.LAYOUTS[name], factor, loaders, seed, crash_share
     )
@@ -63,14 +68,18 @@
 
 @main.command("convergence")
 @layouts.add_fleet_option("Fleet whose zones and documents are used.")
-@click.option("--daemons", default=12, show_default=True, help="Daemons.")
-@click.option("--changes", default=5, show_default=True, help="Changes.")
+@click.option(
+    "--daemons", default=12, show_default=True, help="Number of daemons."
+)
+@click.option(
+    "--changes", default=5, show_default=True, help="Number of changes."
+)
 @click.option(
     "--restart-share",
     default=0.0,
     show_default=True,
     type=click.FloatRange(0.0, 1.0),
-    help="Share of the daemons killed and restarted after each acceptance.",
+    help="Fraction of the daemons killed and restarted after each acceptance.",
 )
 @click.option(
     "--store-down",
@@ -88,7 +97,7 @@
     default="fast",
     show_default=True,
     type=click.Choice(["fast", "lean"]),
-    help="The daemons' setting of that name.",
+    help="The daemons' setting `spread`.",
 )
 @click.option(
     "--baseline/--no-baseline",
@@ -106,7 +115,7 @@
     spread: str,
     baseline: bool,
 ) -> None:
-    """Measures how long versions take to be in force, and their cost."""
+    """Measures the time until versions are in force, and what they cost."""
     options = convergence.Options(
         layouts.LAYOUTS[name],
         daemons,
@@ -128,16 +137,18 @@
     show_default=True,
     help="Calls per second; may be given several times.",
 )
-@click.option("--rounds", default=5, show_default=True, help="Turns.")
+@click.option(
+    "--rounds", default=5, show_default=True, help="Number of rounds."
+)
 def measure_latency(rates: tuple[int, ...], rounds: int) -> None:
-    """Measures what the daemon adds to a call, beside a plain proxy."""
+    """Measures the latency that the daemon and a plain proxy add to a call."""
     options = latency.Options(list(rates), rounds)
     sys.exit(processes.run(latency.run(options)))
 
 
 @main.command("slopes")
 def measure_slopes() -> None:
-    """Measures how one daemon's state grows with fleet and targets."""
+    """Measures how a daemon's state grows with the fleet and the targets."""
     click.echo(json.dumps(slopes.measure_slopes()))
 
 
@@ -145,8 +156,12 @@
 @layouts.add_fleet_option(
     "Example fleet; its services call each other in their order."
 )
-@click.option("--rate", default=50.0, show_default=True, help="Per second.")
-@click.option("--requests", default=200, show_default=True, help="Per case.")
+@click.option(
+    "--rate", default=50.0, show_default=True, help="Requests per second."
+)
+@click.option(
+    "--requests", default=200, show_default=True, help="Requests per case."
+)
 @click.option(
     "--baseline/--no-baseline",
     default=True,
@@ -156,7 +171,7 @@
 def measure_amplification(
     name: str, rate: float, requests: int, baseline: bool
 ) -> None:
-    """Measures the tries of a failing service, one to three calls deep."""
+    """Measures the attempts at a failing service, one to three calls deep."""
     options = amplification.Options(layouts.LAYOUTS[name], rate, requests)
     sys.exit(processes.run(amplification.run(options, baseline)))
 
--- a/tools/samples.py
+++ b/tools/samples.py
@@ -1,4 +1,4 @@
-"""Samples of processor time, memory and bytes on sockets from the kernel."""
+"""Samples of processor time, memory and socket traffic from the kernel."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
     from collections.abc import Collection, Sequence
 
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-_BYTES = re.compile(r"bytes_(?:sent|received):(\d+)")
+# Byte counters of a connection in the output of `ss`.
+_BYTE_COUNTERS = re.compile(r"bytes_(?:sent|received):(\d+)")
 
 
 class SocketTotal(NamedTuple):
-    """Bytes that one TCP connection has carried, seen from one end.
+    """Bytes that one end of a TCP connection has sent and received.
 
     Attributes:
-        local: Port of this end.
-        remote: Port of the other end.
-        carried: Bytes sent and received since it was opened.
+        local_port: Port of this end.
+        remote_port: Port of the other end.
+        byte_count: Bytes sent and received since the connection was opened.
     """
 
-    local: int
-    remote: int
-    carried: int
+    local_port: int
+    remote_port: int
+    byte_count: int
 
 
 def read_cpu_s(pid: int) -> float:
@@ -47,10 +48,10 @@
 
 
 async def read_sockets() -> list[SocketTotal]:
-    """Returns all open TCP connections of this machine, both ends each.
+    """Returns the ends of all open TCP connections on this machine.
 
     Raises:
-        FileNotFoundError: The program `ss` is not on this machine.
+        FileNotFoundError: The program `ss` is not installed.
     """
     program = shutil.which("ss")
     if program is None:
@@ -66,8 +67,8 @@
 
 def _parse_socket(line: str) -> SocketTotal:
     local, remote = line.split()[2:4]
-    carried = sum(map(int, _BYTES.findall(line)))
-    return SocketTotal(_parse_port(local), _parse_port(remote), carried)
+    byte_count = sum(map(int, _BYTE_COUNTERS.findall(line)))
+    return SocketTotal(_parse_port(local), _parse_port(remote), byte_count)
 
 
 def _parse_port(address: str) -> int:
@@ -79,18 +80,22 @@
 ) -> dict[tuple[int, int], int]:
     """Returns the bytes of control connections by their pair of ports.
 
-    Each end of a connection between two daemons is an item of its own, as
-    sent bytes of one are received bytes of the other. Of a connection to the
-    store only the daemon's end counts.
+    A connection between two daemons has one item for each end, because the
+    bytes that one end sends are the bytes that the other receives. A
+    connection to the store has an item for the daemon's end alone.
+
+    Args:
+        control_ports: Control ports of the daemons.
+        store_port: Port of the store.
     """
     return {
-        (total.local, total.remote): total.carried
+        (total.local_port, total.remote_port): total.byte_count
         for total in await read_sockets()
-        if total.local != store_port
+        if total.local_port != store_port
         and (
-            total.local in control_ports
-            or total.remote in control_ports
-            or total.remote == store_port
+            total.local_port in control_ports
+            or total.remote_port in control_ports
+            or total.remote_port == store_port
         )
     }
 
@@ -98,19 +103,31 @@
 def compute_added_bytes(
     before: dict[tuple[int, int], int], after: dict[tuple[int, int], int]
 ) -> int:
-    """Returns the bytes carried in between, by connections open at the end."""
+    """Returns the bytes added between two readings of control connections.
+
+    Counts only the connections that are open at the second reading.
+
+    Args:
+        before: Bytes by pair of ports at the first reading.
+        after: Bytes by pair of ports at the second reading.
+    """
     return sum(count - before.get(pair, 0) for pair, count in after.items())
 
 
 def compute_percentile(
     values: Sequence[float], fraction: float
 ) -> float | None:
-    """Returns the value that a fraction (0 to 1) of the values do not exceed.
+    """Returns the value that a fraction of the values do not exceed.
+
+    Args:
+        values: The values, in any order.
+        fraction: From 0 to 1.
 
-    None where there are no values: JSON has no NaN.
+    Returns:
+        The percentile; None if there are no values, as JSON has no NaN.
     """
     if not values:
         return None
     ordered = sorted(values)
-    place = max(0, -(-len(ordered) * fraction // 1) - 1)
-    return ordered[min(len(ordered) - 1, int(place))]
+    index = max(0, -(-len(ordered) * fraction // 1) - 1)
+    return ordered[min(len(ordered) - 1, int(index))]
--- a/tools/scenario.py
+++ b/tools/scenario.py
@@ -1,4 +1,4 @@
-"""Failures that `tools/measure failures` causes, in one fixed order."""
+"""The failures that `tools/measure failures` causes, at fixed times."""
 
 from __future__ import annotations
 
@@ -25,20 +25,22 @@
 logger = logging.getLogger(__name__)
 
 DURATION_S = 30.0
-_WATCH_EVERY_S = 0.2
-_HEAL_S = 5.0
+_WATCH_INTERVAL_S = 0.2
+# Time in which the daemons must run the accepted version after the last
+# failure.
+_RECOVERY_TIMEOUT_S = 5.0
 
 
 class PlannedStop(NamedTuple):
-    """A planned stop that must cut nothing.
+    """A planned stop of a daemon or backend server, which must cut no call.
 
     Attributes:
-        at_ms: When it began, in ms since 1970.
-        daemon_url: URL of the daemon beside the one that leaves.
-        address: Address of the backend server.
-        stops_daemon: True if the daemon stops; false if the backend server
+        at_ms: When the stop began, in ms since 1970.
+        daemon_url: URL of the instance's daemon.
+        address: Address of the instance's backend server.
+        stops_daemon: Whether the daemon stops; otherwise the backend server
             drains.
-        restarted_ms: When what left was started again, in ms since 1970.
+        restarted_ms: When the process was started again, in ms since 1970.
     """
 
     at_ms: int
@@ -49,15 +51,15 @@
 
 
 class Scenario:
-    """Causes the failures and restarts what should run again.
+    """Causes the failures and restarts the processes that should run.
 
     Attributes:
-        planned_stops: Planned stops that were made.
-        crashes: Backend servers that ended by themselves.
-        accepted_changes: Changes of targets that operators were told are
-            accepted.
-        outdated_daemons: Daemons that do not run the accepted version at the
-            end, with everything well again.
+        planned_stops: Planned stops so far.
+        crashes: Number of backend servers that ended unasked.
+        accepted_changes: Number of changes of targets that were reported to the
+            operator as accepted.
+        outdated_daemons: Number of daemons that do not run the accepted version
+            at the end, after all failures are over.
     """
 
     def __init__(
@@ -67,32 +69,34 @@
         refresh: Callable[[], Awaitable[None]],
         with_versions: bool,
     ):
-        """Prepares the failures of a fleet.
+        """Initializes the scenario.
 
         Args:
-            example_fleet: The fleet.
+            example_fleet: The fleet in which to cause the failures.
             folder: Folder for changed target documents.
-            refresh: Called after each restart.
-            with_versions: False for the baseline, which has no versions.
+            refresh: Called after each restart of a daemon.
+            with_versions: Whether the daemons run configuration versions;
+                false for the baseline.
         """
         self.planned_stops: list[PlannedStop] = []
         self.crashes = 0
         self.accepted_changes = 0
         self.outdated_daemons = 0
-        self._pages: list[dict[int, list[int]]] = [
+        # Versions that each instance ran, by process id of its daemon.
+        self._versions_by_pid: list[dict[int, list[int]]] = [
             {} for _ in example_fleet.instances
         ]
         self._fleet = example_fleet
         self._folder = folder
         self._refresh = refresh
         self._with_versions = with_versions
-        # Two restarts of one backend server would want the same port.
+        # Two restarts of one backend server at once would use the same port.
         self._locks = {
             instance: asyncio.Lock() for instance in example_fleet.instances
         }
 
     async def run(self) -> None:
-        """Causes every failure at its time; returns when all are over."""
+        """Causes every failure at its time and waits until all are over."""
         balie, kassa, archive = self._list_services()
         steps: list[tuple[float, Awaitable[None]]] = [
             (2.0, self._kill_daemon(balie[0], 2.0)),
@@ -106,40 +110,54 @@
             (11.0, self._change_backend(balie[3 % len(balie)], "silent")),
             (12.0, self._drain_backend(archive[0], 8.0)),
             (14.0, self._stop_daemon(archive[1])),
-            (16.0, self._remember_store()),
-            (17.0, self._lose_answers_of_change()),
+            (16.0, self._snapshot_store()),
+            (17.0, self._change_with_lost_answers()),
             (19.0, self._fail_store(3.0, latency_s=0.5)),
             (20.0, self._kill_backend(kassa[2 % len(kassa)])),
             (23.0, self._fail_store(4.0, stale=True)),
             (23.5, self._kill_daemon(balie[1], 0.5)),
         ]
-        watching = [
+        watch_tasks = [
             asyncio.create_task(self._watch_backends()),
             asyncio.create_task(self._watch_versions()),
         ]
         try:
-            await asyncio.gather(*(_wait_then(*step) for step in steps))
+            await asyncio.gather(*(_run_after(*step) for step in steps))
         finally:
-            for task in watching:
+            for task in watch_tasks:
                 task.cancel()
-            await asyncio.gather(*watching, return_exceptions=True)
+            await asyncio.gather(*watch_tasks, return_exceptions=True)
         await self._check_in_force()
         await self._read_versions()
 
     def list_versions(self) -> list[list[int]]:
-        """Returns the versions each instance ran in order, over restarts."""
-        return [sum(known.values(), start=[]) for known in self._pages]
+        """Returns the versions that each instance ran, in order.
+
+        The versions of a daemon's processes before and after a restart follow
+        each other.
+        """
+        return [
+            sum(versions.values(), start=[])
+            for versions in self._versions_by_pid
+        ]
 
     async def _check_in_force(self) -> None:
         if not self._with_versions:
             return
         version = (await self._fleet.read_head()).version
         instances = self._fleet.instances
-        if await self._fleet.wait_in_force(version, _HEAL_S, instances) is None:
-            pages = await asyncio.gather(
+        if (
+            await self._fleet.wait_in_force(
+                version, _RECOVERY_TIMEOUT_S, instances
+            )
+            is None
+        ):
+            version_times = await asyncio.gather(
                 *map(self._fleet.read_versions, instances)
             )
-            behind = [max(page, default=0) < version for page in pages]
+            behind = [
+                max(times, default=0) < version for times in version_times
+            ]
             self.outdated_daemons = sum(behind)
 
     def _list_services(self) -> list[list[fleet.Instance]]:
@@ -149,11 +167,11 @@
         ]
 
     async def _kill_daemon(
-        self, instance: fleet.Instance, away_s: float
+        self, instance: fleet.Instance, downtime_s: float
     ) -> None:
         await self._read_versions()
         await instance.daemon.kill()
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(downtime_s)
         await self._fleet.restart_daemon(instance)
         await self._refresh()
 
@@ -165,20 +183,20 @@
             await self._fleet.start_backend(instance)
 
     async def _freeze(
-        self, process: processes.Process | None, away_s: float
+        self, process: processes.Process | None, duration_s: float
     ) -> None:
         assert process is not None
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(duration_s)
         process.send_signal(signal.SIGCONT)
 
-    async def _fail_store(self, away_s: float, **fields: object) -> None:
+    async def _fail_store(self, duration_s: float, **fields: object) -> None:
         await self._fleet.set_store_faults(**fields)
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(duration_s)
         await self._fleet.set_store_faults()
 
-    async def _remember_store(self) -> None:
-        """Has later stale reads answer from before the next change."""
+    async def _snapshot_store(self) -> None:
+        """Makes later stale reads return the store's present state."""
         control = self._fleet.store.ready["control"]
         await self._fleet.post_json(control, "/remember", {})
 
@@ -189,37 +207,41 @@
             await self._start_crashed(instance)
             assert instance.backend is not None
             control = instance.backend.ready["control"]
-            # A request may crash it at this very moment.
+            # A caller's request may crash the backend server meanwhile.
             with contextlib.suppress(aiohttp.ClientError):
                 await self._fleet.post_json(control, "/faults", {fault: True})
 
     async def _drain_backend(
-        self, instance: fleet.Instance, away_s: float
+        self, instance: fleet.Instance, drain_s: float
     ) -> None:
-        """Lets a backend server leave; it takes what still comes."""
+        """Drains a backend server, stops it and starts it again.
+
+        While it drains it still runs the calls that arrive.
+        """
         async with self._locks[instance]:
             await self._start_crashed(instance)
             backend = instance.backend
             assert backend is not None
-            stop = self._note_stop(instance, stops_daemon=False)
+            stop = self._record_stop(instance, stops_daemon=False)
             control = backend.ready["control"]
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 await self._fleet.post_json(control, "/drain", {})
-            await asyncio.sleep(away_s)
+            await asyncio.sleep(drain_s)
             await backend.stop()
             restarted_ms = time.time_ns() // 1_000_000
-            place = self.planned_stops.index(stop)
-            self.planned_stops[place] = stop._replace(restarted_ms=restarted_ms)
+            index = self.planned_stops.index(stop)
+            self.planned_stops[index] = stop._replace(restarted_ms=restarted_ms)
             await self._fleet.start_backend(instance)
 
     async def _stop_daemon(self, instance: fleet.Instance) -> None:
         await self._read_versions()
-        self._note_stop(instance, stops_daemon=True)
+        self._record_stop(instance, stops_daemon=True)
         await instance.daemon.stop(within_s=20.0)
         await self._fleet.restart_daemon(instance)
         await self._refresh()
 
-    async def _lose_answers_of_change(self) -> None:
+    async def _change_with_lost_answers(self) -> None:
+        """Changes a target while the store's answers are lost."""
         if not self._with_versions:
             return
         await self._fleet.set_store_faults(lose_answers=3)
@@ -236,11 +258,11 @@
         try:
             await self._fleet.apply(str(path))
         except processes.ProcessError as error:
-            logger.info("a change was not accepted: %s", error)
+            logger.info("change of targets not accepted: %s", error)
         else:
             self.accepted_changes += 1
 
-    def _note_stop(
+    def _record_stop(
         self, instance: fleet.Instance, stops_daemon: bool
     ) -> PlannedStop:
         assert instance.backend is not None
@@ -251,15 +273,16 @@
         return stop
 
     async def _watch_backends(self) -> None:
-        """Starts backend servers again that ended by themselves."""
+        """Restarts backend servers that ended unasked, until cancelled."""
         while True:
             for instance in self._fleet.instances:
                 if not self._locks[instance].locked():
                     async with self._locks[instance]:
                         await self._start_crashed(instance)
-            await asyncio.sleep(_WATCH_EVERY_S)
+            await asyncio.sleep(_WATCH_INTERVAL_S)
 
     async def _start_crashed(self, instance: fleet.Instance) -> None:
+        """Restarts the backend server of an instance if it has crashed."""
         backend = instance.backend
         if backend is not None and not backend.running:
             self.crashes += 1
@@ -268,21 +291,26 @@
     async def _watch_versions(self) -> None:
         while True:
             await self._read_versions()
-            await asyncio.sleep(_WATCH_EVERY_S)
+            await asyncio.sleep(_WATCH_INTERVAL_S)
 
     async def _read_versions(self) -> None:
-        """Notes the versions that daemons took into use since last time."""
+        """Records the versions that each daemon's present process has run."""
         if not self._with_versions:
             return
         instances = self._fleet.instances
-        found = await asyncio.gather(*map(self._fleet.read_versions, instances))
-        triples = zip(instances, self._pages, found, strict=True)
-        for instance, known, versions in triples:
-            # A page belongs to one process; a restarted daemon begins anew.
-            if versions:
-                known[instance.daemon.pid] = list(versions)
+        version_times = await asyncio.gather(
+            *map(self._fleet.read_versions, instances)
+        )
+        triples = zip(
+            instances, self._versions_by_pid, version_times, strict=True
+        )
+        for instance, versions_by_pid, times in triples:
+            # A daemon lists the versions of its own process alone, so a
+            # restarted one starts an empty list.
+            if times:
+                versions_by_pid[instance.daemon.pid] = list(times)
 
 
-async def _wait_then(after_s: float, step: Awaitable[None]) -> None:
-    await asyncio.sleep(after_s)
+async def _run_after(delay_s: float, step: Awaitable[None]) -> None:
+    await asyncio.sleep(delay_s)
     await step
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,8 +1,8 @@
 """Measures how the state of one daemon grows with the fleet and the targets.
 
-Runs in this process alone: tables, choices and snapshots are built at several
-sizes up to the two-year size, and timed. docs/CAPACITY.md takes its slopes
-from here.
+Everything runs in this process: member tables, choices of neighbours and
+snapshots are built and timed at several sizes, up to the size that is expected
+in two years. The slopes in docs/CAPACITY.md come from this module.
 """
 
 from __future__ import annotations
@@ -28,25 +28,28 @@
 
 T = TypeVar("T")
 
+# Sizes of the fleet and of the targets; the last one is the two-year size.
 MEMBER_COUNTS = (400, 1600, 6300)
 SERVICE_COUNTS = (40, 185, 740)
-_ORGANISATIONS = 4
-_CLASSES = 5
-_ZONES = 16
-_REGIONS = 7
-_NEIGHBOURS = 4
-_REPEATS = 5
+_ORGANISATION_COUNT = 4
+_CLASSES_PER_SERVICE = 5
+_ZONE_COUNT = 16
+_REGION_COUNT = 7
+# Neighbours that a daemon chooses among all members.
+_NEIGHBOUR_COUNT = 4
+# Runs of which the fastest one counts.
+_TIMED_RUNS = 5
 
 
 class MemberFigures(NamedTuple):
-    """What the table of members costs one daemon.
+    """Cost of the member table for one daemon.
 
     Attributes:
-        members: Members in the table.
+        members: Number of members in the table.
         memory_bytes: Memory of the table.
-        table_message_bytes: All records as one message.
-        merge_us: Taking in one record that is news.
-        choose_ms: Choosing neighbours among all members.
+        table_message_bytes: Size of a message with all records.
+        merge_us: Time to merge a newer record of one member, in µs.
+        choose_ms: Time to choose neighbours among all members, in ms.
     """
 
     members: int
@@ -57,15 +60,18 @@
 
 
 class SnapshotFigures(NamedTuple):
-    """What a configuration version costs one daemon.
+    """Cost of a configuration version for one daemon.
 
     Attributes:
-        services: Services, each with `_CLASSES` classes of work.
+        services: Number of services, each with `_CLASSES_PER_SERVICE` classes
+            of work.
         memory_bytes: Memory of one loaded snapshot.
-        whole_bytes: The whole snapshot as a message.
-        delta_bytes: The change of one target as a message.
-        compile_ms: Documents to snapshot (watchers alone).
-        apply_delta_ms: Delta to a checked, loaded snapshot (every daemon).
+        whole_bytes: Size of a message with the whole snapshot.
+        delta_bytes: Size of a message with the change of one target.
+        compile_ms: Time to compile documents into a snapshot, in ms; only
+            watchers do so.
+        apply_delta_ms: Time to turn a delta into a checked and loaded
+            snapshot, in ms; every daemon does so.
     """
 
     services: int
@@ -77,12 +83,12 @@
 
 
 def measure_slopes() -> dict[str, list[dict[str, float]]]:
-    """Returns the figures at each size, members and snapshots apart."""
+    """Returns the figures at each size, by "members" and "snapshots"."""
     members = [measure_members(count) for count in MEMBER_COUNTS]
-    versions = [measure_snapshot(count) for count in SERVICE_COUNTS]
+    snapshots = [measure_snapshot(count) for count in SERVICE_COUNTS]
     return {
         "members": [figures._asdict() for figures in members],
-        "snapshots": [figures._asdict() for figures in versions],
+        "snapshots": [figures._asdict() for figures in snapshots],
     }
 
 
@@ -90,18 +96,20 @@
     """Measures a table of `count` members."""
     records = [build_member(number) for number in range(count)]
     table, memory_bytes = _trace_memory(lambda: _fill_table(records))
-    news = [_raise_incarnation(record) for record in records[1:]]
-    merge_s = _time_once(lambda: [table.merge(record) for record in news])
+    newer_records = [_raise_incarnation(record) for record in records[1:]]
+    merge_s = _time_once(
+        lambda: [table.merge(record) for record in newer_records]
+    )
     ids = table.list_usable_ids()
     choose_s = _time_best(
-        lambda: rendezvous.choose(table.local_id, ids, _NEIGHBOURS)
+        lambda: rendezvous.choose(table.local_id, ids, _NEIGHBOUR_COUNT)
     )
     reply = control_pb2.MembersReply(members=table.list_members())
     figures = MemberFigures(
         count,
         memory_bytes,
         reply.ByteSize(),
-        merge_s / len(news) * 1e6,
+        merge_s / len(newer_records) * 1e6,
         choose_s * 1e3,
     )
     logger.info("%s", figures)
@@ -132,15 +140,15 @@
 
 
 def build_member(number: int) -> control_pb2.Member:
-    """Returns the record of one of the members of the two-year size."""
+    """Builds the record of one member of a fleet of the two-year size."""
     address = f"10.{number // 65536}.{number // 256 % 256}.{number % 256}"
     return control_pb2.Member(
         id=f"{address}:8082",
         address=address,
         control_port=8082,
         peer_port=8081,
-        zone=f"zone-{number % _ZONES}",
-        region=f"region-{number % _REGIONS}",
+        zone=f"zone-{number % _ZONE_COUNT}",
+        region=f"region-{number % _REGION_COUNT}",
         incarnation=1_796_000_000_000 + number,
         state=control_pb2.ALIVE,
         backend=control_pb2.Backend(
@@ -153,19 +161,26 @@
 
 
 def build_documents(services: int) -> dict[str, document_pb2.Document]:
-    """Returns documents with so many services, over all organisations."""
+    """Builds documents that declare services, spread over all organisations.
+
+    Args:
+        services: Number of services.
+
+    Returns:
+        The documents by organisation.
+    """
     documents = {
         f"organisation-{number}": document_pb2.Document(
             organisation=f"organisation-{number}"
         )
-        for number in range(_ORGANISATIONS)
+        for number in range(_ORGANISATION_COUNT)
     }
     for number in range(services):
-        owner = f"organisation-{number % _ORGANISATIONS}"
+        owner = f"organisation-{number % _ORGANISATION_COUNT}"
         service = documents[owner].services.add(name=f"service-{number}")
-        for kind in range(_CLASSES):
+        for index in range(_CLASSES_PER_SERVICE):
             service.classes.add(
-                name=f"class-{kind}",
+                name=f"class-{index}",
                 latency_ms=250,
                 share=0.99,
                 availability=0.999,
@@ -175,7 +190,7 @@
                 work_ms=10,
                 size=document_pb2.SMALL,
                 deadline_ms=2000,
-                match=[f"GET /class-{kind}"],
+                match=[f"GET /class-{index}"],
             )
     return documents
 
@@ -188,26 +203,30 @@
 
 
 def _raise_incarnation(record: control_pb2.Member) -> control_pb2.Member:
-    raised = control_pb2.Member()
-    raised.CopyFrom(record)
-    raised.incarnation += 1
-    return raised
+    """Returns a copy of a record with the next incarnation."""
+    newer = control_pb2.Member()
+    newer.CopyFrom(record)
+    newer.incarnation += 1
+    return newer
 
 
-def _trace_memory(make: Callable[[], T]) -> tuple[T, int]:
+def _trace_memory(build: Callable[[], T]) -> tuple[T, int]:
+    """Returns what a function builds and the bytes of memory it holds."""
     gc.collect()
     tracemalloc.start()
-    made = make()
-    size, _ = tracemalloc.get_traced_memory()
+    built = build()
+    size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return made, size
+    return built, size_bytes
 
 
-def _time_once(work: Callable[[], object]) -> float:
-    began = time.perf_counter()
-    work()
-    return time.perf_counter() - began
+def _time_once(function: Callable[[], object]) -> float:
+    """Returns the seconds that one run of a function takes."""
+    started_s = time.perf_counter()
+    function()
+    return time.perf_counter() - started_s
 
 
-def _time_best(work: Callable[[], object]) -> float:
-    return min(_time_once(work) for _ in range(_REPEATS))
+def _time_best(function: Callable[[], object]) -> float:
+    """Returns the seconds that the fastest of several runs takes."""
+    return min(_time_once(function) for _ in range(_TIMED_RUNS))
--- a/tools/workload.py
+++ b/tools/workload.py
@@ -10,22 +10,23 @@
 
 
 class ClassLoad(NamedTuple):
-    """How calls of one class of work are made.
+    """Load and targets of one class of work.
 
     Attributes:
-        organisation: Organisation that declares it.
-        service: Service that serves it.
+        organisation: Organisation that declares the class.
+        service: Service that runs its calls.
         name: Name of the class.
-        method: HTTP method.
+        method: HTTP method of its calls.
         prefix: Path prefix within the service.
-        repeatable: True if a call may run more than once (idempotent).
-        large: True for downloads.
-        importance: 1 (shed first) to 5.
+        repeatable: Whether a call may run more than once (is idempotent).
+        large: Whether the answers are downloads.
+        importance: From 1 (shed first) to 5 (shed last).
         rate: Expected calls per second over the whole mesh.
-        work_ms: Milliseconds of work per call.
-        latency_ms: Latency that `share` of the calls must keep.
-        share: Share of calls within `latency_ms`.
-        deadline_ms: Milliseconds until the final answer.
+        work_ms: Time that a backend server works on a call, in ms.
+        latency_ms: Latency target in ms.
+        share: Fraction of the calls that must be answered within
+            `latency_ms`.
+        deadline_ms: Time in which a call must have its final answer, in ms.
     """
 
     organisation: str
@@ -44,7 +45,7 @@
 
     @property
     def label(self) -> str:
-        """Service and class, "kassa/payout"."""
+        """Service and class as text, such as "kassa/payout"."""
         return f"{self.service}/{self.name}"
 
 
@@ -57,14 +58,14 @@
 
 def read_classes(fleet: str) -> list[ClassLoad]:
     """Returns every class of work that a fleet's documents declare."""
-    found = []
+    classes = []
     for path in list_documents(fleet):
         document = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
         organisation = document["organisation"]
         for service, target in document.get("services", {}).items():
             for name, fields in target.get("classes", {}).items():
-                found.append(_read_class(organisation, service, name, fields))
-    return found
+                classes.append(_read_class(organisation, service, name, fields))
+    return classes
 
 
 def _read_class(
