--- a/tests/tools/test_load.py
+++ b/tests/tools/test_load.py
@@ -19,11 +19,11 @@
 class PlanTest(unittest.TestCase):
     def test_same_seed_makes_the_same_requests(self) -> None:
         plan = load.Plan([], [builders.build_class()], 1.0, 2.0, seed=7)
-        first = list(load.list_requests(plan))
-        self.assertEqual(first, list(load.list_requests(plan)))
+        first = list(load.generate_requests(plan))
+        self.assertEqual(first, list(load.generate_requests(plan)))
         self.assertGreater(len(first), 0)
         other = plan._replace(seed=8)
-        self.assertNotEqual(first, list(load.list_requests(other)))
+        self.assertNotEqual(first, list(load.generate_requests(other)))
 
     def test_plan_and_results_survive_their_files(self) -> None:
         plan = load.Plan(["e"], [builders.build_class()], 1.0, 2.0, seed=7)
@@ -94,7 +94,7 @@
         who does so gets the same answer and leaves.
         """
         headers = {calls.OUTCOME_HEADER: "not-run", "Retry-After": "0.01"}
-        self.entry, seen = await standin_builders.start_recorder(
+        self.entry, seen = await standin_builders.start_recording_server(
             self, status=503, headers=headers
         )
         target = builders.build_class(method="GET", repeatable=True)
@@ -105,7 +105,9 @@
 
     async def _call(self, request: calls.Request) -> load.Result:
         chooser = random.Random(1)
-        return await load.call(self.session, [self.entry], request, chooser)
+        return await load.call_with_retries(
+            self.session, [self.entry], request, chooser
+        )
 
 
 if __name__ == "__main__":
--- a/tools/convergence.py
+++ b/tools/convergence.py
@@ -107,7 +107,7 @@
         for i in range(options.daemons)
     ]
     try:
-        await example_fleet.start(places, backends=False)
+        await example_fleet.start(places, start_backends=False)
         return await _measure_fleet(options, table, example_fleet)
     finally:
         await example_fleet.close()
@@ -269,10 +269,10 @@
     example_fleet: fleet.Fleet, version: int, timeout_s: float
 ) -> int:
     """Waits for a version; returns how many daemons do not run it in time."""
-    in_force_s = await example_fleet.wait_in_force(
+    active_after_s = await example_fleet.wait_until_active(
         version, timeout_s, example_fleet.instances
     )
-    if in_force_s is not None:
+    if active_after_s is not None:
         return 0
     return len(example_fleet.instances) - len(
         await _read_delays(example_fleet, version)
@@ -298,7 +298,7 @@
 def _read_errors(example_fleet: fleet.Fleet) -> str:
     """Returns the errors that the first three daemons have written."""
     return "\n".join(
-        instance.daemon.read_errors()
+        instance.daemon.read_last_stderr_lines()
         for instance in example_fleet.instances[:3]
     )
 
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -71,7 +71,7 @@
     See `samples.read_control_bytes`.
     """
     ports = [
-        instance.daemon.ready.get("control_port")
+        instance.daemon.ready_fields.get("control_port")
         for instance in example_fleet.instances
     ]
     store_port = int(example_fleet.store_address.rpartition(":")[2])
--- a/tools/model.py
+++ b/tools/model.py
@@ -652,7 +652,7 @@
         deadline=deadline,
         latency_deadline=latency_deadline,
         depth=0,
-        attempt=0,
+        attempt_number=0,
         key="",
     )
 
--- a/tools/scenario.py
+++ b/tools/scenario.py
@@ -147,7 +147,7 @@
         version = (await self._fleet.read_head()).version
         instances = self._fleet.instances
         if (
-            await self._fleet.wait_in_force(
+            await self._fleet.wait_until_active(
                 version, _RECOVERY_TIMEOUT_S, instances
             )
             is None
@@ -197,7 +197,7 @@
 
     async def _snapshot_store(self) -> None:
         """Makes later stale reads return the store's present state."""
-        control = self._fleet.store.ready["control"]
+        control = self._fleet.store.ready_fields["control"]
         await self._fleet.post_json(control, "/remember", {})
 
     async def _change_backend(
@@ -206,7 +206,7 @@
         async with self._locks[instance]:
             await self._start_crashed(instance)
             assert instance.backend is not None
-            control = instance.backend.ready["control"]
+            control = instance.backend.ready_fields["control"]
             # A caller's request may crash the backend server meanwhile.
             with contextlib.suppress(aiohttp.ClientError):
                 await self._fleet.post_json(control, "/faults", {fault: True})
@@ -223,7 +223,7 @@
             backend = instance.backend
             assert backend is not None
             stop = self._record_stop(instance, stops_daemon=False)
-            control = backend.ready["control"]
+            control = backend.ready_fields["control"]
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 await self._fleet.post_json(control, "/drain", {})
             await asyncio.sleep(drain_s)
@@ -267,7 +267,7 @@
     ) -> PlannedStop:
         assert instance.backend is not None
         at_ms = time.time_ns() // 1_000_000
-        address = instance.backend.ready["address"]
+        address = instance.backend.ready_fields["address"]
         stop = PlannedStop(at_ms, instance.url, address, stops_daemon)
         self.planned_stops.append(stop)
         return stop
