--- a/tools/layouts.py
+++ b/tools/layouts.py
@@ -13,7 +13,7 @@
 
 HOST = "127.0.0.1"
 # Number of loopback addresses used in each /24 network.
-_ADDRESSES = 250
+_ADDRESSES_PER_NETWORK = 250
 
 
 class Place(NamedTuple):
@@ -89,7 +89,10 @@
     Args:
         number: Number of the instance, from 0.
     """
-    return f"127.0.{1 + number // _ADDRESSES}.{1 + number % _ADDRESSES}"
+    return (
+        f"127.0.{1 + number // _ADDRESSES_PER_NETWORK}"
+        f".{1 + number % _ADDRESSES_PER_NETWORK}"
+    )
 
 
 def build_proxy_arguments(
