--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""An example fleet as separate processes: store, daemons, backend servers."""
+"""Example fleet of separate processes: store, daemons and backend servers."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-_BATCH = 8
-_SEEDS = 3
-_POLL_S = 0.1
-_CALL_TIMEOUT = aiohttp.ClientTimeout(total=5.0)
+_DAEMONS_PER_BATCH = 8
+_SEED_COUNT = 3
+_POLL_INTERVAL_S = 0.1
+_CLIENT_TIMEOUT = aiohttp.ClientTimeout(total=5.0)
 
 
 class Instance:
-    """One instance: a daemon and the backend server beside it.
+    """An instance: one daemon and one backend server.
 
     Attributes:
-        place: Zone and service.
-        daemon: The daemon's process.
-        backend: The backend server's process; None before its start.
+        place: Availability zone and service.
+        daemon: Process of the daemon.
+        backend: Process of the backend server; None before its start.
     """
 
     def __init__(self, place: layouts.Place, daemon: processes.Process):
@@ -39,29 +39,30 @@
 
     @property
     def id(self) -> str:
-        """Id of the daemon; empty for a baseline's proxy."""
+        """Id of the daemon; empty for a proxy of the baseline."""
         return self.daemon.ready_fields.get("id", "")
 
     @property
     def url(self) -> str:
-        """Where callers reach the daemon."""
+        """URL of the daemon for callers."""
         address = self.id.rpartition(":")[0] or layouts.HOST
         return f"http://{address}:{self.daemon.ready_fields['port']}"
 
     @property
     def admin_address(self) -> str:
-        """Admin address of the daemon."""
+        """Address of the daemon's admin port, "ip:port"."""
         return f"{layouts.HOST}:{self.daemon.ready_fields['admin_port']}"
 
 
 class Fleet:
-    """A store and instances; all processes belong to the given table.
+    """A store and instances, whose processes belong to a process table.
 
     Attributes:
-        layout: Which example fleet.
-        store: The store's process, after `start`.
-        instances: The instances, after `start`.
-        ledger_path: File in which all backend servers record their runs.
+        layout: Layout of the fleet.
+        store: Process of the store; set by `start`.
+        instances: Instances; filled by `start`.
+        ledger_path: Path of the file in which all backend servers record
+            their runs.
     """
 
     def __init__(
@@ -73,14 +74,15 @@
         ] = layouts.build_daemon_arguments,
         name: str = "fleet",
     ):
-        """Prepares a fleet.
+        """Initializes a fleet without starting it.
 
         Args:
-            table: Where its processes are registered.
-            layout: Which example fleet.
-            build_arguments: Makes the arguments of a daemon, so that a
-                baseline can stand in its place.
-            name: Names the file of runs.
+            table: Table that the fleet's processes are added to.
+            layout: Layout of the fleet.
+            build_arguments: Returns the module and arguments that start a
+                daemon, or a baseline in its place; takes the place, the
+                region, the address of the store and the ids of the seeds.
+            name: Name of the ledger file, without its suffix.
         """
         self.layout = layout
         self.store: processes.Process
@@ -89,7 +91,7 @@
         self._table = table
         self._build_arguments = build_arguments
         self._session: aiohttp.ClientSession | None = None
-        self._started = 0
+        self._daemons_started = 0
 
     @property
     def store_address(self) -> str:
@@ -99,121 +101,133 @@
     async def start(
         self, places: list[layouts.Place], start_backends: bool = True
     ) -> None:
-        """Starts the store, the daemons in batches and the backend servers."""
-        self._session = aiohttp.ClientSession(timeout=_CALL_TIMEOUT)
+        """Starts the store, the daemons in batches and the backend servers.
+
+        Args:
+            places: Place of each instance.
+            start_backends: Whether to start the backend servers.
+        """
+        self._session = aiohttp.ClientSession(timeout=_CLIENT_TIMEOUT)
         self.store = await self._table.start("store", "standins.store")
-        first, rest = places[:_SEEDS], places[_SEEDS:]
-        for place in first:
+        seeds, others = places[:_SEED_COUNT], places[_SEED_COUNT:]
+        for place in seeds:
             await self._add_daemon(place)
-        for index in range(0, len(rest), _BATCH):
-            batch = rest[index : index + _BATCH]
-            await _finish_all(*map(self._add_daemon, batch))
+        for index in range(0, len(others), _DAEMONS_PER_BATCH):
+            batch = others[index : index + _DAEMONS_PER_BATCH]
+            await _gather_all(*map(self._add_daemon, batch))
         if start_backends:
-            await _finish_all(*map(self.start_backend, self.instances))
+            await _gather_all(*map(self.start_backend, self.instances))
 
     async def close(self) -> None:
-        """Closes the client; the table stops the processes."""
+        """Closes the HTTP client; the process table stops the processes."""
         if self._session is not None:
             await self._session.close()
 
     async def restart_daemon(self, instance: Instance) -> None:
-        """Starts a daemon that has ended again, at the same ports."""
-        before = instance.daemon
-        arguments = list(before.arguments)
+        """Starts a daemon that has ended again, on the same ports."""
+        previous = instance.daemon
+        arguments = list(previous.arguments)
         fields = ["port", "peer_port", "control_port"]
         if instance.backend is not None:
-            # It goes on announcing itself to this port.
+            # The backend server keeps announcing itself to this port.
             fields.append("admin_port")
         for field in fields:
             flag = "--" + field.replace("_", "-")
-            if flag in arguments and field in before.ready_fields:
+            if flag in arguments and field in previous.ready_fields:
                 arguments[arguments.index(flag) + 1] = str(
-                    before.ready_fields[field]
+                    previous.ready_fields[field]
                 )
-        if before.ready_fields.get("id") and "--seeds" not in arguments:
+        if previous.ready_fields.get("id") and "--seeds" not in arguments:
             others = [i for i in self.instances if i is not instance]
-            seeds = [i.id for i in others[:_SEEDS]]
+            seeds = [i.id for i in others[:_SEED_COUNT]]
             arguments += ["--seeds", ",".join(seeds)]
-        instance.daemon = await self._table.start(before.name, *arguments)
+        instance.daemon = await self._table.start(previous.name, *arguments)
 
     async def start_backend(self, instance: Instance) -> None:
-        """Starts the backend server, at the same port as before if any."""
+        """Starts an instance's backend server, on its previous port if any."""
         service = instance.place.service
         arguments = [
             *("standins.backend", "--service", service),
             *("--admin", instance.admin_address, "--ledger", self.ledger_path),
             *("--daemon", instance.url),
         ]
-        for load in workload.read_classes(self.layout.name):
-            if load.service == service and not load.large:
-                arguments += ["--work", f"{load.prefix}={load.work_ms}"]
+        for class_load in workload.read_classes(self.layout.name):
+            if class_load.service == service and not class_load.large:
+                arguments += [
+                    "--work",
+                    f"{class_load.prefix}={class_load.work_ms}",
+                ]
         if instance.backend is not None:
             port = instance.backend.ready_fields["address"].rpartition(":")[2]
             arguments += ["--port", port]
         instance.backend = await self._table.start(service, *arguments)
 
     async def apply(self, *paths: str, operator: str = "demo") -> None:
-        """Applies target documents in order by the operators' program.
+        """Applies target documents in order with the operators' command.
+
+        Args:
+            paths: Paths of the documents.
+            operator: Name of the operator.
 
         Raises:
-            processes.ProcessError: The program refused one or failed.
+            processes.ProcessError: The command refused a document or failed.
         """
         for path in paths:
             status, out, err = await processes.run_operator(
                 "apply",
                 path,
                 *("--store", self.store_address, "--operator", operator),
-                *self._name_daemon(),
+                *self._build_daemon_option(),
             )
             if status:
                 raise processes.ProcessError(
                     f"apply ended with status {status}:\n{out}{err}"
                 )
 
-    def _name_daemon(self) -> list[str]:
-        """Returns the option that names a daemon; none for a baseline."""
+    def _build_daemon_option(self) -> list[str]:
+        """Returns the option that names a running daemon; [] for a baseline."""
         for instance in self.instances:
             if instance.id and instance.daemon.running:
                 return ["--daemon", instance.id]
         return []
 
     async def get_json(self, address: str, path: str) -> Any:
-        """Reads a page as JSON; None where it cannot be had."""
+        """Returns the JSON at a path, or None if it cannot be read."""
         assert self._session is not None
         with contextlib.suppress(aiohttp.ClientError, TimeoutError, ValueError):
-            async with self._session.get(f"http://{address}{path}") as answer:
-                if answer.status == 200:
-                    return await answer.json(content_type=None)
+            async with self._session.get(f"http://{address}{path}") as response:
+                if response.status == 200:
+                    return await response.json(content_type=None)
         return None
 
     async def post_json(self, address: str, path: str, fields: Any) -> None:
         """Posts JSON to a control port."""
         assert self._session is not None
         url = f"http://{address}{path}"
-        async with self._session.post(url, json=fields) as answer:
-            answer.raise_for_status()
+        async with self._session.post(url, json=fields) as response:
+            response.raise_for_status()
 
     async def set_store_faults(self, **fields: Any) -> None:
-        """Puts faults of the store in force in place of those before."""
+        """Replaces the faults of the store."""
         await self.post_json(
             self.store.ready_fields["control"], "/faults", fields
         )
 
     async def read_head(self) -> document_pb2.Head:
-        """Returns the accepted head as the store holds it."""
-        store = client.StoreClient(self.store_address)
-        await store.start()
+        """Returns the accepted head, read from the store."""
+        store_client = client.StoreClient(self.store_address)
+        await store_client.start()
         try:
-            entry = await store.get("head")
+            entry = await store_client.get("head")
         finally:
-            await store.close()
+            await store_client.close()
         head = document_pb2.Head()
         if entry is not None:
             head.ParseFromString(entry.value)
         return head
 
     async def read_accepted_ms(self) -> int:
-        """Returns when the store took the newest head, in ms since 1970."""
+        """Returns when the store wrote the newest head, in ms since 1970."""
         control = self.store.ready_fields["control"]
         writes = await self.get_json(control, "/writes?key=head")
         return writes[-1]["at_ms"]
@@ -221,30 +235,36 @@
     async def wait_until_active(
         self, version: int, within_s: float, instances: list[Instance]
     ) -> float | None:
-        """Waits until all instances run a version or a later one.
+        """Waits until a version or a later one is active on all instances.
+
+        Args:
+            version: Version to wait for.
+            within_s: Longest time to wait, in seconds.
+            instances: Instances whose daemons are asked.
 
         Returns:
             Seconds from the store's write of the newest head until the last
-            daemon took it into use; None where that took too long.
+            daemon activated the version; None if that took too long.
         """
         accepted_ms = await self.read_accepted_ms()
-        taken = [
-            self._wait_running(instance, version) for instance in instances
+        activations = [
+            self._wait_active(instance, version) for instance in instances
         ]
         try:
             async with asyncio.timeout(within_s):
-                last_ms = max(await asyncio.gather(*taken))
+                last_ms = max(await asyncio.gather(*activations))
         except TimeoutError:
             return None
         return (last_ms - accepted_ms) / 1000
 
-    async def _wait_running(self, instance: Instance, version: int) -> int:
+    async def _wait_active(self, instance: Instance, version: int) -> int:
+        """Returns when a daemon activated a version, in ms since 1970."""
         while True:
             versions = await self.read_versions(instance)
             times = [ms for number, ms in versions.items() if number >= version]
             if times:
                 return min(times)
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def read_counters(self) -> dict[str, Any]:
         """Returns the store's counters."""
@@ -253,28 +273,28 @@
         )
 
     async def read_versions(self, instance: Instance) -> dict[int, int]:
-        """Returns when a daemon took each version into use, in ms."""
+        """Returns when a daemon activated each version, in ms since 1970."""
         pairs = await self.get_json(instance.admin_address, "/versions") or []
         return {pair["version"]: pair["at_ms"] for pair in pairs}
 
     async def _add_daemon(self, place: layouts.Place) -> None:
-        seeds = [i.id for i in self.instances[:_SEEDS]]
+        seeds = [i.id for i in self.instances[:_SEED_COUNT]]
         arguments = self._build_arguments(
             place, self.layout.region, self.store_address, seeds
         )
         if "--address" in arguments:
-            address = layouts.get_address(self._started)
+            address = layouts.get_address(self._daemons_started)
             arguments[arguments.index("--address") + 1] = address
-        self._started += 1
+        self._daemons_started += 1
         daemon = await self._table.start("daemon", *arguments)
         self.instances.append(Instance(place, daemon))
 
 
-async def _finish_all(*starts: Coroutine[Any, Any, None]) -> None:
-    """Runs all to their end, then raises the first error if any.
+async def _gather_all(*starts: Coroutine[Any, Any, None]) -> None:
+    """Waits until all starts have ended, then raises the first error, if any.
 
-    A start that goes on after another has failed would add a process after
-    the table was closed, which nobody would stop.
+    A start that continued after another one failed would add its process after
+    the process table was closed, and nothing would stop that process.
     """
     results = await asyncio.gather(*starts, return_exceptions=True)
     for result in results:
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Starts, watches and stops the processes of the demo and measurements."""
+"""Starts and stops the processes of the demonstration and measurements."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
     from collections.abc import Coroutine
 
 ROOT = pathlib.Path(__file__).parent.parent
-_READY_WITHIN_S = 30.0
-_STOP_WITHIN_S = 5.0
+_READY_TIMEOUT_S = 30.0
+_STOP_TIMEOUT_S = 5.0
 _TAIL_LINES = 15
 
 
 class ProcessError(Exception):
-    """A process did not become ready or ended before its time."""
+    """A process did not become ready or ended too early."""
 
 
 class Process:
-    """One child process that printed its ready line.
+    """A child process that prints a ready line when it has started.
 
     Attributes:
-        name: What people call it.
-        arguments: How it was started.
-        pid: Its process id.
-        ready_fields: Fields of its ready line.
-        stderr_path: File that holds what it wrote to stderr.
+        name: Name used in messages.
+        arguments: Module and arguments that it was started with.
+        pid: Process id.
+        ready_fields: Fields of the ready line; empty until it was read.
+        stderr_path: File that holds the process's stderr.
     """
 
     def __init__(
@@ -49,31 +49,35 @@
         self.ready_fields: dict[str, Any] = {}
         self.stderr_path = stderr_path
         self._child = child
-        self._drain: asyncio.Task[None] | None = None
+        self._discard_task: asyncio.Task[None] | None = None
 
     @property
     def running(self) -> bool:
-        """False once it has ended."""
+        """Whether the process has not ended."""
         return self._child.returncode is None
 
     @property
     def exit_status(self) -> int | None:
-        """Exit status; negative: the signal that ended it."""
+        """Exit status; None while running, negative if a signal ended it."""
         return self._child.returncode
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal to this process if it still runs."""
+        """Sends a signal to the process if it is still running."""
         if self.running:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, number)
 
     async def wait(self) -> int:
-        """Returns its exit status when it has ended."""
+        """Waits until the process has ended and returns its exit status."""
         return await self._child.wait()
 
-    async def stop(self, within_s: float = _STOP_WITHIN_S) -> None:
-        """Ends it by SIGTERM, and by SIGKILL where that is not enough."""
-        # A stopped process takes SIGTERM only when it goes on.
+    async def stop(self, within_s: float = _STOP_TIMEOUT_S) -> None:
+        """Ends the process with SIGTERM, or with SIGKILL after a timeout.
+
+        Args:
+            within_s: Seconds to wait after SIGTERM.
+        """
+        # A process stopped by SIGSTOP handles SIGTERM only once it continues.
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         try:
@@ -82,12 +86,12 @@
             await self.kill()
 
     async def kill(self) -> None:
-        """Ends it by SIGKILL."""
+        """Ends the process with SIGKILL."""
         self.send_signal(signal.SIGKILL)
         await self._child.wait()
 
     def read_last_stderr_lines(self) -> str:
-        """Returns the last lines it wrote to stderr."""
+        """Returns the last lines that the process wrote to stderr."""
         text = self.stderr_path.read_text(encoding="utf-8", errors="replace")
         return "\n".join(text.splitlines()[-_TAIL_LINES:])
 
@@ -95,27 +99,31 @@
         """Waits for the ready line.
 
         Raises:
-            ProcessError: It ended, or printed something else, or nothing.
+            ProcessError: The process ended or printed no valid ready line
+                within the timeout.
         """
         assert self._child.stdout is not None
         try:
             self.ready_fields = await asyncio.wait_for(
-                _read_ready(self._child.stdout), _READY_WITHIN_S
+                _read_ready_line(self._child.stdout), _READY_TIMEOUT_S
             )
         except (TimeoutError, ValueError) as error:
             raise ProcessError(
                 f"{self.name} did not become ready:\n"
                 f"{self.read_last_stderr_lines()}"
             ) from error
-        # A full pipe would stop the process in the middle of a line.
-        self._drain = asyncio.create_task(_discard(self._child.stdout))
+        # A full pipe would block the process in the middle of a line.
+        self._discard_task = asyncio.create_task(
+            _discard_output(self._child.stdout)
+        )
 
 
-async def _read_ready(stream: asyncio.StreamReader) -> dict[str, Any]:
-    """Returns the ready line; log lines may come before it.
+async def _read_ready_line(stream: asyncio.StreamReader) -> dict[str, Any]:
+    """Returns the fields of the ready line; log lines may precede it.
 
     Raises:
-        ValueError: The output ended without it.
+        ValueError: The output ended without a ready line, or the line is not
+            valid JSON.
     """
     while line := await stream.readline():
         if line.startswith(b'{"ready"'):
@@ -123,37 +131,37 @@
     raise ValueError("the output ended")
 
 
-async def _discard(stream: asyncio.StreamReader) -> None:
+async def _discard_output(stream: asyncio.StreamReader) -> None:
     while await stream.read(65536):
         pass
 
 
 class ProcessTable:
-    """The processes of one run; `close` leaves none behind.
+    """The processes of one run, all of which `close` stops.
 
     Attributes:
         directory: Folder for temporary files of the run.
     """
 
     def __init__(self) -> None:
-        self._folder = tempfile.TemporaryDirectory(prefix="merlintrestle-")
-        self.directory = pathlib.Path(self._folder.name)
+        self._temporary = tempfile.TemporaryDirectory(prefix="merlintrestle-")
+        self.directory = pathlib.Path(self._temporary.name)
         self._processes: list[Process] = []
-        self._started = 0
+        self._start_count = 0
 
     async def start(self, name: str, *arguments: str) -> Process:
         """Starts `python -m arguments...` and waits for its ready line.
 
         Args:
-            name: What people call it; used in messages.
+            name: Name used in messages and in the name of the stderr file.
             arguments: Module and its arguments.
 
         Raises:
-            ProcessError: It did not become ready.
+            ProcessError: The process did not become ready.
         """
-        self._started += 1
-        stderr_path = self.directory / f"{self._started}-{name}.err"
-        with stderr_path.open("wb") as file:
+        self._start_count += 1
+        stderr_path = self.directory / f"{self._start_count}-{name}.err"
+        with stderr_path.open("wb") as errors_file:
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -162,8 +170,8 @@
                 env={**os.environ, "PYTHONPATH": str(ROOT)},
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=file,
-                # Ctrl-C reaches this program alone, which stops the others.
+                stderr=errors_file,
+                # Ctrl-C signals only this program, which stops its children.
                 start_new_session=True,
             )
         process = Process(name, list(arguments), child, stderr_path)
@@ -172,14 +180,14 @@
         return process
 
     async def close(self) -> None:
-        """Stops every process that still runs and removes the files."""
+        """Stops every running process and removes the temporary files."""
         running = [p for p in self._processes if p.running]
         await asyncio.gather(*(process.stop() for process in running))
-        self._folder.cleanup()
+        self._temporary.cleanup()
 
 
 async def run_operator(*arguments: str) -> tuple[int, str, str]:
-    """Runs the operators' program; returns status, stdout and stderr."""
+    """Runs the operators' command; returns exit status, stdout and stderr."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -203,17 +211,21 @@
 
 
 def run(main: Coroutine[Any, Any, int]) -> int:
-    """Runs a program's coroutine; SIGTERM ends it as Ctrl-C does."""
+    """Runs a main coroutine; SIGTERM and SIGINT cancel it.
+
+    Returns:
+        Exit status of the program; 130 after a signal.
+    """
     return asyncio.run(_run_until_signal(main))
 
 
 async def _run_until_signal(main: Coroutine[Any, Any, int]) -> int:
-    task = asyncio.ensure_future(main)
+    main_task = asyncio.ensure_future(main)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, task.cancel)
+        loop.add_signal_handler(number, main_task.cancel)
     try:
-        return await task
+        return await main_task
     except asyncio.CancelledError:
         print("stopped by a signal", file=sys.stderr)
         return 130
