--- a/tools/amplification.py
+++ b/tools/amplification.py
@@ -1,4 +1,4 @@
-"""Measures how often a failing service is tried for one request (issue 5)."""
+"""Measures how many attempts of a failing service one request causes."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 logger = logging.getLogger(__name__)
 
-# How the lowest service fails; each is a fault of the backend servers.
-MODES = ("breaks", "sheds")
-_WARM_S = 4.0
-_HEAL_S = 3.0
-_TIMEOUT = aiohttp.ClientTimeout(total=30.0)
+# Faults of the last service of a chain, as the backend servers name them.
+FAULTS = ("breaks", "sheds")
+_WARM_UP_S = 4.0
+_RECOVERY_S = 3.0
+_CLIENT_TIMEOUT = aiohttp.ClientTimeout(total=30.0)
 
 
 class Options(NamedTuple):
-    """What is measured.
+    """Options of the measurement.
 
     Attributes:
         layout: Example fleet; its services call each other in their order.
         rate: Requests per second.
-        requests: Requests for each depth and way of failing.
+        requests: Requests for each depth and fault.
     """
 
     layout: layouts.Layout
@@ -46,7 +46,7 @@
 
 
 async def measure(options: Options, with_baseline: bool) -> dict[str, Any]:
-    """Measures the product and then the baseline."""
+    """Measures the daemon and then the baseline."""
     figures = await _measure_kind(options, layouts.build_daemon_arguments)
     if with_baseline:
         logger.info("product: %s", json.dumps(figures))
@@ -60,80 +60,82 @@
     options: Options, build_arguments: Callable[..., list[str]]
 ) -> dict[str, Any]:
     table = processes.ProcessTable()
-    shown = fleet.Fleet(table, options.layout, build_arguments)
+    example_fleet = fleet.Fleet(table, options.layout, build_arguments)
     try:
-        await shown.start(layouts.list_places(options.layout))
+        await example_fleet.start(layouts.list_places(options.layout))
         if build_arguments is layouts.build_daemon_arguments:
-            await failures.apply_documents(shown)
+            await failures.apply_documents(example_fleet)
         else:
-            await failures.send_upstreams(shown)
-        await asyncio.sleep(_WARM_S)
+            await failures.send_upstreams(example_fleet)
+        await asyncio.sleep(_WARM_UP_S)
         services = list(options.layout.upstreams)
         figures: dict[str, Any] = {}
-        for mode in MODES:
+        for fault in FAULTS:
             for depth in range(1, len(services) + 1):
-                name = f"{mode}_depth_{depth}"
+                name = f"{fault}_depth_{depth}"
                 chain = services[:depth]
                 figures[name] = await _measure_chain(
-                    options, shown, chain, name, mode
+                    options, example_fleet, chain, name, fault
                 )
         return figures
     finally:
-        await shown.close()
+        await example_fleet.close()
         await table.close()
 
 
 async def _measure_chain(
     options: Options,
-    shown: fleet.Fleet,
+    example_fleet: fleet.Fleet,
     chain: list[str],
     name: str,
-    mode: str,
+    fault: str,
 ) -> dict[str, Any]:
-    await _set_faults(shown, chain[-1], {mode: True})
-    answered = await _send_all(options, shown, chain, name)
-    await _set_faults(shown, chain[-1], {})
-    await asyncio.sleep(_HEAL_S)
-    lowest = {
+    await _set_faults(example_fleet, chain[-1], {fault: True})
+    answered = await _send_all(options, example_fleet, chain, name)
+    await _set_faults(example_fleet, chain[-1], {})
+    await asyncio.sleep(_RECOVERY_S)
+    last_addresses = {
         instance.backend.ready_fields["address"]
-        for instance in shown.instances
+        for instance in example_fleet.instances
         if instance.place.service == chain[-1] and instance.backend is not None
     }
-    tries = collections.Counter(
+    attempts = collections.Counter(
         run["request_id"]
-        for run in ledger.read_ledger(shown.ledger_path)
-        if run["at"] in lowest
+        for run in ledger.read_ledger(example_fleet.ledger_path)
+        if run["at"] in last_addresses
         and run["event"] in ("started", "shed")
         and run["request_id"].startswith(name)
     )
     return {
         "requests": options.requests,
         "answered": answered,
-        "tries_per_request": round(tries.total() / options.requests, 3),
-        "tries_max": max(tries.values(), default=0),
+        "tries_per_request": round(attempts.total() / options.requests, 3),
+        "tries_max": max(attempts.values(), default=0),
     }
 
 
 async def _set_faults(
-    shown: fleet.Fleet, service: str, fields: dict[str, Any]
+    example_fleet: fleet.Fleet, service: str, fields: dict[str, Any]
 ) -> None:
-    for instance in shown.instances:
+    for instance in example_fleet.instances:
         if instance.place.service == service:
             assert instance.backend is not None
             control = instance.backend.ready_fields["control"]
-            await shown.post_json(control, "/faults", fields)
+            await example_fleet.post_json(control, "/faults", fields)
 
 
 async def _send_all(
-    options: Options, shown: fleet.Fleet, chain: list[str], name: str
+    options: Options, example_fleet: fleet.Fleet, chain: list[str], name: str
 ) -> int:
-    """Sends requests down a chain; returns how many had status 200."""
+    """Sends requests down a chain and returns how many had status 200."""
     paths = [_find_path(options.layout.name, service) for service in chain]
     query = {"work_ms": "0", nested.THEN: ",".join(paths[1:])}
     statuses: list[int] = []
 
     async def send(number: int) -> None:
-        entry = shown.instances[number % len(shown.instances)].url
+        entry = example_fleet.instances[
+            number % len(example_fleet.instances)
+        ].url
         request_id = f"{name}-{number}"
         headers = {
             work.REQUEST_ID_HEADER: request_id,
@@ -144,7 +146,7 @@
             await answer.read()
             statuses.append(answer.status)
 
-    async with aiohttp.ClientSession(timeout=_TIMEOUT) as session:
+    async with aiohttp.ClientSession(timeout=_CLIENT_TIMEOUT) as session:
         tasks = []
         for number in range(options.requests):
             tasks.append(asyncio.create_task(send(number)))
@@ -154,19 +156,19 @@
 
 
 def _find_path(name: str, service: str) -> str:
-    """Returns service and path prefix of a class of small reads."""
+    """Returns the service and path prefix of a class of small reads."""
     prefix = next(
-        target.prefix
-        for target in workload.read_classes(name)
-        if target.service == service
-        and target.method == "GET"
-        and target.repeatable
-        and not target.large
+        class_load.prefix
+        for class_load in workload.read_classes(name)
+        if class_load.service == service
+        and class_load.method == "GET"
+        and class_load.repeatable
+        and not class_load.large
     )
     return f"{service}{prefix}"
 
 
 async def run(options: Options, with_baseline: bool) -> int:
-    """Measures and prints one JSON line."""
+    """Measures, prints one JSON line and returns 0."""
     print(json.dumps(await measure(options, with_baseline)), flush=True)
     return 0
--- a/tools/failures.py
+++ b/tools/failures.py
@@ -1,4 +1,4 @@
-"""Measures harm and goodput while everything fails (issue 5)."""
+"""Measures harm and goodput while processes and the store fail."""
 
 from __future__ import annotations
 
@@ -26,25 +26,27 @@
 
 logger = logging.getLogger(__name__)
 
-_IN_FORCE_WITHIN_S = 20.0
-_WARM_S = 3.0
+_ACTIVATION_TIMEOUT_S = 20.0
+_WARM_UP_S = 3.0
 _DOWNLOAD_BYTES = 1_500_000
-_DOWNLOAD_RATE = 500_000
-# Failures hit few payouts at their expected rate in so short a run.
-_KEYED_FACTOR = 10.0
-_LEAVE_WITHIN_MS = 3000
-_NO_ROUTE = 404
+_DOWNLOAD_BYTES_PER_S = 500_000
+# The run is so short that failures would hit few payouts at the expected rate.
+_KEYED_RATE_FACTOR = 10.0
+# Time after which a leaving backend server must get no new requests.
+_LEAVE_GRACE_MS = 3000
+_NO_ROUTE_STATUS = 404
 
 
 class Options(NamedTuple):
-    """What load is made.
+    """Options of the load.
 
     Attributes:
         layout: Example fleet.
-        factor: Factor on the rates of its classes.
-        loaders: Load processes.
-        seed: Seed of the load.
-        crash_share: Share of repeatable calls that crash their backend.
+        factor: Factor applied to the expected rates of the fleet's classes.
+        loaders: Number of load processes.
+        seed: Seed of the first load process; each further one adds 1.
+        crash_share: Fraction of repeatable calls that crash their backend
+            server.
     """
 
     layout: layouts.Layout
@@ -55,91 +57,96 @@
 
 
 async def measure(options: Options, with_baseline: bool) -> dict[str, Any]:
-    """Runs the product and then the baseline through the same failures."""
-    figures = await _run_kind(options, layouts.build_daemon_arguments, True)
+    """Measures the daemon and then the baseline under the same failures."""
+    figures = await _measure_kind(options, layouts.build_daemon_arguments, True)
     if with_baseline:
         logger.info("product: %s", json.dumps(figures))
-        figures["baseline"] = await _run_kind(
+        figures["baseline"] = await _measure_kind(
             options, layouts.build_proxy_arguments, False
         )
     return figures
 
 
-async def _run_kind(
+async def _measure_kind(
     options: Options,
     build_arguments: Callable[..., list[str]],
     is_product: bool,
 ) -> dict[str, Any]:
     table = processes.ProcessTable()
-    shown = fleet.Fleet(table, options.layout, build_arguments)
+    example_fleet = fleet.Fleet(table, options.layout, build_arguments)
     try:
-        await shown.start(layouts.list_places(options.layout))
+        await example_fleet.start(layouts.list_places(options.layout))
 
         async def refresh() -> None:
             if not is_product:
-                await send_upstreams(shown)
+                await send_upstreams(example_fleet)
 
         await refresh()
         if is_product:
-            await apply_documents(shown)
-        await asyncio.sleep(_WARM_S)
-        caused = scenario.Scenario(shown, table.directory, refresh, is_product)
+            await apply_documents(example_fleet)
+        await asyncio.sleep(_WARM_UP_S)
+        failure_scenario = scenario.Scenario(
+            example_fleet, table.directory, refresh, is_product
+        )
         results, _ = await asyncio.gather(
-            _run_loaders(table, shown, options), caused.run()
+            _run_loaders(table, example_fleet, options), failure_scenario.run()
         )
-        runs = ledger.read_ledger(shown.ledger_path)
+        runs = ledger.read_ledger(example_fleet.ledger_path)
         log_timeline(results)
-        return summarize(results, runs, caused)
+        return summarize(results, runs, failure_scenario)
     finally:
-        await shown.close()
+        await example_fleet.close()
         await table.close()
 
 
-async def apply_documents(shown: fleet.Fleet) -> None:
-    """Applies a fleet's documents and waits until they are in force.
+async def apply_documents(example_fleet: fleet.Fleet) -> None:
+    """Applies a fleet's documents and waits until they are active.
 
     Raises:
-        processes.ProcessError: They are not in force in time.
+        processes.ProcessError: The documents are not active on every daemon
+            within the timeout.
     """
-    await shown.apply(*workload.list_documents(shown.layout.name))
-    version = (await shown.read_head()).version
-    taken = await shown.wait_until_active(
-        version, _IN_FORCE_WITHIN_S, shown.instances
+    await example_fleet.apply(
+        *workload.list_documents(example_fleet.layout.name)
+    )
+    version = (await example_fleet.read_head()).version
+    activation_s = await example_fleet.wait_until_active(
+        version, _ACTIVATION_TIMEOUT_S, example_fleet.instances
     )
-    if taken is None:
+    if activation_s is None:
         raise processes.ProcessError("the first version is not in force")
 
 
-async def send_upstreams(shown: fleet.Fleet) -> None:
-    """Tells every proxy of the baseline the upstreams of each service."""
+async def send_upstreams(example_fleet: fleet.Fleet) -> None:
+    """Sends the upstreams of each service to every proxy of the baseline."""
     upstreams: dict[str, list[str]] = {}
-    for instance in shown.instances:
+    for instance in example_fleet.instances:
         assert instance.backend is not None
         address = instance.backend.ready_fields["address"]
         upstreams.setdefault(instance.place.service, []).append(address)
-    for instance in shown.instances:
-        # A proxy that stops has closed its port; it is told at its restart.
+    for instance in example_fleet.instances:
+        # A stopping proxy has closed its port; it gets them after its restart.
         with contextlib.suppress(aiohttp.ClientError):
-            await shown.post_json(
+            await example_fleet.post_json(
                 instance.admin_address, "/upstreams", upstreams
             )
 
 
 async def _run_loaders(
-    table: processes.ProcessTable, shown: fleet.Fleet, options: Options
+    table: processes.ProcessTable, example_fleet: fleet.Fleet, options: Options
 ) -> list[load.Result]:
-    started = []
+    loaders = []
     for number in range(options.loaders):
         plan = load.Plan(
-            entries=[instance.url for instance in shown.instances],
+            entries=[instance.url for instance in example_fleet.instances],
             classes=workload.read_classes(options.layout.name),
             factor=options.factor / options.loaders,
             duration_s=scenario.DURATION_S,
             seed=options.seed + number,
             download_bytes=_DOWNLOAD_BYTES,
-            download_rate=_DOWNLOAD_RATE,
+            download_rate=_DOWNLOAD_BYTES_PER_S,
             large_rate=2.0 / options.loaders,
-            keyed_factor=_KEYED_FACTOR,
+            keyed_factor=_KEYED_RATE_FACTOR,
             crash_share=options.crash_share,
         )
         plan_path = table.directory / f"plan-{number}.json"
@@ -148,9 +155,9 @@
         loader = await table.start(
             "load", "tools.load", str(plan_path), str(results_path)
         )
-        started.append((loader, results_path))
+        loaders.append((loader, results_path))
     results = []
-    for loader, path in started:
+    for loader, path in loaders:
         if await loader.wait():
             raise processes.ProcessError(loader.read_last_stderr_lines())
         results += load.read_results(path)
@@ -160,121 +167,135 @@
 def summarize(
     results: list[load.Result],
     runs: list[dict[str, Any]],
-    caused: scenario.Scenario,
+    failure_scenario: scenario.Scenario,
 ) -> dict[str, Any]:
-    """Returns the figures of one kind of proxy."""
-    # A request that crashes its backend server has no answer to be right.
+    """Returns the figures of the daemons or of the baseline's proxies."""
+    # A request that crashes its backend server can have no correct answer.
     ordinary = [result for result in results if not result.crash]
-    right = [r for r in ordinary if r.verdict is calls.Verdict.RIGHT]
-    first = [r for r in right if r.first_verdict is calls.Verdict.RIGHT]
+    correct = [r for r in ordinary if r.verdict is calls.Verdict.RIGHT]
+    correct_first = [
+        r for r in correct if r.first_verdict is calls.Verdict.RIGHT
+    ]
     answered = [r for r in ordinary if r.verdict is not calls.Verdict.TIMEOUT]
-    versions = caused.list_versions()
+    versions = failure_scenario.list_versions()
     return {
         "requests": len(ordinary),
         "answered": len(answered),
-        "goodput_ratio": round(len(right) / max(1, len(ordinary)), 4),
-        "goodput_first_ratio": round(len(first) / max(1, len(ordinary)), 4),
+        "goodput_ratio": round(len(correct) / max(1, len(ordinary)), 4),
+        "goodput_first_ratio": round(
+            len(correct_first) / max(1, len(ordinary)), 4
+        ),
         **harm.count_harm(results, runs)._asdict(),
-        "downloads_cut_by_planned_stop": _count_cut(results, runs, caused),
+        "downloads_cut_by_planned_stop": _count_cut_downloads(
+            results, runs, failure_scenario
+        ),
         "new_work_after_leave": sum(
             harm.count_new_work(
-                runs, stop.address, stop.at_ms + _LEAVE_WITHIN_MS, stop.until_ms
+                runs, stop.address, stop.at_ms + _LEAVE_GRACE_MS, stop.until_ms
             )
-            for stop in caused.stops
+            for stop in failure_scenario.stops
             if not stop.daemon
         ),
         "version_regressions": sum(map(harm.count_regressions, versions)),
-        "dangling_routes": _count_dangling(results),
+        "dangling_routes": _count_dangling_routes(results),
         "amplification_max": harm.compute_amplification(runs),
-        "met_target": _compute_shares(ordinary),
+        "met_target": _compute_met_ratios(ordinary),
         "verdicts": _count_verdicts(ordinary),
         "crash_requests": len(results) - len(ordinary),
-        "not_in_force_at_end": caused.not_in_force,
-        "backends_crashed": caused.crashes,
-        "changes_accepted": caused.accepted,
+        "not_in_force_at_end": failure_scenario.not_in_force,
+        "backends_crashed": failure_scenario.crashes,
+        "changes_accepted": failure_scenario.accepted,
         "versions_read": sum(map(len, versions)),
     }
 
 
-def _count_cut(
+def _count_cut_downloads(
     results: list[load.Result],
     runs: list[dict[str, Any]],
-    caused: scenario.Scenario,
+    failure_scenario: scenario.Scenario,
 ) -> int:
-    """Counts downloads in flight at a planned stop that were not whole."""
-    began: dict[str, list[tuple[str, int]]] = {}
+    """Counts incomplete downloads that were in flight at a planned stop.
+
+    A download counts if its last attempt ended after the stop and had begun to
+    run before it, at the backend server of the stopped instance or by way of
+    the daemon of that instance.
+    """
+    starts: dict[str, list[tuple[str, int]]] = {}
     for run in runs:
         if run["event"] == "started":
-            pair = run["at"], run["at_ms"]
-            began.setdefault(run["attempt_id"], []).append(pair)
+            start = run["at"], run["at_ms"]
+            starts.setdefault(run["attempt_id"], []).append(start)
     cut = 0
     for result in results:
         if not result.large or result.verdict is calls.Verdict.RIGHT:
             continue
         attempt = result.attempts[-1]
         ended_ms = attempt.started_ms + attempt.latency_ms
-        places = began.get(attempt.attempt_id, [])
+        attempt_starts = starts.get(attempt.attempt_id, [])
         cut += any(
             ended_ms > stop.at_ms
             and any(
                 at_ms < stop.at_ms
-                and (at == stop.address or attempt.entry == stop.entry)
-                for at, at_ms in places
+                and (address == stop.address or attempt.entry == stop.entry)
+                for address, at_ms in attempt_starts
             )
-            for stop in caused.stops
+            for stop in failure_scenario.stops
         )
     return cut
 
 
-def _count_dangling(results: list[load.Result]) -> int:
-    """Counts answers that deny a route which every version has."""
+def _count_dangling_routes(results: list[load.Result]) -> int:
+    """Counts 404 answers; every version has the requested routes."""
     return sum(
-        attempt.status == _NO_ROUTE
+        attempt.status == _NO_ROUTE_STATUS
         for result in results
         for attempt in result.attempts
     )
 
 
-def _compute_shares(results: list[load.Result]) -> dict[str, float]:
+def _compute_met_ratios(results: list[load.Result]) -> dict[str, float]:
+    """Returns the ratio of requests that met their target, by class."""
     labels = sorted({result.label for result in results})
-    shares = {}
+    ratios = {}
     for label in labels:
-        own = [result.met for result in results if result.label == label]
-        shares[label] = round(sum(own) / len(own), 4)
-    return shares
+        met = [result.met for result in results if result.label == label]
+        ratios[label] = round(sum(met) / len(met), 4)
+    return ratios
 
 
 def _count_verdicts(
     results: list[load.Result],
 ) -> dict[str, dict[str, int]]:
-    """Counts what callers had in the end, by class of work."""
+    """Counts the final verdicts by class of work."""
     counts: dict[str, collections.Counter[str]] = {}
     for result in results:
-        own = counts.setdefault(result.label, collections.Counter())
-        own[result.verdict.value] += 1
-    return {label: dict(own) for label, own in sorted(counts.items())}
+        class_counts = counts.setdefault(result.label, collections.Counter())
+        class_counts[result.verdict.value] += 1
+    return {label: dict(verdicts) for label, verdicts in sorted(counts.items())}
 
 
 def log_timeline(results: list[load.Result]) -> None:
-    """Logs by second of the run what was not answered right."""
+    """Logs, by second of the run, the requests without a correct answer."""
     began_ms = min(result.attempts[0].started_ms for result in results)
     seconds: dict[int, collections.Counter[str]] = {}
     for result in results:
         if result.crash or result.verdict is calls.Verdict.RIGHT:
             continue
         second = (result.attempts[0].started_ms - began_ms) // 1000
-        own = seconds.setdefault(second, collections.Counter())
-        own[f"{result.label} {result.verdict}"] += 1
-    for second, own in sorted(seconds.items()):
-        texts = [f"{count} {name}" for name, count in sorted(own.items())]
+        second_counts = seconds.setdefault(second, collections.Counter())
+        second_counts[f"{result.label} {result.verdict}"] += 1
+    for second, second_counts in sorted(seconds.items()):
+        texts = [
+            f"{count} {name}" for name, count in sorted(second_counts.items())
+        ]
         logger.info("second %d: %s", second, ", ".join(texts))
 
 
 async def run(options: Options, with_baseline: bool) -> int:
-    """Measures and prints one JSON line; 1 if any harm was done."""
+    """Measures, prints one JSON line and returns 1 if any harm was done."""
     figures = await measure(options, with_baseline)
     print(json.dumps(figures), flush=True)
-    harms = [
+    harm_figures = [
         *harm.Harm._fields,
         "downloads_cut_by_planned_stop",
         "new_work_after_leave",
@@ -282,4 +303,4 @@
         "dangling_routes",
         "not_in_force_at_end",
     ]
-    return 1 if any(figures[name] for name in harms) else 0
+    return 1 if any(figures[name] for name in harm_figures) else 0
--- a/tools/latency.py
+++ b/tools/latency.py
@@ -1,4 +1,4 @@
-"""Measures what the daemon adds to a call (issue 5)."""
+"""Measures the latency and processor time that the daemon adds to a call."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from tools import samples
 from tools import workload
 
-_FIRST_WITHIN_S = 20.0
-_WARM_S = 4.0
-_CONCURRENCY = 8
-_CLOSED_S = 1.0
-_BLOCK_CALLS = 200
-# The rate whose figures stand at the top of the result.
+_ACTIVATION_TIMEOUT_S = 20.0
+_WARM_UP_S = 4.0
+_CLOSED_LOOP_CALLERS = 8
+_CLOSED_LOOP_DURATION_S = 1.0
+_CALLS_PER_BLOCK = 200
+# Calls per second; the figures of this rate are also the top-level figures.
 _MAIN_RATE = 200
 
 
 class Options(NamedTuple):
-    """What is measured.
+    """Options of the measurement.
 
     Attributes:
-        rates: Calls per second.
-        rounds: Turns at each rate.
+        rates: Rates to measure at, in calls per second.
+        rounds: Rounds at each rate; each round calls every target.
     """
 
     rates: list[int]
@@ -36,55 +36,63 @@
 
 
 async def measure(options: Options) -> dict[str, Any]:
-    """Measures direct calls, the daemon's paths and the baseline in turn."""
+    """Measures direct calls, calls by way of daemons, and the baseline."""
     table = processes.ProcessTable()
-    shown = fleet.Fleet(table, layouts.ZAANOEVER)
+    example_fleet = fleet.Fleet(table, layouts.ZAANOEVER)
     try:
-        blocks = await _call_all(options, table, shown)
+        blocks = await _call_targets(options, table, example_fleet)
         return summarize(blocks, options.rates)
     finally:
-        await shown.close()
+        await example_fleet.close()
         await table.close()
 
 
-async def _call_all(
-    options: Options, table: processes.ProcessTable, shown: fleet.Fleet
+async def _call_targets(
+    options: Options, table: processes.ProcessTable, example_fleet: fleet.Fleet
 ) -> list[latency_load.Block]:
-    zone = shown.layout.zones[0]
+    zone = example_fleet.layout.zones[0]
     places = [layouts.Place(zone, "balie"), layouts.Place(zone, "kassa")]
-    await shown.start(places)
-    await shown.apply(*workload.list_documents(shown.layout.name))
-    version = (await shown.read_head()).version
+    await example_fleet.start(places)
+    await example_fleet.apply(
+        *workload.list_documents(example_fleet.layout.name)
+    )
+    version = (await example_fleet.read_head()).version
     if (
-        await shown.wait_until_active(version, _FIRST_WITHIN_S, shown.instances)
+        await example_fleet.wait_until_active(
+            version, _ACTIVATION_TIMEOUT_S, example_fleet.instances
+        )
         is None
     ):
         raise processes.ProcessError("the first version is not in force")
-    # The backend server's cold start is over by then.
-    await asyncio.sleep(_WARM_S)
-    beside, other = shown.instances
-    assert beside.backend is not None
-    address = beside.backend.ready_fields["address"]
+    # Waits until the cold start of the backend server is over.
+    await asyncio.sleep(_WARM_UP_S)
+    serving, other = example_fleet.instances
+    assert serving.backend is not None
+    address = serving.backend.ready_fields["address"]
     baseline = await table.start(
         "plain proxy", "standins.plain_proxy", "--upstream", address
     )
-    path = f"{_find_path(shown.layout.name)}/1?work_ms=0"
-    through = f"/balie{path}"
-    near, far = beside.daemon.pid, other.daemon.pid
+    path = f"{_find_path(example_fleet.layout.name)}/1?work_ms=0"
+    routed_path = f"/balie{path}"
+    serving_pid, other_pid = serving.daemon.pid, other.daemon.pid
     proxy_url = f"http://{layouts.HOST}:{baseline.ready_fields['port']}"
     targets = [
         latency_load.Target("direct", f"http://{address}{path}", []),
-        latency_load.Target("daemon", beside.url + through, [near]),
-        latency_load.Target("two_daemons", other.url + through, [far, near]),
-        latency_load.Target("baseline", proxy_url + through, [baseline.pid]),
+        latency_load.Target("daemon", serving.url + routed_path, [serving_pid]),
+        latency_load.Target(
+            "two_daemons", other.url + routed_path, [other_pid, serving_pid]
+        ),
+        latency_load.Target(
+            "baseline", proxy_url + routed_path, [baseline.pid]
+        ),
     ]
     plan = latency_load.Plan(
         targets,
         options.rates,
         options.rounds,
-        _BLOCK_CALLS,
-        _CLOSED_S,
-        _CONCURRENCY,
+        _CALLS_PER_BLOCK,
+        _CLOSED_LOOP_DURATION_S,
+        _CLOSED_LOOP_CALLERS,
     )
     return await _run_load(table, plan)
 
@@ -107,30 +115,33 @@
 
 
 def _find_path(name: str) -> str:
-    """Returns the path prefix of a class whose calls are small reads."""
+    """Returns the path prefix of a class of small reads."""
     return next(
-        target.prefix
-        for target in workload.read_classes(name)
-        if target.service == "balie" and target.method == "GET"
+        class_load.prefix
+        for class_load in workload.read_classes(name)
+        if class_load.service == "balie" and class_load.method == "GET"
     )
 
 
 def summarize(
     blocks: list[latency_load.Block], rates: list[int]
 ) -> dict[str, Any]:
-    """Returns the figures: the main rate's at the top, then every rate's."""
+    """Returns the figures of the main rate, and under "rates" of every rate."""
     by_rate = {str(rate): _summarize_rate(blocks, rate) for rate in rates}
     main_rate = _MAIN_RATE if _MAIN_RATE in rates else rates[0]
     figures = {"rate": main_rate, **by_rate[str(main_rate)]}
     direct = _list_throughputs(blocks, "direct")
-    ways = {"daemon": figures, "two_daemons": figures["two_daemons"]}
-    ways["baseline"] = figures["baseline"]
-    for name, fields in ways.items():
+    by_target = {"daemon": figures, "two_daemons": figures["two_daemons"]}
+    by_target["baseline"] = figures["baseline"]
+    for name, fields in by_target.items():
         pairs = zip(_list_throughputs(blocks, name), direct, strict=True)
-        ratios = [own / straight for own, straight in pairs]
+        ratios = [
+            target_throughput / direct_throughput
+            for target_throughput, direct_throughput in pairs
+        ]
         fields["throughput_ratio"] = round(statistics.median(ratios), 3)
         fields["throughput_ratios"] = [round(ratio, 3) for ratio in ratios]
-    figures["direct_calls_per_s"] = [round(each) for each in direct]
+    figures["direct_calls_per_s"] = [round(throughput) for throughput in direct]
     figures["failures"] = sum(block.failures for block in blocks)
     figures["rates"] = by_rate
     return figures
@@ -142,19 +153,19 @@
     figures: dict[str, Any] = {
         "direct_p50_ms": _compute_median(blocks, "direct", rate, 0.5),
         "direct_p99_ms": _compute_median(blocks, "direct", rate, 0.99),
-        **_summarize_way(blocks, "daemon", rate),
+        **_summarize_target(blocks, "daemon", rate),
     }
     for name in ("two_daemons", "baseline"):
-        figures[name] = _summarize_way(blocks, name, rate)
+        figures[name] = _summarize_target(blocks, name, rate)
     return figures
 
 
-def _summarize_way(
+def _summarize_target(
     blocks: list[latency_load.Block], name: str, rate: int
 ) -> dict[str, float]:
-    own = [b for b in blocks if b.target == name and b.rate == rate]
-    calls = sum(len(block.latencies_ms) for block in own)
-    cpu_s = sum(block.cpu_s for block in own)
+    target_blocks = [b for b in blocks if b.target == name and b.rate == rate]
+    calls = sum(len(block.latencies_ms) for block in target_blocks)
+    cpu_s = sum(block.cpu_s for block in target_blocks)
     return {
         "added_p50_ms": _compute_added(blocks, name, rate, 0.5),
         "added_p99_ms": _compute_added(blocks, name, rate, 0.99),
@@ -163,34 +174,40 @@
 
 
 def _compute_added(
-    blocks: list[latency_load.Block], name: str, rate: int, share: float
+    blocks: list[latency_load.Block], name: str, rate: int, fraction: float
 ) -> float:
-    """Returns the median over the rounds of a percentile's difference."""
+    """Returns what a target adds to a percentile of the latency, in ms.
+
+    The difference to direct calls is taken within each round; the result is
+    the median of the rounds.
+    """
     pairs = zip(
-        _list_percentiles(blocks, name, rate, share),
-        _list_percentiles(blocks, "direct", rate, share),
+        _list_percentiles(blocks, name, rate, fraction),
+        _list_percentiles(blocks, "direct", rate, fraction),
         strict=True,
     )
-    return round(statistics.median(way - direct for way, direct in pairs), 4)
+    return round(
+        statistics.median(latency - direct for latency, direct in pairs), 4
+    )
 
 
 def _compute_median(
-    blocks: list[latency_load.Block], name: str, rate: int, share: float
+    blocks: list[latency_load.Block], name: str, rate: int, fraction: float
 ) -> float:
-    found = _list_percentiles(blocks, name, rate, share)
-    return round(statistics.median(found), 4)
+    percentiles = _list_percentiles(blocks, name, rate, fraction)
+    return round(statistics.median(percentiles), 4)
 
 
 def _list_percentiles(
-    blocks: list[latency_load.Block], name: str, rate: int, share: float
+    blocks: list[latency_load.Block], name: str, rate: int, fraction: float
 ) -> list[float]:
-    found = [
-        samples.compute_percentile(block.latencies_ms, share)
+    percentiles = [
+        samples.compute_percentile(block.latencies_ms, fraction)
         for block in blocks
         if block.target == name and block.rate == rate
     ]
-    answered = [value for value in found if value is not None]
-    if len(answered) < len(found):
+    answered = [value for value in percentiles if value is not None]
+    if len(answered) < len(percentiles):
         raise ValueError(f"no call was answered in a block of {name}")
     return answered
 
@@ -198,7 +215,7 @@
 def _list_throughputs(
     blocks: list[latency_load.Block], name: str
 ) -> list[float]:
-    """Returns the calls per second of each round of the closed loop."""
+    """Returns the calls per second of a target's closed loop in each round."""
     return [
         len(block.latencies_ms) / block.took_s
         for block in blocks
@@ -207,7 +224,7 @@
 
 
 async def run(options: Options) -> int:
-    """Measures and prints one JSON line; 1 if a call failed."""
+    """Measures, prints one JSON line and returns 1 if a call failed."""
     figures = await measure(options)
     print(json.dumps(figures), flush=True)
     return 1 if figures["failures"] else 0
--- a/tools/latency_load.py
+++ b/tools/latency_load.py
@@ -1,4 +1,4 @@
-"""Calls for the latency measurement, from a process of their own.
+"""Load process of the latency measurement.
 
 Run it with `python -m tools.latency_load PLAN RESULTS`; both are JSON files.
 """
@@ -19,16 +19,16 @@
 from standins import process
 from tools import samples
 
-_WARM_CALLS = 300
+_WARM_UP_CALLS = 300
 
 
 class Target(NamedTuple):
-    """One way to the backend server.
+    """URL that leads to the backend server, directly or through proxies.
 
     Attributes:
         name: "direct", "daemon", "two_daemons" or "baseline".
-        url: URL of the call.
-        pids: Processes between caller and backend server.
+        url: URL to call.
+        pids: Ids of the processes between the caller and the backend server.
     """
 
     name: str
@@ -37,15 +37,16 @@
 
 
 class Plan(NamedTuple):
-    """What is called.
+    """Plan of the calls to make.
 
     Attributes:
-        targets: The ways, called in turn.
-        rates: Calls per second, one after another.
-        rounds: Turns at each rate.
-        block_calls: Calls of one way in one turn.
-        closed_s: Seconds of the closed loop of each way, per turn.
-        concurrency: Callers of the closed loop.
+        targets: Targets, called one after another in each round.
+        rates: Rates of the open loop in calls per second, one after another.
+        rounds: Rounds at each rate, and of the closed loop.
+        block_calls: Calls of one target in one round of the open loop.
+        closed_s: Duration of the closed loop of one target in one round, in
+            seconds.
+        concurrency: Concurrent callers of the closed loop.
     """
 
     targets: list[Target]
@@ -57,15 +58,16 @@
 
 
 class Block(NamedTuple):
-    """Calls of one way in one turn.
+    """Calls of one target in one round.
 
     Attributes:
-        target: Name of the way.
-        rate: Calls per second; 0: closed loop.
-        latencies_ms: Latency of each answered call.
-        failures: Calls without status 200.
-        cpu_s: Processor seconds of the processes in between.
-        took_s: Seconds of the block.
+        target: Name of the target.
+        rate: Calls per second; 0 for the closed loop.
+        latencies_ms: Latency of each call that was answered with status 200,
+            in milliseconds.
+        failures: Number of calls without an answer of status 200.
+        cpu_s: Processor time of the target's processes, in seconds.
+        took_s: Duration of the block in seconds.
     """
 
     target: str
@@ -77,14 +79,14 @@
 
 
 async def run_plan(plan: Plan) -> list[Block]:
-    """Calls all ways in turn, first open loop, then closed loop."""
+    """Calls all targets in each round, first open loop, then closed loop."""
     blocks = []
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(
         connector=connector, cookie_jar=aiohttp.DummyCookieJar()
     ) as session:
         for target in plan.targets:
-            for _ in range(_WARM_CALLS):
+            for _ in range(_WARM_UP_CALLS):
                 await _call(session, target.url)
         for rate in plan.rates:
             for _ in range(plan.rounds):
@@ -99,39 +101,41 @@
 async def _call_open(
     session: aiohttp.ClientSession, target: Target, rate: int, plan: Plan
 ) -> Block:
-    """Begins calls at a fixed rate, whether or not others are answered."""
+    """Begins calls at a fixed rate, without waiting for earlier answers."""
     loop = asyncio.get_running_loop()
-    cpu_s = _read_cpu_s(target)
+    cpu_before_s = _read_cpu_s(target)
     began = loop.time()
     tasks = []
     for number in range(plan.block_calls):
         await asyncio.sleep(max(0.0, began + number / rate - loop.time()))
         tasks.append(asyncio.create_task(_call(session, target.url)))
     latencies = await asyncio.gather(*tasks)
-    return _make_block(
-        target, rate, latencies, cpu_s, took_s=loop.time() - began
+    return _build_block(
+        target, rate, latencies, cpu_before_s, took_s=loop.time() - began
     )
 
 
 async def _call_closed(
     session: aiohttp.ClientSession, target: Target, plan: Plan
 ) -> Block:
-    """Lets each caller call again as soon as it is answered."""
+    """Lets each caller call again as soon as its last call is answered."""
     loop = asyncio.get_running_loop()
     latencies: list[float | None] = []
-    cpu_s = _read_cpu_s(target)
+    cpu_before_s = _read_cpu_s(target)
     began = loop.time()
 
-    async def repeat() -> None:
+    async def call_repeatedly() -> None:
         while loop.time() - began < plan.closed_s:
             latencies.append(await _call(session, target.url))
 
-    await asyncio.gather(*(repeat() for _ in range(plan.concurrency)))
-    return _make_block(target, 0, latencies, cpu_s, took_s=loop.time() - began)
+    await asyncio.gather(*(call_repeatedly() for _ in range(plan.concurrency)))
+    return _build_block(
+        target, 0, latencies, cpu_before_s, took_s=loop.time() - began
+    )
 
 
 async def _call(session: aiohttp.ClientSession, url: str) -> float | None:
-    """Returns the latency in ms; None where the answer is not status 200."""
+    """Returns the latency in ms, or None if there was no status 200."""
     began = time.perf_counter()
     try:
         async with session.get(url) as answer:
@@ -143,7 +147,7 @@
     return (time.perf_counter() - began) * 1000
 
 
-def _make_block(
+def _build_block(
     target: Target,
     rate: int,
     latencies: list[float | None],
@@ -166,7 +170,7 @@
 
 
 def write_plan(plan: Plan, path: pathlib.Path) -> None:
-    """Writes a plan for the load's process."""
+    """Writes a plan for the load process as JSON."""
     fields = plan._asdict()
     fields["targets"] = [target._asdict() for target in plan.targets]
     path.write_text(json.dumps(fields), encoding="utf-8")
@@ -180,28 +184,28 @@
 
 
 def write_blocks(blocks: list[Block], path: pathlib.Path) -> None:
-    """Writes blocks for `read_blocks`."""
-    listed = [block._asdict() for block in blocks]
-    path.write_text(json.dumps(listed), encoding="utf-8")
+    """Writes blocks as JSON, for `read_blocks`."""
+    rows = [block._asdict() for block in blocks]
+    path.write_text(json.dumps(rows), encoding="utf-8")
 
 
 def read_blocks(path: pathlib.Path) -> list[Block]:
-    """Reads the blocks that the load's process wrote."""
-    listed = json.loads(path.read_text(encoding="utf-8"))
-    return [Block(**fields) for fields in listed]
+    """Reads the blocks that the load process wrote."""
+    rows = json.loads(path.read_text(encoding="utf-8"))
+    return [Block(**fields) for fields in rows]
 
 
 async def _run(plan_path: pathlib.Path, results_path: pathlib.Path) -> None:
     plan = read_plan(plan_path)
     process.print_ready("latency load")
-    # A collection of this process would be seen as latency of the others.
+    # A garbage collection of this process would add to the measured latency.
     gc.freeze()
     gc.disable()
     write_blocks(await run_plan(plan), results_path)
 
 
 def main() -> None:
-    """Makes the calls of a plan file and writes a results file."""
+    """Makes the calls of a plan file and writes the results file."""
     plan_path, results_path = map(pathlib.Path, sys.argv[1:3])
     process.run(functools.partial(_run, plan_path, results_path))
 
