--- a/tests/tools/test_load.py
+++ b/tests/tools/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the load and its callers."""
+"""Tests of the load and of its calls."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_same_seed_makes_the_same_requests(self) -> None:
+    def test_seed_determines_the_requests(self) -> None:
         plan = load.Plan([], [builders.build_class()], 1.0, 2.0, seed=7)
-        first = list(load.generate_requests(plan))
-        self.assertEqual(first, list(load.generate_requests(plan)))
-        self.assertGreater(len(first), 0)
-        other = plan._replace(seed=8)
-        self.assertNotEqual(first, list(load.generate_requests(other)))
+        requests = list(load.generate_requests(plan))
+        self.assertEqual(requests, list(load.generate_requests(plan)))
+        self.assertGreater(len(requests), 0)
+        other_plan = plan._replace(seed=8)
+        self.assertNotEqual(requests, list(load.generate_requests(other_plan)))
 
-    def test_plan_and_results_survive_their_files(self) -> None:
+    def test_plan_and_results_are_read_as_written(self) -> None:
         plan = load.Plan(["e"], [builders.build_class()], 1.0, 2.0, seed=7)
         results = [builders.build_result("r", calls.Verdict.UNKNOWN)]
         with tempfile.TemporaryDirectory() as folder:
@@ -46,10 +46,10 @@
         self.addAsyncCleanup(self.session.close)
         self.entry = f"http://127.0.0.1:{self.proxy.port}"
 
-    async def test_right_answer_is_recognised(self) -> None:
+    async def test_correct_answer_is_recognised(self) -> None:
         self.proxy.upstreams = {"balie": [self.backend.address]}
-        target = builders.build_class(service="balie")
-        result = await self._call(calls.Request(target, "r1", b"body"))
+        class_load = builders.build_class(service="balie")
+        result = await self._call(calls.Request(class_load, "r1", b"body"))
         self.assertEqual(result.verdict, calls.Verdict.RIGHT)
 
     async def test_answer_of_another_service_is_wrong(self) -> None:
@@ -59,22 +59,22 @@
         )
         self.assertEqual(result.verdict, calls.Verdict.WRONG)
 
-    async def test_download_is_checked_whole(self) -> None:
+    async def test_complete_download_is_correct(self) -> None:
         self.proxy.upstreams = {"balie": [self.backend.address]}
-        target = builders.build_class(
+        class_load = builders.build_class(
             service="balie", method="GET", repeatable=True, large=True
         )
         request = calls.Request(
-            target, "r1", download_bytes=70_000, download_rate=10**9
+            class_load, "r1", download_bytes=70_000, download_rate=10**9
         )
         result = await self._call(request)
         self.assertEqual(result.verdict, calls.Verdict.RIGHT)
 
-    async def test_payout_without_an_answer_is_sent_again(self) -> None:
-        """A payout that fails is sent three times with one key.
+    async def test_failed_payout_is_sent_three_times(self) -> None:
+        """A payout that fails is sent three times with one idempotency key.
 
-        The proxy knows no upstream and fails each sending without saying
-        whether it ran, so its caller tries again and then gives up.
+        The proxy has no upstreams and fails each attempt without an outcome,
+        so the caller retries and then gives up.
         """
         result = await self._call(
             calls.Request(builders.build_class(), "r1", b"body")
@@ -82,31 +82,31 @@
         self.assertEqual(len(result.attempts), 3)
         self.assertEqual(result.verdict, calls.Verdict.FAILED)
 
-    async def test_repeatable_call_that_failed_is_not_sent_again(self) -> None:
-        target = builders.build_class(method="GET", repeatable=True)
-        result = await self._call(calls.Request(target, "r1"))
+    async def test_failed_repeatable_call_is_sent_once(self) -> None:
+        class_load = builders.build_class(method="GET", repeatable=True)
+        result = await self._call(calls.Request(class_load, "r1"))
         self.assertEqual(len(result.attempts), 1)
 
-    async def test_caller_comes_back_once_when_told_to(self) -> None:
+    async def test_refused_call_is_retried_once(self) -> None:
         """A refused lookup is sent once more and then given up.
 
-        Each daemon refuses it as not run and says when to come back; a caller
-        who does so gets the same answer and leaves.
+        Every daemon refuses it as not run and says when to retry; the caller
+        retries once, gets the same answer and gives up.
         """
         headers = {calls.OUTCOME_HEADER: "not-run", "Retry-After": "0.01"}
-        self.entry, seen = await standin_builders.start_recorder(
+        self.entry, received = await standin_builders.start_recorder(
             self, status=503, headers=headers
         )
-        target = builders.build_class(method="GET", repeatable=True)
-        result = await self._call(calls.Request(target, "r1"))
-        self.assertEqual(len(seen), 2)
+        class_load = builders.build_class(method="GET", repeatable=True)
+        result = await self._call(calls.Request(class_load, "r1"))
+        self.assertEqual(len(received), 2)
         self.assertEqual(result.verdict, calls.Verdict.NOT_RUN)
         self.assertEqual(result.first_verdict, calls.Verdict.NOT_RUN)
 
     async def _call(self, request: calls.Request) -> load.Result:
-        chooser = random.Random(1)
+        rng = random.Random(1)
         return await load.call_with_retries(
-            self.session, [self.entry], request, chooser
+            self.session, [self.entry], request, rng
         )
 
 
--- a/tools/calls.py
+++ b/tools/calls.py
@@ -1,4 +1,4 @@
-"""One call as a caller makes it, and what the caller got."""
+"""Sends the calls of a caller and checks their answers."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 OUTCOME_HEADER = "Merlintrestle-Outcome"
 ORGANISATION_HEADER = "Merlintrestle-Organisation"
-_READ_BYTES = 64 * 1024
+_CHUNK_BYTES = 64 * 1024
 
 
 class Verdict(enum.StrEnum):
-    """What a caller got.
+    """What a caller received.
 
     Attributes:
-        RIGHT: The whole answer to its own request.
-        WRONG: An answer that is not its own.
-        CUT: An answer that broke off, and was seen to.
-        CUT_SHOWN_WHOLE: A download that ended cleanly but is not whole.
-        NOT_RUN: Refused; it did not run.
-        RAN: Failed; it ran.
-        UNKNOWN: Failed; it may have run.
+        RIGHT: The complete answer to the caller's request.
+        WRONG: An answer that does not belong to the caller's request.
+        CUT: An incomplete answer that ended with a transport error.
+        CUT_SHOWN_WHOLE: An incomplete answer that ended without an error.
+        NOT_RUN: An error whose outcome says that the request did not run.
+        RAN: An error whose outcome says that the request ran.
+        UNKNOWN: An error whose outcome says that the request may have run.
         FAILED: An error without an outcome.
         NOT_SENT: No connection could be opened.
-        TIMEOUT: Nothing came in the time the caller waits.
+        TIMEOUT: No complete answer within the caller's timeout.
     """
 
     RIGHT = "right"
@@ -51,15 +51,15 @@
 
 
 class Request(NamedTuple):
-    """What a caller wants once, however often it sends it.
+    """Request of a caller, which may take several attempts.
 
     Attributes:
         class_load: Class of work.
-        request_id: Its identity in the answers and in the runs.
-        body: Body, empty for GET.
-        download_bytes: Length of the answer of a large class.
-        download_rate: Bytes per second at which it is sent.
-        crash: Crashes the backend server that runs it.
+        request_id: Id that answers and the backend servers' ledger carry.
+        body: Body; empty for GET.
+        download_bytes: Length in bytes of the answer of a large class.
+        download_rate: Bytes per second at which that answer is sent.
+        crash: Whether the request crashes the backend server that runs it.
     """
 
     class_load: workload.ClassLoad
@@ -71,16 +71,17 @@
 
 
 class Attempt(NamedTuple):
-    """One sending of a request and what came of it.
+    """One attempt to send a request, and its result.
 
     Attributes:
-        attempt_id: Its identity in the runs.
-        entry: URL of the daemon that was asked.
-        started_ms: Milliseconds since 1970.
-        latency_ms: Milliseconds until the whole answer or the failure.
-        status: HTTP status; 0: none.
-        verdict: What the caller got.
-        retry_after_s: When to come back, as told; None: not told.
+        attempt_id: Id that the backend servers' ledger carries.
+        entry: URL of the daemon that was called.
+        started_ms: Start time in milliseconds since 1970.
+        latency_ms: Milliseconds until the complete answer or the failure.
+        status: HTTP status; 0 if there was no answer.
+        verdict: What the caller received.
+        retry_after_s: Seconds of the answer's Retry-After header; None if it
+            had none.
     """
 
     attempt_id: str
@@ -92,7 +93,7 @@
     retry_after_s: float | None
 
 
-class _Received(NamedTuple):
+class _Answer(NamedTuple):
     verdict: Verdict
     status: int = 0
     retry_after_s: float | None = None
@@ -108,29 +109,29 @@
     """Sends a request once, through one daemon.
 
     Args:
-        session: Client to send by.
+        session: Client to send with.
         entry: URL of the daemon.
-        request: What to send.
-        number: 0 for the first sending, 1 for the next.
-        timeout_s: Longest wait in seconds for the whole answer.
+        request: Request to send.
+        number: Number of the attempt; 0 for the first, 1 for the next.
+        timeout_s: Longest time in seconds to wait for the complete answer.
     """
     attempt_id = f"{request.request_id}.{number}"
     started_ms = time.time_ns() // 1_000_000
     began = time.perf_counter()
     try:
         async with asyncio.timeout(timeout_s):
-            received = await _exchange(session, entry, request, attempt_id)
+            answer = await _exchange(session, entry, request, attempt_id)
     except TimeoutError:
-        received = _Received(Verdict.TIMEOUT)
+        answer = _Answer(Verdict.TIMEOUT)
     latency_ms = (time.perf_counter() - began) * 1000
     return Attempt(
         attempt_id,
         entry,
         started_ms,
         latency_ms,
-        received.status,
-        received.verdict,
-        received.retry_after_s,
+        answer.status,
+        answer.verdict,
+        answer.retry_after_s,
     )
 
 
@@ -139,25 +140,27 @@
     entry: str,
     request: Request,
     attempt_id: str,
-) -> _Received:
-    load = request.class_load
-    url = f"{entry}/{load.service}{load.prefix}/{request.request_id}"
-    if load.large:
+) -> _Answer:
+    class_load = request.class_load
+    url = (
+        f"{entry}/{class_load.service}{class_load.prefix}/{request.request_id}"
+    )
+    if class_load.large:
         url += f"?bytes={request.download_bytes}&rate={request.download_rate}"
     try:
         async with session.request(
-            load.method,
+            class_load.method,
             url,
             data=request.body or None,
             headers=_build_headers(request, attempt_id),
-        ) as answer:
-            return await _receive(answer, request)
+        ) as response:
+            return await _receive(response, request)
     except aiohttp.ClientPayloadError:
-        return _Received(Verdict.CUT)
+        return _Answer(Verdict.CUT)
     except aiohttp.ClientConnectorError:
-        return _Received(Verdict.NOT_SENT)
+        return _Answer(Verdict.NOT_SENT)
     except aiohttp.ClientError:
-        return _Received(Verdict.FAILED)
+        return _Answer(Verdict.FAILED)
 
 
 def _build_headers(request: Request, attempt_id: str) -> dict[str, str]:
@@ -174,47 +177,49 @@
 
 
 async def _receive(
-    answer: aiohttp.ClientResponse, request: Request
-) -> _Received:
-    if answer.status != 200:
-        await answer.read()
-        outcome = answer.headers.get(OUTCOME_HEADER, "")
-        known = (Verdict.NOT_RUN, Verdict.RAN, Verdict.UNKNOWN)
-        verdict = Verdict(outcome) if outcome in known else Verdict.FAILED
-        told = answer.headers.get("Retry-After")
-        retry_after_s = float(told) if told else None
-        return _Received(verdict, answer.status, retry_after_s)
+    response: aiohttp.ClientResponse, request: Request
+) -> _Answer:
+    if response.status != 200:
+        await response.read()
+        outcome = response.headers.get(OUTCOME_HEADER, "")
+        outcomes = (Verdict.NOT_RUN, Verdict.RAN, Verdict.UNKNOWN)
+        verdict = Verdict(outcome) if outcome in outcomes else Verdict.FAILED
+        retry_after = response.headers.get("Retry-After")
+        retry_after_s = float(retry_after) if retry_after else None
+        return _Answer(verdict, response.status, retry_after_s)
     if request.class_load.large:
-        return _Received(await _check_download(answer, request), 200)
-    text = await answer.read()
-    return _Received(_check_answer(text, request), 200)
+        return _Answer(await _check_download(response, request), 200)
+    body = await response.read()
+    return _Answer(_check_body(body, request), 200)
 
 
-def _check_answer(text: bytes, request: Request) -> Verdict:
+def _check_body(body: bytes, request: Request) -> Verdict:
+    """Checks that an answer is whole and belongs to its request."""
     try:
-        fields: dict[str, Any] = json.loads(text)
+        fields: dict[str, Any] = json.loads(body)
     except ValueError:
         return Verdict.CUT_SHOWN_WHOLE
     body_sha256 = hashlib.sha256(request.body).hexdigest()
-    own = (
+    matches = (
         fields.get("request_id") == request.request_id
         and fields.get("body_sha256") == body_sha256
         and fields.get("service") == request.class_load.service
     )
-    return Verdict.RIGHT if own else Verdict.WRONG
+    return Verdict.RIGHT if matches else Verdict.WRONG
 
 
 async def _check_download(
-    answer: aiohttp.ClientResponse, request: Request
+    response: aiohttp.ClientResponse, request: Request
 ) -> Verdict:
+    """Checks the length and the checksum of a download."""
     digest = hashlib.sha256()
-    received = 0
-    async for chunk in answer.content.iter_chunked(_READ_BYTES):
+    received_bytes = 0
+    async for chunk in response.content.iter_chunked(_CHUNK_BYTES):
         digest.update(chunk)
-        received += len(chunk)
-    total = request.download_bytes
-    if received != total:
+        received_bytes += len(chunk)
+    total_bytes = request.download_bytes
+    if received_bytes != total_bytes:
         return Verdict.CUT_SHOWN_WHOLE
-    expected = content.compute_checksum(request.request_id, total)
-    own = digest.hexdigest() == expected
-    return Verdict.RIGHT if own else Verdict.WRONG
+    expected = content.compute_checksum(request.request_id, total_bytes)
+    matches = digest.hexdigest() == expected
+    return Verdict.RIGHT if matches else Verdict.WRONG
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,6 +1,7 @@
 """Open-loop load of all classes of work, in this or a separate process.
 
-Run it with `python -m tools.load PLAN RESULTS`; both are files of JSON.
+Run it with `python -m tools.load PLAN RESULTS`; PLAN is a JSON file, RESULTS a
+file of JSON lines.
 """
 
 from __future__ import annotations
@@ -22,30 +23,33 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_MOST_SENDINGS = 3
-_MOST_REFUSALS = 2
-_MOST_RETRY_AFTER_S = 1.0
-_WAIT_MARGIN_S = 2.0
-_DOWNLOAD_WAIT_S = 120.0
+_MAX_ATTEMPTS = 3
+_MAX_REPEATABLE_ATTEMPTS = 2
+_MAX_RETRY_AFTER_S = 1.0
+_TIMEOUT_MARGIN_S = 2.0
+_DOWNLOAD_TIMEOUT_S = 120.0
 _BODY_BYTES = 300
-# A sending that found no open port; a caller simply asks another daemon.
-_MOST_NOT_SENT = 5
+# Attempts that found no open port; the caller just asks another daemon.
+_MAX_UNSENT_ATTEMPTS = 5
 
 
 class Plan(NamedTuple):
-    """What load to make.
+    """Plan of a load.
 
     Attributes:
         entries: URLs of the daemons that callers use.
         classes: Classes of work.
-        factor: Factor on the classes' expected rates.
-        duration_s: Seconds in which calls are begun.
-        seed: Seed of every random choice; also marks the request ids.
-        download_bytes: Length of each download.
+        factor: Factor applied to the classes' expected rates.
+        duration_s: Seconds in which requests begin.
+        seed: Seed of every random choice; also a part of the request ids.
+        download_bytes: Length of each download in bytes.
         download_rate: Bytes per second of each download.
-        large_rate: Downloads begun per second, in place of their rates.
-        keyed_factor: Further factor on work that may not be repeated.
-        crash_share: Share of repeatable calls that crash their backend.
+        large_rate: Downloads begun per second by all large classes together,
+            instead of their expected rates.
+        keyed_factor: Further factor on the rates of work that must not be
+            repeated.
+        crash_share: Fraction of repeatable calls that crash their backend
+            server.
     """
 
     entries: list[str]
@@ -61,16 +65,17 @@
 
 
 class Result(NamedTuple):
-    """One request with all its sendings.
+    """Result of one request with all its attempts.
 
     Attributes:
-        label: Service and class.
-        request_id: Its identity.
-        latency_ms: From the first sending to the last answer.
-        large: True for a download.
-        crash: True if it crashes the backend server that runs it.
-        met: Right, and within the class's latency target (large: right).
-        attempts: Its sendings, first to last.
+        label: Service and class of work, as "service/class".
+        request_id: Id of the request.
+        latency_ms: Milliseconds from the first attempt to the last answer.
+        large: Whether it is a download.
+        crash: Whether it crashes the backend server that runs it.
+        met: Whether the answer was correct and, unless it is a download, came
+            within the class's latency target.
+        attempts: Attempts in the order of sending.
     """
 
     label: str
@@ -83,19 +88,19 @@
 
     @property
     def verdict(self) -> calls.Verdict:
-        """What the caller had in the end."""
+        """Verdict of the last attempt."""
         return self.attempts[-1].verdict
 
     @property
     def first_verdict(self) -> calls.Verdict:
-        """What came of the first sending that found an open port."""
+        """Verdict of the first attempt that found an open port."""
         not_sent = calls.Verdict.NOT_SENT
         verdicts = [attempt.verdict for attempt in self.attempts]
         return next((v for v in verdicts if v is not not_sent), not_sent)
 
 
 async def run_load(plan: Plan) -> list[Result]:
-    """Makes the load and returns every request's result."""
+    """Makes the load and returns the result of every request."""
     tasks = []
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(
@@ -105,29 +110,27 @@
         began = loop.time()
         for at_s, request in generate_requests(plan):
             await asyncio.sleep(max(0.0, began + at_s - loop.time()))
-            chooser = random.Random(f"{plan.seed} {request.request_id}")
-            coroutine = call_with_retries(
-                session, plan.entries, request, chooser
-            )
+            rng = random.Random(f"{plan.seed} {request.request_id}")
+            coroutine = call_with_retries(session, plan.entries, request, rng)
             tasks.append(asyncio.create_task(coroutine))
         return list(await asyncio.gather(*tasks))
 
 
 def generate_requests(plan: Plan) -> Iterator[tuple[float, calls.Request]]:
-    """Yields when each request begins, in seconds, in order of time."""
-    choices = random.Random(plan.seed)
-    rates = [_compute_rate(plan, load) for load in plan.classes]
-    total = sum(rates)
+    """Yields each request with its start time in seconds, in order of time."""
+    rng = random.Random(plan.seed)
+    rates = [_compute_rate(plan, class_load) for class_load in plan.classes]
+    total_rate = sum(rates)
     at_s = 0.0
     number = 0
-    while total:
-        at_s += choices.expovariate(total)
+    while total_rate:
+        at_s += rng.expovariate(total_rate)
         if at_s >= plan.duration_s:
             return
-        load = choices.choices(plan.classes, rates)[0]
-        request_id = f"{load.name}-{plan.seed}-{number}"
-        crash = load.repeatable and choices.random() < plan.crash_share
-        yield at_s, _build_request(plan, load, request_id, crash)
+        class_load = rng.choices(plan.classes, rates)[0]
+        request_id = f"{class_load.name}-{plan.seed}-{number}"
+        crash = class_load.repeatable and rng.random() < plan.crash_share
+        yield at_s, _build_request(plan, class_load, request_id, crash)
         number += 1
 
 
@@ -135,48 +138,59 @@
     session: aiohttp.ClientSession,
     entries: list[str],
     request: calls.Request,
-    chooser: random.Random,
+    rng: random.Random,
 ) -> Result:
-    """Sends a request as its caller does until it has an answer.
-
-    Work that may not be repeated is sent again, with the same key and by way
-    of another daemon, unless it was answered; so is a request that crashes
-    its backend servers. Other work is sent again once, where the caller was
-    told that it did not run and when to come back.
+    """Sends a request and repeats it as its caller would.
+
+    Work that must not run twice is sent again with the same idempotency key,
+    each time through a randomly chosen daemon, until it is answered or
+    `_MAX_ATTEMPTS` is reached; so is a request that crashes its backend server.
+    Other work is sent again once, if the answer said that it did not run and
+    when to retry.
+
+    Args:
+        session: Client to send with.
+        entries: URLs of the daemons to choose from.
+        request: Request to send.
+        rng: Source of the random choice of daemons.
     """
-    load = request.class_load
-    patient = request.crash or not load.repeatable
-    most = _MOST_SENDINGS if patient else _MOST_REFUSALS
+    class_load = request.class_load
+    retries_failures = request.crash or not class_load.repeatable
+    max_attempts = (
+        _MAX_ATTEMPTS if retries_failures else _MAX_REPEATABLE_ATTEMPTS
+    )
     attempts: list[calls.Attempt] = []
-    waited_s = load.deadline_ms / 1000 + _WAIT_MARGIN_S
-    if load.large:
-        waited_s = _DOWNLOAD_WAIT_S
+    timeout_s = class_load.deadline_ms / 1000 + _TIMEOUT_MARGIN_S
+    if class_load.large:
+        timeout_s = _DOWNLOAD_TIMEOUT_S
     loop = asyncio.get_running_loop()
     began = loop.time()
-    not_sent = 0
-    while len(attempts) - not_sent < most and not_sent < _MOST_NOT_SENT:
-        entry = chooser.choice(entries)
+    unsent = 0
+    while (
+        len(attempts) - unsent < max_attempts and unsent < _MAX_UNSENT_ATTEMPTS
+    ):
+        entry = rng.choice(entries)
         number = len(attempts)
-        attempt = await calls.send(session, entry, request, number, waited_s)
+        attempt = await calls.send(session, entry, request, number, timeout_s)
         attempts.append(attempt)
         if attempt.verdict is calls.Verdict.NOT_SENT:
-            not_sent += 1
+            unsent += 1
             continue
         if attempt.verdict in (calls.Verdict.RIGHT, calls.Verdict.WRONG):
             break
-        if not patient and not _is_told_to_return(attempt):
+        if not retries_failures and not _is_told_to_retry(attempt):
             break
-        if len(attempts) - not_sent < most:
-            again_s = attempt.retry_after_s or 0.1
-            await asyncio.sleep(min(again_s, _MOST_RETRY_AFTER_S))
+        if len(attempts) - unsent < max_attempts:
+            retry_delay_s = attempt.retry_after_s or 0.1
+            await asyncio.sleep(min(retry_delay_s, _MAX_RETRY_AFTER_S))
     latency_ms = (loop.time() - began) * 1000
-    right = attempts[-1].verdict is calls.Verdict.RIGHT
-    met = right and (load.large or latency_ms <= load.latency_ms)
+    correct = attempts[-1].verdict is calls.Verdict.RIGHT
+    met = correct and (class_load.large or latency_ms <= class_load.latency_ms)
     return Result(
-        load.label,
+        class_load.label,
         request.request_id,
         latency_ms,
-        load.large,
+        class_load.large,
         request.crash,
         met,
         attempts,
@@ -184,21 +198,24 @@
 
 
 def write_plan(plan: Plan, path: pathlib.Path) -> None:
-    """Writes a plan for a separate process."""
+    """Writes a plan for a load process as JSON."""
     fields = plan._asdict()
-    fields["classes"] = [load._asdict() for load in plan.classes]
+    fields["classes"] = [class_load._asdict() for class_load in plan.classes]
     path.write_text(json.dumps(fields), encoding="utf-8")
 
 
 def read_plan(path: pathlib.Path) -> Plan:
     """Reads a plan that `write_plan` wrote."""
     fields: dict[str, Any] = json.loads(path.read_text(encoding="utf-8"))
-    loads = [workload.ClassLoad(**load) for load in fields.pop("classes")]
-    return Plan(classes=loads, **fields)
+    classes = [
+        workload.ClassLoad(**class_fields)
+        for class_fields in fields.pop("classes")
+    ]
+    return Plan(classes=classes, **fields)
 
 
 def write_results(results: list[Result], path: pathlib.Path) -> None:
-    """Writes results, one JSON line each."""
+    """Writes each result as one line of JSON."""
     lines = []
     for result in results:
         fields = result._asdict()
@@ -222,32 +239,38 @@
     return calls.Attempt(verdict=verdict, **fields)
 
 
-def _is_told_to_return(attempt: calls.Attempt) -> bool:
+def _is_told_to_retry(attempt: calls.Attempt) -> bool:
+    """Returns whether the answer said that it did not run and when to retry."""
     return (
         attempt.verdict is calls.Verdict.NOT_RUN
         and attempt.retry_after_s is not None
     )
 
 
-def _compute_rate(plan: Plan, target: workload.ClassLoad) -> float:
-    """Returns calls begun per second of one class."""
-    if target.large:
+def _compute_rate(plan: Plan, class_load: workload.ClassLoad) -> float:
+    """Returns the calls of one class that begin per second."""
+    if class_load.large:
         return plan.large_rate / sum(other.large for other in plan.classes)
-    if target.repeatable:
-        return target.rate * plan.factor
-    return target.rate * plan.factor * plan.keyed_factor
+    if class_load.repeatable:
+        return class_load.rate * plan.factor
+    return class_load.rate * plan.factor * plan.keyed_factor
 
 
 def _build_request(
-    plan: Plan, load: workload.ClassLoad, request_id: str, crash: bool
+    plan: Plan, class_load: workload.ClassLoad, request_id: str, crash: bool
 ) -> calls.Request:
     body = b""
-    if load.method not in ("GET", "HEAD"):
+    if class_load.method not in ("GET", "HEAD"):
         body = random.Random(request_id).randbytes(_BODY_BYTES)
-    if not load.large:
-        return calls.Request(load, request_id, body, crash=crash)
+    if not class_load.large:
+        return calls.Request(class_load, request_id, body, crash=crash)
     return calls.Request(
-        load, request_id, body, plan.download_bytes, plan.download_rate, crash
+        class_load,
+        request_id,
+        body,
+        plan.download_bytes,
+        plan.download_rate,
+        crash,
     )
 
 
@@ -258,7 +281,7 @@
 
 
 def main() -> None:
-    """Makes the load of a plan file and writes a results file."""
+    """Makes the load of a plan file and writes the results file."""
     plan_path, results_path = map(pathlib.Path, sys.argv[1:3])
     process.run(functools.partial(_run, plan_path, results_path))
 
