--- a/tests/tools/test_processes.py
+++ b/tests/tools/test_processes.py
@@ -10,7 +10,7 @@
 
 
 class ProcessTableTest(unittest.IsolatedAsyncioTestCase):
-    async def test_close_leaves_no_process_behind(self) -> None:
+    async def test_close_stops_every_process(self) -> None:
         table = processes.ProcessTable()
         try:
             store = await table.start("store", "standins.store")
@@ -23,7 +23,7 @@
         with self.assertRaises(ProcessLookupError):
             os.kill(store.pid, 0)
 
-    async def test_process_that_fails_shows_its_last_lines(self) -> None:
+    async def test_failed_start_reports_last_stderr_lines(self) -> None:
         table = processes.ProcessTable()
         self.addAsyncCleanup(table.close)
         with self.assertRaisesRegex(processes.ProcessError, "no_such_module"):
@@ -31,13 +31,13 @@
 
 
 class SamplesTest(unittest.TestCase):
-    def test_percentile_is_a_value_that_was_seen(self) -> None:
+    def test_percentile_is_one_of_the_values(self) -> None:
         values = [float(n) for n in range(1, 101)]
         self.assertEqual(samples.compute_percentile(values, 0.5), 50.0)
         self.assertEqual(samples.compute_percentile(values, 0.99), 99.0)
         self.assertEqual(samples.compute_percentile([3.0], 0.99), 3.0)
 
-    def test_bytes_are_counted_of_open_connections(self) -> None:
+    def test_bytes_of_open_connections_are_counted(self) -> None:
         before = {(1, 2): 10, (3, 4): 100}
         after = {(1, 2): 15, (5, 6): 7}
         self.assertEqual(samples.subtract(before, after), 12)
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,7 +1,7 @@
-"""Checks the form of the entries in KNOWN-RED.txt.
+"""Checks the format of the entries in KNOWN-RED.txt.
 
-An entry is one line and tells of one fault: the test that fails or a command
-between backticks that CI cannot run, its seed, what was seen, an open issue.
+An entry is one line that describes one fault: the failing test, or a command
+in backticks that CI cannot run; its seed; what was seen; and an open issue.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent
 KNOWN_RED_PATH = _ROOT / "KNOWN-RED.txt"
-_DEVELOPERS = _ROOT / "DEVELOPERS.md"
-# "keep it short": what a reader takes in at once.
-_MAX_CHARACTERS = 600
+_DEVELOPERS_PAGE = _ROOT / "DEVELOPERS.md"
+# The rule for entries is "keep it short": a reader takes one in at a glance.
+_MAX_ENTRY_CHARACTERS = 600
 _OPEN_ISSUES = re.compile(r"^Open issues: ([\d, ]+)\.$", re.MULTILINE)
-_FORM = re.compile(
+_ENTRY_FORMAT = re.compile(
     r"(?P<head>(?P<test>tests(?:\.\w+)+)(?: and `[^`]+`)?|`[^`]+`)"
     r" \((?P<seed>[^)]*\bseeds?\b[^)]*|hunted|of a hunt)\): "
     r"(?P<seen>.{20,}); issue (?P<issue>\d+)\."
 )
-_NAMED_SEED = re.compile(r"--seed \d+`")
-_MORE_FAULTS = re.compile(r"\b(likewise|also|as well as)\b")
+_SEED_OPTION = re.compile(r"--seed \d+`")
+_SECOND_FAULT = re.compile(r"\b(likewise|also|as well as)\b")
 
 
 def read_entries() -> list[str]:
-    """Returns the lines that are no comments."""
+    """Returns the lines of KNOWN-RED.txt except comments and blank lines."""
     if not KNOWN_RED_PATH.exists():
         return []
     lines = KNOWN_RED_PATH.read_text(encoding="utf-8").splitlines()
@@ -35,68 +35,69 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Returns the known failing tests: test id to its whole entry."""
-    named = [entry for entry in read_entries() if entry[0] != "`"]
-    return {entry.split()[0]: entry for entry in named}
+    """Returns the entries of the known failing tests by test id."""
+    test_entries = [entry for entry in read_entries() if entry[0] != "`"]
+    return {entry.split()[0]: entry for entry in test_entries}
 
 
 def read_open_issues(text: str) -> set[int]:
-    """Returns the numbers that the developers' page lists as open."""
-    found = _OPEN_ISSUES.search(text)
-    return {int(one) for one in found[1].split(",")} if found else set()
+    """Returns the open issues that the text of the developers' page lists."""
+    match = _OPEN_ISSUES.search(text)
+    return {int(number) for number in match[1].split(",")} if match else set()
 
 
 def find_entry_errors(entry: str, open_issues: set[int]) -> list[str]:
-    """Returns what is wrong with the form of an entry."""
-    form = _FORM.fullmatch(entry)
-    if form is None:
+    """Returns a message for each error in the format of an entry."""
+    match = _ENTRY_FORMAT.fullmatch(entry)
+    if match is None:
         return ["not 'TEST or `COMMAND` (SEED): WHAT WAS SEEN; issue N.'"]
-    faults = []
-    if "seed" not in form["seed"] and not _NAMED_SEED.search(form["head"]):
-        faults.append("names no seed")
-    if int(form["issue"]) not in open_issues:
-        faults.append(f"issue {form['issue']} is not open")
-    if form["test"] and not _is_test(form["test"]):
-        faults.append("there is no such test")
-    if _MORE_FAULTS.search(form["seen"]):
-        faults.append("tells of more than one fault")
-    if len(entry) > _MAX_CHARACTERS:
-        faults.append(f"is longer than {_MAX_CHARACTERS} characters")
-    return faults
+    errors = []
+    if "seed" not in match["seed"] and not _SEED_OPTION.search(match["head"]):
+        errors.append("names no seed")
+    if int(match["issue"]) not in open_issues:
+        errors.append(f"issue {match['issue']} is not open")
+    if match["test"] and not _is_test(match["test"]):
+        errors.append("there is no such test")
+    if _SECOND_FAULT.search(match["seen"]):
+        errors.append("tells of more than one fault")
+    if len(entry) > _MAX_ENTRY_CHARACTERS:
+        errors.append(f"is longer than {_MAX_ENTRY_CHARACTERS} characters")
+    return errors
 
 
 def find_errors(entries: list[str], open_issues: set[int]) -> list[str]:
-    """Returns what is wrong with the entries, each fault with its entry."""
-    faults = []
+    """Returns the errors of all entries, each after the head of its entry."""
+    errors = []
     heads: set[str] = set()
     for entry in entries:
         head = entry.split(" (", 1)[0]
-        found = find_entry_errors(entry, open_issues)
+        entry_errors = find_entry_errors(entry, open_issues)
         if head in heads:
-            found.append("stands twice")
+            entry_errors.append("stands twice")
         heads.add(head)
-        faults += [f"{head}: {fault}" for fault in found]
-    return faults
+        errors += [f"{head}: {error}" for error in entry_errors]
+    return errors
 
 
 def _is_test(name: str) -> bool:
+    """Returns whether a name is the id of exactly one test."""
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
-    loaded = [
+    test_ids = [
         test.id() for test in suite if isinstance(test, unittest.TestCase)
     ]
-    return loaded == [name]
+    return test_ids == [name]
 
 
 def main() -> int:
-    """Prints each entry and what is wrong with its form; fails for any."""
+    """Prints the entries and their errors; returns 1 if there is an error."""
     entries = read_entries()
     for entry in entries:
         print(f"known red: {entry}")
-    developers = _DEVELOPERS.read_text(encoding="utf-8")
-    faults = find_errors(entries, read_open_issues(developers))
-    for fault in faults:
-        print(f"known red, wrong form: {fault}", file=sys.stderr)
-    return 1 if faults else 0
+    developers_page = _DEVELOPERS_PAGE.read_text(encoding="utf-8")
+    errors = find_errors(entries, read_open_issues(developers_page))
+    for error in errors:
+        print(f"known red, wrong form: {error}", file=sys.stderr)
+    return 1 if errors else 0
 
 
 if __name__ == "__main__":
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Writes the settings reference from the schema, or checks that it is fresh."""
+"""Writes the settings reference from the schema or checks the written page."""
 
 from __future__ import annotations
 
@@ -24,18 +24,21 @@
 
 def format_reference() -> str:
     """Returns the text of the page."""
-    parts = [_INTRODUCTION]
-    for program, kind in _PROGRAMS.items():
-        parts.append(f"## {program}\n")
-        parts.append("| flag | variable | default | unit | meaning |")
-        parts.append("|---|---|---|---|---|")
-        parts += [_write_row(item) for item in config.list_settings(kind)]
-        parts.append("")
-    return "\n".join(parts)
+    lines = [_INTRODUCTION]
+    for program, settings_type in _PROGRAMS.items():
+        lines.append(f"## {program}\n")
+        lines.append("| flag | variable | default | unit | meaning |")
+        lines.append("|---|---|---|---|---|")
+        lines += [
+            _format_row(setting)
+            for setting in config.list_settings(settings_type)
+        ]
+        lines.append("")
+    return "\n".join(lines)
 
 
 def main() -> int:
-    """Writes the page; with --check compares it and fails if it differs."""
+    """Writes the page; with --check, returns 1 if the written page differs."""
     text = format_reference()
     if "--check" not in sys.argv:
         _PAGE.write_text(text, encoding="utf-8")
@@ -46,7 +49,8 @@
     return 1
 
 
-def _write_row(setting: config.Setting) -> str:
+def _format_row(setting: config.Setting) -> str:
+    """Returns the table row of a setting."""
     rule = setting.rule
     default = "(required)" if rule.required else rule.default or "none"
     meaning = rule.help
--- a/tools/tests.py
+++ b/tools/tests.py
@@ -1,4 +1,4 @@
-"""Runs all tests and prints the plain closing line."""
+"""Runs all tests and prints the numbers of passed and failed ones."""
 
 from __future__ import annotations
 
@@ -15,7 +15,14 @@
 
 
 def main() -> int:
-    """Runs the tests; the first argument counts checks that failed before."""
+    """Runs all tests.
+
+    The first command-line argument is the number of checks that failed before;
+    they count as failures. Failed tests that KNOWN-RED.txt lists do not count.
+
+    Returns:
+        1 if anything failed, else 0.
+    """
     failed_checks = int(sys.argv[1]) if len(sys.argv) > 1 else 0
     hypothesis.settings.register_profile(
         "ci", derandomize=True, deadline=None, database=None, print_blob=True
@@ -24,14 +31,14 @@
     os.chdir(_ROOT)
     suite = unittest.defaultTestLoader.discover("tests", top_level_dir=".")
     result = unittest.TextTestRunner(verbosity=1, buffer=True).run(suite)
-    bad = [*result.failures, *result.errors]
+    failures = [*result.failures, *result.errors]
     known = known_red.read_known_red()
-    fresh = [test for test, _ in bad if test.id() not in known]
-    for name, line in known.items():
-        if name not in {test.id() for test, _ in bad}:
-            print(f"known red, now passes: {line}")
-    failed = len(fresh) + failed_checks
-    print(f"{result.testsRun - len(bad)} passed, {failed} failed")
+    new_failures = [test for test, _ in failures if test.id() not in known]
+    for name, entry in known.items():
+        if name not in {test.id() for test, _ in failures}:
+            print(f"known red, now passes: {entry}")
+    failed = len(new_failures) + failed_checks
+    print(f"{result.testsRun - len(failures)} passed, {failed} failed")
     return 1 if failed else 0
 
 
