--- a/tests/tools/test_load.py
+++ b/tests/tools/test_load.py
@@ -94,7 +94,7 @@
         retries once, gets the same answer and gives up.
         """
         headers = {calls.OUTCOME_HEADER: "not-run", "Retry-After": "0.01"}
-        self.entry, received = await standin_builders.start_recorder(
+        self.entry, received = await standin_builders.start_recording_server(
             self, status=503, headers=headers
         )
         class_load = builders.build_class(method="GET", repeatable=True)
--- a/tools/failures.py
+++ b/tools/failures.py
@@ -191,10 +191,13 @@
         ),
         "new_work_after_leave": sum(
             harm.count_new_work(
-                runs, stop.address, stop.at_ms + _LEAVE_GRACE_MS, stop.until_ms
+                runs,
+                stop.address,
+                stop.at_ms + _LEAVE_GRACE_MS,
+                stop.restarted_ms,
             )
-            for stop in failure_scenario.stops
-            if not stop.daemon
+            for stop in failure_scenario.planned_stops
+            if not stop.stops_daemon
         ),
         "version_regressions": sum(map(harm.count_regressions, versions)),
         "dangling_routes": _count_dangling_routes(results),
@@ -202,9 +205,9 @@
         "met_target": _compute_met_ratios(ordinary),
         "verdicts": _count_verdicts(ordinary),
         "crash_requests": len(results) - len(ordinary),
-        "not_in_force_at_end": failure_scenario.not_in_force,
+        "not_in_force_at_end": failure_scenario.outdated_daemons,
         "backends_crashed": failure_scenario.crashes,
-        "changes_accepted": failure_scenario.accepted,
+        "changes_accepted": failure_scenario.accepted_changes,
         "versions_read": sum(map(len, versions)),
     }
 
@@ -236,10 +239,12 @@
             ended_ms > stop.at_ms
             and any(
                 at_ms < stop.at_ms
-                and (address == stop.address or attempt.entry == stop.entry)
+                and (
+                    address == stop.address or attempt.entry == stop.daemon_url
+                )
                 for address, at_ms in attempt_starts
             )
-            for stop in failure_scenario.stops
+            for stop in failure_scenario.planned_stops
         )
     return cut
 
