--- a/merlintrestle/schema/__init__.py
+++ b/merlintrestle/schema/__init__.py
@@ -1,1 +1,1 @@
-"""Messages and settings: protobuf schema and the code made from it."""
+"""Protobuf schema of messages and settings, and the code generated from it."""
