--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -40,7 +40,7 @@
         self._newest_entry_by_version: dict[int, client.Entry] = {}
         self._head_revision = 0
         self._orders: Sequence[client.Entry] = ()
-        self._known = known_revision.KnownRevision()
+        self._tracker = known_revision.KnownRevision()
         self._head = document_pb2.Head()
         self._compiled: snapshots.Snapshot | None = None
 
@@ -54,11 +54,13 @@
             errors.StoreError: The store did not answer.
             errors.SnapshotError: The configuration is malformed.
         """
-        if self._known.revision:
+        if self._tracker.revision:
             self._orders, revision = await self._store.read_after(
                 _OPERATOR_PREFIX, stores.CONFIGURATION_KEY
             )
-            if revision <= self._known.revision or await self._update(revision):
+            if revision <= self._tracker.revision or (
+                await self._update_without_read(revision)
+            ):
                 return self._head
         previous_revision = self._head_revision
         entries, revision = await self._store.read_all(_OPERATOR_PREFIX)
@@ -69,8 +71,8 @@
         self._orders = [
             entry for entry in entries if entry.key != stores.CONFIGURATION_KEY
         ]
-        self._known.record_read(self._head_revision != previous_revision)
-        self._known.advance(revision)
+        self._tracker.record_read(self._head_revision != previous_revision)
+        self._tracker.advance(revision)
         return head
 
     async def watch_head(self) -> AsyncIterator[document_pb2.Head]:
@@ -80,18 +82,18 @@
             errors.StoreUnavailableError: The watch ended.
             errors.SnapshotError: A configuration is malformed.
         """
-        self._known.open_watches += 1
+        self._tracker.open_watches += 1
         try:
             if self._head_revision:
                 yield self._head
             async for entry in self._store.watch(
-                stores.CONFIGURATION_KEY, self._known.revision
+                stores.CONFIGURATION_KEY, self._tracker.revision
             ):
                 head = self._apply_entry(entry)
-                self._known.advance(entry.revision)
+                self._tracker.advance(entry.revision)
                 yield head
         finally:
-            self._known.open_watches -= 1
+            self._tracker.open_watches -= 1
 
     async def compile_head(self, head: document_pb2.Head) -> snapshots.Snapshot:
         """Compiles the version of a head.
@@ -127,25 +129,25 @@
         """
         return await seeds_lib.write_seeds(self._store, zone, member_ids)
 
-    async def _update(self, revision: int) -> bool:
-        """Returns whether the head is current, without a read of its value.
+    async def _update_without_read(self, revision: int) -> bool:
+        """Returns whether a watch or the history brings the head up to date.
 
         The history is queried from the last known revision, so the query fails,
         and misses no change, if the store has dropped the history since then.
         """
         is_delivering = self._store.is_delivering
-        if is_delivering() or not self._known.may_query_history():
-            return await self._known.wait_for_watch(revision, is_delivering)
+        if is_delivering() or not self._tracker.may_query_history():
+            return await self._tracker.wait_for_watch(revision, is_delivering)
         try:
             events, _ = await self._store.read_events(
-                stores.CONFIGURATION_KEY, self._known.revision, _MIN_WAIT_MS
+                stores.CONFIGURATION_KEY, self._tracker.revision, _MIN_WAIT_MS
             )
         except errors.StoreUnavailableError:
             return False
         for entry in events[-1:]:
             self._apply_entry(entry)
-            self._known.record_read(head_changed=True)
-            self._known.advance(entry.revision)
+            self._tracker.record_read(head_changed=True)
+            self._tracker.advance(entry.revision)
         return True
 
     def _apply_entry(self, entry: client.Entry) -> document_pb2.Head:
--- a/merlintrestle/platform/endpoints.py
+++ b/merlintrestle/platform/endpoints.py
@@ -193,14 +193,11 @@
 
 
 def parse_leave(body: bytes) -> int:
-    """Parses the body of a leave request, which may be empty.
-
-    Returns:
-        Start of the process, in ms since 1970; 0 if not stated.
+    """Returns the process start in a leave request, in ms since 1970, or 0.
 
     Raises:
         errors.InvalidInputError: The start is not a positive integer.
-        ValueError: The body is not JSON.
+        ValueError: The body is neither empty nor JSON.
     """
     fields = json.loads(body) if body else {}
     started_ms = fields.get("born") if isinstance(fields, dict) else fields
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -18,10 +18,12 @@
 
 events = event_logs.EventLog("platform")
 
-# The platform checks readiness once a second and redirects callers after two
-# failures; the redirection takes effect shortly afterwards.
+# Time for callers to move: the platform checks readiness once a second and
+# redirects callers shortly after two failures. At most half of the grace period
+# is used for this, so that a short one leaves time for requests in flight.
 _MAX_FAREWELL_S = 2.6
-# Part of the grace period in which resources close, after the last request.
+# End of the grace period, reserved for closing ports and connections, so that
+# the process exits before the platform kills it.
 _CLEANUP_S = 0.8
 # Fraction of `expose_share` that a version on trial gets. The rest is for calls
 # in the seconds until a failure after the trial is detected.
@@ -49,10 +51,9 @@
         )
 
     def reload(self) -> None:
-        """Reads the settings file again and logs what has changed.
+        """Reads the settings file again and logs the changes.
 
-        Addresses and ports stay until the process restarts; the bounds of
-        retries apply at once.
+        Bounds of retries apply at once, addresses and ports after a restart.
         """
         try:
             settings = settings_lib.read_settings(settings_lib.find_path())
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -61,7 +61,7 @@
 
 
 def build_route(name: str, **changes: Any) -> dict[str, Any]:
-    """Builds a route in the operators' format."""
+    """Builds a route of a configuration, as the operators write it."""
     route = {
         "name": name,
         "host": "desk.example",
@@ -79,7 +79,13 @@
 def build_configuration(
     version: int, *routes: dict[str, Any], **changes: Any
 ) -> bytes:
-    """Builds a configuration with the services balie and kassa."""
+    """Builds a configuration with the services balie and kassa.
+
+    Args:
+        version: Number of the version.
+        *routes: The routes; by default one route to balie.
+        **changes: Values that replace or extend those of the configuration.
+    """
     services = [
         {"name": name, "healthPath": "/health", "maxConnections": 130}
         for name in ("balie", "kassa")
@@ -109,7 +115,13 @@
     version: int = 1,
     previous: snapshots.Snapshot | None = None,
 ) -> snapshots.Snapshot:
-    """Loads a configuration as a version that follows another."""
+    """Loads a configuration as a version that follows another.
+
+    Args:
+        value: The configuration in the operators' record.
+        version: Number of the version.
+        previous: The previous version, if any.
+    """
     resources = configuration_lib.build_resources(json.loads(value))
     return loader.load_snapshot(version, resources, previous)
 
@@ -117,7 +129,7 @@
 async def start_store(
     case: unittest.IsolatedAsyncioTestCase,
 ) -> tuple[platform_store.PlatformStoreStandin, stores.PlatformStore]:
-    """Starts a store and its client; both are closed after the test."""
+    """Starts a stand-in for the store and a client; the test closes both."""
     standin = platform_store.PlatformStoreStandin()
     await standin.start()
     case.addAsyncCleanup(standin.close)
@@ -128,6 +140,7 @@
 
 
 def _build_table(rows: Any) -> dict[str, Any]:
+    """Returns the columns and rows of objects; a missing value is null."""
     columns = list(dict.fromkeys(name for row in rows for name in row))
     return {
         "columns": columns,
--- a/tests/platform/fleets.py
+++ b/tests/platform/fleets.py
@@ -44,9 +44,9 @@
         """Running version of the configuration."""
         return self._active_version.version
 
-    def count_upstreams(self, name: str) -> int:
+    def count_upstreams(self, service_name: str) -> int:
         """Returns the number of known upstreams of a service."""
-        return len(self._table.get_upstreams(name))
+        return len(self._table.get_upstreams(service_name))
 
 
 class Fleet(contextlib.AsyncExitStack):
@@ -67,7 +67,7 @@
         self.store = platform_store.PlatformStoreStandin()
         self.daemons: list[Daemon] = []
         self.backends: list[platform_backend.PlatformBackendStandin] = []
-        self._attempts = 0
+        self._attempt_count = 0
 
     async def start(self, *services: str, configuration: bytes = b"") -> None:
         """Starts the store and one daemon for each of the services."""
@@ -86,21 +86,32 @@
                 connector=aiohttp.TCPConnector(force_close=True)
             )
         )
-        for name in services:
-            await self.add_daemon(name)
+        for service_name in services:
+            await self.add_daemon(service_name)
         await self.wait_until_discovered(services)
 
     async def add_daemon(
-        self, name: str, with_heartbeat: bool = True, version: str = "v1"
+        self,
+        service_name: str,
+        with_heartbeat: bool = True,
+        version: str = "v1",
     ) -> None:
-        """Adds a daemon with a backend server, which may send a heartbeat."""
+        """Adds a daemon with a backend server.
+
+        Args:
+            service_name: Service of the backend server.
+            with_heartbeat: Whether the backend server sends one heartbeat.
+            version: Version of the backend server's software.
+        """
         host, _, port = self.store.address.rpartition(":")
-        backend = platform_backend.PlatformBackendStandin(name, version=version)
+        backend = platform_backend.PlatformBackendStandin(
+            service_name, version=version
+        )
         await backend.start()
         self.push_async_callback(backend.close)
         daemon = Daemon(
             builders.build_settings(
-                service=name,
+                service=service_name,
                 expose_share=self.expose_share,
                 backend=builders.settings_lib.Address(host, backend.port),
                 store=builders.settings_lib.Address(host, int(port)),
@@ -115,11 +126,17 @@
             assert await backend.send_heartbeat(daemon.heartbeat_address) == 200
 
     async def wait_until_discovered(self, services: tuple[str, ...]) -> None:
-        """Waits until every daemon knows all upstreams of the services."""
+        """Waits until every daemon knows all upstreams.
+
+        Args:
+            services: Service of each upstream; repeated for several upstreams.
+        """
         async with asyncio.timeout(TEST_TIMEOUT_S):
             for daemon in self.daemons:
-                for name in set(services):
-                    while daemon.count_upstreams(name) < services.count(name):
+                for service_name in set(services):
+                    while daemon.count_upstreams(service_name) < services.count(
+                        service_name
+                    ):
                         await asyncio.sleep(0.02)
 
     async def send(
@@ -131,11 +148,24 @@
         host: str = "desk.example",
         **options: Any,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Sends a request to a daemon; returns the status, headers and body."""
-        self._attempts += 1
+        """Sends a request of a caller to a daemon.
+
+        Args:
+            index: Index of the daemon in `daemons`.
+            path: Path of the request.
+            method: HTTP method.
+            deadline_ms: Time for which the caller waits, in milliseconds.
+            host: Host of the route.
+            **options: Passed to `aiohttp.ClientSession.request`; `headers` are
+                added to those of the caller.
+
+        Returns:
+            Status, headers and body of the response.
+        """
+        self._attempt_count += 1
         headers = {
             "Host": host,
-            "X-Attempt-Id": f"a{self._attempts}",
+            "X-Attempt-Id": f"a{self._attempt_count}",
             "X-Deadline-Ms": str(deadline_ms),
         }
         async with self.client.request(
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -13,9 +13,9 @@
 from tests.platform import builders
 from tests.platform import fleets
 
-_ORDER = "op/rollout/balie"
-_STATUS = "status/rollout/balie"
-_CALLERS = 6
+_ORDER_KEY = "op/rollout/balie"
+_STATE_KEY = "status/rollout/balie"
+_CONCURRENT_REQUESTS = 6
 
 
 class RolloutTest(unittest.IsolatedAsyncioTestCase):
@@ -25,14 +25,18 @@
         self.statuses: collections.Counter[int] = collections.Counter()
 
     async def start(self, duration_s: float = 6) -> None:
-        """Starts a fleet, orders a roll-out and adds the new version."""
+        """Starts a fleet, orders a roll-out and adds servers with version v2.
+
+        Args:
+            duration_s: Time within which the roll-out must end, in seconds.
+        """
         await self.fleet.start("kassa", "balie", "balie")
         order = {
             "service": "balie",
             "targetVersion": "v2",
             "durationS": duration_s,
         }
-        await self.fleet.store.write(_ORDER, json.dumps(order).encode())
+        await self.fleet.store.write(_ORDER_KEY, json.dumps(order).encode())
         for _ in range(2):
             await self.fleet.add_daemon("balie", version="v2")
         await self.fleet.wait_until_discovered(("balie",) * 4)
@@ -46,22 +50,31 @@
         )
 
     async def send_until(self, states: str) -> str:
-        """Sends requests until the roll-out has one of the states."""
+        """Sends requests until the roll-out has one of some states.
+
+        Args:
+            states: The states, separated by spaces.
+
+        Returns:
+            The state that the roll-out has.
+        """
         async with asyncio.timeout(3 * fleets.TEST_TIMEOUT_S):
             state = ""
             while state not in states.split():
-                sends = [self.fleet.send() for _ in range(_CALLERS)]
-                for status, _, _ in await asyncio.gather(*sends):
+                requests = [
+                    self.fleet.send() for _ in range(_CONCURRENT_REQUESTS)
+                ]
+                for status, _, _ in await asyncio.gather(*requests):
                     self.statuses[status] += 1
                 state = await self.read_state()
         return state
 
     async def read_state(self) -> str:
-        """Returns the state that operators read; empty if there is none."""
-        store = stores.PlatformStore(self.fleet.store.address)
-        await store.start()
-        entry = await store.get(_STATUS)
-        await store.close()
+        """Returns the state in the store; empty if there is none."""
+        client = stores.PlatformStore(self.fleet.store.address)
+        await client.start()
+        entry = await client.get(_STATE_KEY)
+        await client.close()
         if entry is None:
             return ""
         fields = json.loads(entry.value)
@@ -105,9 +118,9 @@
         await self.fleet.store.start()
         self.fleet.push_async_callback(self.fleet.store.close)
         order = b'{"service":"balie","targetVersion":"v2","durationS":60}'
-        await self.fleet.store.write(_ORDER, order)
+        await self.fleet.store.write(_ORDER_KEY, order)
         await self.fleet.store.write(
-            _STATUS, b'{"state":"rolled_back","targetVersion":"v2"}'
+            _STATE_KEY, b'{"state":"rolled_back","targetVersion":"v2"}'
         )
         await self.fleet.store.write(
             stores.CONFIGURATION_KEY, builders.build_configuration(5)
@@ -121,7 +134,7 @@
 
 
 async def _fail(request: web.Request) -> web.StreamResponse:
-    """Fails two of three requests."""
+    """Answers two of three requests with status 500."""
     attempt_number = int(request.headers["X-Attempt-Id"].removeprefix("a"))
     status = 500 if attempt_number % 3 else 200
     return web.Response(
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -22,7 +22,7 @@
     async def send_nested_call(
         self, request: web.Request
     ) -> web.StreamResponse:
-        """Waits, then sends a nested call, as the platform's servers do."""
+        """Waits, then sends a nested call through the local daemon."""
         self.call_started.set()
         await self.may_continue.wait()
         nested_headers = {
@@ -41,10 +41,12 @@
             status=status, headers=self.fleet.backends[0].sign(request)
         )
 
-    async def test_nested_call_while_the_daemon_drains(
-        self,
-    ) -> None:
-        """Guards against calls in flight that fail when their daemon stops."""
+    async def test_nested_call_while_the_daemon_drains(self) -> None:
+        """Guards against calls in flight that fail when their daemon stops.
+
+        The backend server sends a nested call after the drain has begun. If the
+        daemon refused it, the call in flight would fail too.
+        """
         await self.fleet.start(
             "balie",
             "kassa",
