--- a/tests/requests/relays.py
+++ b/tests/requests/relays.py
@@ -1,4 +1,4 @@
-"""A TCP relay whose connections can go silent."""
+"""TCP relay between daemons, whose connections can be silenced or delayed."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
     import aiohttp
 
-# One-way delay of a full link. The round trip exceeds the return trip that any
-# call with a deadline of one second reserves.
-_FULL_LINK_S = 0.15
+# One-way delay of a full link, in seconds. The round trip takes longer than the
+# time that any call with a deadline of one second reserves for the return trip.
+_FULL_LINK_DELAY_S = 0.15
 
 
 class Relay:
-    """Forwards bytes to a port, and drops them once silenced.
+    """Forwards connections to a port until they are silenced.
 
     Attributes:
         port: Port on which it listens.
@@ -33,8 +33,10 @@
         self.forwarded_bytes = 0
         self.delay_s = 0.0
         self._target_port = target_port
-        self._silenced: asyncio.Event = asyncio.Event()
-        self._ignores_new = False
+        # Set when the connections that are now open are silenced; connections
+        # opened later have another event.
+        self._silenced_event: asyncio.Event = asyncio.Event()
+        self._ignores_new_connections = False
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -56,39 +58,43 @@
             writer.transport.abort()
 
     def silence(self, include_new: bool = False) -> None:
-        """Drops all bytes received on the open connections from now on.
+        """Silences the open connections: their bytes are dropped from now on.
+
+        The connections stay open, so neither end notices it.
 
         Args:
-            include_new: Also never forward anything on new connections.
+            include_new: Whether to also accept, but not serve, new connections.
         """
-        self._silenced.set()
-        self._silenced = asyncio.Event()
-        self._ignores_new = include_new
+        self._silenced_event.set()
+        self._silenced_event = asyncio.Event()
+        self._ignores_new_connections = include_new
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.append(writer)
-        if self._ignores_new:
+        if self._ignores_new_connections:
             return
-        silenced = self._silenced
+        silenced_event = self._silenced_event
         target_reader, target_writer = await asyncio.open_connection(
             "127.0.0.1", self._target_port
         )
         self._writers.append(target_writer)
         for source, sink in ((reader, target_writer), (target_reader, writer)):
-            task = asyncio.create_task(self._forward(source, sink, silenced))
+            task = asyncio.create_task(
+                self._forward(source, sink, silenced_event)
+            )
             self._tasks.add(task)
 
     async def _forward(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
-        silenced: asyncio.Event,
+        silenced_event: asyncio.Event,
     ) -> None:
         while True:
             data = await source.read(65536)
-            if silenced.is_set():
+            if silenced_event.is_set():
                 if not data:
                     return
                 continue
@@ -147,7 +153,7 @@
         The nodes and a client session.
     """
     async with run_relayed_nodes(handler, **options) as (nodes, relay, client):
-        relay.delay_s = _FULL_LINK_S
+        relay.delay_s = _FULL_LINK_DELAY_S
         await client.get(nodes[0].url + "/quick")
         relay.delay_s = 0.0
         yield nodes, client
