--- a/tests/operators/test_rollout_commands.py
+++ b/tests/operators/test_rollout_commands.py
@@ -69,6 +69,22 @@
                 self.assertIn("nothing was changed", result.output)
         self.assertEqual(asyncio.run(self.storage.read_orders()), [])
 
+    def test_lost_answer_to_an_order(self) -> None:
+        """Guards against calling an order that is in the store no change.
+
+        The store writes the order, but its answer to that write is lost.
+        """
+        self.runner.store.lost_answers[storages.ORDER_PREFIX + "balie"] = 1
+        result = self.runner.run(*_START)
+        (order,) = asyncio.run(self.storage.read_orders())
+        self.assertEqual(order.version, "v2")
+        self.assertIn(
+            result.exit_code,
+            (exit_codes.OK, exit_codes.UNKNOWN_OUTCOME),
+            result.output,
+        )
+        self.assertNotIn("nothing was changed", result.output.lower())
+
     def test_unfinished_rollout_is_not_replaced(self) -> None:
         """Guards against an order that replaces one that has not ended.
 
