--- a/tests/operators/test_rollout_commands.py
+++ b/tests/operators/test_rollout_commands.py
@@ -7,6 +7,7 @@
 import unittest
 
 from merlintrestle.operators import exit_codes
+from merlintrestle.rollouts import orders
 from merlintrestle.rollouts import storage as storages
 from merlintrestle.schema import control_pb2
 from tests.operators import builders
@@ -100,6 +101,30 @@
         status = self._run_json("rollout", "status", "balie")
         self.assertEqual(status["state"], "ordered")
 
+    def test_order_after_the_check_is_not_replaced(self) -> None:
+        """Guards against silently replacing the order of another operator.
+
+        It is written after the check that no roll-out runs, at the command's
+        first write, which is the one to the audit trail.
+        """
+
+        async def write_other_order(method: str, key: str) -> None:
+            if method == "put":
+                self.runner.store.before_call = None
+                order = control_pb2.Rollout(
+                    service="balie", version="v3", within_ms=60_000
+                )
+                await orders.write_order(self.runner.store, order)
+
+        self.runner.store.before_call = write_other_order
+        result = self.runner.run(*_START)
+        (order,) = asyncio.run(self.storage.read_orders())
+        self.assertEqual(
+            (result.exit_code, order.version),
+            (exit_codes.LOST_RACE, "v3"),
+            result.output,
+        )
+
     def test_abort(self) -> None:
         """Guards against a roll-out that continues after it was aborted.
 
