--- a/tests/operators/test_status_queries.py
+++ b/tests/operators/test_status_queries.py
@@ -9,6 +9,7 @@
 from merlintrestle.operators import exit_codes
 from merlintrestle.operators import fleet
 from merlintrestle.schema import control_pb2
+from merlintrestle.store import records
 from tests.operators import builders
 
 _MESH = str(builders.FLEETS / "zaanoever" / "mesh.toml")
@@ -108,6 +109,20 @@
             [daemon["version"] for daemon in status["daemons"]], [1] * 3
         )
 
+    def test_missing_document_is_reported(self) -> None:
+        """Guards against a status that hides a document that cannot be read.
+
+        The head can be read, but the document that it refers to was deleted.
+        """
+        for key in list(self.runner.store.entries):
+            if key.startswith(records.DOCUMENT_PREFIX):
+                del self.runner.store.entries[key]
+        result = self.runner.run("status", *_DAEMON)
+        self.assertEqual(
+            result.exit_code, exit_codes.STORE_UNAVAILABLE, result.output
+        )
+        self.assertIn("is not in the store", result.output)
+
     def test_targets_are_summed_over_daemons(self) -> None:
         """Guards against reporting a target as missed for one daemon's calls.
 
