--- a/tests/operators/test_command.py
+++ b/tests/operators/test_command.py
@@ -111,6 +111,19 @@
         )
         self.assertIn("history", result.output)
 
+    def test_flag_before_the_command_overrides_its_variable(self) -> None:
+        """Guards against a change under another operator's name.
+
+        The operator is given by a flag before the command's name, and the
+        environment variable names another operator.
+        """
+        self.runner.run("--operator", "bram", "apply", _MESH, operator="anna")
+        history = json.loads(
+            self.runner.run("history", "--output", "json").output
+        )
+        operators = [attempt["operator"] for attempt in history["attempts"]]
+        self.assertEqual(operators, ["bram"])
+
     def test_missing_record_is_not_reported_as_outage(self) -> None:
         """Guards against calling a missing record an outage of the store.
 
