--- a/tests/operators/test_rollout_commands.py
+++ b/tests/operators/test_rollout_commands.py
@@ -7,6 +7,7 @@
 import unittest
 
 from merlintrestle.operators import exit_codes
+from merlintrestle.rollouts import orders
 from merlintrestle.rollouts import storage as storages
 from merlintrestle.schema import control_pb2
 from tests.operators import builders
@@ -69,6 +70,22 @@
                 self.assertIn("nothing was changed", result.output)
         self.assertEqual(asyncio.run(self.storage.read_orders()), [])
 
+    def test_lost_answer_to_an_order(self) -> None:
+        """Guards against calling an order that is in the store no change.
+
+        The store writes the order, but its answer to that write is lost.
+        """
+        self.runner.store.lost_answers[storages.ORDER_PREFIX + "balie"] = 1
+        result = self.runner.run(*_START)
+        (order,) = asyncio.run(self.storage.read_orders())
+        self.assertEqual(order.version, "v2")
+        self.assertIn(
+            result.exit_code,
+            (exit_codes.OK, exit_codes.UNKNOWN_OUTCOME),
+            result.output,
+        )
+        self.assertNotIn("nothing was changed", result.output.lower())
+
     def test_unfinished_rollout_is_not_replaced(self) -> None:
         """Guards against an order that replaces one that has not ended.
 
@@ -84,6 +101,30 @@
         status = self._run_json("rollout", "status", "balie")
         self.assertEqual(status["state"], "ordered")
 
+    def test_order_after_the_check_is_not_replaced(self) -> None:
+        """Guards against silently replacing the order of another operator.
+
+        It is written after the check that no roll-out runs, at the command's
+        first write, which is the one to the audit trail.
+        """
+
+        async def write_other_order(method: str, key: str) -> None:
+            if method == "put":
+                self.runner.store.before_call = None
+                order = control_pb2.Rollout(
+                    service="balie", version="v3", within_ms=60_000
+                )
+                await orders.write_order(self.runner.store, order)
+
+        self.runner.store.before_call = write_other_order
+        result = self.runner.run(*_START)
+        (order,) = asyncio.run(self.storage.read_orders())
+        self.assertEqual(
+            (result.exit_code, order.version),
+            (exit_codes.LOST_RACE, "v3"),
+            result.output,
+        )
+
     def test_abort(self) -> None:
         """Guards against a roll-out that continues after it was aborted.
 
