--- a/standins/announcements.py
+++ b/standins/announcements.py
@@ -11,7 +11,7 @@
 
 logger = logging.getLogger(__name__)
 
-_INTERVAL_S = 1.0
+_ANNOUNCEMENT_INTERVAL_S = 1.0
 _REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=1.0)
 
 
@@ -79,6 +79,6 @@
 
     async def _repeat(self) -> None:
         while True:
-            await asyncio.sleep(_INTERVAL_S)
+            await asyncio.sleep(_ANNOUNCEMENT_INTERVAL_S)
             if self._latest is not None:
                 await self.announce(self._latest)
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -128,7 +128,7 @@
         return web.json_response({"state": self.state}, status=status)
 
     async def _show_load(self, _request: web.Request) -> web.Response:
-        return web.json_response(self._worker.read_reported_load())
+        return web.json_response(self._worker.build_load_report())
 
     async def _show_runs(self, _request: web.Request) -> web.Response:
         return web.json_response(self._ledger.records)
@@ -153,7 +153,7 @@
     daemon_url: str,
     port: int,
 ) -> None:
-    stop = process.wait_for_stop_signal()
+    stop = process.create_stop_event()
     backend = BackendStandin(settings, admin_address, ledger_path, daemon_url)
     await backend.start(port)
     process.print_ready(
@@ -170,7 +170,7 @@
     await backend.close()
 
 
-def _parse_work(options: tuple[str, ...]) -> dict[str, float]:
+def _parse_work_ms(options: tuple[str, ...]) -> dict[str, float]:
     pairs = [option.partition("=") for option in options]
     return {prefix: float(ms) for prefix, _, ms in pairs}
 
@@ -201,7 +201,7 @@
     """Runs the stand-in for a backend server; SIGTERM drains and stops it."""
     process.configure_logging(f"{service} stand-in")
     settings = worker.Settings(
-        service, slots, _parse_work(work_ms), cold_start_s, cold_factor
+        service, slots, _parse_work_ms(work_ms), cold_start_s, cold_factor
     )
     run: Any = functools.partial(
         _run, settings, admin, ledger_path, daemon, port
--- a/standins/content.py
+++ b/standins/content.py
@@ -1,4 +1,4 @@
-"""Generates download bodies that callers can verify by their hasher."""
+"""Generates download bodies that callers can verify by their checksum."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     """Yields the body for a request in chunks of at most `CHUNK_BYTES`.
 
     Each request has a body of its own, and each chunk contains its number, so
-    a reordered, duplicated or missing chunk changes the hasher.
+    a reordered, duplicated or missing chunk changes the checksum.
     """
     filler = hashlib.shake_256(request_id.encode()).digest(CHUNK_BYTES - 8)
     offset = 0
     while offset < total_bytes:
-        chunk_number = (offset // CHUNK_BYTES).to_bytes(8, "big")
-        chunk = (chunk_number + filler)[: total_bytes - offset]
+        encoded_number = (offset // CHUNK_BYTES).to_bytes(8, "big")
+        chunk = (encoded_number + filler)[: total_bytes - offset]
         offset += len(chunk)
         yield chunk
 
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -34,11 +34,11 @@
     """Lease that removes its keys when it expires.
 
     Attributes:
-        seconds: Time to live, in seconds.
+        ttl_s: Time to live, in seconds.
         expires_at: Time of expiry on the clock of the map, in seconds.
     """
 
-    seconds: int
+    ttl_s: int
     expires_at: float
 
 
@@ -55,7 +55,7 @@
 
     Attributes:
         revision: Revision of the last change of any key.
-        waiting_watches: Number of open watches.
+        open_watches: Number of open watches.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
@@ -65,7 +65,7 @@
             clock: Returns the time in seconds of any monotonic clock.
         """
         self.revision = 0
-        self.waiting_watches = 0
+        self.open_watches = 0
         self._clock = clock
         self._entries: dict[str, Entry] = {}
         self._leases: dict[int, _Lease] = {}
@@ -125,7 +125,7 @@
         self.expire_leases()
         return select_entries(self._entries, prefix, after, limit)
 
-    def copy(self) -> dict[str, Entry]:
+    def copy_entries(self) -> dict[str, Entry]:
         """Returns a snapshot of all entries."""
         self.expire_leases()
         return dict(self._entries)
@@ -137,14 +137,14 @@
         self._leases[lease_id] = _Lease(seconds, self._clock() + seconds)
         return lease_id
 
-    def keep_lease(self, lease_id: int) -> int:
+    def renew_lease(self, lease_id: int) -> int:
         """Renews a lease and returns its seconds; 0 if it has expired."""
         self.expire_leases()
         lease = self._leases.get(lease_id)
         if lease is None:
             return 0
-        lease.expires_at = self._clock() + lease.seconds
-        return lease.seconds
+        lease.expires_at = self._clock() + lease.ttl_s
+        return lease.ttl_s
 
     def expire_leases(self) -> None:
         """Removes leases whose time to live is over, and their keys."""
@@ -178,24 +178,24 @@
         """
         change_event = asyncio.Event()
         self._change_events.setdefault(key, set()).add(change_event)
-        self.waiting_watches += 1
+        self.open_watches += 1
         latest_revision = after_revision
-        key_reported = False
+        key_yielded = False
         try:
             while True:
                 change_event.clear()
                 entry = self.get(key)
                 if entry.revision > latest_revision:
                     latest_revision = entry.revision
-                    key_reported = True
+                    key_yielded = True
                     yield entry
-                elif not entry.revision and key_reported:
-                    key_reported = False
+                elif not entry.revision and key_yielded:
+                    key_yielded = False
                     yield entry
                 else:
                     await change_event.wait()
         finally:
-            self.waiting_watches -= 1
+            self.open_watches -= 1
             self._change_events[key].discard(change_event)
 
     def _remove(self, key: str) -> None:
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -24,19 +24,19 @@
         """
         self.records: list[dict[str, Any]] = []
         self._path = path
-        self._file = -1
+        self._file_descriptor = -1
 
     def start(self) -> None:
         """Opens the file, if there is one."""
         if self._path:
             flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
-            self._file = os.open(self._path, flags, 0o600)
+            self._file_descriptor = os.open(self._path, flags, 0o600)
 
     def close(self) -> None:
         """Closes the file, if it is open."""
-        if self._file >= 0:
-            os.close(self._file)
-            self._file = -1
+        if self._file_descriptor >= 0:
+            os.close(self._file_descriptor)
+            self._file_descriptor = -1
 
     def record(self, event: str, request_id: str, **fields: Any) -> None:
         """Records an event of a request.
@@ -53,10 +53,12 @@
             **fields,
         }
         self.records.append(record)
-        if self._file >= 0:
+        if self._file_descriptor >= 0:
             # A single write call per line keeps the line even if the process is
             # killed right after, and lines of several processes do not mix.
-            os.write(self._file, (json.dumps(record) + "\n").encode())
+            os.write(
+                self._file_descriptor, (json.dumps(record) + "\n").encode()
+            )
 
 
 def read_ledger(path: str) -> list[dict[str, Any]]:
--- a/standins/plain_proxy.py
+++ b/standins/plain_proxy.py
@@ -52,7 +52,7 @@
 
 
 async def _run(upstream: str) -> None:
-    stop = process.wait_for_stop_signal()
+    stop = process.create_stop_event()
     proxy = PlainProxy(upstream)
     await proxy.start()
     process.print_ready("plain proxy", port=proxy.port)
--- a/standins/plain_random_proxy.py
+++ b/standins/plain_random_proxy.py
@@ -95,7 +95,7 @@
 
 
 async def _run(port: int, admin_port: int) -> None:
-    stop = process.wait_for_stop_signal()
+    stop = process.create_stop_event()
     proxy = PlainRandomProxy()
     await proxy.start(port, admin_port)
     process.print_ready(
--- a/standins/plain_watcher.py
+++ b/standins/plain_watcher.py
@@ -23,7 +23,7 @@
 
 logger = logging.getLogger(__name__)
 
-_RETRY_DELAY_S = 0.5
+_MEAN_RETRY_DELAY_S = 0.5
 
 
 class PlainWatcher:
@@ -34,10 +34,10 @@
         admin_port: Port for `GET /versions`; set by `start`.
     """
 
-    def __init__(self, store: str):
+    def __init__(self, store_address: str):
         self.versions: list[tuple[int, int]] = []
         self.admin_port = 0
-        self._store = client.StoreClient(store)
+        self._store = client.StoreClient(store_address)
         self._documents: dict[str, bytes] = {}
         self._revision = 0
         self._runner: web.AppRunner
@@ -67,7 +67,7 @@
                     await self._fetch_documents(entry)
             except errors.StoreError as error:
                 logger.info("%s", error)
-            await asyncio.sleep(_RETRY_DELAY_S * (0.5 + random.random()))
+            await asyncio.sleep(_MEAN_RETRY_DELAY_S * (0.5 + random.random()))
 
     async def _fetch_documents(self, entry: client.Entry) -> None:
         head = document_pb2.Head()
@@ -91,9 +91,9 @@
         )
 
 
-async def _run(store: str, admin_port: int) -> None:
-    stop = process.wait_for_stop_signal()
-    watcher = PlainWatcher(store)
+async def _run(store_address: str, admin_port: int) -> None:
+    stop = process.create_stop_event()
+    watcher = PlainWatcher(store_address)
     await watcher.start(admin_port)
     process.print_ready("plain watcher", admin_port=watcher.admin_port)
     await stop.wait()
--- a/standins/platform_backend.py
+++ b/standins/platform_backend.py
@@ -64,7 +64,7 @@
             application,
             self.port,
             handler_cancellation=True,
-            shutdown_timeout=0.05,
+            shutdown_timeout_s=0.05,
         )
 
     async def close(self) -> None:
@@ -133,10 +133,10 @@
         if request.path == "/health":
             return self._answer_health_check()
         self.received_headers.append(dict(request.headers))
-        target_instance = request.headers.get(
+        target_instance_id = request.headers.get(
             "X-Target-Instance", self.instance_id
         )
-        if target_instance != self.instance_id:
+        if target_instance_id != self.instance_id:
             return web.Response(status=421)
         if self.rejects_requests:
             return web.Response(status=503, headers={"X-Not-Executed": "1"})
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -14,10 +14,10 @@
 from standins import process
 
 _PATH_PREFIX = "/merlintrestle/kv-"
-_PAGE_ITEMS = 500
+_MAX_PAGE_ITEMS = 500
 _MAX_TRANSACTION_ENTRIES = 32
 _CHUNK_BYTES = 16 * 1024
-_FORBIDDEN_PREFIXES = ("op/", "servers/")
+_READ_ONLY_PREFIXES = ("op/", "servers/")
 
 
 class Item(NamedTuple):
@@ -72,14 +72,14 @@
     Attributes:
         port: Its port; set by `start`.
         faults: Active faults.
-        calls: Number of calls by kind, such as "range".
+        call_counts: Number of calls by kind, such as "range".
         sent_bytes: Bytes of the bodies of the answers by kind of call.
     """
 
     def __init__(self) -> None:
         self.port = 0
         self.faults = Faults()
-        self.calls: dict[str, int] = {}
+        self.call_counts: dict[str, int] = {}
         self.sent_bytes: dict[str, int] = {}
         self._revision = 1
         self._items: dict[str, Item] = {}
@@ -114,7 +114,7 @@
             ]
         )
         self._runner, self.port = await process.serve(
-            application, self.port, shutdown_timeout=0.05
+            application, self.port, shutdown_timeout_s=0.05
         )
 
     async def close(self) -> None:
@@ -145,7 +145,7 @@
     @web.middleware
     async def _inject_faults(self, request: web.Request, handler: Any) -> Any:
         kind = request.path.removeprefix(_PATH_PREFIX).partition("/")[0]
-        self.calls[kind] = self.calls.get(kind, 0) + 1
+        self.call_counts[kind] = self.call_counts.get(kind, 0) + 1
         if self.faults.hang:
             await asyncio.sleep(3600)
         if self.faults.status:
@@ -180,14 +180,14 @@
         return streamed_answer
 
     async def _handle_key(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         item = self._items.get(request.query["key"])
         if item is None:
             return web.json_response({"at": self._revision}, status=404)
         return web.json_response({**item.to_json(), "at": self._revision})
 
     async def _handle_range(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         after = request.query.get("after", "")
         matching_items = [
             self._items[key]
@@ -197,9 +197,9 @@
         return web.json_response(
             {
                 "items": [
-                    item.to_json() for item in matching_items[:_PAGE_ITEMS]
+                    item.to_json() for item in matching_items[:_MAX_PAGE_ITEMS]
                 ],
-                "hasMore": len(matching_items) > _PAGE_ITEMS,
+                "hasMore": len(matching_items) > _MAX_PAGE_ITEMS,
                 "at": self._revision,
             }
         )
@@ -227,13 +227,13 @@
         return web.json_response({}, status=410)
 
     async def _handle_txn(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         transaction = await request.json()
         expected = transaction.get("expectedRev", [])
         writes = transaction.get("writes", [])
         removed_keys = transaction.get("remove", [])
         keys = [write["key"] for write in writes] + removed_keys
-        if any(key.startswith(_FORBIDDEN_PREFIXES) for key in keys):
+        if any(key.startswith(_READ_ONLY_PREFIXES) for key in keys):
             return web.json_response({}, status=403)
         if len(expected) + len(keys) > _MAX_TRANSACTION_ENTRIES:
             return web.json_response({}, status=400)
@@ -269,7 +269,7 @@
         return web.json_response({"lease": lease, "ttlMs": ttl_ms})
 
     async def _handle_keep(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         lease = int(request.match_info["lease"])
         if lease not in self._leases:
             return web.json_response({}, status=404)
@@ -279,7 +279,7 @@
 
     async def _handle_lease_end(self, request: web.Request) -> web.Response:
         self._leases.pop(int(request.match_info["lease"]), None)
-        self._expire()
+        self._expire_leases()
         return web.json_response({})
 
     def _get_revision(self, key: str) -> int:
@@ -299,7 +299,7 @@
                 {"key": key, "revision": self._revision, "deleted": True}
             )
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = time.monotonic()
         self._leases = {
             lease: expiry_and_ttl
--- a/standins/process.py
+++ b/standins/process.py
@@ -33,7 +33,7 @@
     print(json.dumps({"ready": name, **fields}), flush=True)
 
 
-def wait_for_stop_signal() -> asyncio.Event:
+def create_stop_event() -> asyncio.Event:
     """Returns an event that is set on SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -46,7 +46,7 @@
     application: web.Application,
     port: int = 0,
     handler_cancellation: bool = False,
-    shutdown_timeout: float = 60.0,
+    shutdown_timeout_s: float = 60.0,
 ) -> tuple[web.AppRunner, int]:
     """Serves an application on loopback.
 
@@ -55,7 +55,7 @@
         port: Port to listen on; 0 chooses a free one.
         handler_cancellation: Whether a handler is cancelled when its caller
             disconnects.
-        shutdown_timeout: Time in seconds that open requests get when the
+        shutdown_timeout_s: Time in seconds that open requests get when the
             runner is cleaned up.
 
     Returns:
@@ -65,7 +65,7 @@
         application,
         access_log=None,
         handler_cancellation=handler_cancellation,
-        shutdown_timeout=shutdown_timeout,
+        shutdown_timeout=shutdown_timeout_s,
     )
     await runner.setup()
     site = web.TCPSite(runner, HOST, port)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -8,7 +8,7 @@
 
 _READ_CHUNK_BYTES = 64 * 1024
 _NO_TIMEOUT = aiohttp.ClientTimeout()
-_HOP_BY_HOP = frozenset(
+_UNRELAYED_HEADERS = frozenset(
     name.lower()
     for name in (
         hdrs.CONNECTION,
@@ -61,7 +61,7 @@
     headers = [
         (name, value)
         for name, value in request.headers.items()
-        if name.lower() not in _HOP_BY_HOP
+        if name.lower() not in _UNRELAYED_HEADERS
     ]
     async with session.request(
         request.method, url, headers=headers, data=body or None
@@ -70,7 +70,7 @@
             upstream_answer.raise_for_status()
         answer = web.StreamResponse(status=upstream_answer.status)
         for name, value in upstream_answer.headers.items():
-            if name.lower() not in _HOP_BY_HOP:
+            if name.lower() not in _UNRELAYED_HEADERS:
                 answer.headers.add(name, value)
         if upstream_answer.content_length is not None:
             answer.content_length = upstream_answer.content_length
--- a/standins/servicer.py
+++ b/standins/servicer.py
@@ -40,42 +40,42 @@
     """Answers the calls of store.proto, counts them and injects faults.
 
     Attributes:
-        data: The stored entries.
+        key_value_store: The stored entries.
         faults: Active faults; change them with `set_faults`.
-        calls: Number of calls by kind ("get"), and by kind and first segment
-            of the key ("get documents").
-        calls_by_second: Number of calls by second since 1970, for the latest
-            120 seconds that had calls.
-        max_waiting_watches: Highest number of watches that were open at once.
+        call_counts: Number of calls by kind ("get"), and by kind and first
+            segment of the key ("get documents").
+        call_counts_by_second: Number of calls by second since 1970, for the
+            latest 120 seconds that had calls.
+        max_open_watches: Highest number of watches that were open at once.
         writes: The latest 10,000 writes, oldest first.
     """
 
-    def __init__(self, data: keyvalue.KeyValueStore):
-        self.data = data
+    def __init__(self, key_value_store: keyvalue.KeyValueStore):
+        self.key_value_store = key_value_store
         self.faults = faults.StoreFaults()
-        self.calls: collections.Counter[str] = collections.Counter()
-        self.calls_by_second: dict[int, int] = {}
-        self.max_waiting_watches = 0
+        self.call_counts: collections.Counter[str] = collections.Counter()
+        self.call_counts_by_second: dict[int, int] = {}
+        self.max_open_watches = 0
         self.writes: collections.deque[Write] = collections.deque(
             maxlen=_MAX_KEPT_WRITES
         )
-        self._stale_entries: dict[str, keyvalue.Entry] | None = None
+        self.stale_entries: dict[str, keyvalue.Entry] | None = None
         self._faults_changed = asyncio.Event()
 
     def take_snapshot(self) -> None:
         """Takes the snapshot that stale reads of a later fault return."""
-        self._stale_entries = self.data.copy()
+        self.stale_entries = self.key_value_store.copy_entries()
 
     def set_faults(self, new_faults: faults.StoreFaults) -> None:
         """Replaces the active faults."""
         if (
             new_faults.stale
             and not self.faults.stale
-            and self._stale_entries is None
+            and self.stale_entries is None
         ):
             self.take_snapshot()
         if not new_faults.stale and self.faults.stale:
-            self._stale_entries = None
+            self.stale_entries = None
         self.faults = new_faults
         self._faults_changed.set()
         self._faults_changed = asyncio.Event()
@@ -89,7 +89,7 @@
         """Writes a key by compare-and-swap."""
         await self._begin_call("put", context, request.key)
         try:
-            written = self.data.put(
+            written = self.key_value_store.put(
                 request.key,
                 request.value,
                 request.expected_revision,
@@ -103,18 +103,20 @@
             await context.abort(
                 grpc.StatusCode.FAILED_PRECONDITION, f"no such {error}"
             )
-        entry = self.data.get(request.key)
+        entry = self.key_value_store.get(request.key)
         if written:
             at_ms = time.time_ns() // 1_000_000
             self.writes.append(Write(entry.key, entry.revision, at_ms))
-            self._schedule_outage_after(entry.key)
+            self._schedule_outage_after_write(entry.key)
         await self._abort_if_answer_lost(context)
         return store_pb2.PutReply(written=written, entry=_encode(entry))
 
     async def Delete(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Removes a key by compare-and-swap."""
         await self._begin_call("delete", context, request.key)
-        deleted = self.data.delete(request.key, request.expected_revision)
+        deleted = self.key_value_store.delete(
+            request.key, request.expected_revision
+        )
         await self._abort_if_answer_lost(context)
         return store_pb2.DeleteReply(deleted=deleted)
 
@@ -122,10 +124,10 @@
         """Reads the keys with a prefix."""
         await self._begin_call("list", context, request.prefix)
         selection = request.prefix, request.after, request.limit
-        if self.faults.stale and self._stale_entries is not None:
-            entries = keyvalue.select_entries(self._stale_entries, *selection)
+        if self.faults.stale and self.stale_entries is not None:
+            entries = keyvalue.select_entries(self.stale_entries, *selection)
         else:
-            entries = self.data.list(*selection)
+            entries = self.key_value_store.list(*selection)
         return store_pb2.ListReply(
             entries=[_encode(entry) for entry in entries]
         )
@@ -135,7 +137,7 @@
     ) -> AsyncIterator[Any]:
         """Sends changes of a key until the caller or an outage ends it."""
         await self._begin_call("watch", context, request.key)
-        stream = self.data.watch(request.key, request.after_revision)
+        stream = self.key_value_store.watch(request.key, request.after_revision)
         async with contextlib.aclosing(stream):  # type: ignore[type-var]
             while True:
                 entry = await self._next_entry(stream)
@@ -147,35 +149,35 @@
     async def GrantLease(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Grants a lease."""
         await self._begin_call("grant_lease", context)
-        lease_id = self.data.grant_lease(request.seconds)
+        lease_id = self.key_value_store.grant_lease(request.seconds)
         await self._abort_if_answer_lost(context)
         return store_pb2.Lease(lease_id=lease_id, seconds=request.seconds)
 
     async def KeepLease(self, request: Any, context: Any) -> Any:  # noqa: N802
         """Renews a lease."""
         await self._begin_call("keep_lease", context)
-        seconds = self.data.keep_lease(request.lease_id)
+        seconds = self.key_value_store.renew_lease(request.lease_id)
         await self._abort_if_answer_lost(context)
         return store_pb2.Lease(lease_id=request.lease_id, seconds=seconds)
 
     def _read_entry(self, key: str) -> keyvalue.Entry:
-        if self.faults.stale and self._stale_entries is not None:
-            return self._stale_entries.get(key, keyvalue.Entry(key))
-        return self.data.get(key)
+        if self.faults.stale and self.stale_entries is not None:
+            return self.stale_entries.get(key, keyvalue.Entry(key))
+        return self.key_value_store.get(key)
 
-    def _count_call(self) -> None:
+    def _count_call_by_second(self) -> None:
         second = int(time.time())
-        if second not in self.calls_by_second:
-            self.calls_by_second[second] = 0
-            if len(self.calls_by_second) > _MAX_COUNTED_SECONDS:
-                del self.calls_by_second[min(self.calls_by_second)]
-        self.calls_by_second[second] += 1
+        if second not in self.call_counts_by_second:
+            self.call_counts_by_second[second] = 0
+            if len(self.call_counts_by_second) > _MAX_COUNTED_SECONDS:
+                del self.call_counts_by_second[min(self.call_counts_by_second)]
+        self.call_counts_by_second[second] += 1
 
     async def _begin_call(self, kind: str, context: Any, key: str = "") -> None:
-        self._count_call()
-        self.calls[kind] += 1
+        self._count_call_by_second()
+        self.call_counts[kind] += 1
         if key:
-            self.calls[f"{kind} {key.split('/')[0]}"] += 1
+            self.call_counts[f"{kind} {key.split('/')[0]}"] += 1
         if self.faults.latency_s:
             await asyncio.sleep(self.faults.latency_s)
         while self.faults.outage is faults.Outage.HANGING:
@@ -188,7 +190,7 @@
             self.faults.lose_answers -= 1
             await context.abort(grpc.StatusCode.UNAVAILABLE, "answer lost")
 
-    def _schedule_outage_after(self, key: str) -> None:
+    def _schedule_outage_after_write(self, key: str) -> None:
         if key == self.faults.fail_after_key:
             outage = faults.StoreFaults(faults.Outage.UNAVAILABLE)
             loop = asyncio.get_running_loop()
@@ -201,36 +203,34 @@
 
         While reads are stale or calls hang, it waits and sends nothing.
         """
-        next_entry = asyncio.ensure_future(anext(stream))
+        entry_task = asyncio.ensure_future(anext(stream))
         try:
             while True:
-                self.max_waiting_watches = max(
-                    self.max_waiting_watches, self.data.waiting_watches
+                self.max_open_watches = max(
+                    self.max_open_watches, self.key_value_store.open_watches
                 )
-                suppressed = self.faults.stale
+                entries_suppressed = self.faults.stale
                 if self.faults.outage is faults.Outage.HANGING:
-                    suppressed = True
+                    entries_suppressed = True
                 elif self.faults.outage is not faults.Outage.NONE:
                     return None
-                faults_change = asyncio.ensure_future(
-                    self._faults_changed.wait()
-                )
+                faults_task = asyncio.ensure_future(self._faults_changed.wait())
                 awaited_tasks = (
-                    {faults_change}
-                    if suppressed
-                    else {faults_change, next_entry}
+                    {faults_task}
+                    if entries_suppressed
+                    else {faults_task, entry_task}
                 )
                 await asyncio.wait(
                     awaited_tasks, return_when=asyncio.FIRST_COMPLETED
                 )
-                faults_change.cancel()
-                if next_entry.done() and not suppressed:
-                    return next_entry.result()
+                faults_task.cancel()
+                if entry_task.done() and not entries_suppressed:
+                    return entry_task.result()
         finally:
-            if not next_entry.done():
-                next_entry.cancel()
+            if not entry_task.done():
+                entry_task.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
-                    await next_entry
+                    await entry_task
 
     async def _abort_watch(self, context: Any) -> None:
         await context.abort(grpc.StatusCode.UNAVAILABLE, "outage")
--- a/standins/store.py
+++ b/standins/store.py
@@ -55,12 +55,12 @@
         control_application = web.Application()
         control_application.router.add_get("/counters", self._show_counters)
         control_application.router.add_get("/writes", self._show_writes)
-        control_application.router.add_post("/remember", self._handle_remember)
+        control_application.router.add_post("/remember", self._take_snapshot)
         control_application.router.add_post("/faults", self._change_faults)
         self._control_runner, self.control_port = await process.serve(
             control_application, self.control_port
         )
-        self._expiry_task = asyncio.create_task(self._expire_leases())
+        self._expiry_task = asyncio.create_task(self._expire_leases_forever())
 
     async def close(self) -> None:
         """Closes both ports and cancels every call."""
@@ -81,11 +81,11 @@
     def read_counters(self) -> dict[str, Any]:
         """Returns the counts of calls and open watches and the revision."""
         return {
-            "calls": dict(self.servicer.calls),
-            "calls_by_second": self.servicer.calls_by_second,
-            "waiting_watches": self.servicer.data.waiting_watches,
-            "most_waiting_watches": self.servicer.max_waiting_watches,
-            "revision": self.servicer.data.revision,
+            "calls": dict(self.servicer.call_counts),
+            "calls_by_second": self.servicer.call_counts_by_second,
+            "waiting_watches": self.servicer.key_value_store.open_watches,
+            "most_waiting_watches": self.servicer.max_open_watches,
+            "revision": self.servicer.key_value_store.revision,
         }
 
     async def _listen(self) -> None:
@@ -105,10 +105,10 @@
             server, self._server = self._server, None
             await server.stop(grace=0)
 
-    async def _expire_leases(self) -> None:
+    async def _expire_leases_forever(self) -> None:
         while True:
             await asyncio.sleep(_LEASE_CHECK_INTERVAL_S)
-            self.servicer.data.expire_leases()
+            self.servicer.key_value_store.expire_leases()
 
     async def _show_counters(self, _request: web.Request) -> web.Response:
         return web.json_response(self.read_counters())
@@ -120,7 +120,7 @@
         ]
         return web.json_response([write._asdict() for write in writes])
 
-    async def _handle_remember(self, _request: web.Request) -> web.Response:
+    async def _take_snapshot(self, _request: web.Request) -> web.Response:
         self.servicer.take_snapshot()
         return web.json_response({})
 
@@ -134,7 +134,7 @@
 
 
 async def _run(port: int, control_port: int) -> None:
-    stop = process.wait_for_stop_signal()
+    stop = process.create_stop_event()
     store = StoreStandin(port, control_port)
     await store.start()
     process.print_ready(
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -26,8 +26,8 @@
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "Merlintrestle-Deadline-Ms"
 CRASH_HEADER = "Crash"
-_CRASH_STATUS = 70
-_DEFAULT_RATE_BYTES_PER_S = 50_000_000
+_CRASH_EXIT_STATUS = 70
+_DEFAULT_DOWNLOAD_BYTES_PER_S = 50_000_000
 
 
 class Settings(NamedTuple):
@@ -105,7 +105,7 @@
         self._idle = asyncio.Event()
         self._idle.set()
         self._open_transports: weakref.WeakSet[Any] = weakref.WeakSet()
-        self._hanging_transports: set[Any] = set()
+        self._silenced_transports: set[Any] = set()
         # Times in seconds and loads, oldest first. In a deque, the cost of a
         # call does not grow with the length of the history.
         self._load_history: collections.deque[tuple[float, float]] = (
@@ -114,7 +114,7 @@
 
     def set_faults(self, new_faults: Faults) -> None:
         """Replaces the active faults."""
-        self._hanging_transports = (
+        self._silenced_transports = (
             set(self._open_transports) if new_faults.silent else set()
         )
         if new_faults.cut:
@@ -126,7 +126,7 @@
         """Waits until no request is in flight."""
         await self._idle.wait()
 
-    def read_reported_load(self) -> dict[str, float]:
+    def build_load_report(self) -> dict[str, float]:
         """Returns the answer of the load endpoint, with a load from 0 to 1."""
         if self.faults.reported_load is not None:
             return {"load": self.faults.reported_load}
@@ -143,7 +143,7 @@
         self._open_transports.add(request.transport)
         await self._hang_if_silenced(request)
         request_id = request.headers.get(REQUEST_ID_HEADER, "")
-        fields = self._build_run_fields(request)
+        fields = self._build_record_fields(request)
         if self.faults.sheds or self.in_flight >= self._settings.slots:
             self._ledger.record("shed", request_id, **fields)
             return web.json_response(
@@ -152,7 +152,7 @@
         self._start_request()
         self._ledger.record("started", request_id, **fields)
         if CRASH_HEADER in request.headers:
-            os._exit(_CRASH_STATUS)
+            os._exit(_CRASH_EXIT_STATUS)
         event = "cancelled"
         try:
             answer = await self._run(request, request_id)
@@ -163,7 +163,7 @@
             self._ledger.record(event, request_id, **fields)
             self._finish_request()
 
-    def _build_run_fields(self, request: web.Request) -> dict[str, str]:
+    def _build_record_fields(self, request: web.Request) -> dict[str, str]:
         return {
             "key": request.headers.get(IDEMPOTENCY_KEY_HEADER, ""),
             "attempt_id": request.headers.get(ATTEMPT_ID_HEADER, ""),
@@ -176,9 +176,9 @@
     ) -> web.StreamResponse:
         body = await request.read()
         work_s = self._compute_work_s(request)
-        deadline_ms = request.headers.get(DEADLINE_HEADER)
-        if deadline_ms is not None and float(deadline_ms) / 1000 < work_s:
-            await asyncio.sleep(max(0.0, float(deadline_ms) / 1000))
+        remaining_ms = request.headers.get(DEADLINE_HEADER)
+        if remaining_ms is not None and float(remaining_ms) / 1000 < work_s:
+            await asyncio.sleep(max(0.0, float(remaining_ms) / 1000))
             return web.json_response({"deadline": True}, status=504)
         await asyncio.sleep(work_s)
         if self.faults.breaks and request.transport is not None:
@@ -203,7 +203,7 @@
     ) -> web.StreamResponse:
         total_bytes = int(request.query["bytes"])
         rate_bytes_per_s = float(
-            request.query.get("rate", _DEFAULT_RATE_BYTES_PER_S)
+            request.query.get("rate", _DEFAULT_DOWNLOAD_BYTES_PER_S)
         )
         answer = web.StreamResponse(
             headers={"Content-Length": str(total_bytes)}
@@ -227,12 +227,12 @@
         if "work_ms" in request.query:
             work_ms = float(request.query["work_ms"])
         else:
-            prefixes = self._settings.work_ms
+            work_ms_by_prefix = self._settings.work_ms
             matching_prefixes = [
-                p for p in prefixes if request.path.startswith(p)
+                p for p in work_ms_by_prefix if request.path.startswith(p)
             ]
             work_ms = (
-                prefixes[max(matching_prefixes, key=len)]
+                work_ms_by_prefix[max(matching_prefixes, key=len)]
                 if matching_prefixes
                 else 0.0
             )
@@ -243,7 +243,7 @@
 
     async def _hang_if_silenced(self, request: web.Request) -> None:
         """Hangs for ever if the `silent` fault affects the connection."""
-        if request.transport in self._hanging_transports:
+        if request.transport in self._silenced_transports:
             await asyncio.Event().wait()
 
     def _start_request(self) -> None:
--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -178,7 +178,7 @@
 
     def copy_store(self) -> dict[str, keyvalue.Entry]:
         """Returns a copy of the records of the store."""
-        return self.store.servicer.data.copy()
+        return self.store.servicer.key_value_store.copy_entries()
 
     async def serve_stale_data(
         self, entries: dict[str, keyvalue.Entry]
@@ -189,7 +189,7 @@
             entries: A copy made by `copy_store`.
         """
         await self.store.set_faults(faults.StoreFaults(stale=True))
-        self.store.servicer._stale_entries = entries
+        self.store.servicer.stale_entries = entries
 
     async def restart_daemon(self, index: int) -> Daemon:
         """Stops a daemon and starts a new one at its control address."""
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -219,7 +219,7 @@
         """Returns a future of the next head, once the store has the watch."""
         next_head = asyncio.ensure_future(anext(heads))
         self.addCleanup(next_head.cancel)
-        while "watch" not in self.standin.calls:
+        while "watch" not in self.standin.call_counts:
             await asyncio.sleep(0)
         return next_head
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -42,7 +42,7 @@
         """Guards against lists that end with the first page."""
         for number in range(3):
             await self.store.put(f"seeds/{number}", b"x", 0)
-        with mock.patch.object(platform_store, "_PAGE_ITEMS", 2):
+        with mock.patch.object(platform_store, "_MAX_PAGE_ITEMS", 2):
             found = await self.store.list("seeds/")
         self.assertEqual(
             [entry.key for entry in found], ["seeds/0", "seeds/1", "seeds/2"]
@@ -168,14 +168,16 @@
         await self.store.put("head", b"1", 0)
         _, revision = await self.store.read_newest("head")
         await self.standin.write("other", b"")
-        calls_before = dict(self.standin.calls)
+        calls_before = dict(self.standin.call_counts)
         watch = self.store.watch("head", revision)
         next_entry = asyncio.ensure_future(anext(watch))
-        while "watch" not in self.standin.calls:
+        while "watch" not in self.standin.call_counts:
             await asyncio.sleep(0)
         await self.standin.write(stores.PRODUCT_PREFIX + "head", b"2")
         self.assertEqual((await asyncio.wait_for(next_entry, 5)).value, b"2")
-        self.assertEqual(self.standin.calls["range"], calls_before["range"])
+        self.assertEqual(
+            self.standin.call_counts["range"], calls_before["range"]
+        )
         assert isinstance(watch, AsyncGenerator)
         await watch.aclose()
 
@@ -197,7 +199,7 @@
             )
         async with asyncio.timeout(5):
             self.assertEqual((await anext(watch)).value, b"5")
-        self.assertEqual(self.standin.calls.get("watch", 0), 0)
+        self.assertEqual(self.standin.call_counts.get("watch", 0), 0)
         assert isinstance(watch, AsyncGenerator)
         await watch.aclose()
 
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -50,16 +50,16 @@
         backend = await builders.start_backend(self, slots=1)
         call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
         self.addCleanup(call.cancel)
-        await self._wait_events(backend, ["started"])
+        await self._wait_for_events(backend, ["started"])
         self.assertEqual(await self._get(backend, "/b?work_ms=0"), 503)
-        await self._wait_events(backend, ["started", "shed"])
+        await self._wait_for_events(backend, ["started", "shed"])
 
     async def test_work_is_cancelled_when_the_caller_disconnects(self) -> None:
         backend = await builders.start_backend(self)
         call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
-        await self._wait_events(backend, ["started"])
+        await self._wait_for_events(backend, ["started"])
         call.cancel()
-        await self._wait_events(backend, ["started", "cancelled"])
+        await self._wait_for_events(backend, ["started", "cancelled"])
 
     async def test_deadline_ends_work_that_would_take_longer(self) -> None:
         backend = await builders.start_backend(self)
@@ -70,7 +70,7 @@
     async def test_drain_waits_for_the_call_in_flight(self) -> None:
         backend = await builders.start_backend(self)
         call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
-        await self._wait_events(backend, ["started"])
+        await self._wait_for_events(backend, ["started"])
         drain = asyncio.create_task(backend.drain())
         await asyncio.sleep(0)
         self.assertEqual(backend.state, "draining")
@@ -149,7 +149,7 @@
         async with self.session.get(url) as answer:
             return await answer.json()
 
-    async def _wait_events(self, backend, expected) -> None:
+    async def _wait_for_events(self, backend, expected) -> None:
         async with asyncio.timeout(_TEST_TIMEOUT_S):
             while True:
                 runs = await self._read_runs(backend)
--- a/tests/standins/test_keyvalue.py
+++ b/tests/standins/test_keyvalue.py
@@ -35,9 +35,11 @@
         self.lease_expiries: dict[int, float] = {}
         self.revision = 0
 
-    @stateful.rule(key=_KEYS, value=_VALUES, is_current=strategies.booleans())
-    def put(self, key, value, is_current):
-        self._put(key, value, is_current, 0)
+    @stateful.rule(
+        key=_KEYS, value=_VALUES, revision_matches=strategies.booleans()
+    )
+    def put(self, key, value, revision_matches):
+        self._put(key, value, revision_matches, 0)
 
     @stateful.rule(key=_KEYS, value=_VALUES, lease_id=strategies.integers(1, 3))
     def put_with_lease(self, key, value, lease_id):
@@ -48,13 +50,13 @@
             with _CASE.assertRaises(keyvalue.LeaseNotFoundError):
                 self.actual.put(key, value, revision, lease_id)
 
-    @stateful.rule(key=_KEYS, is_current=strategies.booleans())
-    def delete(self, key, is_current):
+    @stateful.rule(key=_KEYS, revision_matches=strategies.booleans())
+    def delete(self, key, revision_matches):
         revision = self._get_revision(key)
         deleted = self.actual.delete(
-            key, revision if is_current else revision + 1
+            key, revision if revision_matches else revision + 1
         )
-        assert deleted == (is_current and key in self.model)
+        assert deleted == (revision_matches and key in self.model)
         if deleted:
             self._remove_from_model(key)
 
@@ -65,8 +67,8 @@
         self.lease_expiries[lease_id] = self.clock.now + _LEASE_S
 
     @stateful.rule(lease_id=strategies.integers(1, 3))
-    def keep_lease(self, lease_id):
-        seconds = self.actual.keep_lease(lease_id)
+    def renew_lease(self, lease_id):
+        seconds = self.actual.renew_lease(lease_id)
         assert seconds == (_LEASE_S if lease_id in self.lease_expiries else 0)
         if lease_id in self.lease_expiries:
             self.lease_expiries[lease_id] = self.clock.now + _LEASE_S
@@ -93,14 +95,14 @@
         assert first_page == [e for e in entries if e.key.startswith("a/")][:1]
         assert self.actual.revision == self.revision
 
-    def _put(self, key, value, is_current, lease_id):
+    def _put(self, key, value, revision_matches, lease_id):
         revision = self._get_revision(key)
-        expected_revision = revision if is_current else revision + 1
+        expected_revision = revision if revision_matches else revision + 1
         assert (
             self.actual.put(key, value, expected_revision, lease_id)
-            == is_current
+            == revision_matches
         )
-        if is_current:
+        if revision_matches:
             self.revision += 1
             entry = keyvalue.Entry(key, value, self.revision, lease_id)
             self.model[key] = entry
@@ -132,7 +134,7 @@
         clock.now = float(_LEASE_S)
         data.expire_leases()
         self.assertEqual((await anext(stream)).revision, 0)
-        self.assertEqual(data.keep_lease(lease_id), 0)
+        self.assertEqual(data.renew_lease(lease_id), 0)
 
 
 if __name__ == "__main__":
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -57,4 +57,4 @@
         self.assertEqual(calls_after["get"] - calls_before["get"], 2)
 
     def _get_calls(self) -> dict[str, int]:
-        return dict(self.standin.servicer.calls)
+        return dict(self.standin.servicer.call_counts)
