--- a/standins/announcements.py
+++ b/standins/announcements.py
@@ -61,7 +61,10 @@
             await self._session.close()
 
     async def announce(self, announcement: Announcement) -> None:
-        """Sends an announcement now and repeats it from now on."""
+        """Sends an announcement now and repeats it from now on.
+
+        Failures are only logged.
+        """
         self._latest = announcement
         if not self.admin_address or self._session is None:
             return
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""Stand-in for a backend server, for tests and measurements.
+"""Stand-in for a backend server that announces itself to its daemon.
 
 Run it with `python -m standins.backend --service balie --admin IP:PORT`.
 """
@@ -47,7 +47,7 @@
         Args:
             settings: Its capacity and the duration of its work.
             admin_address: Admin address of the daemon of its instance,
-                "ip:port"; if empty, it announces itself to nobody.
+                "ip:port"; if empty, it announces itself to no daemon.
             ledger_path: File in which it records its runs; if empty, it
                 records them only in memory.
             daemon_url: URL of that daemon for nested calls; if empty, it makes
@@ -171,6 +171,7 @@
 
 
 def _parse_work_ms(options: tuple[str, ...]) -> dict[str, float]:
+    """Returns the work in milliseconds by prefix from "/prefix=ms" options."""
     pairs = [option.partition("=") for option in options]
     return {prefix: float(ms) for prefix, _, ms in pairs}
 
--- a/standins/content.py
+++ b/standins/content.py
@@ -9,18 +9,23 @@
     from collections.abc import Iterator
 
 CHUNK_BYTES = 16 * 1024
+_CHUNK_NUMBER_BYTES = 8
 
 
 def generate_chunks(request_id: str, total_bytes: int) -> Iterator[bytes]:
     """Yields the body for a request in chunks of at most `CHUNK_BYTES`.
 
-    Each request has a body of its own, and each chunk contains its number, so
-    a reordered, duplicated or missing chunk changes the checksum.
+    Each request has a body of its own, and each chunk starts with its number,
+    so a reordered, duplicated or missing chunk changes the checksum.
     """
-    filler = hashlib.shake_256(request_id.encode()).digest(CHUNK_BYTES - 8)
+    filler = hashlib.shake_256(request_id.encode()).digest(
+        CHUNK_BYTES - _CHUNK_NUMBER_BYTES
+    )
     offset = 0
     while offset < total_bytes:
-        encoded_number = (offset // CHUNK_BYTES).to_bytes(8, "big")
+        encoded_number = (offset // CHUNK_BYTES).to_bytes(
+            _CHUNK_NUMBER_BYTES, "big"
+        )
         chunk = (encoded_number + filler)[: total_bytes - offset]
         offset += len(chunk)
         yield chunk
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the stand-in for the store can inject."""
+"""Faults that the gRPC store stand-in can inject."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
     Attributes:
         NONE: The store answers.
         UNAVAILABLE: The store rejects every call immediately and ends watches.
-        REFUSED: The store does not listen; connections are refused.
-        HANGING: The store accepts calls and never answers them.
+        REFUSED: The store does not listen: connections are refused, and open
+            watches end.
+        HANGING: The store accepts calls, but does not answer them before this
+            outage ends; open watches stay open and send nothing.
     """
 
     NONE = "none"
@@ -30,12 +32,14 @@
     Attributes:
         outage: Way in which the store is unavailable.
         latency_s: Delay in seconds that is added to every call.
-        lose_answers: Number of upcoming writes that take effect, but whose
-            answers are lost.
-        stale: Whether reads return the snapshot of the entries that was taken
-            before; without one, the entries when this fault was set.
-        fail_after_key: Key whose next write starts an outage in which every
-            call is rejected immediately; if empty, none does.
+        lose_answers: Number of upcoming Put, Delete, GrantLease and KeepLease
+            calls that are carried out, but whose answers are lost.
+        stale: Whether reads return old entries and watches send nothing. The
+            entries are those of the snapshot that was taken before, or, if
+            there is none, those at the time when this fault was set.
+        fail_after_key: Key whose next write is followed by an outage in which
+            every call is rejected immediately, or empty. The outage replaces
+            all other faults.
         fail_after_s: Delay in seconds between that write and the outage.
     """
 
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""Key-value map with revisions, leases and watches for the store stand-in."""
+"""Key-value data with revisions, leases and watches of the store stand-in."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
     Attributes:
         ttl_s: Time to live, in seconds.
-        expires_at: Time of expiry on the clock of the map, in seconds.
+        expires_at: Time of expiry on the clock of the store, in seconds.
     """
 
     ttl_s: int
@@ -59,7 +59,7 @@
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
-        """Initializes an empty map.
+        """Initializes an empty store.
 
         Args:
             clock: Returns the time in seconds of any monotonic clock.
@@ -121,12 +121,12 @@
         return True
 
     def list(self, prefix: str, after: str, limit: int) -> list[Entry]:
-        """Returns the stored entries that `select_entries` selects."""
+        """Returns stored entries by prefix, as `select_entries` does."""
         self.expire_leases()
         return select_entries(self._entries, prefix, after, limit)
 
     def copy_entries(self) -> dict[str, Entry]:
-        """Returns a snapshot of all entries."""
+        """Returns a copy of all entries by key."""
         self.expire_leases()
         return dict(self._entries)
 
@@ -138,7 +138,11 @@
         return lease_id
 
     def renew_lease(self, lease_id: int) -> int:
-        """Renews a lease and returns its seconds; 0 if it has expired."""
+        """Renews a lease.
+
+        Returns:
+            Its time to live in seconds; 0 if it has expired or never existed.
+        """
         self.expire_leases()
         lease = self._leases.get(lease_id)
         if lease is None:
@@ -165,7 +169,7 @@
     async def watch(
         self, key: str, after_revision: int
     ) -> AsyncIterator[Entry]:
-        """Yields the newest entry of a key whenever it changes.
+        """Yields the newest entry of a key at the start and on each change.
 
         Writes in quick succession are merged into one entry. A removal is an
         entry with revision 0; it is yielded only if this watch has yielded the
--- a/standins/ledger.py
+++ b/standins/ledger.py
@@ -1,4 +1,4 @@
-"""Records each run of a request, so that lost or repeated runs are counted."""
+"""Records the events of requests, so that lost or repeated runs are counted."""
 
 from __future__ import annotations
 
@@ -9,10 +9,13 @@
 
 
 class Ledger:
-    """Records runs in memory and optionally in a file that survives crashes.
+    """Records events of requests in memory and optionally in a file.
+
+    The records in the file survive a crash of the process.
 
     Attributes:
-        records: Events of the runs, oldest first.
+        records: Records of the events, oldest first; their "at_ms" is the time
+            in milliseconds since 1970.
     """
 
     def __init__(self, path: str = ""):
@@ -24,7 +27,7 @@
         """
         self.records: list[dict[str, Any]] = []
         self._path = path
-        self._file_descriptor = -1
+        self._file_descriptor = -1  # Not open.
 
     def start(self) -> None:
         """Opens the file, if there is one."""
@@ -42,7 +45,8 @@
         """Records an event of a request.
 
         Args:
-            event: "started", "done", "cancelled" or "shed" (it did not run).
+            event: "started", "done", "cancelled" or "shed" (the request did not
+                run).
             request_id: Id of the request.
             fields: Further fields of the record.
         """
--- a/standins/nested_calls.py
+++ b/standins/nested_calls.py
@@ -1,4 +1,4 @@
-"""Makes the nested calls of the backend server stand-in for a request."""
+"""Makes nested calls that a request to a backend server stand-in asks for."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 if TYPE_CHECKING:
     from aiohttp import web
 
-# Query parameter with the paths of a chain of nested calls: "kassa/seals,...".
-# The backend server calls the first and passes the others on to it.
+# Query parameter with the paths of a chain of nested calls, separated by
+# commas: "kassa/seals,...". A path starts with the service. The backend server
+# calls the first path and passes the others on to it.
 NEXT_PATHS_PARAMETER = "then"
 _FORWARDED_HEADERS = (
     "Request-Id",
@@ -45,6 +46,8 @@
     async def call(self, request: web.Request) -> int:
         """Makes the next nested call that a request asks for, if any.
 
+        The call has "/nested" after its path and asks for no work.
+
         Returns:
             Status of the answer; 200 if the request asks for no call, 502 if
             there is no answer.
--- a/standins/plain_random_proxy.py
+++ b/standins/plain_random_proxy.py
@@ -31,7 +31,8 @@
     Attributes:
         upstreams: Addresses of the upstreams, "ip:port", by service.
         port: Port for calls; set by `start`.
-        admin_port: Port for `POST /upstreams`; set by `start`.
+        admin_port: Port for `POST /upstreams` and for announcements, which are
+            ignored; set by `start`.
     """
 
     def __init__(self) -> None:
--- a/standins/plain_watcher.py
+++ b/standins/plain_watcher.py
@@ -23,7 +23,7 @@
 
 logger = logging.getLogger(__name__)
 
-_MEAN_RETRY_DELAY_S = 0.5
+_MEAN_RETRY_DELAY_S = 0.5  # Each delay is 50 to 150 % of it.
 
 
 class PlainWatcher:
--- a/standins/platform_backend.py
+++ b/standins/platform_backend.py
@@ -1,4 +1,4 @@
-"""Stand-in for a backend server, as the users' platform documents it."""
+"""Stand-in for a backend server with the headers of the users' platform."""
 
 from __future__ import annotations
 
@@ -14,11 +14,15 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
+_POST_TIMEOUT_S = 5
+
 _instance_numbers = itertools.count(1)
 
 
 class PlatformBackendStandin:
-    """A backend server with a new instance id, as each start of one has.
+    """A backend server of one instance, as the users' platform documents it.
+
+    Each object has a new instance id, as each start of a backend server does.
 
     Attributes:
         instance_id: Id of its instance.
@@ -126,6 +130,7 @@
             "X-Attempt-Id": request.headers["X-Attempt-Id"],
             "X-Response-Signature": f"sig-{self.instance_id}",
             "X-Served-By": self.instance_id,
+            # Running calls, waiting calls and slots.
             "X-Server-Load": f"1,0,{self.slots}",
         }
 
@@ -155,7 +160,7 @@
 
 async def _post(url: str, body: dict[str, object]) -> int:
     async with (
-        asyncio.timeout(5),
+        asyncio.timeout(_POST_TIMEOUT_S),
         aiohttp.ClientSession() as session,
         session.post(url, json=body) as answer,
     ):
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the HTTP store, as the users' platform documents it."""
+"""Stand-in for the HTTP store that the users' platform documents."""
 
 from __future__ import annotations
 
@@ -17,6 +17,8 @@
 _MAX_PAGE_ITEMS = 500
 _MAX_TRANSACTION_ENTRIES = 32
 _CHUNK_BYTES = 16 * 1024
+_HANG_S = 3600
+# Transactions that write such keys are refused with status 403.
 _READ_ONLY_PREFIXES = ("op/", "servers/")
 
 
@@ -49,10 +51,11 @@
 
     Attributes:
         status: Status with which every call fails; 0 for none.
-        lose_answers: Number of upcoming POST calls that take effect, but whose
-            answers are lost.
-        hang: Whether calls are never answered.
-        truncate_answers: Whether the second half of each answer is cut off.
+        lose_answers: Number of upcoming POST calls that are carried out, but
+            whose answers are lost.
+        hang: Whether calls are not answered within `_HANG_S`.
+        truncate_answers: Whether the second half of each answer's body is cut
+            off; the status is then always 200.
         suppress_events: Whether watches receive no events.
         chunk_delay_s: Delay in seconds between the chunks of an answer; if 0,
             an answer is sent whole.
@@ -73,7 +76,8 @@
         port: Its port; set by `start`.
         faults: Active faults.
         call_counts: Number of calls by kind, such as "range".
-        sent_bytes: Bytes of the bodies of the answers by kind of call.
+        sent_bytes: Bytes of the answers' bodies by kind of call; a body that
+            is cut off or lost counts whole.
     """
 
     def __init__(self) -> None:
@@ -144,10 +148,11 @@
 
     @web.middleware
     async def _inject_faults(self, request: web.Request, handler: Any) -> Any:
+        """Counts a call and its answer's bytes, and injects the faults."""
         kind = request.path.removeprefix(_PATH_PREFIX).partition("/")[0]
         self.call_counts[kind] = self.call_counts.get(kind, 0) + 1
         if self.faults.hang:
-            await asyncio.sleep(3600)
+            await asyncio.sleep(_HANG_S)
         if self.faults.status:
             return web.json_response({}, status=self.faults.status)
         answer = await handler(request)
@@ -302,9 +307,9 @@
     def _expire_leases(self) -> None:
         now = time.monotonic()
         self._leases = {
-            lease: expiry_and_ttl
-            for lease, expiry_and_ttl in self._leases.items()
-            if expiry_and_ttl[0] > now
+            lease: (expires_at, ttl_ms)
+            for lease, (expires_at, ttl_ms) in self._leases.items()
+            if expires_at > now
         }
         orphaned_keys = [
             item.key
--- a/standins/process.py
+++ b/standins/process.py
@@ -6,29 +6,35 @@
 import json
 import logging
 import signal
-from typing import TYPE_CHECKING
+from typing import Any, TYPE_CHECKING
 
 from aiohttp import web
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from collections.abc import Callable, Coroutine
 
 HOST = "127.0.0.1"
 
 
 def configure_logging(name: str) -> None:
-    """Sends log lines of level info and above to stderr."""
+    """Sends log lines of level info and above to stderr.
+
+    Args:
+        name: Name of the process, which each line contains.
+    """
     logging.basicConfig(
         level=logging.INFO, format=f"%(asctime)s {name}: %(message)s"
     )
 
 
 def print_ready(name: str, **fields: object) -> None:
-    """Prints the only line on stdout, JSON that says that the ports are open.
+    """Prints the ready line, a JSON object, once the ports are open.
+
+    Nothing else is printed on stdout.
 
     Args:
         name: Name of the process.
-        fields: Further fields of the line, such as addresses and ports.
+        fields: Further fields of the object, such as addresses and ports.
     """
     print(json.dumps({"ready": name, **fields}), flush=True)
 
@@ -73,6 +79,6 @@
     return runner, runner.addresses[0][1]
 
 
-def run(main: Callable[[], object]) -> None:
+def run(main: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Runs the main coroutine function of a stand-in until it returns."""
-    asyncio.run(main())  # type: ignore[arg-type]
+    asyncio.run(main())
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""Relays an HTTP call to an upstream, for the proxies of the baselines."""
+"""Relays an HTTP call to an upstream, for the baseline proxies."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 _READ_CHUNK_BYTES = 64 * 1024
 _NO_TIMEOUT = aiohttp.ClientTimeout()
+# Hop-by-hop headers, and headers that are set anew for the next hop.
 _UNRELAYED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -26,7 +27,13 @@
 def create_session(
     timeout: aiohttp.ClientTimeout = _NO_TIMEOUT,
 ) -> aiohttp.ClientSession:
-    """Creates a client that relays bodies and cookies unchanged."""
+    """Creates a client that relays bodies and cookies unchanged.
+
+    It opens any number of connections.
+
+    Args:
+        timeout: Timeouts of each request; by default, there are none.
+    """
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0),
         auto_decompress=False,
@@ -57,6 +64,7 @@
     Raises:
         aiohttp.ClientError: The upstream failed before its answer started; a
             later failure aborts the caller's connection instead.
+        TimeoutError: The answer did not start before a timeout.
     """
     headers = [
         (name, value)
--- a/standins/servicer.py
+++ b/standins/servicer.py
@@ -40,7 +40,7 @@
     """Answers the calls of store.proto, counts them and injects faults.
 
     Attributes:
-        key_value_store: The stored entries.
+        key_value_store: Stores the entries.
         faults: Active faults; change them with `set_faults`.
         call_counts: Number of calls by kind ("get"), and by kind and first
             segment of the key ("get documents").
@@ -48,6 +48,8 @@
             latest 120 seconds that had calls.
         max_open_watches: Highest number of watches that were open at once.
         writes: The latest 10,000 writes, oldest first.
+        stale_entries: Snapshot of the entries by key that stale reads return;
+            None if none was taken.
     """
 
     def __init__(self, key_value_store: keyvalue.KeyValueStore):
@@ -63,7 +65,10 @@
         self._faults_changed = asyncio.Event()
 
     def take_snapshot(self) -> None:
-        """Takes the snapshot that stale reads of a later fault return."""
+        """Takes a snapshot of the entries.
+
+        Reads return it once a later fault makes them stale.
+        """
         self.stale_entries = self.key_value_store.copy_entries()
 
     def set_faults(self, new_faults: faults.StoreFaults) -> None:
@@ -142,6 +147,7 @@
             while True:
                 entry = await self._next_entry(stream)
                 if entry is None:
+                    # Raises an exception, which ends the watch.
                     await self._abort_watch(context)
                 else:
                     yield _encode(entry)
@@ -174,6 +180,7 @@
         self.call_counts_by_second[second] += 1
 
     async def _begin_call(self, kind: str, context: Any, key: str = "") -> None:
+        """Counts a call and injects the latency and the outage into it."""
         self._count_call_by_second()
         self.call_counts[kind] += 1
         if key:
@@ -191,6 +198,7 @@
             await context.abort(grpc.StatusCode.UNAVAILABLE, "answer lost")
 
     def _schedule_outage_after_write(self, key: str) -> None:
+        """Schedules the outage that follows a write of `fail_after_key`."""
         if key == self.faults.fail_after_key:
             outage = faults.StoreFaults(faults.Outage.UNAVAILABLE)
             loop = asyncio.get_running_loop()
@@ -201,7 +209,7 @@
     ) -> keyvalue.Entry | None:
         """Returns the next entry to send, or None if an outage ends the watch.
 
-        While reads are stale or calls hang, it waits and sends nothing.
+        While reads are stale or calls hang, it returns nothing and waits.
         """
         entry_task = asyncio.ensure_future(anext(stream))
         try:
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's key-value store, for tests and measurements.
+"""Stand-in for the platform's key-value store, with the API of store.proto.
 
 Run it with `python -m standins.store --port 0`.
 """
@@ -50,7 +50,7 @@
         return f"{process.HOST}:{self.port}"
 
     async def start(self) -> None:
-        """Opens both ports."""
+        """Opens both ports and starts to expire leases."""
         await self._listen()
         control_application = web.Application()
         control_application.router.add_get("/counters", self._show_counters)
@@ -71,7 +71,10 @@
         await self._stop_listening()
 
     async def set_faults(self, new_faults: faults.StoreFaults) -> None:
-        """Replaces the active faults; the port is closed while it refuses."""
+        """Replaces the active faults.
+
+        The port of the store is closed while connections are refused.
+        """
         self.servicer.set_faults(new_faults)
         if new_faults.outage is faults.Outage.REFUSED:
             await self._stop_listening()
@@ -79,7 +82,7 @@
             await self._listen()
 
     def read_counters(self) -> dict[str, Any]:
-        """Returns the counts of calls and open watches and the revision."""
+        """Returns the counters of calls and watches, and the revision."""
         return {
             "calls": dict(self.servicer.call_counts),
             "calls_by_second": self.servicer.call_counts_by_second,
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -25,6 +25,7 @@
 ATTEMPT_ID_HEADER = "Attempt-Id"
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "Merlintrestle-Deadline-Ms"
+# A request with this header ends the process when it starts to run.
 CRASH_HEADER = "Crash"
 _CRASH_EXIT_STATUS = 70
 _DEFAULT_DOWNLOAD_BYTES_PER_S = 50_000_000
@@ -38,7 +39,8 @@
         slots: Number of calls that it runs concurrently; others are shed with
             status 503.
         work_ms: Duration of the work in milliseconds by path prefix; the
-            longest matching prefix decides.
+            longest matching prefix decides, and without one there is no work.
+            The query parameter `work_ms` of a request takes precedence.
         cold_start_s: Duration of the cold start in seconds.
         cold_factor: Factor by which work takes longer during the cold start.
     """
@@ -61,10 +63,10 @@
             the real load `load_lag_s` ago.
         load_lag_s: Delay of the reported load in seconds.
         slow_factor: Factor by which all work takes longer.
-        silent: Whether connections that are open when this fault is set never
-            carry an answer again.
+        silent: Whether connections that are open when this fault is set carry
+            no answers any more, nor the rest of a download.
         cut: Whether connections that are open when this fault is set are
-            aborted, once.
+            aborted; later ones are not.
         breaks: Whether calls do their work and then abort their connection
             unanswered.
         sheds: Whether every call is shed, even if slots are free.
@@ -106,8 +108,9 @@
         self._idle.set()
         self._open_transports: weakref.WeakSet[Any] = weakref.WeakSet()
         self._silenced_transports: set[Any] = set()
-        # Times in seconds and loads, oldest first. In a deque, the cost of a
-        # call does not grow with the length of the history.
+        # Pairs of a time in seconds and the load from then on, oldest first. In
+        # a deque, the cost of a call does not grow with the length of the
+        # history.
         self._load_history: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
@@ -127,7 +130,7 @@
         await self._idle.wait()
 
     def build_load_report(self) -> dict[str, float]:
-        """Returns the answer of the load endpoint, with a load from 0 to 1."""
+        """Returns the JSON of the load endpoint, with a load from 0 to 1."""
         if self.faults.reported_load is not None:
             return {"load": self.faults.reported_load}
         latest_at = time.monotonic() - self.faults.load_lag_s
@@ -139,7 +142,12 @@
         return {"load": loads[-1] if loads else 0.0}
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Runs a request, or sheds it if all slots are taken."""
+        """Runs a request, or sheds it if all slots are taken or `sheds` is set.
+
+        Query parameters of the request set the duration of its work (`work_ms`,
+        in milliseconds), ask for a download (`bytes`, at a `rate` in bytes per
+        second) and for nested calls (`nested_calls.NEXT_PATHS_PARAMETER`).
+        """
         self._open_transports.add(request.transport)
         await self._hang_if_silenced(request)
         request_id = request.headers.get(REQUEST_ID_HEADER, "")
