--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the gRPC store stand-in can inject."""
+"""Faults that the stand-in for the native store can inject."""
 
 from __future__ import annotations
 
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""Key-value data with revisions, leases and watches of the store stand-in."""
+"""Key-value data of the store stand-in, with revisions, leases and watches."""
 
 from __future__ import annotations
 
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's key-value store, with the API of store.proto.
+"""Stand-in for the native store, with the gRPC interface of store.proto.
 
 Run it with `python -m standins.store --port 0`.
 """
--- a/tests/standins/builders.py
+++ b/tests/standins/builders.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins for tests."""
+"""Starts stand-ins and clients for tests, and provides a manual clock."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     """Starts a server that records requests and closes it after the test.
 
     Args:
-        case: Test that the server is closed after.
+        case: Test after which the server is closed.
         status: Status of each answer.
         headers: Headers of each answer.
 
@@ -76,7 +76,7 @@
     It is closed after the test.
 
     Args:
-        case: Test that the backend server is closed after.
+        case: Test after which the backend server is closed.
         slots: Number of calls that it runs concurrently.
         daemon_url: URL of the daemon for nested calls; if empty, it makes none.
     """
--- a/tests/standins/test_backend.py
+++ b/tests/standins/test_backend.py
@@ -21,6 +21,11 @@
         self.addAsyncCleanup(self.session.close)
 
     async def test_answer_contains_request_id_and_checksum(self) -> None:
+        """An answer and the records of its run identify the request.
+
+        Otherwise a caller could not detect the answer to another request, or a
+        body that was changed on its way.
+        """
         backend = await builders.start_backend(self)
         headers = {
             worker.REQUEST_ID_HEADER: "r1",
@@ -37,6 +42,11 @@
         self.assertEqual(events, [("started", "k1"), ("done", "k1")])
 
     async def test_download_has_the_checksum_of_its_request(self) -> None:
+        """A download has the body of its request, in full.
+
+        If requests had the same body, a caller could not detect the answer to
+        another request.
+        """
         backend = await builders.start_backend(self)
         headers = {worker.REQUEST_ID_HEADER: "r1"}
         url = f"http://{backend.address}/footage/1?bytes=50001"
@@ -47,6 +57,7 @@
         self.assertNotEqual(checksum, content.compute_checksum("r2", 50001))
 
     async def test_call_beyond_the_slots_is_shed_and_not_run(self) -> None:
+        """A call gets status 503 and does not run while all slots are taken."""
         backend = await builders.start_backend(self, slots=1)
         call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
         self.addCleanup(call.cancel)
@@ -55,6 +66,7 @@
         await self._wait_for_events(backend, ["started", "shed"])
 
     async def test_work_is_cancelled_when_the_caller_disconnects(self) -> None:
+        """Work for a caller that has disconnected ends and is recorded so."""
         backend = await builders.start_backend(self)
         call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
         await self._wait_for_events(backend, ["started"])
@@ -62,16 +74,22 @@
         await self._wait_for_events(backend, ["started", "cancelled"])
 
     async def test_deadline_ends_work_that_would_take_longer(self) -> None:
+        """A request with 1 ms remaining for 60 s of work gets status 504."""
         backend = await builders.start_backend(self)
         headers = {worker.DEADLINE_HEADER: "1"}
         path = "/a?work_ms=60000"
         self.assertEqual(await self._get(backend, path, headers), 504)
 
     async def test_drain_waits_for_the_call_in_flight(self) -> None:
+        """A drain does not end while a call that arrived before it runs.
+
+        Otherwise the backend server would stop and cut off the call.
+        """
         backend = await builders.start_backend(self)
         call = asyncio.create_task(self._get(backend, "/a?work_ms=60000"))
         await self._wait_for_events(backend, ["started"])
         drain = asyncio.create_task(backend.drain())
+        # Lets the drain run until it waits for the call.
         await asyncio.sleep(0)
         self.assertEqual(backend.state, "draining")
         self.assertFalse(drain.done())
@@ -128,6 +146,10 @@
             self.assertEqual(nested_request.headers[name], value)
 
     async def test_caller_detects_truncated_download(self) -> None:
+        """A caller does not take the beginning of a download for the whole.
+
+        The `cut` fault aborts the connection in the middle of the download.
+        """
         backend = await builders.start_backend(self)
         url = f"http://{backend.address}/footage/1?bytes=500000&rate=100000"
         async with self.session.get(url) as answer:
--- a/tests/standins/test_keyvalue.py
+++ b/tests/standins/test_keyvalue.py
@@ -1,4 +1,4 @@
-"""Tests for the data of the store stand-in against a dict as a model."""
+"""Tests for the key-value data of the store stand-in, with a dict as model."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class KeyValueMachine(stateful.RuleBasedStateMachine):
-    """Compares writes, leases and lists of the map with those of a dict.
+    """Compares writes, leases and lists of the store with those of a dict.
 
     Attributes:
-        clock: Clock of the map.
-        actual: Map under test.
+        clock: Clock of the store.
+        actual: Store under test.
         model: Expected entries by key.
         lease_expiries: Expiry of each lease in seconds, by lease id.
-        revision: Expected revision of the map.
+        revision: Expected revision of the store.
     """
 
     def __init__(self):
--- a/tests/standins/test_store.py
+++ b/tests/standins/test_store.py
@@ -1,4 +1,4 @@
-"""Tests for the store stand-in with the client of the product."""
+"""Tests for the store stand-in with the client of the native store."""
 
 from __future__ import annotations
 
@@ -26,6 +26,11 @@
         self.client = await builders.start_client(self, self.store)
 
     async def test_second_write_of_a_revision_fails(self) -> None:
+        """A write with an outdated revision does not overwrite a newer value.
+
+        Two writers expect the same revision; the second one is refused and
+        learns the entry of the first one.
+        """
         first_reply = await self.client.put("head", b"a", 0)
         second_reply = await self.client.put("head", b"b", 0)
         self.assertTrue(first_reply.written)
@@ -33,6 +38,11 @@
         self.assertEqual(second_reply.entry, first_reply.entry)
 
     async def test_value_over_a_megabyte_is_rejected(self) -> None:
+        """A value that is one byte too large changes nothing.
+
+        The client raises the same error for every failed write, so only a read
+        shows that the entry is unchanged.
+        """
         largest_value = b"x" * keyvalue.MAX_VALUE_BYTES
         reply = await self.client.put("key", largest_value, 0)
         self.assertTrue(reply.written)
@@ -45,6 +55,7 @@
         self.assertEqual(entry, reply.entry)
 
     async def test_watch_sends_the_newest_entry_and_then_changes(self) -> None:
+        """A watch misses neither the entry before its start nor a later one."""
         first_reply = await self.client.put("head", b"1", 0)
         async with contextlib.aclosing(
             self.client.watch("head", 0)  # type: ignore[type-var]
@@ -55,7 +66,8 @@
             entry = await asyncio.wait_for(anext(stream), _TEST_TIMEOUT_S)
             self.assertEqual(entry, second_reply.entry)
 
-    async def test_calls_and_waiting_watches_are_counted(self) -> None:
+    async def test_calls_and_open_watches_are_counted(self) -> None:
+        """Counters contain calls by kind and by first segment of the key."""
         await self.client.get("documents/a")
         await self.client.put("head", b"1", 0)
         stream = self.client.watch("head", 0)
@@ -110,6 +122,7 @@
                     await _wait_until_answered(self.client)
 
     async def test_hanging_store_never_answers(self) -> None:
+        """A read fails by its timeout only, since the store hangs."""
         short_timeout_client = await builders.start_client(
             self, self.store, 0.2
         )
@@ -139,6 +152,7 @@
         self.assertEqual(await self.client.get("head"), reply.entry)
 
     async def test_stale_reads_return_the_earlier_snapshot(self) -> None:
+        """A read returns the snapshot, not the entry when the fault began."""
         first_reply = await self.client.put("head", b"old", 0)
         self.store.servicer.take_snapshot()
         await self.client.put("head", b"new", first_reply.entry.revision)
