--- a/standins/announcements.py
+++ b/standins/announcements.py
@@ -11,7 +11,7 @@
 
 logger = logging.getLogger(__name__)
 
-_INTERVAL_S = 1.0
+_ANNOUNCEMENT_INTERVAL_S = 1.0
 _REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=1.0)
 
 
@@ -61,7 +61,10 @@
             await self._session.close()
 
     async def announce(self, announcement: Announcement) -> None:
-        """Sends an announcement now and repeats it from now on."""
+        """Sends an announcement now and repeats it from now on.
+
+        Failures are only logged.
+        """
         self._latest = announcement
         if not self.admin_address or self._session is None:
             return
@@ -79,6 +82,6 @@
 
     async def _repeat(self) -> None:
         while True:
-            await asyncio.sleep(_INTERVAL_S)
+            await asyncio.sleep(_ANNOUNCEMENT_INTERVAL_S)
             if self._latest is not None:
                 await self.announce(self._latest)
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -1,4 +1,4 @@
-"""Key-value map with revisions, leases and watches for the store stand-in."""
+"""Key-value data of the store stand-in, with revisions, leases and watches."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     """Lease that removes its keys when it expires.
 
     Attributes:
-        seconds: Time to live, in seconds.
-        expires_at: Time of expiry on the clock of the map, in seconds.
+        ttl_s: Time to live, in seconds.
+        expires_at: Time of expiry on the clock of the store, in seconds.
     """
 
-    seconds: int
+    ttl_s: int
     expires_at: float
 
 
@@ -55,17 +55,17 @@
 
     Attributes:
         revision: Revision of the last change of any key.
-        waiting_watches: Number of open watches.
+        open_watches: Number of open watches.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
-        """Initializes an empty map.
+        """Initializes an empty store.
 
         Args:
             clock: Returns the time in seconds of any monotonic clock.
         """
         self.revision = 0
-        self.waiting_watches = 0
+        self.open_watches = 0
         self._clock = clock
         self._entries: dict[str, Entry] = {}
         self._leases: dict[int, _Lease] = {}
@@ -121,12 +121,12 @@
         return True
 
     def list(self, prefix: str, after: str, limit: int) -> list[Entry]:
-        """Returns the stored entries that `select_entries` selects."""
+        """Returns stored entries by prefix, as `select_entries` does."""
         self.expire_leases()
         return select_entries(self._entries, prefix, after, limit)
 
-    def copy(self) -> dict[str, Entry]:
-        """Returns a snapshot of all entries."""
+    def copy_entries(self) -> dict[str, Entry]:
+        """Returns a copy of all entries by key."""
         self.expire_leases()
         return dict(self._entries)
 
@@ -137,14 +137,18 @@
         self._leases[lease_id] = _Lease(seconds, self._clock() + seconds)
         return lease_id
 
-    def keep_lease(self, lease_id: int) -> int:
-        """Renews a lease and returns its seconds; 0 if it has expired."""
+    def renew_lease(self, lease_id: int) -> int:
+        """Renews a lease.
+
+        Returns:
+            Its time to live in seconds; 0 if it has expired or never existed.
+        """
         self.expire_leases()
         lease = self._leases.get(lease_id)
         if lease is None:
             return 0
-        lease.expires_at = self._clock() + lease.seconds
-        return lease.seconds
+        lease.expires_at = self._clock() + lease.ttl_s
+        return lease.ttl_s
 
     def expire_leases(self) -> None:
         """Removes leases whose time to live is over, and their keys."""
@@ -165,7 +169,7 @@
     async def watch(
         self, key: str, after_revision: int
     ) -> AsyncIterator[Entry]:
-        """Yields the newest entry of a key whenever it changes.
+        """Yields the newest entry of a key at the start and on each change.
 
         Writes in quick succession are merged into one entry. A removal is an
         entry with revision 0; it is yielded only if this watch has yielded the
@@ -178,24 +182,24 @@
         """
         change_event = asyncio.Event()
         self._change_events.setdefault(key, set()).add(change_event)
-        self.waiting_watches += 1
+        self.open_watches += 1
         latest_revision = after_revision
-        key_reported = False
+        key_yielded = False
         try:
             while True:
                 change_event.clear()
                 entry = self.get(key)
                 if entry.revision > latest_revision:
                     latest_revision = entry.revision
-                    key_reported = True
+                    key_yielded = True
                     yield entry
-                elif not entry.revision and key_reported:
-                    key_reported = False
+                elif not entry.revision and key_yielded:
+                    key_yielded = False
                     yield entry
                 else:
                     await change_event.wait()
         finally:
-            self.waiting_watches -= 1
+            self.open_watches -= 1
             self._change_events[key].discard(change_event)
 
     def _remove(self, key: str) -> None:
--- a/standins/plain_random_proxy.py
+++ b/standins/plain_random_proxy.py
@@ -31,7 +31,8 @@
     Attributes:
         upstreams: Addresses of the upstreams, "ip:port", by service.
         port: Port for calls; set by `start`.
-        admin_port: Port for `POST /upstreams`; set by `start`.
+        admin_port: Port for `POST /upstreams` and for announcements, which are
+            ignored; set by `start`.
     """
 
     def __init__(self) -> None:
@@ -95,7 +96,7 @@
 
 
 async def _run(port: int, admin_port: int) -> None:
-    stop = process.wait_for_stop_signal()
+    stop = process.create_stop_event()
     proxy = PlainRandomProxy()
     await proxy.start(port, admin_port)
     process.print_ready(
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the HTTP store, as the users' platform documents it."""
+"""Stand-in for the HTTP store that the users' platform documents."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 from standins import process
 
 _PATH_PREFIX = "/merlintrestle/kv-"
-_PAGE_ITEMS = 500
+_MAX_PAGE_ITEMS = 500
 _MAX_TRANSACTION_ENTRIES = 32
 _CHUNK_BYTES = 16 * 1024
-_FORBIDDEN_PREFIXES = ("op/", "servers/")
+_HANG_S = 3600
+# Transactions that write such keys are refused with status 403.
+_READ_ONLY_PREFIXES = ("op/", "servers/")
 
 
 class Item(NamedTuple):
@@ -49,10 +51,11 @@
 
     Attributes:
         status: Status with which every call fails; 0 for none.
-        lose_answers: Number of upcoming POST calls that take effect, but whose
-            answers are lost.
-        hang: Whether calls are never answered.
-        truncate_answers: Whether the second half of each answer is cut off.
+        lose_answers: Number of upcoming POST calls that are carried out, but
+            whose answers are lost.
+        hang: Whether calls are not answered within `_HANG_S`.
+        truncate_answers: Whether the second half of each answer's body is cut
+            off; the status is then always 200.
         suppress_events: Whether watches receive no events.
         chunk_delay_s: Delay in seconds between the chunks of an answer; if 0,
             an answer is sent whole.
@@ -72,14 +75,15 @@
     Attributes:
         port: Its port; set by `start`.
         faults: Active faults.
-        calls: Number of calls by kind, such as "range".
-        sent_bytes: Bytes of the bodies of the answers by kind of call.
+        call_counts: Number of calls by kind, such as "range".
+        sent_bytes: Bytes of the answers' bodies by kind of call; a body that
+            is cut off or lost counts whole.
     """
 
     def __init__(self) -> None:
         self.port = 0
         self.faults = Faults()
-        self.calls: dict[str, int] = {}
+        self.call_counts: dict[str, int] = {}
         self.sent_bytes: dict[str, int] = {}
         self._revision = 1
         self._items: dict[str, Item] = {}
@@ -114,7 +118,7 @@
             ]
         )
         self._runner, self.port = await process.serve(
-            application, self.port, shutdown_timeout=0.05
+            application, self.port, shutdown_timeout_s=0.05
         )
 
     async def close(self) -> None:
@@ -144,10 +148,11 @@
 
     @web.middleware
     async def _inject_faults(self, request: web.Request, handler: Any) -> Any:
+        """Counts a call and its answer's bytes, and injects the faults."""
         kind = request.path.removeprefix(_PATH_PREFIX).partition("/")[0]
-        self.calls[kind] = self.calls.get(kind, 0) + 1
+        self.call_counts[kind] = self.call_counts.get(kind, 0) + 1
         if self.faults.hang:
-            await asyncio.sleep(3600)
+            await asyncio.sleep(_HANG_S)
         if self.faults.status:
             return web.json_response({}, status=self.faults.status)
         answer = await handler(request)
@@ -180,14 +185,14 @@
         return streamed_answer
 
     async def _handle_key(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         item = self._items.get(request.query["key"])
         if item is None:
             return web.json_response({"at": self._revision}, status=404)
         return web.json_response({**item.to_json(), "at": self._revision})
 
     async def _handle_range(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         after = request.query.get("after", "")
         matching_items = [
             self._items[key]
@@ -197,9 +202,9 @@
         return web.json_response(
             {
                 "items": [
-                    item.to_json() for item in matching_items[:_PAGE_ITEMS]
+                    item.to_json() for item in matching_items[:_MAX_PAGE_ITEMS]
                 ],
-                "hasMore": len(matching_items) > _PAGE_ITEMS,
+                "hasMore": len(matching_items) > _MAX_PAGE_ITEMS,
                 "at": self._revision,
             }
         )
@@ -227,13 +232,13 @@
         return web.json_response({}, status=410)
 
     async def _handle_txn(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         transaction = await request.json()
         expected = transaction.get("expectedRev", [])
         writes = transaction.get("writes", [])
         removed_keys = transaction.get("remove", [])
         keys = [write["key"] for write in writes] + removed_keys
-        if any(key.startswith(_FORBIDDEN_PREFIXES) for key in keys):
+        if any(key.startswith(_READ_ONLY_PREFIXES) for key in keys):
             return web.json_response({}, status=403)
         if len(expected) + len(keys) > _MAX_TRANSACTION_ENTRIES:
             return web.json_response({}, status=400)
@@ -269,7 +274,7 @@
         return web.json_response({"lease": lease, "ttlMs": ttl_ms})
 
     async def _handle_keep(self, request: web.Request) -> web.Response:
-        self._expire()
+        self._expire_leases()
         lease = int(request.match_info["lease"])
         if lease not in self._leases:
             return web.json_response({}, status=404)
@@ -279,7 +284,7 @@
 
     async def _handle_lease_end(self, request: web.Request) -> web.Response:
         self._leases.pop(int(request.match_info["lease"]), None)
-        self._expire()
+        self._expire_leases()
         return web.json_response({})
 
     def _get_revision(self, key: str) -> int:
@@ -299,12 +304,12 @@
                 {"key": key, "revision": self._revision, "deleted": True}
             )
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = time.monotonic()
         self._leases = {
-            lease: expiry_and_ttl
-            for lease, expiry_and_ttl in self._leases.items()
-            if expiry_and_ttl[0] > now
+            lease: (expires_at, ttl_ms)
+            for lease, (expires_at, ttl_ms) in self._leases.items()
+            if expires_at > now
         }
         orphaned_keys = [
             item.key
--- a/standins/process.py
+++ b/standins/process.py
@@ -6,34 +6,40 @@
 import json
 import logging
 import signal
-from typing import TYPE_CHECKING
+from typing import Any, TYPE_CHECKING
 
 from aiohttp import web
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from collections.abc import Callable, Coroutine
 
 HOST = "127.0.0.1"
 
 
 def configure_logging(name: str) -> None:
-    """Sends log lines of level info and above to stderr."""
+    """Sends log lines of level info and above to stderr.
+
+    Args:
+        name: Name of the process, which each line contains.
+    """
     logging.basicConfig(
         level=logging.INFO, format=f"%(asctime)s {name}: %(message)s"
     )
 
 
 def print_ready(name: str, **fields: object) -> None:
-    """Prints the only line on stdout, JSON that says that the ports are open.
+    """Prints the ready line, a JSON object, once the ports are open.
+
+    Nothing else is printed on stdout.
 
     Args:
         name: Name of the process.
-        fields: Further fields of the line, such as addresses and ports.
+        fields: Further fields of the object, such as addresses and ports.
     """
     print(json.dumps({"ready": name, **fields}), flush=True)
 
 
-def wait_for_stop_signal() -> asyncio.Event:
+def create_stop_event() -> asyncio.Event:
     """Returns an event that is set on SIGTERM or SIGINT."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -46,7 +52,7 @@
     application: web.Application,
     port: int = 0,
     handler_cancellation: bool = False,
-    shutdown_timeout: float = 60.0,
+    shutdown_timeout_s: float = 60.0,
 ) -> tuple[web.AppRunner, int]:
     """Serves an application on loopback.
 
@@ -55,7 +61,7 @@
         port: Port to listen on; 0 chooses a free one.
         handler_cancellation: Whether a handler is cancelled when its caller
             disconnects.
-        shutdown_timeout: Time in seconds that open requests get when the
+        shutdown_timeout_s: Time in seconds that open requests get when the
             runner is cleaned up.
 
     Returns:
@@ -65,7 +71,7 @@
         application,
         access_log=None,
         handler_cancellation=handler_cancellation,
-        shutdown_timeout=shutdown_timeout,
+        shutdown_timeout=shutdown_timeout_s,
     )
     await runner.setup()
     site = web.TCPSite(runner, HOST, port)
@@ -73,6 +79,6 @@
     return runner, runner.addresses[0][1]
 
 
-def run(main: Callable[[], object]) -> None:
+def run(main: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Runs the main coroutine function of a stand-in until it returns."""
-    asyncio.run(main())  # type: ignore[arg-type]
+    asyncio.run(main())
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,4 +1,4 @@
-"""Relays an HTTP call to an upstream, for the proxies of the baselines."""
+"""Relays an HTTP call to an upstream, for the baseline proxies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 _READ_CHUNK_BYTES = 64 * 1024
 _NO_TIMEOUT = aiohttp.ClientTimeout()
-_HOP_BY_HOP = frozenset(
+# Hop-by-hop headers, and headers that are set anew for the next hop.
+_UNRELAYED_HEADERS = frozenset(
     name.lower()
     for name in (
         hdrs.CONNECTION,
@@ -26,7 +27,13 @@
 def create_session(
     timeout: aiohttp.ClientTimeout = _NO_TIMEOUT,
 ) -> aiohttp.ClientSession:
-    """Creates a client that relays bodies and cookies unchanged."""
+    """Creates a client that relays bodies and cookies unchanged.
+
+    It opens any number of connections.
+
+    Args:
+        timeout: Timeouts of each request; by default, there are none.
+    """
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0),
         auto_decompress=False,
@@ -57,11 +64,12 @@
     Raises:
         aiohttp.ClientError: The upstream failed before its answer started; a
             later failure aborts the caller's connection instead.
+        TimeoutError: The answer did not start before a timeout.
     """
     headers = [
         (name, value)
         for name, value in request.headers.items()
-        if name.lower() not in _HOP_BY_HOP
+        if name.lower() not in _UNRELAYED_HEADERS
     ]
     async with session.request(
         request.method, url, headers=headers, data=body or None
@@ -70,7 +78,7 @@
             upstream_answer.raise_for_status()
         answer = web.StreamResponse(status=upstream_answer.status)
         for name, value in upstream_answer.headers.items():
-            if name.lower() not in _HOP_BY_HOP:
+            if name.lower() not in _UNRELAYED_HEADERS:
                 answer.headers.add(name, value)
         if upstream_answer.content_length is not None:
             answer.content_length = upstream_answer.content_length
