--- a/tools/calls.py
+++ b/tools/calls.py
@@ -1,4 +1,4 @@
-"""Sends the calls of a caller and checks their answers."""
+"""Sends single attempts of a caller's requests and checks the answers."""
 
 from __future__ import annotations
 
@@ -25,15 +25,18 @@
 class Verdict(enum.StrEnum):
     """What a caller received.
 
+    The values of NOT_RUN, RAN and UNKNOWN are those of the outcome header.
+
     Attributes:
         RIGHT: The complete answer to the caller's request.
         WRONG: An answer that does not belong to the caller's request.
         CUT: An incomplete answer that ended with a transport error.
-        CUT_SHOWN_WHOLE: An incomplete answer that ended without an error.
+        CUT_SHOWN_WHOLE: An incomplete answer that ended without an error: no
+            JSON or, for a download, a wrong length.
         NOT_RUN: An error whose outcome says that the request did not run.
         RAN: An error whose outcome says that the request ran.
         UNKNOWN: An error whose outcome says that the request may have run.
-        FAILED: An error without an outcome.
+        FAILED: An error without an outcome, or no answer at all.
         NOT_SENT: No connection could be opened.
         TIMEOUT: No complete answer within the caller's timeout.
     """
@@ -56,7 +59,7 @@
     Attributes:
         class_load: Class of work.
         request_id: Id that answers and the backend servers' ledger carry.
-        body: Body; empty for GET.
+        body: Body; empty for GET and HEAD.
         download_bytes: Length in bytes of the answer of a large class.
         download_rate: Bytes per second at which that answer is sent.
         crash: Whether the request crashes the backend server that runs it.
@@ -94,6 +97,8 @@
 
 
 class _Answer(NamedTuple):
+    """What one attempt received; fields as in `Attempt`."""
+
     verdict: Verdict
     status: int = 0
     retry_after_s: float | None = None
@@ -112,8 +117,8 @@
         session: Client to send with.
         entry: URL of the daemon.
         request: Request to send.
-        number: Number of the attempt; 0 for the first, 1 for the next.
-        timeout_s: Longest time in seconds to wait for the complete answer.
+        number: Number of the attempt, counted from 0.
+        timeout_s: Timeout in seconds for the complete answer.
     """
     attempt_id = f"{request.request_id}.{number}"
     started_ms = time.time_ns() // 1_000_000
@@ -154,7 +159,7 @@
             data=request.body or None,
             headers=_build_headers(request, attempt_id),
         ) as response:
-            return await _receive(response, request)
+            return await _receive_and_check(response, request)
     except aiohttp.ClientPayloadError:
         return _Answer(Verdict.CUT)
     except aiohttp.ClientConnectorError:
@@ -176,7 +181,7 @@
     return headers
 
 
-async def _receive(
+async def _receive_and_check(
     response: aiohttp.ClientResponse, request: Request
 ) -> _Answer:
     if response.status != 200:
@@ -194,7 +199,7 @@
 
 
 def _check_body(body: bytes, request: Request) -> Verdict:
-    """Checks that an answer is whole and belongs to its request."""
+    """Checks that an answer is complete and belongs to its request."""
     try:
         fields: dict[str, Any] = json.loads(body)
     except ValueError:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -17,7 +17,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
+# Daemons that are started at the same time.
 _DAEMONS_PER_BATCH = 8
+# Daemons that a starting daemon contacts first.
 _SEED_COUNT = 3
 _POLL_INTERVAL_S = 0.1
 _CLIENT_TIMEOUT = aiohttp.ClientTimeout(total=5.0)
@@ -39,7 +41,7 @@
 
     @property
     def id(self) -> str:
-        """Id of the daemon; empty for a proxy of the baseline."""
+        """Id of the daemon, "ip:control port"; empty for a baseline's proxy."""
         return self.daemon.ready_fields.get("id", "")
 
     @property
@@ -50,7 +52,7 @@
 
     @property
     def admin_address(self) -> str:
-        """Address of the daemon's admin port, "ip:port"."""
+        """Address of the daemon's admin port on loopback, "ip:port"."""
         return f"{layouts.HOST}:{self.daemon.ready_fields['admin_port']}"
 
 
@@ -103,20 +105,22 @@
     ) -> None:
         """Starts the store, the daemons in batches and the backend servers.
 
+        The seeds are started first, one after another.
+
         Args:
             places: Place of each instance.
             start_backends: Whether to start the backend servers.
         """
         self._session = aiohttp.ClientSession(timeout=_CLIENT_TIMEOUT)
         self.store = await self._table.start("store", "standins.store")
-        seeds, others = places[:_SEED_COUNT], places[_SEED_COUNT:]
-        for place in seeds:
+        seed_places, others = places[:_SEED_COUNT], places[_SEED_COUNT:]
+        for place in seed_places:
             await self._add_daemon(place)
         for index in range(0, len(others), _DAEMONS_PER_BATCH):
             batch = others[index : index + _DAEMONS_PER_BATCH]
-            await _gather_all(*map(self._add_daemon, batch))
+            await _gather_starts(*map(self._add_daemon, batch))
         if start_backends:
-            await _gather_all(*map(self.start_backend, self.instances))
+            await _gather_starts(*map(self.start_backend, self.instances))
 
     async def close(self) -> None:
         """Closes the HTTP client; the process table stops the processes."""
@@ -124,7 +128,10 @@
             await self._session.close()
 
     async def restart_daemon(self, instance: Instance) -> None:
-        """Starts a daemon that has ended again, on the same ports."""
+        """Restarts a daemon that has ended, on the same ports.
+
+        The admin port may differ if the instance has no backend server.
+        """
         previous = instance.daemon
         arguments = list(previous.arguments)
         fields = ["port", "peer_port", "control_port"]
@@ -137,6 +144,7 @@
                 arguments[arguments.index(flag) + 1] = str(
                     previous.ready_fields[field]
                 )
+        # The first daemon of a fleet was started without seeds.
         if previous.ready_fields.get("id") and "--seeds" not in arguments:
             others = [i for i in self.instances if i is not instance]
             seeds = [i.id for i in others[:_SEED_COUNT]]
@@ -173,7 +181,7 @@
             processes.ProcessError: The command refused a document or failed.
         """
         for path in paths:
-            status, out, err = await processes.run_operator(
+            status, out, err = await processes.run_operators_command(
                 "apply",
                 path,
                 *("--store", self.store_address, "--operator", operator),
@@ -239,12 +247,13 @@
 
         Args:
             version: Version to wait for.
-            within_s: Longest time to wait, in seconds.
+            within_s: Timeout in seconds.
             instances: Instances whose daemons are asked.
 
         Returns:
             Seconds from the store's write of the newest head until the last
-            daemon activated the version; None if that took too long.
+            daemon activated the version or a later one; None after the
+            timeout.
         """
         accepted_ms = await self.read_accepted_ms()
         activations = [
@@ -278,10 +287,12 @@
         return {pair["version"]: pair["at_ms"] for pair in pairs}
 
     async def _add_daemon(self, place: layouts.Place) -> None:
+        """Starts a daemon or a baseline in its place; adds its instance."""
         seeds = [i.id for i in self.instances[:_SEED_COUNT]]
         arguments = self._build_arguments(
             place, self.layout.region, self.store_address, seeds
         )
+        # A baseline has no address of its own.
         if "--address" in arguments:
             address = layouts.get_address(self._daemons_started)
             arguments[arguments.index("--address") + 1] = address
@@ -290,7 +301,7 @@
         self.instances.append(Instance(place, daemon))
 
 
-async def _gather_all(*starts: Coroutine[Any, Any, None]) -> None:
+async def _gather_starts(*starts: Coroutine[Any, Any, None]) -> None:
     """Waits until all starts have ended, then raises the first error, if any.
 
     A start that continued after another one failed would add its process after
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -18,18 +18,22 @@
 ROOT = pathlib.Path(__file__).parent.parent
 _READY_TIMEOUT_S = 30.0
 _STOP_TIMEOUT_S = 5.0
-_TAIL_LINES = 15
+_LAST_STDERR_LINES = 15
 
 
 class ProcessError(Exception):
-    """A process did not become ready or ended too early."""
+    """A process or a fleet did not do what was asked of it.
+
+    A process did not become ready, ended too early or failed, or a version was
+    not active on all daemons in time.
+    """
 
 
 class Process:
     """A child process that prints a ready line when it has started.
 
     Attributes:
-        name: Name used in messages.
+        name: Name used in messages and in the name of the stderr file.
         arguments: Module and arguments that it was started with.
         pid: Process id.
         ready_fields: Fields of the ready line; empty until it was read.
@@ -61,11 +65,11 @@
         """Exit status; None while running, negative if a signal ended it."""
         return self._child.returncode
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Sends a signal to the process if it is still running."""
         if self.running:
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self.pid, number)
+                os.kill(self.pid, signal_number)
 
     async def wait(self) -> int:
         """Waits until the process has ended and returns its exit status."""
@@ -93,7 +97,7 @@
     def read_last_stderr_lines(self) -> str:
         """Returns the last lines that the process wrote to stderr."""
         text = self.stderr_path.read_text(encoding="utf-8", errors="replace")
-        return "\n".join(text.splitlines()[-_TAIL_LINES:])
+        return "\n".join(text.splitlines()[-_LAST_STDERR_LINES:])
 
     async def wait_ready(self) -> None:
         """Waits for the ready line.
@@ -137,20 +141,22 @@
 
 
 class ProcessTable:
-    """The processes of one run, all of which `close` stops.
+    """The processes of one program run; `close` stops them all.
 
     Attributes:
-        directory: Folder for temporary files of the run.
+        directory: Directory for temporary files of the run.
     """
 
     def __init__(self) -> None:
-        self._temporary = tempfile.TemporaryDirectory(prefix="merlintrestle-")
-        self.directory = pathlib.Path(self._temporary.name)
+        self._temporary_directory = tempfile.TemporaryDirectory(
+            prefix="merlintrestle-"
+        )
+        self.directory = pathlib.Path(self._temporary_directory.name)
         self._processes: list[Process] = []
         self._start_count = 0
 
     async def start(self, name: str, *arguments: str) -> Process:
-        """Starts `python -m arguments...` and waits for its ready line.
+        """Starts a module with `python -m` and waits for its ready line.
 
         Args:
             name: Name used in messages and in the name of the stderr file.
@@ -161,7 +167,7 @@
         """
         self._start_count += 1
         stderr_path = self.directory / f"{self._start_count}-{name}.err"
-        with stderr_path.open("wb") as errors_file:
+        with stderr_path.open("wb") as stderr_file:
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -170,7 +176,7 @@
                 env={**os.environ, "PYTHONPATH": str(ROOT)},
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=errors_file,
+                stderr=stderr_file,
                 # Ctrl-C signals only this program, which stops its children.
                 start_new_session=True,
             )
@@ -183,10 +189,10 @@
         """Stops every running process and removes the temporary files."""
         running = [p for p in self._processes if p.running]
         await asyncio.gather(*(process.stop() for process in running))
-        self._temporary.cleanup()
+        self._temporary_directory.cleanup()
 
 
-async def run_operator(*arguments: str) -> tuple[int, str, str]:
+async def run_operators_command(*arguments: str) -> tuple[int, str, str]:
     """Runs the operators' command; returns exit status, stdout and stderr."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -214,7 +220,8 @@
     """Runs a main coroutine; SIGTERM and SIGINT cancel it.
 
     Returns:
-        Exit status of the program; 130 after a signal.
+        Exit status of the program; after either signal 130, the shell's status
+        for SIGINT.
     """
     return asyncio.run(_run_until_signal(main))
 
@@ -222,8 +229,8 @@
 async def _run_until_signal(main: Coroutine[Any, Any, int]) -> int:
     main_task = asyncio.ensure_future(main)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, main_task.cancel)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, main_task.cancel)
     try:
         return await main_task
     except asyncio.CancelledError:
