--- a/tools/amplification.py
+++ b/tools/amplification.py
@@ -1,4 +1,4 @@
-"""Measures how many attempts of a failing service one request causes."""
+"""Measures how many attempts at a failing service one request causes."""
 
 from __future__ import annotations
 
@@ -24,9 +24,11 @@
 
 logger = logging.getLogger(__name__)
 
-# Faults of the last service of a chain, as the backend servers name them.
+# Faults of the last service of a chain, as the backend servers name them. A
+# chain is a list of services each of which calls the next.
 FAULTS = ("breaks", "sheds")
 _WARM_UP_S = 4.0
+# Time from the end of a fault until the ledger is read.
 _RECOVERY_S = 3.0
 _CLIENT_TIMEOUT = aiohttp.ClientTimeout(total=30.0)
 
@@ -46,17 +48,17 @@
 
 
 async def measure(options: Options, with_baseline: bool) -> dict[str, Any]:
-    """Measures the daemon and then the baseline."""
-    figures = await _measure_kind(options, layouts.build_daemon_arguments)
+    """Measures the daemon and, if asked, the baseline."""
+    figures = await _measure_fleet(options, layouts.build_daemon_arguments)
     if with_baseline:
         logger.info("product: %s", json.dumps(figures))
-        figures["baseline"] = await _measure_kind(
+        figures["baseline"] = await _measure_fleet(
             options, layouts.build_proxy_arguments
         )
     return figures
 
 
-async def _measure_kind(
+async def _measure_fleet(
     options: Options, build_arguments: Callable[..., list[str]]
 ) -> dict[str, Any]:
     table = processes.ProcessTable()
@@ -72,10 +74,10 @@
         figures: dict[str, Any] = {}
         for fault in FAULTS:
             for depth in range(1, len(services) + 1):
-                name = f"{fault}_depth_{depth}"
+                case_name = f"{fault}_depth_{depth}"
                 chain = services[:depth]
-                figures[name] = await _measure_chain(
-                    options, example_fleet, chain, name, fault
+                figures[case_name] = await _measure_chain(
+                    options, example_fleet, chain, case_name, fault
                 )
         return figures
     finally:
@@ -87,24 +89,28 @@
     options: Options,
     example_fleet: fleet.Fleet,
     chain: list[str],
-    name: str,
+    case_name: str,
     fault: str,
 ) -> dict[str, Any]:
+    """Measures a chain while its last service has a fault.
+
+    The name of the case tells its request ids from those of other cases.
+    """
     await _set_faults(example_fleet, chain[-1], {fault: True})
-    answered = await _send_all(options, example_fleet, chain, name)
+    answered = await _send_all(options, example_fleet, chain, case_name)
     await _set_faults(example_fleet, chain[-1], {})
     await asyncio.sleep(_RECOVERY_S)
-    last_addresses = {
+    failing_addresses = {
         instance.backend.ready_fields["address"]
         for instance in example_fleet.instances
         if instance.place.service == chain[-1] and instance.backend is not None
     }
     attempts = collections.Counter(
-        run["request_id"]
-        for run in ledger.read_ledger(example_fleet.ledger_path)
-        if run["at"] in last_addresses
-        and run["event"] in ("started", "shed")
-        and run["request_id"].startswith(name)
+        record["request_id"]
+        for record in ledger.read_ledger(example_fleet.ledger_path)
+        if record["at"] in failing_addresses
+        and record["event"] in ("started", "shed")
+        and record["request_id"].startswith(case_name)
     )
     return {
         "requests": options.requests,
@@ -125,7 +131,10 @@
 
 
 async def _send_all(
-    options: Options, example_fleet: fleet.Fleet, chain: list[str], name: str
+    options: Options,
+    example_fleet: fleet.Fleet,
+    chain: list[str],
+    case_name: str,
 ) -> int:
     """Sends requests down a chain and returns how many had status 200."""
     paths = [_find_path(options.layout.name, service) for service in chain]
@@ -139,7 +148,7 @@
         entry = example_fleet.instances[
             number % len(example_fleet.instances)
         ].url
-        request_id = f"{name}-{number}"
+        request_id = f"{case_name}-{number}"
         headers = {
             worker.REQUEST_ID_HEADER: request_id,
             worker.ATTEMPT_ID_HEADER: f"{request_id}.0",
@@ -158,11 +167,11 @@
     return statuses.count(200)
 
 
-def _find_path(name: str, service: str) -> str:
+def _find_path(fleet_name: str, service: str) -> str:
     """Returns the service and path prefix of a class of small reads."""
     prefix = next(
         class_load.prefix
-        for class_load in workload.read_classes(name)
+        for class_load in workload.read_classes(fleet_name)
         if class_load.service == service
         and class_load.method == "GET"
         and class_load.repeatable
--- a/tools/demonstration.py
+++ b/tools/demonstration.py
@@ -1,4 +1,4 @@
-"""Demonstrates a fleet under load, with a change, a kill and a drain."""
+"""Runs a fleet under load through a target change, a kill and a drain."""
 
 from __future__ import annotations
 
@@ -26,9 +26,11 @@
     from collections.abc import Callable
 
 _ACTIVATION_TIMEOUT_S = 20.0
+# Factor on the expected rates of the classes.
 _RATE_FACTOR = 0.04
 _LOAD_DURATION_S = 12.0
-# Times of the steps, in seconds after the load begins.
+# Earliest times of the steps, in seconds after the load begins. The change
+# waits until its version is active, which delays all later steps by that time.
 _CHANGE_AT_S = 2.0
 _KILL_AT_S = 4.0
 _DOWNLOADS_AT_S = 5.0
@@ -36,10 +38,11 @@
 _DOWNLOADS_DURATION_S = 3.0
 _DOWNLOAD_BYTES_PER_S = 300_000
 _DOWNLOAD_BYTES = 1_500_000
-# A leaving backend server must get no new requests after "a few seconds".
+# Time after which a leaving backend server must get no new requests: "a few
+# seconds".
 _LEAVE_GRACE_MS = 3000
 _MAX_CONVERGENCE_S = 5.0
-# Change of the number of runs in flight, by event of the ledger.
+# Change of a backend server's runs in flight, by event of the ledger.
 _IN_FLIGHT_CHANGES = {"started": 1, "done": -1, "cancelled": -1}
 
 
@@ -52,11 +55,12 @@
         converged_s: Seconds until the changed target was active on every
             daemon; None if it was not within the timeout.
         results: Results of the mixed load.
-        downloads: Results of the downloads during the planned stop.
-        runs: Records of the backend servers' ledger.
+        downloads: Results of the downloads, some of which are in flight at the
+            planned stop.
+        runs: Records of the backend servers' ledger, several for each run.
         stop_status: Exit status of the backend server that was stopped.
-        new_work_after_leave: Runs that the stopped backend server began more
-            than a few seconds after it was told to leave.
+        new_work_after_leave: Number of runs that this backend server began more
+            than `_LEAVE_GRACE_MS` after it was told to stop.
         version_regressions: Number of times that a daemon switched to an
             older version.
     """
@@ -75,7 +79,7 @@
 async def run_demonstration(
     table: processes.ProcessTable, layout: layouts.Layout, scale: float
 ) -> Measurements:
-    """Starts a fleet, runs the demonstration on it and closes it."""
+    """Starts a fleet, runs the load and the steps on it, and closes it."""
     example_fleet = fleet.Fleet(table, layout)
     try:
         _print_line(
@@ -85,22 +89,23 @@
         documents = workload.list_documents(layout.name)
         await example_fleet.apply(*documents)
         version = (await example_fleet.read_head()).version
-        activation_s = await example_fleet.wait_until_active(
+        converged_s = await example_fleet.wait_until_active(
             version, _ACTIVATION_TIMEOUT_S, example_fleet.instances
         )
         _print_line(
-            f"version {version} in force everywhere after {activation_s} s"
+            f"version {version} in force everywhere after {converged_s} s"
         )
-        if activation_s is None:
+        if converged_s is None:
             raise processes.ProcessError(await _describe_daemons(example_fleet))
-        return await _run_load(table, example_fleet)
+        return await _run_steps(table, example_fleet)
     finally:
         await example_fleet.close()
 
 
-async def _run_load(
+async def _run_steps(
     table: processes.ProcessTable, example_fleet: fleet.Fleet
 ) -> Measurements:
+    """Runs the load and, beside it, a target change, a kill and a stop."""
     classes = workload.read_classes(example_fleet.layout.name)
     small = [c for c in classes if not c.large]
     large = [c for c in classes if c.large]
@@ -114,13 +119,18 @@
     await asyncio.sleep(_CHANGE_AT_S)
     converged_s = await _change_target(table, example_fleet)
     await asyncio.sleep(_KILL_AT_S - _CHANGE_AT_S)
-    killed = instances[0]
+    instance_to_kill = instances[0]
     _print_line(
-        f"killing the daemon beside a {killed.place.service} backend server"
+        f"killing the daemon beside a {instance_to_kill.place.service} "
+        "backend server"
     )
-    history = [list(await example_fleet.read_versions(killed))]
-    await killed.daemon.kill()
-    surviving = [instance for instance in instances if instance is not killed]
+    version_histories = [
+        list(await example_fleet.read_versions(instance_to_kill))
+    ]
+    await instance_to_kill.daemon.kill()
+    surviving = [
+        instance for instance in instances if instance is not instance_to_kill
+    ]
     await asyncio.sleep(_DOWNLOADS_AT_S - _KILL_AT_S)
     download_plan = load.Plan(
         [instance.url for instance in surviving],
@@ -134,16 +144,20 @@
     )
     downloads = asyncio.create_task(load.run_load(download_plan))
     await asyncio.sleep(_STOP_AT_S - _DOWNLOADS_AT_S)
-    stopped = _find_busiest(example_fleet, large[0].service)
-    assert stopped.backend is not None
-    _print_line(f"stopping a {stopped.place.service} backend server gracefully")
-    stopped_ms = time.time_ns() // 1_000_000
-    stopped.backend.send_signal(signal.SIGTERM)
+    instance_to_stop = _find_busiest(example_fleet, large[0].service)
+    assert instance_to_stop.backend is not None
+    _print_line(
+        f"stopping a {instance_to_stop.place.service} backend server gracefully"
+    )
+    sigterm_ms = time.time_ns() // 1_000_000
+    instance_to_stop.backend.send_signal(signal.SIGTERM)
     results, download_results = await mixed_load, await downloads
-    status = await asyncio.wait_for(stopped.backend.wait(), 30.0)
-    history += [list(await example_fleet.read_versions(i)) for i in surviving]
+    status = await asyncio.wait_for(instance_to_stop.backend.wait(), 30.0)
+    version_histories += [
+        list(await example_fleet.read_versions(i)) for i in surviving
+    ]
     runs = ledger.read_ledger(example_fleet.ledger_path)
-    address = stopped.backend.ready_fields["address"]
+    address = instance_to_stop.backend.ready_fields["address"]
     return Measurements(
         daemons=len(instances),
         version=(await example_fleet.read_head()).version,
@@ -153,9 +167,9 @@
         runs=runs,
         stop_status=status,
         new_work_after_leave=harm.count_new_work(
-            runs, address, stopped_ms + _LEAVE_GRACE_MS
+            runs, address, sigterm_ms + _LEAVE_GRACE_MS
         ),
-        version_regressions=sum(map(harm.count_regressions, history)),
+        version_regressions=sum(map(harm.count_regressions, version_histories)),
     )
 
 
@@ -169,13 +183,13 @@
     )
     await example_fleet.apply(str(path))
     version = (await example_fleet.read_head()).version
-    activation_s = await example_fleet.wait_until_active(
+    converged_s = await example_fleet.wait_until_active(
         version, _ACTIVATION_TIMEOUT_S, example_fleet.instances
     )
     _print_line(
-        f"changed a target: version {version} in force after {activation_s} s"
+        f"changed a target: version {version} in force after {converged_s} s"
     )
-    return activation_s
+    return converged_s
 
 
 def change_document(
@@ -205,18 +219,18 @@
 def _find_busiest(example_fleet: fleet.Fleet, service: str) -> fleet.Instance:
     """Returns the instance of a service with the most runs in flight."""
     in_flight: dict[str, int] = {}
-    for run in ledger.read_ledger(example_fleet.ledger_path):
-        change = _IN_FLIGHT_CHANGES.get(run["event"], 0)
-        in_flight[run["at"]] = in_flight.get(run["at"], 0) + change
+    for record in ledger.read_ledger(example_fleet.ledger_path):
+        change = _IN_FLIGHT_CHANGES.get(record["event"], 0)
+        in_flight[record["at"]] = in_flight.get(record["at"], 0) + change
 
-    def count(instance: fleet.Instance) -> int:
+    def count_in_flight(instance: fleet.Instance) -> int:
         assert instance.backend is not None
         return in_flight.get(instance.backend.ready_fields["address"], 0)
 
     of_service = [
         i for i in example_fleet.instances if i.place.service == service
     ]
-    return max(of_service, key=count)
+    return max(of_service, key=count_in_flight)
 
 
 async def _describe_daemons(example_fleet: fleet.Fleet) -> str:
@@ -282,7 +296,7 @@
 def print_report(
     measurements: Measurements, print_line: Callable[[str], None]
 ) -> None:
-    """Prints the number of calls by class of work and verdict."""
+    """Prints calls, calls that met target and verdicts by class of work."""
     results = [*measurements.results, *measurements.downloads]
     for label in sorted({result.label for result in results}):
         class_results = [result for result in results if result.label == label]
--- a/tools/failures.py
+++ b/tools/failures.py
@@ -30,7 +30,8 @@
 _WARM_UP_S = 3.0
 _DOWNLOAD_BYTES = 1_500_000
 _DOWNLOAD_BYTES_PER_S = 500_000
-# The run is so short that failures would hit few payouts at the expected rate.
+# Factor on the rate of work that must not run twice. The run is so short that
+# failures would hit few such requests at the expected rate.
 _KEYED_RATE_FACTOR = 10.0
 # Time after which a leaving backend server must get no new requests.
 _LEAVE_GRACE_MS = 3000
@@ -42,7 +43,8 @@
 
     Attributes:
         layout: Example fleet.
-        factor: Factor applied to the expected rates of the fleet's classes.
+        factor: Factor applied to the expected rates of the fleet's classes that
+            are not large.
         loaders: Number of load processes.
         seed: Seed of the first load process; each further one adds 1.
         crash_share: Fraction of repeatable calls that crash their backend
@@ -57,36 +59,39 @@
 
 
 async def measure(options: Options, with_baseline: bool) -> dict[str, Any]:
-    """Measures the daemon and then the baseline under the same failures."""
-    figures = await _measure_kind(options, layouts.build_daemon_arguments, True)
+    """Measures the daemon and, if asked, the baseline with equal failures."""
+    figures = await _measure_fleet(
+        options, layouts.build_daemon_arguments, True
+    )
     if with_baseline:
         logger.info("product: %s", json.dumps(figures))
-        figures["baseline"] = await _measure_kind(
+        figures["baseline"] = await _measure_fleet(
             options, layouts.build_proxy_arguments, False
         )
     return figures
 
 
-async def _measure_kind(
+async def _measure_fleet(
     options: Options,
     build_arguments: Callable[..., list[str]],
-    is_product: bool,
+    with_daemons: bool,
 ) -> dict[str, Any]:
+    """Measures a fleet of daemons or of the baseline's proxies."""
     table = processes.ProcessTable()
     example_fleet = fleet.Fleet(table, options.layout, build_arguments)
     try:
         await example_fleet.start(layouts.list_places(options.layout))
 
-        async def refresh() -> None:
-            if not is_product:
+        async def refresh_upstreams() -> None:
+            if not with_daemons:
                 await send_upstreams(example_fleet)
 
-        await refresh()
-        if is_product:
+        await refresh_upstreams()
+        if with_daemons:
             await apply_documents(example_fleet)
         await asyncio.sleep(_WARM_UP_S)
         failure_scenario = scenario.Scenario(
-            example_fleet, table.directory, refresh, is_product
+            example_fleet, table.directory, refresh_upstreams, with_daemons
         )
         results, _ = await asyncio.gather(
             _run_loaders(table, example_fleet, options), failure_scenario.run()
@@ -169,18 +174,20 @@
     runs: list[dict[str, Any]],
     failure_scenario: scenario.Scenario,
 ) -> dict[str, Any]:
-    """Returns the figures of the daemons or of the baseline's proxies."""
+    """Returns the figures of one run, of daemons or of the baseline."""
     # A request that crashes its backend server can have no correct answer.
     ordinary = [result for result in results if not result.crash]
     correct = [r for r in ordinary if r.verdict is calls.Verdict.RIGHT]
     correct_first = [
         r for r in correct if r.first_verdict is calls.Verdict.RIGHT
     ]
-    answered = [r for r in ordinary if r.verdict is not calls.Verdict.TIMEOUT]
+    not_timed_out = [
+        r for r in ordinary if r.verdict is not calls.Verdict.TIMEOUT
+    ]
     versions = failure_scenario.list_versions()
     return {
         "requests": len(ordinary),
-        "answered": len(answered),
+        "answered": len(not_timed_out),
         "goodput_ratio": round(len(correct) / max(1, len(ordinary)), 4),
         "goodput_first_ratio": round(
             len(correct_first) / max(1, len(ordinary)), 4
@@ -217,32 +224,32 @@
     runs: list[dict[str, Any]],
     failure_scenario: scenario.Scenario,
 ) -> int:
-    """Counts incomplete downloads that were in flight at a planned stop.
+    """Counts downloads that failed while in flight at a planned stop.
 
-    A download counts if its last attempt ended after the stop and had begun to
-    run before it, at the backend server of the stopped instance or by way of
-    the daemon of that instance.
+    A download counts if its last attempt began to run before the stop, ended
+    after it, and was sent through the daemon of the stopped instance or ran at
+    its backend server.
     """
-    starts: dict[str, list[tuple[str, int]]] = {}
-    for run in runs:
-        if run["event"] == "started":
-            start = run["at"], run["at_ms"]
-            starts.setdefault(run["attempt_id"], []).append(start)
+    run_starts: dict[str, list[tuple[str, int]]] = {}
+    for record in runs:
+        if record["event"] == "started":
+            start = record["at"], record["at_ms"]
+            run_starts.setdefault(record["attempt_id"], []).append(start)
     cut = 0
     for result in results:
         if not result.large or result.verdict is calls.Verdict.RIGHT:
             continue
         attempt = result.attempts[-1]
         ended_ms = attempt.started_ms + attempt.latency_ms
-        attempt_starts = starts.get(attempt.attempt_id, [])
+        attempt_starts = run_starts.get(attempt.attempt_id, [])
         cut += any(
             ended_ms > stop.at_ms
             and any(
-                at_ms < stop.at_ms
+                started_ms < stop.at_ms
                 and (
                     address == stop.address or attempt.entry == stop.daemon_url
                 )
-                for address, at_ms in attempt_starts
+                for address, started_ms in attempt_starts
             )
             for stop in failure_scenario.planned_stops
         )
@@ -250,7 +257,7 @@
 
 
 def _count_dangling_routes(results: list[load.Result]) -> int:
-    """Counts 404 answers; every version has the requested routes."""
+    """Counts 404 answers, which are wrong as every version has the routes."""
     return sum(
         attempt.status == _NO_ROUTE_STATUS
         for result in results
@@ -297,10 +304,14 @@
 
 
 async def run(options: Options, with_baseline: bool) -> int:
-    """Measures, prints one JSON line and returns 1 if any harm was done."""
+    """Measures and prints one JSON line.
+
+    Returns:
+        1 if a figure of the daemon that must be 0 is not, else 0.
+    """
     figures = await measure(options, with_baseline)
     print(json.dumps(figures), flush=True)
-    harm_figures = [
+    zero_figures = [
         *harm.Harm._fields,
         "downloads_cut_by_planned_stop",
         "new_work_after_leave",
@@ -308,4 +319,4 @@
         "dangling_routes",
         "not_in_force_at_end",
     ]
-    return 1 if any(figures[name] for name in harm_figures) else 0
+    return 1 if any(figures[name] for name in zero_figures) else 0
--- a/tools/latency.py
+++ b/tools/latency.py
@@ -19,7 +19,8 @@
 _CLOSED_LOOP_CALLERS = 8
 _CLOSED_LOOP_DURATION_S = 1.0
 _CALLS_PER_BLOCK = 200
-# Calls per second; the figures of this rate are also the top-level figures.
+# Calls per second; the figures of this rate, or of the first one if it is not
+# measured, are also the top-level figures.
 _MAIN_RATE = 200
 
 
@@ -28,7 +29,8 @@
 
     Attributes:
         rates: Rates to measure at, in calls per second.
-        rounds: Rounds at each rate; each round calls every target.
+        rounds: Rounds at each rate, and of the closed loop; each round calls
+            every target.
     """
 
     rates: list[int]
@@ -66,21 +68,25 @@
         raise processes.ProcessError("the first version is not in force")
     # Waits until the cold start of the backend server is over.
     await asyncio.sleep(_WARM_UP_S)
-    serving, other = example_fleet.instances
+    # The forwarding instance has no `balie`; its daemon passes calls on to the
+    # serving one.
+    serving, forwarding = example_fleet.instances
     assert serving.backend is not None
     address = serving.backend.ready_fields["address"]
     baseline = await table.start(
         "plain proxy", "standins.plain_proxy", "--upstream", address
     )
-    path = f"{_find_path(example_fleet.layout.name)}/1?work_ms=0"
+    path = f"{_find_prefix(example_fleet.layout.name)}/1?work_ms=0"
     routed_path = f"/balie{path}"
-    serving_pid, other_pid = serving.daemon.pid, other.daemon.pid
+    serving_pid, forwarding_pid = serving.daemon.pid, forwarding.daemon.pid
     proxy_url = f"http://{layouts.HOST}:{baseline.ready_fields['port']}"
     targets = [
         latency_load.Target("direct", f"http://{address}{path}", []),
         latency_load.Target("daemon", serving.url + routed_path, [serving_pid]),
         latency_load.Target(
-            "two_daemons", other.url + routed_path, [other_pid, serving_pid]
+            "two_daemons",
+            forwarding.url + routed_path,
+            [forwarding_pid, serving_pid],
         ),
         latency_load.Target(
             "baseline", proxy_url + routed_path, [baseline.pid]
@@ -114,8 +120,8 @@
     return latency_load.read_blocks(results_path)
 
 
-def _find_path(name: str) -> str:
-    """Returns the path prefix of a class of small reads."""
+def _find_prefix(name: str) -> str:
+    """Returns the path prefix of the first class of reads of `balie`."""
     return next(
         class_load.prefix
         for class_load in workload.read_classes(name)
@@ -126,11 +132,16 @@
 def summarize(
     blocks: list[latency_load.Block], rates: list[int]
 ) -> dict[str, Any]:
-    """Returns the figures of the main rate, and under "rates" of every rate."""
+    """Returns the figures of the measurement.
+
+    The figures of the main rate and of the closed loop stand at the top level,
+    those of every rate under "rates".
+    """
     by_rate = {str(rate): _summarize_rate(blocks, rate) for rate in rates}
     main_rate = _MAIN_RATE if _MAIN_RATE in rates else rates[0]
     figures = {"rate": main_rate, **by_rate[str(main_rate)]}
     direct = _list_throughputs(blocks, "direct")
+    # The figures of the daemon stand at the top level.
     by_target = {"daemon": figures, "two_daemons": figures["two_daemons"]}
     by_target["baseline"] = figures["baseline"]
     for name, fields in by_target.items():
@@ -151,8 +162,12 @@
     blocks: list[latency_load.Block], rate: int
 ) -> dict[str, Any]:
     figures: dict[str, Any] = {
-        "direct_p50_ms": _compute_median(blocks, "direct", rate, 0.5),
-        "direct_p99_ms": _compute_median(blocks, "direct", rate, 0.99),
+        "direct_p50_ms": _compute_median_percentile(
+            blocks, "direct", rate, 0.5
+        ),
+        "direct_p99_ms": _compute_median_percentile(
+            blocks, "direct", rate, 0.99
+        ),
         **_summarize_target(blocks, "daemon", rate),
     }
     for name in ("two_daemons", "baseline"):
@@ -164,12 +179,12 @@
     blocks: list[latency_load.Block], name: str, rate: int
 ) -> dict[str, float]:
     target_blocks = [b for b in blocks if b.target == name and b.rate == rate]
-    calls = sum(len(block.latencies_ms) for block in target_blocks)
+    answered_calls = sum(len(block.latencies_ms) for block in target_blocks)
     cpu_s = sum(block.cpu_s for block in target_blocks)
     return {
         "added_p50_ms": _compute_added(blocks, name, rate, 0.5),
         "added_p99_ms": _compute_added(blocks, name, rate, 0.99),
-        "cpu_us_per_call": round(cpu_s / max(1, calls) * 1e6, 1),
+        "cpu_us_per_call": round(cpu_s / max(1, answered_calls) * 1e6, 1),
     }
 
 
@@ -191,7 +206,7 @@
     )
 
 
-def _compute_median(
+def _compute_median_percentile(
     blocks: list[latency_load.Block], name: str, rate: int, fraction: float
 ) -> float:
     percentiles = _list_percentiles(blocks, name, rate, fraction)
@@ -206,10 +221,10 @@
         for block in blocks
         if block.target == name and block.rate == rate
     ]
-    answered = [value for value in percentiles if value is not None]
-    if len(answered) < len(percentiles):
+    known_percentiles = [value for value in percentiles if value is not None]
+    if len(known_percentiles) < len(percentiles):
         raise ValueError(f"no call was answered in a block of {name}")
-    return answered
+    return known_percentiles
 
 
 def _list_throughputs(
--- a/tools/latency_load.py
+++ b/tools/latency_load.py
@@ -1,7 +1,4 @@
-"""Load process of the latency measurement.
-
-Run it with `python -m tools.latency_load PLAN RESULTS`; both are JSON files.
-"""
+"""Load process of the latency measurement."""
 
 from __future__ import annotations
 
@@ -19,6 +16,7 @@
 from standins import process
 from tools import samples
 
+# Calls of each target before the first round.
 _WARM_UP_CALLS = 300
 
 
@@ -91,14 +89,16 @@
         for rate in plan.rates:
             for _ in range(plan.rounds):
                 for target in plan.targets:
-                    blocks.append(await _call_open(session, target, rate, plan))
+                    blocks.append(
+                        await _call_open_loop(session, target, rate, plan)
+                    )
         for _ in range(plan.rounds):
             for target in plan.targets:
-                blocks.append(await _call_closed(session, target, plan))
+                blocks.append(await _call_closed_loop(session, target, plan))
     return blocks
 
 
-async def _call_open(
+async def _call_open_loop(
     session: aiohttp.ClientSession, target: Target, rate: int, plan: Plan
 ) -> Block:
     """Begins calls at a fixed rate, without waiting for earlier answers."""
@@ -115,10 +115,10 @@
     )
 
 
-async def _call_closed(
+async def _call_closed_loop(
     session: aiohttp.ClientSession, target: Target, plan: Plan
 ) -> Block:
-    """Lets each caller call again as soon as its last call is answered."""
+    """Lets each caller call again as soon as its last call has ended."""
     loop = asyncio.get_running_loop()
     latencies: list[float | None] = []
     cpu_before_s = _read_cpu_s(target)
@@ -135,7 +135,7 @@
 
 
 async def _call(session: aiohttp.ClientSession, url: str) -> float | None:
-    """Returns the latency in ms, or None if there was no status 200."""
+    """Returns the latency in ms; None without an answer of status 200."""
     began = time.perf_counter()
     try:
         async with session.get(url) as answer:
@@ -205,7 +205,11 @@
 
 
 def main() -> None:
-    """Makes the calls of a plan file and writes the results file."""
+    """Makes the calls of a plan file and writes the results file.
+
+    Run it with `python -m tools.latency_load PLAN RESULTS`; both are JSON
+    files.
+    """
     plan_path, results_path = map(pathlib.Path, sys.argv[1:3])
     process.run(functools.partial(_run, plan_path, results_path))
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,8 +1,4 @@
-"""Open-loop load of all classes of work, in this or a separate process.
-
-Run it with `python -m tools.load PLAN RESULTS`; PLAN is a JSON file, RESULTS a
-file of JSON lines.
-"""
+"""Open-loop load of all classes of work, in this or a separate process."""
 
 from __future__ import annotations
 
@@ -23,13 +19,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-_MAX_ATTEMPTS = 3
-_MAX_REPEATABLE_ATTEMPTS = 2
-_MAX_RETRY_AFTER_S = 1.0
+# Attempts of a request that is retried after every failure.
+_MAX_ATTEMPTS_AFTER_FAILURE = 3
+# Attempts of a request that is retried only if the answer says when to.
+_MAX_ATTEMPTS_AFTER_REFUSAL = 2
+_MAX_RETRY_DELAY_S = 1.0
+# Time that a caller waits beyond the deadline of the class.
 _TIMEOUT_MARGIN_S = 2.0
 _DOWNLOAD_TIMEOUT_S = 120.0
 _BODY_BYTES = 300
-# Attempts that found no open port; the caller just asks another daemon.
+# Attempts of one request that find no open port; the caller just asks again a
+# daemon that it chooses at random.
 _MAX_UNSENT_ATTEMPTS = 5
 
 
@@ -39,15 +39,16 @@
     Attributes:
         entries: URLs of the daemons that callers use.
         classes: Classes of work.
-        factor: Factor applied to the classes' expected rates.
+        factor: Factor applied to the expected rates of the classes that are not
+            large.
         duration_s: Seconds in which requests begin.
         seed: Seed of every random choice; also a part of the request ids.
         download_bytes: Length of each download in bytes.
         download_rate: Bytes per second of each download.
         large_rate: Downloads begun per second by all large classes together,
             instead of their expected rates.
-        keyed_factor: Further factor on the rates of work that must not be
-            repeated.
+        keyed_factor: Further factor on the rates of work that must not run
+            twice and therefore has an idempotency key.
         crash_share: Fraction of repeatable calls that crash their backend
             server.
     """
@@ -70,7 +71,8 @@
     Attributes:
         label: Service and class of work, as "service/class".
         request_id: Id of the request.
-        latency_ms: Milliseconds from the first attempt to the last answer.
+        latency_ms: Milliseconds from the start of the first attempt to the end
+            of the last one.
         large: Whether it is a download.
         crash: Whether it crashes the backend server that runs it.
         met: Whether the answer was correct and, unless it is a download, came
@@ -140,13 +142,16 @@
     request: calls.Request,
     rng: random.Random,
 ) -> Result:
-    """Sends a request and repeats it as its caller would.
+    """Sends a request and retries it as its caller would.
+
+    Each attempt goes through a randomly chosen daemon. Attempts that find no
+    open port count towards `_MAX_UNSENT_ATTEMPTS` only.
 
-    Work that must not run twice is sent again with the same idempotency key,
-    each time through a randomly chosen daemon, until it is answered or
-    `_MAX_ATTEMPTS` is reached; so is a request that crashes its backend server.
-    Other work is sent again once, if the answer said that it did not run and
-    when to retry.
+    Work that must not run twice is retried, always with the same idempotency
+    key, until the verdict is RIGHT or WRONG or `_MAX_ATTEMPTS_AFTER_FAILURE` is
+    reached. A request that crashes its backend server is retried as often.
+    Other work is retried once, if the answer said that it did not run and when
+    to retry.
 
     Args:
         session: Client to send with.
@@ -155,9 +160,11 @@
         rng: Source of the random choice of daemons.
     """
     class_load = request.class_load
-    retries_failures = request.crash or not class_load.repeatable
+    retries_every_failure = request.crash or not class_load.repeatable
     max_attempts = (
-        _MAX_ATTEMPTS if retries_failures else _MAX_REPEATABLE_ATTEMPTS
+        _MAX_ATTEMPTS_AFTER_FAILURE
+        if retries_every_failure
+        else _MAX_ATTEMPTS_AFTER_REFUSAL
     )
     attempts: list[calls.Attempt] = []
     timeout_s = class_load.deadline_ms / 1000 + _TIMEOUT_MARGIN_S
@@ -178,11 +185,11 @@
             continue
         if attempt.verdict in (calls.Verdict.RIGHT, calls.Verdict.WRONG):
             break
-        if not retries_failures and not _is_told_to_retry(attempt):
+        if not retries_every_failure and not _is_told_to_retry(attempt):
             break
         if len(attempts) - unsent < max_attempts:
             retry_delay_s = attempt.retry_after_s or 0.1
-            await asyncio.sleep(min(retry_delay_s, _MAX_RETRY_AFTER_S))
+            await asyncio.sleep(min(retry_delay_s, _MAX_RETRY_DELAY_S))
     latency_ms = (loop.time() - began) * 1000
     correct = attempts[-1].verdict is calls.Verdict.RIGHT
     met = correct and (class_load.large or latency_ms <= class_load.latency_ms)
@@ -248,7 +255,7 @@
 
 
 def _compute_rate(plan: Plan, class_load: workload.ClassLoad) -> float:
-    """Returns the calls of one class that begin per second."""
+    """Returns how many requests of one class begin per second."""
     if class_load.large:
         return plan.large_rate / sum(other.large for other in plan.classes)
     if class_load.repeatable:
@@ -281,7 +288,11 @@
 
 
 def main() -> None:
-    """Makes the load of a plan file and writes the results file."""
+    """Makes the load of a plan file and writes the results file.
+
+    Run it with `python -m tools.load PLAN RESULTS`; PLAN is a JSON file,
+    RESULTS a file of JSON lines.
+    """
     plan_path, results_path = map(pathlib.Path, sys.argv[1:3])
     process.run(functools.partial(_run, plan_path, results_path))
 
