--- a/tests/tools/test_known_red.py
+++ b/tests/tools/test_known_red.py
@@ -6,7 +6,7 @@
 
 from tools import known_red
 
-_TEST = "tests.tools.test_known_red.FormTest.test_whole_entries_pass"
+_TEST = "tests.tools.test_known_red.FormatTest.test_valid_entries_pass"
 _SEEN = "eight of ten calls are answered 504"
 _OPEN_ISSUES = {7, 28}
 
@@ -18,13 +18,14 @@
     return f"{head} ({seed}): {seen}; issue {issue}."
 
 
-class FormTest(unittest.TestCase):
+class FormatTest(unittest.TestCase):
     def assert_error(self, entry: str, message: str) -> None:
         """Asserts that the errors of an entry contain a message."""
         errors = known_red.find_entry_errors(entry, _OPEN_ISSUES)
         self.assertIn(message, " ".join(errors))
 
-    def test_whole_entries_pass(self) -> None:
+    def test_valid_entries_pass(self) -> None:
+        """Guards against the refusal of an entry that names all it must."""
         entries = [
             build_entry(),
             build_entry(f"{_TEST} and `bench run site.toml day`"),
@@ -42,7 +43,10 @@
         self.assertEqual(known_red.find_errors(entries, _OPEN_ISSUES), [])
 
     def test_incomplete_entry_is_reported(self) -> None:
-        """Guards against entries that cannot be reproduced."""
+        """Guards against entries that cannot be reproduced or read quickly.
+
+        They lack a part, a seed or the test itself, or are too long.
+        """
         self.assert_error(f"{_TEST}: {_SEEN}; issue 7.", "not 'TEST")
         self.assert_error(build_entry("`bench` and `bench 2`"), "not 'TEST")
         self.assert_error(build_entry(seen="fails"), "not 'TEST")
@@ -55,17 +59,25 @@
         self.assert_error(build_entry(issue=12), "issue 12 is not open")
 
     def test_two_faults_in_one_entry_are_reported(self) -> None:
-        """Guards against joined entries, none of which can be removed alone."""
+        """Guards against an entry that outlives one of its faults.
+
+        An entry that joins two faults cannot be removed when one is mended.
+        """
         self.assert_error(
             build_entry(seen=f"{_SEEN}; likewise another day, too slow"),
             "more than one fault",
         )
 
     def test_duplicate_entry_is_reported(self) -> None:
+        """Guards against an entry that is removed once and still stands."""
         errors = known_red.find_errors([build_entry()] * 2, _OPEN_ISSUES)
         self.assertIn("stands twice", " ".join(errors))
 
     def test_open_issues_are_read_from_developers_page(self) -> None:
+        """Guards against open issues that are not found on their page.
+
+        A page without the line of open issues lists none.
+        """
         text = "Before.\n\nOpen issues: 2, 28.\n"
         self.assertEqual(known_red.read_open_issues(text), {2, 28})
         self.assertEqual(known_red.read_open_issues("none"), set())
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,8 +1,4 @@
-"""Checks the format of the entries in KNOWN-RED.txt.
-
-An entry is one line that describes one fault: the failing test, or a command
-in backticks that CI cannot run; its seed; what was seen; and an open issue.
-"""
+"""Checks the format of the entries in KNOWN-RED.txt."""
 
 from __future__ import annotations
 
@@ -13,17 +9,23 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent
 KNOWN_RED_PATH = _ROOT / "KNOWN-RED.txt"
-_DEVELOPERS_PAGE = _ROOT / "DEVELOPERS.md"
+_DEVELOPERS_PAGE_PATH = _ROOT / "DEVELOPERS.md"
 # The rule for entries is "keep it short": a reader takes one in at a glance.
 _MAX_ENTRY_CHARACTERS = 600
-_OPEN_ISSUES = re.compile(r"^Open issues: ([\d, ]+)\.$", re.MULTILINE)
+_OPEN_ISSUES_LINE = re.compile(r"^Open issues: ([\d, ]+)\.$", re.MULTILINE)
+# An entry is one line that describes one fault. It begins with its head: the
+# failing test, a command in backticks that CI cannot run, or both. Then come
+# the seed, what was seen and an open issue. For "hunted" and "of a hunt" the
+# command in the head names the seed.
 _ENTRY_FORMAT = re.compile(
     r"(?P<head>(?P<test>tests(?:\.\w+)+)(?: and `[^`]+`)?|`[^`]+`)"
     r" \((?P<seed>[^)]*\bseeds?\b[^)]*|hunted|of a hunt)\): "
     r"(?P<seen>.{20,}); issue (?P<issue>\d+)\."
 )
+# The last option of a command that names its seed.
 _SEED_OPTION = re.compile(r"--seed \d+`")
-_SECOND_FAULT = re.compile(r"\b(likewise|also|as well as)\b")
+# Words by which one entry tells of a second fault.
+_SECOND_FAULT_WORDS = re.compile(r"\b(likewise|also|as well as)\b")
 
 
 def read_entries() -> list[str]:
@@ -40,9 +42,9 @@
     return {entry.split()[0]: entry for entry in test_entries}
 
 
-def read_open_issues(text: str) -> set[int]:
-    """Returns the open issues that the text of the developers' page lists."""
-    match = _OPEN_ISSUES.search(text)
+def read_open_issues(developers_page: str) -> set[int]:
+    """Returns the open issues that the developers' page lists; may be empty."""
+    match = _OPEN_ISSUES_LINE.search(developers_page)
     return {int(number) for number in match[1].split(",")} if match else set()
 
 
@@ -58,7 +60,7 @@
         errors.append(f"issue {match['issue']} is not open")
     if match["test"] and not _is_test(match["test"]):
         errors.append("there is no such test")
-    if _SECOND_FAULT.search(match["seen"]):
+    if _SECOND_FAULT_WORDS.search(match["seen"]):
         errors.append("tells of more than one fault")
     if len(entry) > _MAX_ENTRY_CHARACTERS:
         errors.append(f"is longer than {_MAX_ENTRY_CHARACTERS} characters")
@@ -93,7 +95,7 @@
     entries = read_entries()
     for entry in entries:
         print(f"known red: {entry}")
-    developers_page = _DEVELOPERS_PAGE.read_text(encoding="utf-8")
+    developers_page = _DEVELOPERS_PAGE_PATH.read_text(encoding="utf-8")
     errors = find_errors(entries, read_open_issues(developers_page))
     for error in errors:
         print(f"known red, wrong form: {error}", file=sys.stderr)
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -8,7 +8,9 @@
 from merlintrestle import config
 from merlintrestle.schema import settings_pb2
 
-_PAGE = pathlib.Path(__file__).parent.parent / "docs" / "use" / "settings.md"
+_PAGE_PATH = (
+    pathlib.Path(__file__).parent.parent / "docs" / "use" / "settings.md"
+)
 _PROGRAMS = {
     "merlintrestle-daemon": settings_pb2.DaemonSettings,
     "merlintrestle": settings_pb2.OperatorSettings,
@@ -41,9 +43,9 @@
     """Writes the page; with --check, returns 1 if the written page differs."""
     text = format_reference()
     if "--check" not in sys.argv:
-        _PAGE.write_text(text, encoding="utf-8")
+        _PAGE_PATH.write_text(text, encoding="utf-8")
         return 0
-    if _PAGE.read_text(encoding="utf-8") == text:
+    if _PAGE_PATH.read_text(encoding="utf-8") == text:
         return 0
     print("docs/use/settings.md is not fresh: run tools/reference.py")
     return 1
--- a/tools/tests.py
+++ b/tools/tests.py
@@ -1,4 +1,4 @@
-"""Runs all tests and prints the numbers of passed and failed ones."""
+"""Runs all tests and prints how many passed and failed."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 def main() -> int:
     """Runs all tests.
 
-    The first command-line argument is the number of checks that failed before;
-    they count as failures. Failed tests that KNOWN-RED.txt lists do not count.
+    The first command-line argument is the number of other checks that have
+    failed; the printed number of failures includes them, but not failed tests
+    that KNOWN-RED.txt lists.
 
     Returns:
-        1 if anything failed, else 0.
+        1 if the printed number of failures is not 0, else 0.
     """
     failed_checks = int(sys.argv[1]) if len(sys.argv) > 1 else 0
     hypothesis.settings.register_profile(
@@ -32,9 +33,11 @@
     suite = unittest.defaultTestLoader.discover("tests", top_level_dir=".")
     result = unittest.TextTestRunner(verbosity=1, buffer=True).run(suite)
     failures = [*result.failures, *result.errors]
-    known = known_red.read_known_red()
-    new_failures = [test for test, _ in failures if test.id() not in known]
-    for name, entry in known.items():
+    known_failures = known_red.read_known_red()
+    new_failures = [
+        test for test, _ in failures if test.id() not in known_failures
+    ]
+    for name, entry in known_failures.items():
         if name not in {test.id() for test, _ in failures}:
             print(f"known red, now passes: {entry}")
     failed = len(new_failures) + failed_checks
