--- a/tools/demonstration.py
+++ b/tools/demonstration.py
@@ -41,6 +41,7 @@
 # Time after which a leaving backend server must get no new requests: "a few
 # seconds".
 _LEAVE_GRACE_MS = 3000
+_STOP_TIMEOUT_S = 30.0
 _MAX_CONVERGENCE_S = 5.0
 # Change of a backend server's runs in flight, by event of the ledger.
 _IN_FLIGHT_CHANGES = {"started": 1, "done": -1, "cancelled": -1}
@@ -152,7 +153,9 @@
     sigterm_ms = time.time_ns() // 1_000_000
     instance_to_stop.backend.send_signal(signal.SIGTERM)
     results, download_results = await mixed_load, await downloads
-    status = await asyncio.wait_for(instance_to_stop.backend.wait(), 30.0)
+    status = await asyncio.wait_for(
+        instance_to_stop.backend.wait(), _STOP_TIMEOUT_S
+    )
     version_histories += [
         list(await example_fleet.read_versions(i)) for i in surviving
     ]
--- a/tools/load.py
+++ b/tools/load.py
@@ -23,6 +23,7 @@
 _MAX_ATTEMPTS_AFTER_FAILURE = 3
 # Attempts of a request that is retried only if the answer says when to.
 _MAX_ATTEMPTS_AFTER_REFUSAL = 2
+_DEFAULT_RETRY_DELAY_S = 0.1
 _MAX_RETRY_DELAY_S = 1.0
 # Time that a caller waits beyond the deadline of the class.
 _TIMEOUT_MARGIN_S = 2.0
@@ -188,7 +189,7 @@
         if not retries_every_failure and not _is_told_to_retry(attempt):
             break
         if len(attempts) - unsent < max_attempts:
-            retry_delay_s = attempt.retry_after_s or 0.1
+            retry_delay_s = attempt.retry_after_s or _DEFAULT_RETRY_DELAY_S
             await asyncio.sleep(min(retry_delay_s, _MAX_RETRY_DELAY_S))
     latency_ms = (loop.time() - began) * 1000
     correct = attempts[-1].verdict is calls.Verdict.RIGHT
