--- a/tools/model.py
+++ b/tools/model.py
@@ -1,11 +1,4 @@
-"""Simulation of a fleet under load, in simulated time.
-
-Callers, daemons and backend servers are modelled. The decisions are made by
-the product's code: picking, admission, queues, retries, retry budgets and the
-recognition of callers that retry. Bytes, processor time, membership and the
-store are not modelled. A simulation of ten seconds with fourteen daemons takes
-a few seconds.
-"""
+"""Simulation of a fleet under load, in simulated time."""
 
 from __future__ import annotations
 
@@ -39,8 +32,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Header of calls that are nested in a repeat; daemons ignore it.
-_NESTED_IN_REPEAT = "Under-Repeat"
+# Header of calls that are nested in a repeat. Daemons ignore it; the simulation
+# counts repeats by it.
+_NESTED_IN_REPEAT_HEADER = "Under-Repeat"
 # Standard deviation of the logarithm of the work time. With it one call in
 # twenty takes more than twice the mean.
 _WORK_LOG_DEVIATION = 0.5
@@ -51,8 +45,8 @@
 # One-way delay between two daemons of one zone and of different zones.
 _SAME_ZONE_DELAY_S = 0.0003
 _CROSS_ZONE_DELAY_S = 0.0012
-# Length of the windows among which the worst ones are determined.
-_WINDOW_S = 2.0
+# Length of the windows into which `Result.worst` divides the simulated time.
+_RESULT_WINDOW_S = 2.0
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
@@ -80,17 +74,17 @@
 
     Attributes:
         plan: Declared targets of the class.
-        rate: Calls per second of all callers; 0 if all calls are nested in
-            calls of other classes.
+        rate: Requests per second of all callers, without their retries; 0 if
+            all calls of the class are nested in calls of other classes.
         work_s: Mean work time at a backend server of usual speed, in seconds.
         timeout_s: Longest timeout of a caller, in seconds.
         min_timeout_fraction: Shortest timeout of a caller, as a fraction of the
             longest one.
-        retries: Maximum number of retries of a caller.
-        worth: Value of an answer within the latency target.
-        late_worth: Value of a later answer.
-        downstream_classes: Names of the classes of the nested calls that each
-            call makes.
+        max_retries: Maximum number of retries of a caller.
+        in_time_value: Value of an answer within the latency target.
+        late_value: Value of a later answer.
+        nested_classes: Names of the classes of the nested calls that each call
+            makes.
     """
 
     plan: snapshots.ClassPlan
@@ -98,10 +92,10 @@
     work_s: float
     timeout_s: float
     min_timeout_fraction: float = 0.83
-    retries: int = 1
-    worth: float = 1.0
-    late_worth: float = 0.5
-    downstream_classes: tuple[str, ...] = ()
+    max_retries: int = 1
+    in_time_value: float = 1.0
+    late_value: float = 0.5
+    nested_classes: tuple[str, ...] = ()
 
 
 class Server(NamedTuple):
@@ -128,12 +122,12 @@
 
     Attributes:
         at_s: Time of the change, in seconds from the start.
-        server: Number of the backend server.
+        server_number: Number of the backend server.
         slowness: Slowness of the backend server from then on; 0 if it drains.
     """
 
     at_s: float
-    server: int
+    server_number: int
     slowness: float
 
 
@@ -141,12 +135,15 @@
     """Results of the callers.
 
     Attributes:
-        counts: Number of requests by name of the class and result: "in time",
-            "late", "refused", "refused again" or "failed".
+        counts: Number of requests by name of the class and name of the result:
+            "in time", "late", "refused" (without a retry), "refused again"
+            (after a retry) or "failed".
         earned: Value of the answers, as a fraction of the value that all
             requests would have if answered in time.
-        served: Fraction of the requests that were answered.
-        worst: Mean of `earned` in the two worst windows.
+        served: Fraction of the requests that were answered, in time or late.
+            An error, or an answer after the caller's timeout, does not count.
+        worst: Mean of `earned` in the two worst windows. A request counts in
+            the window in which it began.
         far: Fraction of the answers between daemons that crossed zones.
         repeat_ratios: Repeats that reached backend servers, as a ratio to the
             calls, by service.
@@ -159,53 +156,53 @@
     far: float
     repeat_ratios: dict[str, float]
 
-    def compute_fraction(self, name: str, result: str) -> float:
-        """Returns the fraction of a class's requests with a result.
+    def compute_fraction(self, class_name: str, result_name: str) -> float:
+        """Returns the fraction of a class's requests that had a result.
 
         Args:
-            name: Name of the class.
-            result: The result, as in `counts`.
+            class_name: Name of the class.
+            result_name: Name of the result, as in `counts`.
         """
         total = sum(
-            count for key, count in self.counts.items() if key[0] == name
+            count for key, count in self.counts.items() if key[0] == class_name
         )
-        return self.counts[name, result] / max(1, total)
+        return self.counts[class_name, result_name] / max(1, total)
 
 
 class _MemberTable:
     """The upstreams of all services, common to all daemons."""
 
     def __init__(self, servers: Iterable[Server]):
-        self._members = {
+        self._upstreams_by_number = {
             number: _build_upstream(number, server)
             for number, server in enumerate(servers)
         }
-        self._services = {
+        self._services_by_number = {
             number: server.service for number, server in enumerate(servers)
         }
-        self._upstreams: dict[str, tuple[tables.Upstream, ...]] = {}
+        self._upstreams_by_service: dict[str, tuple[tables.Upstream, ...]] = {}
 
     def get_upstreams(self, service: str) -> tuple[tables.Upstream, ...]:
         """Returns the upstreams of a service.
 
         Each call returns the same tuple object until an upstream is removed.
         """
-        if service not in self._upstreams:
-            self._upstreams[service] = tuple(
-                member
-                for number, member in self._members.items()
-                if self._services[number] == service
+        if service not in self._upstreams_by_service:
+            self._upstreams_by_service[service] = tuple(
+                upstream
+                for number, upstream in self._upstreams_by_number.items()
+                if self._services_by_number[number] == service
             )
-        return self._upstreams[service]
+        return self._upstreams_by_service[service]
 
     def count_usable(self) -> int:
-        """Returns the number of daemons, those of removed upstreams too."""
-        return len(self._services)
+        """Returns the number of daemons, also of removed upstreams."""
+        return len(self._services_by_number)
 
     def remove(self, number: int) -> None:
         """Removes an upstream."""
-        self._members.pop(number, None)
-        self._upstreams.clear()
+        self._upstreams_by_number.pop(number, None)
+        self._upstreams_by_service.clear()
 
 
 class _EmptyVersion:
@@ -341,7 +338,7 @@
             -(_WORK_LOG_DEVIATION**2) / 2, _WORK_LOG_DEVIATION
         )
         await asyncio.sleep(work_class.work_s * self.slowness * factor)
-        for name in work_class.downstream_classes:
+        for name in work_class.nested_classes:
             failure = await self._simulation.make_nested_call(
                 self,
                 name,
@@ -356,6 +353,11 @@
 class Simulation:
     """Simulation of a fleet and its callers.
 
+    Callers, daemons and backend servers are modelled. The decisions are made by
+    the product's code: picking, admission, queues, retries, retry budgets and
+    the recognition of callers that retry. Bytes, processor time, membership and
+    the store are not modelled.
+
     Attributes:
         servers: Backend servers by number.
         work_classes: Classes of work by name.
@@ -363,9 +365,10 @@
         table: Member table of the daemons.
         peer_answers: Number of answers between daemons, by whether they
             crossed zones.
-        requests: Number of calls by service; each attempt of a caller counts.
-        repeats: Number of repeats among them that reached a backend server,
-            by service. Calls that are nested in a repeat count as repeats.
+        calls_by_service: Number of calls to each service. Each attempt of a
+            caller and each nested call counts.
+        repeats_by_service: Number of repeats among them that reached a backend
+            server. Calls that are nested in a repeat count as repeats.
     """
 
     def __init__(
@@ -381,8 +384,10 @@
         self.rng = random.Random(seed)
         self.table = _MemberTable(servers)
         self.peer_answers: collections.Counter[bool] = collections.Counter()
-        self.requests: collections.Counter[str] = collections.Counter()
-        self.repeats: collections.Counter[str] = collections.Counter()
+        self.calls_by_service: collections.Counter[str] = collections.Counter()
+        self.repeats_by_service: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
@@ -427,30 +432,30 @@
         self,
         daemon: _SimulatedDaemon,
         name: str,
-        deadline: float,
+        parent_deadline: float,
         nested_in_repeat: bool = False,
     ) -> outcomes.Outcome | None:
-        """Makes a call that is nested in another one.
+        """Makes a call that is nested in a parent call.
 
         Args:
             daemon: Daemon of the backend server that makes the call.
             name: Name of the class.
-            deadline: Deadline of the other call, in seconds.
-            nested_in_repeat: Whether the other call is a repeat or is nested
+            parent_deadline: Deadline of the parent call, in seconds.
+            nested_in_repeat: Whether the parent call is a repeat or is nested
                 in one.
 
         Returns:
-            The outcome of the call if it failed or was late; None if it was
-            answered.
+            The outcome of the call if it failed or missed its deadline; None if
+            it was answered successfully.
         """
         work_class = self.work_classes[name]
         now = self._loop.time()
-        deadline = min(deadline, now + work_class.timeout_s)
+        deadline = min(parent_deadline, now + work_class.timeout_s)
         latency_deadline = now + work_class.plan.latency_s
-        self.requests[work_class.plan.service] += 1
+        self.calls_by_service[work_class.plan.service] += 1
         call = _build_call(work_class, deadline, latency_deadline)
         if nested_in_repeat:
-            call.headers[_NESTED_IN_REPEAT] = "1"
+            call.headers[_NESTED_IN_REPEAT_HEADER] = "1"
         outcome = await daemon.dispatcher.run(call)
         if isinstance(outcome, outcomes.Answered):
             if (
@@ -465,16 +470,16 @@
     def count_repeat(self, service: str, call: calls.Call) -> None:
         """Counts a call that reached a backend server if it is a repeat."""
         if call.repeat or _is_nested_in_repeat(call):
-            self.repeats[service] += 1
+            self.repeats_by_service[service] += 1
 
     async def _apply_change(self, change: ServerChange) -> None:
         """Changes a backend server at the time of the change."""
         await asyncio.sleep(change.at_s)
-        daemon = self._daemons[change.server]
+        daemon = self._daemons[change.server_number]
         if change.slowness:
             daemon.slowness = change.slowness
             return
-        self.table.remove(change.server)
+        self.table.remove(change.server_number)
         daemon.backend.state = control_pb2.DRAINING
 
     async def _start_callers(
@@ -496,20 +501,20 @@
         caller_deadline = started_at + timeout_s
         request_key = (work_class.plan.name, str(self.rng.getrandbits(24)))
         outcome: outcomes.Outcome | None = None
-        for attempt in range(work_class.retries + 1):
+        for retry_count in range(work_class.max_retries + 1):
             outcome = await self._attempt(
                 daemon, work_class, request_key, caller_deadline
             )
             if _is_success(outcome) or self._loop.time() >= caller_deadline:
                 break
-            if attempt == work_class.retries or not _may_retry(
+            if retry_count == work_class.max_retries or not _may_retry(
                 work_class, outcome
             ):
                 break
             remaining_s = caller_deadline - self._loop.time()
             await asyncio.sleep(min(_get_retry_delay(outcome), remaining_s / 3))
         self._record_result(
-            work_class, outcome, started_at, caller_deadline, attempt
+            work_class, outcome, started_at, caller_deadline, retry_count
         )
 
     async def _attempt(
@@ -524,8 +529,10 @@
         Args:
             daemon: Daemon that receives the call.
             work_class: Class of work of the call.
-            request_key: Recognises the retries of the caller.
-            caller_deadline: When the caller's timeout ends, in seconds.
+            request_key: Key by which the daemon recognises the caller's
+                retries.
+            caller_deadline: Time at which the caller's timeout ends, in
+                seconds.
         """
         now = self._loop.time()
         first_request_at = (
@@ -533,7 +540,7 @@
         )
         latency_deadline = first_request_at + work_class.plan.latency_s
         deadline = min(caller_deadline, now + work_class.plan.deadline_s)
-        self.requests[work_class.plan.service] += 1
+        self.calls_by_service[work_class.plan.service] += 1
         outcome = await daemon.dispatcher.run(
             _build_call(work_class, deadline, latency_deadline)
         )
@@ -551,31 +558,31 @@
         outcome: outcomes.Outcome | None,
         started_at: float,
         caller_deadline: float,
-        retries: int,
+        retry_count: int,
     ) -> None:
         """Records the result of a caller's request."""
         now = self._loop.time()
-        window = int((started_at - self._started_at) / _WINDOW_S)
-        self._requested_value[window] += work_class.worth
+        window = int((started_at - self._started_at) / _RESULT_WINDOW_S)
+        self._requested_value[window] += work_class.in_time_value
         earned_value = 0.0
         if _is_success(outcome) and now <= caller_deadline:
             in_time = now - started_at <= work_class.plan.latency_s
-            result = "in time" if in_time else "late"
+            result_name = "in time" if in_time else "late"
             earned_value = (
-                work_class.worth if in_time else work_class.late_worth
+                work_class.in_time_value if in_time else work_class.late_value
             )
         elif isinstance(outcome, outcomes.NotRun):
-            result = "refused again" if retries else "refused"
+            result_name = "refused again" if retry_count else "refused"
         else:
-            result = "failed"
+            result_name = "failed"
         self._earned_value[window] += earned_value
-        self._counts[work_class.plan.name, result] += 1
+        self._counts[work_class.plan.name, result_name] += 1
 
     def _build_result(self) -> Result:
         answered = sum(
             count
-            for (_, result), count in self._counts.items()
-            if result in ("in time", "late")
+            for (_, result_name), count in self._counts.items()
+            if result_name in ("in time", "late")
         )
         window_fractions = sorted(
             self._earned_value[window] / requested_value
@@ -589,8 +596,8 @@
             sum(window_fractions[:2]) / len(window_fractions[:2]),
             self.peer_answers[True] / max(1, self.peer_answers.total()),
             {
-                service: self.repeats[service] / count
-                for service, count in self.requests.items()
+                service: self.repeats_by_service[service] / count
+                for service, count in self.calls_by_service.items()
             },
         )
 
@@ -604,9 +611,11 @@
 ) -> Result:
     """Simulates the load of callers on a fleet.
 
+    A simulation of ten seconds with fourteen daemons takes a few seconds.
+
     Args:
         servers: Backend servers, each with a daemon.
-        work_classes: Classes of work_class.
+        work_classes: Classes of work and their callers.
         duration_s: Time in which callers make requests, in seconds.
         seed: Seed of the random numbers.
         changes: Changes of backend servers during the simulation.
@@ -658,7 +667,7 @@
 
 
 def _is_nested_in_repeat(call: calls.Call) -> bool:
-    return _NESTED_IN_REPEAT in call.headers
+    return _NESTED_IN_REPEAT_HEADER in call.headers
 
 
 def _is_success(outcome: outcomes.Outcome | None) -> bool:
--- a/tools/policies.py
+++ b/tools/policies.py
@@ -1,8 +1,4 @@
-"""Compares policies in simulations of a fleet with the same seeds.
-
-`python -m tools.policies --set load.queues._TYPICAL_HOLD_RATIO=2.0 --seeds 8`
-simulates each load with the present code and with one constant changed.
-"""
+"""Compares variants of the policies in simulations with the same seeds."""
 
 from __future__ import annotations
 
@@ -21,19 +17,19 @@
 
 _ZONES = ("a", "b", "c", "d")
 _DURATION_S = 12.0
-# Calls per second of all callers on a calm day.
+# Requests per second of all callers on a calm day.
 _CALM_RATE = 506.0
 # Standard deviation of the logarithm of the slowness of backend servers.
 _SLOWNESS_LOG_DEVIATION = 0.3
 # Service of each backend server.
 _SERVICES = ("board",) * 6 + ("desk",) * 4 + ("store",) * 4
 _SLOTS_PER_SERVER = 18
-# In a wide fleet: factor on the number of backend servers, and their slots.
+# Factor on the number of backend servers in a wide fleet.
 _WIDE_SERVER_FACTOR = 8
 _WIDE_SLOTS_PER_SERVER = 4
-# Fraction of the backend servers of a service that shed calls, and of their
-# calls that these shed.
+# Fraction of the backend servers of a service that shed calls.
 _SHEDDING_SERVER_FRACTION = 0.4
+# Fraction of its calls that each of them sheds.
 _SHED_FRACTION = 0.45
 # Factor on the work time while backend servers are cold.
 _COLD_SLOWNESS = 2.2
@@ -45,9 +41,10 @@
     """Load on a fleet, and the changes of its backend servers meanwhile.
 
     Attributes:
-        rate_factor: Call rate, as a multiple of the rate on a calm day.
-        leaves: Whether one backend server drains, one is slow for a while and
-            one stays slow.
+        rate_factor: Rate of the requests, as a multiple of the rate on a calm
+            day.
+        disrupted: Whether one backend server drains, one is slow for a while
+            and one stays slow.
         cold: Whether all backend servers are slow for three seconds, as after
             a restart.
         wide: Whether the fleet has eight times as many backend servers, with
@@ -57,7 +54,7 @@
     """
 
     rate_factor: float
-    leaves: bool = False
+    disrupted: bool = False
     cold: bool = False
     wide: bool = False
     shedding: bool = False
@@ -80,7 +77,7 @@
     "calm": Load(1.0),
     "busy": Load(1.7),
     "full": Load(2.2),
-    "leaving": Load(1.7, leaves=True),
+    "leaving": Load(1.7, disrupted=True),
     "cold": Load(1.6, cold=True),
     "wide": Load(1.6, wide=True),
     "shedding": Load(1.0, wide=True, shedding=True),
@@ -117,10 +114,14 @@
 
 
 def build_work_classes(rate_factor: float) -> list[model.WorkClass]:
-    """Builds lookups, grants, downloads and the checks nested in them.
+    """Builds the classes of the requests and of the calls nested in them.
+
+    The classes are lookup, grant and packet (downloads). Calls of the classes
+    check and verify are nested in lookups and grants.
 
     Args:
-        rate_factor: Call rate, as a multiple of the rate on a calm day.
+        rate_factor: Rate of the requests, as a multiple of the rate on a calm
+            day.
     """
     check = _build_plan("desk", "check", 0.12, 0.4, 4)
     verify = _build_plan("store", "verify", 0.12, 0.4, 4)
@@ -128,20 +129,22 @@
     grant = _build_plan("desk", "grant", 0.5, 1.0, 4)
     packet = _build_plan("store", "packet", 0.4, 0.8, 3)
     rate = _CALM_RATE * rate_factor
+    # The factors on the rate are the fractions of the requests that belong to
+    # each class.
     return [
         model.WorkClass(check, 0.0, 0.03, 0.4),
         model.WorkClass(verify, 0.0, 0.03, 0.4),
         model.WorkClass(
-            lookup, 0.633 * rate, 0.09, 1.5, downstream_classes=("check",)
+            lookup, 0.633 * rate, 0.09, 1.5, nested_classes=("check",)
         ),
         model.WorkClass(
             grant._replace(repeatable=False),
             0.256 * rate,
             0.12,
             2.0,
-            worth=2,
-            late_worth=1,
-            downstream_classes=("check", "verify"),
+            in_time_value=2,
+            late_value=1,
+            nested_classes=("check", "verify"),
         ),
         model.WorkClass(packet, 0.11 * rate, 0.096, 1.5),
     ]
@@ -152,7 +155,9 @@
 ) -> list[model.ServerChange]:
     """Builds the changes of the backend servers under a load."""
     changes = []
-    if load.leaves:
+    # By `_SERVICES`, the first six backend servers are those of "board" and the
+    # next four are those of "desk".
+    if load.disrupted:
         draining, slow = rng.sample(range(6), 2)
         usual_slowness = servers[slow].slowness
         changes += [
@@ -183,6 +188,7 @@
     rng = random.Random(seed)
     servers = build_servers(rng, load)
     changes = build_changes(load, servers, rng)
+    # The rate is proportional to the slots, which a wide fleet has more of.
     slots = sum(server.slots for server in servers)
     work_classes = build_work_classes(
         load.rate_factor * slots / (_SLOTS_PER_SERVER * len(_SERVICES))
@@ -227,6 +233,8 @@
     return figures
 
 
+# `python -m tools.policies --set load.queues._TYPICAL_HOLD_RATIO=2.0 --seeds 8`
+# simulates each load with the present code and with one constant changed.
 @click.command()
 @click.option(
     "--set", "assignments", multiple=True, help="MODULE.NAME=JSON value."
@@ -248,7 +256,7 @@
     with concurrent.futures.ProcessPoolExecutor(
         jobs, max_tasks_per_child=1
     ) as pool:
-        futures_by_load = {
+        futures_by_load_and_label = {
             (load_name, variant.label): [
                 pool.submit(simulate_variant, load_name, seed, variant)
                 for seed in range(1, seeds + 1)
@@ -256,16 +264,23 @@
             for load_name in load_names
             for variant in variants
         }
-        for (load_name, label), futures in futures_by_load.items():
-            rows = [future.result() for future in futures]
-            click.echo(f"{load_name:8} {label:12} {_format_means(rows)}")
+        for (load_name, label), futures in futures_by_load_and_label.items():
+            figures_by_seed = [future.result() for future in futures]
+            click.echo(
+                f"{load_name:8} {label:12} {_format_means(figures_by_seed)}"
+            )
 
 
-def _format_means(rows: list[dict[str, float]]) -> str:
-    """Formats the mean of each figure over all simulations of a variant."""
+def _format_means(figures_by_seed: list[dict[str, float]]) -> str:
+    """Formats the mean of each figure over the simulations of a variant.
+
+    Args:
+        figures_by_seed: Figures of each simulation by title, as returned by
+            `simulate_variant`.
+    """
     return ", ".join(
-        f"{title} {statistics.fmean(row[title] for row in rows):.3f}"
-        for title in rows[0]
+        f"{title} {statistics.fmean(row[title] for row in figures_by_seed):.3f}"
+        for title in figures_by_seed[0]
     )
 
 
