--- a/tools/rollouts.py
+++ b/tools/rollouts.py
@@ -1,7 +1,4 @@
-"""Simulates roll-outs of good and bad versions and reports how they ended.
-
-python -m tools.rollouts --plays 1000
-"""
+"""Simulates roll-outs of good and bad versions and reports how they ended."""
 
 from __future__ import annotations
 
@@ -21,15 +18,20 @@
 from merlintrestle.rollouts import tracker as trackers
 from merlintrestle.schema import control_pb2
 
+# Kinds of new versions: without a fault; with failing calls; with slow calls;
+# with calls that fail at busy backend servers only; with calls that fail in one
+# class of work only; with calls that fail only after some time.
 KINDS = ("good", "errors", "slow", "under load", "one class", "late")
 _SERVICE = "balie"
 _VERSION = "v2"
 _SLOTS_PER_SERVER = 6
-# Speeds of backend servers, as multiples of the usual one.
+# Speeds of backend servers, as multiples of the usual one. Each backend server
+# has one of them at random.
 _SPEEDS = (0.5, 1.0, 1.0, 1.5)
-# Time in which backend servers of the new version are warming up, and the
-# factor on the time that their calls take meanwhile.
+# Time from the start of the roll-out in which the backend servers of the new
+# version are warming up.
 _WARMUP_S = 3.0
+# Factor on the time that their calls take meanwhile.
 _WARMUP_FACTOR = 2.0
 # Interval between two updates of the daemons' observers.
 _UPDATE_INTERVAL_S = 0.25
@@ -59,21 +61,24 @@
 )
 
 
-class Scenario(NamedTuple):
+class Conditions(NamedTuple):
     """Conditions of a simulated roll-out.
 
     Attributes:
         kind: What is wrong with the new version, one of `KINDS`.
         servers: Number of backend servers of each version.
-        load: Fraction of the slots that the calls occupy.
+        load: Fraction of the slots of one version that the calls occupy at
+            backend servers of the usual speed.
         error_fraction: Fraction of the calls that fail with any version.
-        bad_fraction: Fraction of the answers of a bad version that are bad.
+        bad_fraction: Fraction of the answers of a bad version that are bad,
+            among those that the fault of its kind affects.
         faulty_server_fraction: Fraction of the backend servers that fail two
             answers of five with any version.
-        late_s: Time after which a version of the kind "late" turns bad, in
-            seconds.
+        turns_bad_after_s: Time after which a version of the kind "late" turns
+            bad, in seconds.
         timeout_s: Time in which the roll-out must be decided, in seconds.
-        trial_share: Fraction of the calls that the trial gets.
+        trial_share: Share of the calls that the new version gets in the trial
+            phase.
     """
 
     kind: str
@@ -82,7 +87,7 @@
     error_fraction: float = 0.02
     bad_fraction: float = 0.4
     faulty_server_fraction: float = 0.0
-    late_s: float = 3.0
+    turns_bad_after_s: float = 3.0
     timeout_s: float = 16.0
     trial_share: float = 0.06
 
@@ -92,17 +97,19 @@
 
     Attributes:
         phase: Last phase of the roll-out.
-        decided_s: Time until the roll-out was decided, in seconds.
+        decided_s: Time until the new version got all calls or was rolled back,
+            in seconds; about the time of the roll-out if neither happened.
         exposed_fraction: Calls that the new version got until it was rolled
             back or the time was up, as a fraction of all calls that are
             expected in the time of the roll-out.
-        bad_answers: Number of bad answers of the new version.
+        failed_calls: Number of calls that failed at the new version, whatever
+            the reason. Slow calls do not count.
     """
 
     phase: analysis.Phase
     decided_s: float
     exposed_fraction: float
-    bad_answers: int
+    failed_calls: int
 
 
 class _Server:
@@ -122,7 +129,8 @@
         self.version = version
         self.speed = simulation.rng.choice(_SPEEDS)
         self.faulty = (
-            simulation.rng.random() < simulation.scenario.faulty_server_fraction
+            simulation.rng.random()
+            < simulation.conditions.faulty_server_fraction
         )
         self.call_ends: list[float] = []
         backend = backends.LocalBackend()
@@ -138,7 +146,11 @@
         )
 
     def count_running(self, now: float) -> int:
-        """Returns the number of calls that run at a time in seconds."""
+        """Returns the number of running calls, and forgets those that ended.
+
+        Args:
+            now: Present time, in seconds.
+        """
         while self.call_ends and self.call_ends[0] <= now:
             heapq.heappop(self.call_ends)
         return len(self.call_ends)
@@ -148,7 +160,7 @@
     """Simulation of one roll-out.
 
     Attributes:
-        scenario: Conditions of the roll-out.
+        conditions: Conditions of the roll-out.
         rng: Source of random numbers.
         now: Simulated time in seconds.
         upstreams: Upstreams of the service, of both versions.
@@ -157,11 +169,11 @@
         servers: Backend servers by the id of their daemon.
     """
 
-    def __init__(self, scenario: Scenario, seed: int):
-        self.scenario = scenario
+    def __init__(self, conditions: Conditions, seed: int):
+        self.conditions = conditions
         self.rng = random.Random(seed)
         self.now = 0.0
-        numbers = range(scenario.servers)
+        numbers = range(conditions.servers)
         old_ids = [f"10.0.0.{number + 1}:7600" for number in numbers]
         new_ids = [f"10.0.1.{number + 1}:7600" for number in numbers]
         self.upstreams = tuple(
@@ -183,7 +195,7 @@
             lambda service: self.upstreams, self.get_time
         )
         self.subset_selector = subsets.SubsetSelector(
-            self.tracker, scenario.trial_share
+            self.tracker, conditions.trial_share
         )
         self.servers = {
             upstream.member_id: _Server(
@@ -191,13 +203,14 @@
             )
             for upstream in self.upstreams
         }
-        # Heap of the running calls: end, number, backend server, class,
-        # whether the call fails, and its duration; times in seconds.
+        # Heap of the running calls: time of the end, number of the call,
+        # backend server, class, whether the call fails, and its duration. Times
+        # are in seconds.
         self._running: list[tuple[float, int, _Server, WorkClass, bool, float]]
         self._running = []
         self._call_count = 0
         self._new_version_calls = 0
-        self._bad_answers = 0
+        self._failed_calls = 0
 
     def get_time(self) -> float:
         """Returns the simulated time in seconds."""
@@ -205,25 +218,28 @@
 
     def run(self) -> Result:
         """Simulates calls until the version is rolled back or time is up."""
-        scenario = self.scenario
+        conditions = self.conditions
         mean_work_s = sum(
             work_class.fraction * work_class.work_s for work_class in _CLASSES
         )
         rate = (
-            scenario.load * scenario.servers * _SLOTS_PER_SERVER / mean_work_s
+            conditions.load
+            * conditions.servers
+            * _SLOTS_PER_SERVER
+            / mean_work_s
         )
         self.tracker.merge_rollout(
             control_pb2.Rollout(
                 service=_SERVICE,
                 version=_VERSION,
                 number=1,
-                within_ms=round(scenario.timeout_s * 1000),
+                within_ms=round(conditions.timeout_s * 1000),
             )
         )
         progress = self.tracker.get(_SERVICE)
         assert progress is not None
         next_update_s = decided_s = 0.0
-        while self.now < scenario.timeout_s:
+        while self.now < conditions.timeout_s:
             self.now += self.rng.expovariate(rate)
             self._end_calls()
             if self.now >= next_update_s:
@@ -237,13 +253,15 @@
             if progress.phase is not analysis.Phase.NEW:
                 decided_s = self.now
             self._send_call()
-        exposed_fraction = self._new_version_calls / (rate * scenario.timeout_s)
+        exposed_fraction = self._new_version_calls / (
+            rate * conditions.timeout_s
+        )
         return Result(
-            progress.phase, decided_s, exposed_fraction, self._bad_answers
+            progress.phase, decided_s, exposed_fraction, self._failed_calls
         )
 
     def _send_call(self) -> None:
-        """Sends a call to a backend server with a free slot, if any."""
+        """Sends a call to a backend server; drops it if no slot is free."""
         subset = self.subset_selector.choose(_SERVICE, self.upstreams).upstreams
         free_servers = [
             server
@@ -257,7 +275,7 @@
         server = self.rng.choice(free_servers)
         fractions = [work_class.fraction for work_class in _CLASSES]
         work_class = self.rng.choices(_CLASSES, fractions)[0]
-        duration_s, failed = self._run_call(server, work_class)
+        duration_s, failed = self._draw_call(server, work_class)
         heapq.heappush(server.call_ends, self.now + duration_s)
         self._call_count += 1
         running = (
@@ -271,15 +289,15 @@
         heapq.heappush(self._running, running)
         self._new_version_calls += server.version == _VERSION
 
-    def _run_call(
+    def _draw_call(
         self, server: _Server, work_class: WorkClass
     ) -> tuple[float, bool]:
-        """Returns the duration of a call in seconds and whether it fails."""
+        """Draws the duration of a call in seconds, and whether it fails."""
         factor = self.rng.lognormvariate(
             -(work_class.log_deviation**2) / 2, work_class.log_deviation
         )
         duration_s = work_class.work_s * factor / server.speed
-        failed = self.rng.random() < self.scenario.error_fraction
+        failed = self.rng.random() < self.conditions.error_fraction
         failed |= server.faulty and self.rng.random() < 0.4
         if server.version != _VERSION:
             return duration_s, failed
@@ -287,26 +305,29 @@
             duration_s *= _WARMUP_FACTOR
         if not self._is_bad(server, work_class):
             return duration_s, failed
-        if self.scenario.kind == "slow":
+        if self.conditions.kind == "slow":
             return duration_s * 8, failed
         return duration_s, True
 
     def _is_bad(self, server: _Server, work_class: WorkClass) -> bool:
         """Returns whether the new version answers this call badly."""
-        scenario = self.scenario
+        conditions = self.conditions
         if (
-            scenario.kind == "good"
-            or self.rng.random() >= scenario.bad_fraction
+            conditions.kind == "good"
+            or self.rng.random() >= conditions.bad_fraction
         ):
             return False
-        if scenario.kind == "under load":
+        if conditions.kind == "under load":
             return (
                 server.count_running(self.now)
                 >= _FAILING_LOAD * _SLOTS_PER_SERVER
             )
-        if scenario.kind == "one class":
+        if conditions.kind == "one class":
             return work_class.name == "payout"
-        return scenario.kind != "late" or self.now >= scenario.late_s
+        return (
+            conditions.kind != "late"
+            or self.now >= conditions.turns_bad_after_s
+        )
 
     def _end_calls(self) -> None:
         """Reports the calls that have ended to the observers."""
@@ -315,54 +336,56 @@
                 self._running
             )
             server.observer.record_call(work_class.name, failed, duration_s)
-            self._bad_answers += failed and server.version == _VERSION
+            self._failed_calls += failed and server.version == _VERSION
 
 
-def simulate(scenario: Scenario, seed: int) -> Result:
+def simulate(conditions: Conditions, seed: int) -> Result:
     """Simulates one roll-out."""
-    return _Simulation(scenario, seed).run()
+    return _Simulation(conditions, seed).run()
 
 
 def summarize(
-    scenario: Scenario, simulations: int, first_seed: int = 1
+    conditions: Conditions, simulations: int, first_seed: int = 1
 ) -> dict[str, Any]:
     """Simulates several roll-outs of one kind and returns their figures.
 
     Args:
-        scenario: Conditions of the roll-outs.
+        conditions: Conditions of the roll-outs.
         simulations: Number of roll-outs.
-        first_seed: Seed of the first one; each other has the next number.
+        first_seed: Seed of the first one; the seeds of the others follow it.
 
     Returns:
         The figures that are printed: numbers of roll-outs by their last phase,
         and the median and the 99th percentile of the other figures.
     """
     results = [
-        simulate(scenario, first_seed + number) for number in range(simulations)
+        simulate(conditions, first_seed + number)
+        for number in range(simulations)
     ]
     phases = collections.Counter(
         result.phase.name.lower() for result in results
     )
     exposed = sorted(result.exposed_fraction for result in results)
     decided_s = sorted(result.decided_s for result in results)
-    bad = sorted(result.bad_answers for result in results)
-    last = max(0, round(simulations * 0.99) - 1)
+    failed = sorted(result.failed_calls for result in results)
+    p99_index = max(0, round(simulations * 0.99) - 1)
     return {
-        "kind": scenario.kind,
+        "kind": conditions.kind,
         "plays": simulations,
         "phases": dict(phases),
         "took_s": [
             round(decided_s[simulations // 2], 1),
-            round(decided_s[last], 1),
+            round(decided_s[p99_index], 1),
         ],
         "exposed": [
             round(exposed[simulations // 2], 3),
-            round(exposed[last], 3),
+            round(exposed[p99_index], 3),
         ],
-        "bad": [bad[simulations // 2], bad[last]],
+        "bad": [failed[simulations // 2], failed[p99_index]],
     }
 
 
+# Usage: python -m tools.rollouts --plays 1000
 @click.command()
 @click.option(
     "--plays",
@@ -379,14 +402,14 @@
 ) -> None:
     """Prints JSON lines with the median and 99th percentile of each kind."""
     for kind in KINDS:
-        scenario = Scenario(
+        conditions = Conditions(
             kind,
             servers=servers,
             load=load,
             error_fraction=failing,
             faulty_server_fraction=sick,
         )
-        click.echo(json.dumps(summarize(scenario, plays)))
+        click.echo(json.dumps(summarize(conditions, plays)))
 
 
 if __name__ == "__main__":
