--- a/tests/tools/builders.py
+++ b/tests/tools/builders.py
@@ -65,7 +65,8 @@
     Args:
         delays_s: Time until each daemon ran the version, in seconds.
         missing: Number of daemons that did not run it in time.
-        control_bytes: Control bytes of the whole fleet.
+        control_bytes: Control bytes of the whole fleet, less those of an idle
+            fleet.
     """
     return convergence.ChangeFigures(
         delays_s, missing, control_bytes, 0.0, 0, None
--- a/tests/tools/test_model.py
+++ b/tests/tools/test_model.py
@@ -17,14 +17,14 @@
     min_timeout_fraction: float = 0.83,
     simulation_seed: int | None = None,
 ) -> model.Result:
-    """Simulates a load.
+    """Simulates the request rate of a load on a fleet without changes.
 
     Args:
-        load: Name of the load.
+        load: Name of the load, of which only the rate is used.
         seed: Seed of the fleet.
         min_timeout_fraction: Shortest timeout of a caller, as a fraction of the
             longest one.
-        simulation_seed: Seed of the simulation; None: the seed of the fleet.
+        simulation_seed: Seed of the simulation; None for that of the fleet.
     """
     rng = random.Random(seed)
     servers = policies.build_servers(rng)
@@ -46,14 +46,18 @@
     """
 
     def test_same_seed_gives_same_result(self) -> None:
+        """The seed determines the whole result of a simulation.
+
+        Policies are compared by simulations with the same seeds.
+        """
         self.assertEqual(_simulate("busy"), _simulate("busy"))
 
     def test_callers_with_short_timeouts_are_served(self) -> None:
-        """Callers with short timeouts get their answers as others do.
+        """Callers with short timeouts are answered as others are.
 
-        First requests state timeouts of 0.4 to 1 of the longest one. When a
-        short timeout was taken for the remaining time of a caller that had
-        waited, such callers were refused although slots were free.
+        First requests have timeouts of 0.4 to 1 of the longest one. If a short
+        timeout is taken for the remaining time of a caller that has waited,
+        such callers are refused although slots are free.
         """
         result = _simulate("busy", min_timeout_fraction=0.4)
         self.assertGreater(result.earned, 0.98)
@@ -62,19 +66,19 @@
         )
 
     def test_overloaded_service_answers_in_time(self) -> None:
-        """At 2.2 times the calm rate lookups and grants are in time (0.98)."""
+        """At 2.2 times the calm rate, lookups and grants are in time (0.98)."""
         result = _simulate("full")
         self.assertGreater(result.compute_fraction("lookup", "in time"), 0.95)
         self.assertGreater(result.compute_fraction("grant", "in time"), 0.95)
         self.assertLess(result.compute_fraction("grant", "refused again"), 0.02)
 
     def test_retries_are_not_sent_back_to_the_same_queue(self) -> None:
-        """Few grants are refused again after a retry, with any seed.
+        """Few grants are refused again after a retry, with each of four seeds.
 
-        When a call was refused after 0.2 s in a full queue and its caller was
-        told to retry at once, the retry met the same calls in that queue, too
-        late to wait and too early to count as late. Then 0.026 of the grants
-        were refused again (mean of twelve seeds); now it is 0.004.
+        If a call is refused after 0.2 s in a full queue and its caller is told
+        to retry at once, the retry meets the same calls in that queue, too late
+        to wait and too early to count as late. Then 0.026 of the grants are
+        refused again (mean of twelve seeds), otherwise 0.004.
         """
         fractions = [
             _simulate("full", 1, simulation_seed=seed).compute_fraction(
@@ -89,10 +93,10 @@
         """Callers earn most of the value although backend servers shed (0.93).
 
         Four in ten of 32 backend servers shed nearly every other call but
-        report that they are healthy. Only their own daemons see this, as any
-        other daemon sends a given one a call only every few seconds. If calls
-        are sent there without asking these daemons, their retries use up the
-        retry budget, and less value is earned (0.89).
+        report that they are healthy. Only their own daemons see this, as each
+        other daemon sends a call to one of them only every few seconds. If
+        calls are sent there without asking these daemons, their retries use up
+        the retry budget, and less value is earned (0.89).
         """
         result = policies.simulate_load("shedding", 1, 4.0)
         self.assertGreater(result.earned, 0.91)
@@ -103,6 +107,10 @@
         )
 
     def test_variant_is_simulated(self) -> None:
+        """A variant without changed constants earns nearly all of the value.
+
+        The figures have their printed titles.
+        """
         figures = policies.simulate_variant(
             "calm", 1, policies.Variant("usual", {})
         )
--- a/tests/tools/test_summaries.py
+++ b/tests/tools/test_summaries.py
@@ -18,6 +18,11 @@
 
 class ConvergenceTest(unittest.TestCase):
     def test_figures_are_per_daemon(self) -> None:
+        """Control bytes are divided by the number of daemons.
+
+        Delays are those of all daemons and changes. The median delay of the
+        last daemon is taken over the changes.
+        """
         idle = costs.IdleCosts(200.0, 1.0, {}, 6, [0.01, 0.03], [50.0, 60.0])
         changes = [
             builders.build_change_figures([0.1, 0.4], control_bytes=1000.0),
@@ -32,6 +37,11 @@
         self.assertEqual(figures["cpu_share_max"], 0.03)
 
     def test_missing_daemon_is_counted(self) -> None:
+        """A daemon that does not run a version in time is counted.
+
+        It has no delay. A percentile of no delays is None, as JSON has no NaN,
+        and so is the delay of the last daemon if any is missing.
+        """
         idle = costs.IdleCosts(0.0, 0.0, {}, 0, [0.0], [1.0])
         changes = [builders.build_change_figures([], missing=1)]
         figures = convergence.summarize(1, idle, changes)
@@ -74,14 +84,14 @@
     def test_download_cut_by_a_planned_stop_is_counted(self) -> None:
         """Counts only the downloads that ran at the stopped backend server.
 
-        Two downloads are cut at the time of the stop. One of them ran at
-        another backend server and went through another daemon, so it was cut
-        by another failure.
+        Two downloads are truncated at the time of the stop. One of them ran at
+        another backend server and went through another daemon, so another
+        failure truncated it.
         """
         verdict = calls.Verdict.CUT
         results = [
-            builders.build_result(name, verdict)._replace(large=True)
-            for name in ("r1", "r2")
+            builders.build_result(request_id, verdict)._replace(large=True)
+            for request_id in ("r1", "r2")
         ]
         results = [
             result._replace(
@@ -101,6 +111,10 @@
         self.assertEqual(figures["goodput_ratio"], 0.0)
 
     def test_crash_requests_are_not_counted_as_unanswered(self) -> None:
+        """A request that crashes its backend server has a count of its own.
+
+        It has no right answer, so it would lower the goodput.
+        """
         results = [
             builders.build_result("r1", calls.Verdict.RIGHT),
             builders.build_result("r2", calls.Verdict.UNKNOWN)._replace(
