--- a/tools/convergence.py
+++ b/tools/convergence.py
@@ -24,13 +24,14 @@
 
 logger = logging.getLogger(__name__)
 
-# Time in which the first version and each change must be in force.
+# Time in which the first version and each changed one must be active on every
+# daemon.
 _FIRST_VERSION_TIMEOUT_S = 90.0
 _CHANGE_TIMEOUT_S = 30.0
-# Waits before the measurement of an idle fleet, and between the end of a
-# change and the reading of its costs.
-_SETTLE_S = 5.0
-_AFTER_CHANGE_S = 2.0
+# Wait before the measurement of an idle fleet.
+_WAIT_BEFORE_IDLE_S = 5.0
+# Wait between the end of a change and the reading of its costs.
+_WAIT_AFTER_CHANGE_S = 2.0
 
 
 class Options(NamedTuple):
@@ -61,16 +62,19 @@
 
     Attributes:
         delays_s: Time from the store's write of head until the daemon ran
-            the version, in seconds, for each daemon that ran it.
+            the version or a later one, in seconds, for each daemon that ran
+            one.
         missing: Number of daemons that did not run the version in time.
         control_bytes: Control bytes of the whole fleet during the change,
             less those of an idle fleet.
         store_calls: Calls to the store during the change, those of the
             operator included, less those of an idle fleet.
         peak_calls_per_s: Largest number of calls to the store in one second.
-        late_s: Time from the end of the store's outage until the version was
-            in force everywhere, in seconds; None if there was no outage or
-            the version was in force before its end.
+        delay_after_outage_s: Time from the end of the store's outage until the
+            version was active on every daemon, in seconds. It is
+            `_CHANGE_TIMEOUT_S` if the version was not active on all of them by
+            then, and None if there was no outage or the version was active on
+            all of them before its end.
     """
 
     delays_s: list[float]
@@ -78,11 +82,19 @@
     control_bytes: float
     store_calls: float
     peak_calls_per_s: int
-    late_s: float | None
+    delay_after_outage_s: float | None
 
 
 async def measure(options: Options, with_baseline: bool) -> dict[str, Any]:
-    """Measures the product and, on request, the baseline after it."""
+    """Measures the product and, on request, the baseline after it.
+
+    Args:
+        options: Options of the measurement.
+        with_baseline: Whether to measure the baseline, too.
+
+    Returns:
+        The printed figures.
+    """
     build_arguments = functools.partial(
         layouts.build_daemon_arguments, spread=options.spread
     )
@@ -98,6 +110,16 @@
 async def _measure_kind(
     options: Options, build_arguments: Callable[..., list[str]]
 ) -> dict[str, Any]:
+    """Starts a fleet of the product or of the baseline and measures it.
+
+    Args:
+        options: Options of the measurement.
+        build_arguments: Returns the arguments of each daemon or, for the
+            baseline, of each watcher.
+
+    Returns:
+        The printed figures, as returned by `summarize`.
+    """
     table = processes.ProcessTable()
     example_fleet = fleet.Fleet(table, options.layout, build_arguments)
     zones = options.layout.zones
@@ -117,17 +139,20 @@
 async def _measure_fleet(
     options: Options, table: processes.ProcessTable, example_fleet: fleet.Fleet
 ) -> dict[str, Any]:
+    """Measures a started fleet: its first version, its idle costs, changes."""
     started_s = time.monotonic()
     await example_fleet.apply(*workload.list_documents(options.layout.name))
     version = (await example_fleet.read_head()).version
-    if await _count_missing(example_fleet, version, _FIRST_VERSION_TIMEOUT_S):
+    if await _wait_and_count_missing(
+        example_fleet, version, _FIRST_VERSION_TIMEOUT_S
+    ):
         raise processes.ProcessError(
             f"the first version is not in force\n{_read_errors(example_fleet)}"
         )
     logger.info(
         "first version in force after %.1f s", time.monotonic() - started_s
     )
-    await asyncio.sleep(_SETTLE_S)
+    await asyncio.sleep(_WAIT_BEFORE_IDLE_S)
     idle = await costs.measure_idle(example_fleet)
     changes = []
     for number in range(options.changes):
@@ -151,7 +176,11 @@
     delays_s = [delay_s for change in changes for delay_s in change.delays_s]
     bytes_per_daemon = [change.control_bytes / daemons for change in changes]
     store_calls = [change.store_calls for change in changes]
-    late_s = [change.late_s for change in changes if change.late_s is not None]
+    delays_after_outage_s = [
+        change.delay_after_outage_s
+        for change in changes
+        if change.delay_after_outage_s is not None
+    ]
     return {
         "daemons": daemons,
         "changes": len(changes),
@@ -160,7 +189,7 @@
         "convergence_max_s": max(delays_s, default=None),
         "convergence_last_p50_s": _compute_last_delay(changes),
         "not_converged": sum(change.missing for change in changes),
-        "late_max_s": max(late_s, default=None),
+        "late_max_s": max(delays_after_outage_s, default=None),
         "control_bytes_per_daemon_s_idle": round(idle.bytes_per_s / daemons, 1),
         "control_bytes_per_daemon_change": round(
             statistics.median(bytes_per_daemon), 1
@@ -179,7 +208,7 @@
 
 
 def _compute_last_delay(changes: list[ChangeFigures]) -> float | None:
-    """Returns the median delay of the last daemon, in seconds.
+    """Returns the median over the changes of the largest delay, in seconds.
 
     Returns None if a daemon did not run one of the versions in time.
     """
@@ -195,6 +224,16 @@
     number: int,
     idle: costs.IdleCosts,
 ) -> ChangeFigures:
+    """Changes a target and measures how the new version spreads.
+
+    Args:
+        options: Options of the measurement.
+        table: Process table, in whose directory the changed document is
+            written.
+        example_fleet: The fleet.
+        number: Number of the change, from 0.
+        idle: Costs of the idle fleet.
+    """
     document = workload.list_documents(options.layout.name)[-1]
     path = demonstration.change_document(
         pathlib.Path(document), table.directory, add_ms=10 * (1 + number)
@@ -205,29 +244,33 @@
             fail_after_key="head", fail_after_s=options.store_fails_after_s
         )
     counters_before = await example_fleet.read_counters()
-    bytes_before = await costs.read_control_bytes(example_fleet)
+    bytes_before = await costs.read_fleet_control_bytes(example_fleet)
     started_s = time.monotonic()
     await example_fleet.apply(str(path))
     await _restart_daemons(options, example_fleet, number)
-    missing = await _count_missing(example_fleet, version, _CHANGE_TIMEOUT_S)
-    await asyncio.sleep(_AFTER_CHANGE_S)
+    missing = await _wait_and_count_missing(
+        example_fleet, version, _CHANGE_TIMEOUT_S
+    )
+    await asyncio.sleep(_WAIT_AFTER_CHANGE_S)
     elapsed_s = time.monotonic() - started_s
     added_bytes = samples.compute_added_bytes(
-        bytes_before, await costs.read_control_bytes(example_fleet)
+        bytes_before, await costs.read_fleet_control_bytes(example_fleet)
     )
     counters = await example_fleet.read_counters()
     store_calls = costs.count_calls(counters) - costs.count_calls(
         counters_before
     )
     delays_s = await _read_delays(example_fleet, version)
-    late_s = await _end_outage(options, example_fleet, version, missing)
+    delay_after_outage_s = await _end_outage(
+        options, example_fleet, version, missing
+    )
     return ChangeFigures(
         delays_s,
         missing,
         added_bytes - idle.bytes_per_s * elapsed_s,
         store_calls - idle.calls_per_s * elapsed_s,
         costs.find_peak_calls_per_s(counters, elapsed_s),
-        late_s,
+        delay_after_outage_s,
     )
 
 
@@ -237,8 +280,9 @@
     """Ends the store's outage, if any, and waits for the daemons.
 
     Returns:
-        Time until the daemons that were missing ran the version, in seconds;
-        None if there was no outage or no daemon was missing.
+        Time until the daemons that were missing ran the version, in seconds,
+        or `_CHANGE_TIMEOUT_S` if they did not; None if there was no outage or
+        no daemon was missing.
     """
     if not options.store_down:
         return None
@@ -246,7 +290,7 @@
     started_s = time.monotonic()
     if not missing:
         return None
-    if await _count_missing(example_fleet, version, _CHANGE_TIMEOUT_S):
+    if await _wait_and_count_missing(example_fleet, version, _CHANGE_TIMEOUT_S):
         return _CHANGE_TIMEOUT_S
     return time.monotonic() - started_s
 
@@ -265,10 +309,16 @@
     await asyncio.gather(*map(example_fleet.restart_daemon, chosen))
 
 
-async def _count_missing(
+async def _wait_and_count_missing(
     example_fleet: fleet.Fleet, version: int, timeout_s: float
 ) -> int:
-    """Waits for a version; returns how many daemons do not run it in time."""
+    """Waits for a version; returns how many daemons do not run it in time.
+
+    Args:
+        example_fleet: The fleet.
+        version: Number of the version.
+        timeout_s: Maximum time to wait, in seconds.
+    """
     active_after_s = await example_fleet.wait_until_active(
         version, timeout_s, example_fleet.instances
     )
@@ -280,7 +330,12 @@
 
 
 async def _read_delays(example_fleet: fleet.Fleet, version: int) -> list[float]:
-    """Returns the seconds until each daemon ran a version or a later one."""
+    """Returns the delays until each daemon ran a version or a later one.
+
+    Returns:
+        Times since the store's write of head, in seconds. A daemon that ran
+        none of them is left out.
+    """
     accepted_ms = await example_fleet.read_accepted_ms()
     delays_s = []
     for instance in example_fleet.instances:
@@ -296,7 +351,7 @@
 
 
 def _read_errors(example_fleet: fleet.Fleet) -> str:
-    """Returns the errors that the first three daemons have written."""
+    """Returns the last error lines of the first three daemons."""
     return "\n".join(
         instance.daemon.read_last_stderr_lines()
         for instance in example_fleet.instances[:3]
@@ -312,7 +367,8 @@
     """Measures and prints one JSON line.
 
     Returns:
-        Exit status: 1 if a daemon did not run a version in time, otherwise 0.
+        Exit status: 1 if a daemon of the product did not run a version in time,
+        otherwise 0. The baseline's figures do not change it.
     """
     figures = await measure(options, with_baseline)
     print(json.dumps(figures), flush=True)
--- a/tools/samples.py
+++ b/tools/samples.py
@@ -35,6 +35,7 @@
     """Returns the seconds of processor time that a process has used."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="utf-8")
     fields = text.rpartition(")")[2].split()
+    # The fields `utime` and `stime`, in clock ticks.
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
 
@@ -56,6 +57,8 @@
     program = shutil.which("ss")
     if program is None:
         raise FileNotFoundError("ss")
+    # TCP sockets with their internal counters, ports as numbers, no header, and
+    # one line for each socket.
     child = await asyncio.create_subprocess_exec(
         program,
         *("-tinHO", "state", "established"),
@@ -80,9 +83,9 @@
 ) -> dict[tuple[int, int], int]:
     """Returns the bytes of control connections by their pair of ports.
 
-    A connection between two daemons has one item for each end, because the
-    bytes that one end sends are the bytes that the other receives. A
-    connection to the store has an item for the daemon's end alone.
+    A connection between two daemons has one item for each end. The bytes that
+    one end sends are the bytes that the other receives, and they count for both
+    daemons. A connection to the store has an item for the daemon's end only.
 
     Args:
         control_ports: Control ports of the daemons.
@@ -117,7 +120,9 @@
 def compute_percentile(
     values: Sequence[float], fraction: float
 ) -> float | None:
-    """Returns the value that a fraction of the values do not exceed.
+    """Returns a percentile of the values by the nearest-rank method.
+
+    At least the fraction of the values are less than or equal to the result.
 
     Args:
         values: The values, in any order.
@@ -129,5 +134,6 @@
     if not values:
         return None
     ordered = sorted(values)
+    # The rank is rounded up.
     index = max(0, -(-len(ordered) * fraction // 1) - 1)
     return ordered[min(len(ordered) - 1, int(index))]
