--- a/tools/harm.py
+++ b/tools/harm.py
@@ -39,7 +39,8 @@
 
     Args:
         results: Results of the callers' requests.
-        runs: Records that backend servers wrote of the calls they ran.
+        runs: Records of the backend servers. Those of the event "started" are
+            the calls that ran.
     """
     attempts = [attempt for result in results for attempt in result.attempts]
     verdicts = collections.Counter(attempt.verdict for attempt in attempts)
@@ -60,7 +61,11 @@
 
 
 def compute_amplification(runs: Iterable[Mapping[str, Any]]) -> int:
-    """Returns the largest number of runs that one caller's attempt caused."""
+    """Returns the largest number of runs that one caller's attempt caused.
+
+    Args:
+        runs: Records of the backend servers.
+    """
     started = collections.Counter(
         run["attempt_id"] for run in runs if run["event"] == "started"
     )
@@ -90,7 +95,11 @@
 
 
 def count_regressions(versions: Iterable[int]) -> int:
-    """Returns how often a daemon moved to a lower version than it ran."""
+    """Returns how often a daemon moved to a lower version than it ran.
+
+    Args:
+        versions: Versions that the daemon ran, in the order in which it did.
+    """
     version_list = list(versions)
     pairs = zip(version_list, version_list[1:], strict=False)
     return sum(later < earlier for earlier, later in pairs)
--- a/tools/layouts.py
+++ b/tools/layouts.py
@@ -11,6 +11,8 @@
 
 F = TypeVar("F", bound="Callable[..., Any]")
 
+# Loopback address of admin ports, of the baseline and of outgoing connections;
+# see `get_address`.
 HOST = "127.0.0.1"
 # Number of loopback addresses used in each /24 network.
 _ADDRESSES_PER_NETWORK = 250
@@ -119,6 +121,8 @@
 ) -> list[str]:
     """Returns the module and arguments that start a daemon on free ports.
 
+    The address is `HOST`; `fleet.Fleet` replaces it by `get_address`.
+
     Args:
         place: Zone and service of the instance.
         region: Region of the zone.
--- a/tools/measuring.py
+++ b/tools/measuring.py
@@ -1,4 +1,4 @@
-"""Commands of the measurements, which print JSON on their last line."""
+"""Commands that run the measurements; the last line they print is JSON."""
 
 from __future__ import annotations
 
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,9 +1,4 @@
-"""Measures how the state of one daemon grows with the fleet and the targets.
-
-Everything runs in this process: member tables, choices of neighbours and
-snapshots are built and timed at several sizes, up to the size that is expected
-in two years. The slopes in docs/CAPACITY.md come from this module.
-"""
+"""Measures how the state of one daemon grows with the fleet and the targets."""
 
 from __future__ import annotations
 
@@ -28,16 +23,17 @@
 
 T = TypeVar("T")
 
-# Sizes of the fleet and of the targets; the last one is the two-year size.
+# Sizes of the fleet and of the targets. The last one, the two-year size, is
+# expected in two years.
 MEMBER_COUNTS = (400, 1600, 6300)
 SERVICE_COUNTS = (40, 185, 740)
 _ORGANISATION_COUNT = 4
 _CLASSES_PER_SERVICE = 5
 _ZONE_COUNT = 16
 _REGION_COUNT = 7
-# Neighbours that a daemon chooses among all members.
+# Number of neighbours that a daemon chooses among all members.
 _NEIGHBOUR_COUNT = 4
-# Runs of which the fastest one counts.
+# Number of runs, of which the fastest one counts.
 _TIMED_RUNS = 5
 
 
@@ -83,7 +79,15 @@
 
 
 def measure_slopes() -> dict[str, list[dict[str, float]]]:
-    """Returns the figures at each size, by "members" and "snapshots"."""
+    """Measures member tables and snapshots at several sizes.
+
+    Everything runs in this process: member tables, choices of neighbours and
+    snapshots are built and timed, up to the size that is expected in two years.
+    The slopes in docs/CAPACITY.md come from this function.
+
+    Returns:
+        The figures at each size, by "members" and "snapshots".
+    """
     members = [measure_members(count) for count in MEMBER_COUNTS]
     snapshots = [measure_snapshot(count) for count in SERVICE_COUNTS]
     return {
--- a/tools/workload.py
+++ b/tools/workload.py
@@ -6,7 +6,7 @@
 import tomllib
 from typing import Any, NamedTuple
 
-_FLEETS = pathlib.Path(__file__).parent.parent / "fleets"
+_FLEETS_FOLDER = pathlib.Path(__file__).parent.parent / "fleets"
 
 
 class ClassLoad(NamedTuple):
@@ -49,17 +49,17 @@
         return f"{self.service}/{self.name}"
 
 
-def list_documents(fleet: str) -> list[str]:
-    """Returns the paths of a fleet's target documents, the mesh first."""
-    paths = sorted((_FLEETS / fleet).glob("*.toml"))
+def list_documents(fleet_name: str) -> list[str]:
+    """Returns the paths of a fleet's target documents, the mesh's first."""
+    paths = sorted((_FLEETS_FOLDER / fleet_name).glob("*.toml"))
     paths.sort(key=lambda path: path.stem != "mesh")
     return [str(path) for path in paths]
 
 
-def read_classes(fleet: str) -> list[ClassLoad]:
+def read_classes(fleet_name: str) -> list[ClassLoad]:
     """Returns every class of work that a fleet's documents declare."""
     classes = []
-    for path in list_documents(fleet):
+    for path in list_documents(fleet_name):
         document = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
         organisation = document["organisation"]
         for service, target in document.get("services", {}).items():
@@ -71,6 +71,16 @@
 def _read_class(
     organisation: str, service: str, name: str, fields: dict[str, Any]
 ) -> ClassLoad:
+    """Returns one class of work, with the method and prefix of its first match.
+
+    A match of any method, "*", gives the method GET.
+
+    Args:
+        organisation: Organisation that declares the class.
+        service: Service that runs its calls.
+        name: Name of the class.
+        fields: Fields of the class in the document.
+    """
     method, _, prefix = fields["match"][0].partition(" ")
     return ClassLoad(
         organisation=organisation,
