--- a/tools/model.py
+++ b/tools/model.py
@@ -40,6 +40,10 @@
 _WORK_LOG_DEVIATION = 0.5
 # Retries that the fleet may make for each call of a service.
 RETRY_RATIO = 0.2
+# Additional retries that the fleet may make in each window of the retry
+# budgets, and the length of this window.
+_RETRY_SLACK = 64.0
+_RETRY_WINDOW_S = 10.0
 _STATUS_OK = 200
 _STATUS_FAILED = 500
 # One-way delay between two daemons of one zone and of different zones.
@@ -254,7 +258,7 @@
         retry_budgets = budgets.Budgets(
             simulation.table.count_usable, loop.time
         )
-        retry_budgets.set_bounds(RETRY_RATIO, 64.0, 10.0)
+        retry_budgets.set_bounds(RETRY_RATIO, _RETRY_SLACK, _RETRY_WINDOW_S)
         member_id = _get_member_id(number)
         picker = picking.Picker(
             self.server.zone,
--- a/tools/rollouts.py
+++ b/tools/rollouts.py
@@ -33,6 +33,10 @@
 _WARMUP_S = 3.0
 # Factor on the time that their calls take meanwhile.
 _WARMUP_FACTOR = 2.0
+# Fraction of the calls that a faulty backend server fails with any version.
+_FAULTY_SERVER_ERROR_FRACTION = 0.4
+# Factor on the time that the slow calls of a version of the kind "slow" take.
+_SLOW_CALL_FACTOR = 8
 # Interval between two updates of the daemons' observers.
 _UPDATE_INTERVAL_S = 0.25
 # Fraction of busy slots from which a version of the kind "under load" fails.
@@ -73,7 +77,7 @@
         bad_fraction: Fraction of the answers of a bad version that are bad,
             among those that the fault of its kind affects.
         faulty_server_fraction: Fraction of the backend servers that fail two
-            answers of five with any version.
+            calls in five with any version.
         turns_bad_after_s: Time after which a version of the kind "late" turns
             bad, in seconds.
         timeout_s: Time in which the roll-out must be decided, in seconds.
@@ -298,7 +302,9 @@
         )
         duration_s = work_class.work_s * factor / server.speed
         failed = self.rng.random() < self.conditions.error_fraction
-        failed |= server.faulty and self.rng.random() < 0.4
+        failed |= (
+            server.faulty and self.rng.random() < _FAULTY_SERVER_ERROR_FRACTION
+        )
         if server.version != _VERSION:
             return duration_s, failed
         if self.now < _WARMUP_S:
@@ -306,7 +312,7 @@
         if not self._is_bad(server, work_class):
             return duration_s, failed
         if self.conditions.kind == "slow":
-            return duration_s * 8, failed
+            return duration_s * _SLOW_CALL_FACTOR, failed
         return duration_s, True
 
     def _is_bad(self, server: _Server, work_class: WorkClass) -> bool:
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -31,6 +31,9 @@
 _CLASSES_PER_SERVICE = 5
 _ZONE_COUNT = 16
 _REGION_COUNT = 7
+# Incarnation of the first member and start of its backend server, in ms since
+# 1970.
+_FIRST_START_MS = 1_796_000_000_000
 # Number of neighbours that a daemon chooses among all members.
 _NEIGHBOUR_COUNT = 4
 # Number of runs, of which the fastest one counts.
@@ -153,13 +156,13 @@
         peer_port=8081,
         zone=f"zone-{number % _ZONE_COUNT}",
         region=f"region-{number % _REGION_COUNT}",
-        incarnation=1_796_000_000_000 + number,
+        incarnation=_FIRST_START_MS + number,
         state=control_pb2.ALIVE,
         backend=control_pb2.Backend(
             service=f"service-{number % SERVICE_COUNTS[-1]}",
             slots=12,
             state=control_pb2.READY,
-            ready_since_ms=1_796_000_000_000 + number,
+            ready_since_ms=_FIRST_START_MS + number,
         ),
     )
 
