--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -34,7 +34,8 @@
 # Incarnation of the first member and start of its backend server, in ms since
 # 1970.
 _FIRST_START_MS = 1_796_000_000_000
-# Number of neighbours that a daemon chooses among all members.
+# Number of neighbours that a daemon chooses among all members; the same as
+# `membership.NEIGHBOUR_COUNT`.
 _NEIGHBOUR_COUNT = 4
 # Number of runs, of which the fastest one counts.
 _TIMED_RUNS = 5
