--- a/merlintrestle/requests/load/round_trips.py
+++ b/merlintrestle/requests/load/round_trips.py
@@ -37,7 +37,7 @@
         self._mean_s = 0.0
         self._updated_at = 0.0
 
-    def get(self) -> float:
+    def estimate_round_trip(self) -> float:
         """Returns the expected round-trip time, in seconds; 0: no samples."""
         if not self._mean_s:
             return 0.0
@@ -46,7 +46,7 @@
 
     def record(self, round_trip_s: float) -> None:
         """Records a round trip, without the time spent at the other daemon."""
-        mean_s = self.get() or round_trip_s
+        mean_s = self.estimate_round_trip() or round_trip_s
         self._updated_at = self._get_time()
         self._mean_s = mean_s + _EWMA_WEIGHT * (round_trip_s - mean_s)
 
@@ -63,8 +63,11 @@
         Returns:
             The time in seconds. Nothing is recorded.
         """
-        return min(self.get(), _MAX_RESERVED_FRACTION * max(0.0, remaining_s))
+        return min(
+            self.estimate_round_trip(),
+            _MAX_RESERVED_FRACTION * max(0.0, remaining_s),
+        )
 
     def has_time(self, remaining_s: float) -> bool:
         """Returns whether an answer could arrive in the remaining time."""
-        return remaining_s > self.get()
+        return remaining_s > self.estimate_round_trip()
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -282,7 +282,7 @@
         details = self._picker.get_details(upstream, len(upstreams))
         call.decision_log.add_lazy("picked", details.describe)
         wait = calls.Wait.NORMAL
-        round_trip_s = self._round_trip.get()
+        round_trip_s = self._round_trip.estimate_round_trip()
         # A call may poll several upstreams for a free slot, with a short wait
         # or none at each, before it is queued at one of them. A streamed body
         # can be sent to one upstream only, so its call waits there normally, as
--- a/tests/requests/load/test_round_trips.py
+++ b/tests/requests/load/test_round_trips.py
@@ -45,7 +45,7 @@
         """Guards against refusals because of a link that is free again."""
         self.round_trip.record(0.3)
         self.clock.now += 5.0
-        self.assertLess(self.round_trip.get(), 0.01)
+        self.assertLess(self.round_trip.estimate_round_trip(), 0.01)
 
 
 class SaturatedLinkTest(unittest.TestCase):
