--- a/merlintrestle/daemon/service.py
+++ b/merlintrestle/daemon/service.py
@@ -77,7 +77,7 @@
     store = client.StoreClient(store_address)
     return Components(
         store,
-        sources.StoreSource(store),
+        sources.NativeSource(store),
         dialects.NativeDialect(),
         timings.Timing(),
     )
--- a/merlintrestle/versions/source.py
+++ b/merlintrestle/versions/source.py
@@ -42,7 +42,7 @@
         """Writes a zone's seeds; returns the previous seeds of all zones."""
 
 
-class StoreSource:
+class NativeSource:
     """Source that reads the native store.
 
     The document under a digest never changes, so each is read only once.
--- a/tests/versions/test_watcher.py
+++ b/tests/versions/test_watcher.py
@@ -310,12 +310,12 @@
         self.assertEqual(store.calls["put"], writes)
 
 
-class StoreSourceTest(unittest.IsolatedAsyncioTestCase):
+class NativeSourceTest(unittest.IsolatedAsyncioTestCase):
     """Versions that are compiled from the records in the store."""
 
     async def asyncSetUp(self) -> None:
         self.store = fakes.FakeStore()
-        self.source = source.StoreSource(self.store)  # type: ignore[arg-type]
+        self.source = source.NativeSource(self.store)  # type: ignore[arg-type]
 
     async def put_head(self, version: int, digest: bytes = b"") -> None:
         document = builders.build_document(["balie"], 100 + version)
