--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -36,7 +36,7 @@
 }
 
 
-def build_text(**changes: str | None) -> str:
+def build_settings_text(**changes: str | None) -> str:
     """Builds the text of a settings file; a value of None omits the setting."""
     values = {**SETTINGS, **changes}
     return "".join(
@@ -48,7 +48,7 @@
 
 def build_settings(**changes: Any) -> settings_lib.Settings:
     """Builds settings with free ports."""
-    settings = settings_lib.parse_settings(build_text())
+    settings = settings_lib.parse_settings(build_settings_text())
     free_address = settings_lib.Address("127.0.0.1", 0)
     settings = settings._replace(
         callers=free_address,
--- a/tests/platform/processes.py
+++ b/tests/platform/processes.py
@@ -105,7 +105,7 @@
             f"listen.{name}": f"{self._address}:{port}"
             for name, port in ports.items()
         }
-        text = builders.build_text(
+        text = builders.build_settings_text(
             **{
                 **listen,
                 "ip": self._address,
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -13,7 +13,7 @@
 class SettingsTest(unittest.TestCase):
     def test_all_settings_are_parsed(self):
         """Guards against settings that get a wrong value or unit."""
-        parsed = settings.parse_settings(builders.build_text())
+        parsed = settings.parse_settings(builders.build_settings_text())
         self.assertEqual(parsed.zone, "noord")
         self.assertEqual(parsed.callers, settings.Address("127.0.0.1", 8629))
         self.assertEqual((parsed.first_port, parsed.last_port), (7600, 7615))
@@ -22,7 +22,7 @@
 
     def test_findings_are_reported_together(self):
         """Guards against an operator who finds one mistake per start."""
-        text = builders.build_text(
+        text = builders.build_settings_text(
             **{"app": "nowhere", "zone": None, "internalPorts": "9,1"}
         )
         with self.assertRaises(errors.InvalidInputError) as caught:
@@ -32,7 +32,7 @@
 
     def test_bounds_that_are_not_numbers_are_findings(self):
         """Guards against malformed bounds that are ignored."""
-        text = builders.build_text(bounds="drainMs=soon,graceS=6")
+        text = builders.build_settings_text(bounds="drainMs=soon,graceS=6")
         with self.assertRaises(errors.InvalidInputError) as caught:
             settings.parse_settings(text)
         places = [finding.place for finding in caught.exception.findings]
@@ -41,9 +41,9 @@
 
     def test_the_link_capacity_is_optional(self):
         """Guards against settings files without a capacity that are refused."""
-        parsed = settings.parse_settings(builders.build_text())
+        parsed = settings.parse_settings(builders.build_settings_text())
         self.assertEqual(parsed.link_mbps, 0)
-        text = builders.build_text(**{"limits.linkMbps": "3.25"})
+        text = builders.build_settings_text(**{"limits.linkMbps": "3.25"})
         daemon_settings = service.build_daemon_settings(
             settings.parse_settings(text)
         )
@@ -55,7 +55,7 @@
         The platform kills the process 3 s after the stop signal. The usual
         time for callers to move would leave no time for requests in flight.
         """
-        text = builders.build_text(
+        text = builders.build_settings_text(
             bounds="drainMs=2000,graceS=3,retryBudgetRatio=0.2,"
             "budgetWindowS=10,retrySlack=62"
         )
