--- a/merlintrestle/operators/rollout_commands.py
+++ b/merlintrestle/operators/rollout_commands.py
@@ -180,8 +180,8 @@
 
 def _check(version: str, within_s: float) -> list[errors.Finding]:
     findings = []
-    if fault := records.find_version_fault(version):
-        findings.append(errors.Finding("--to", fault))
+    if problem := records.find_version_error(version):
+        findings.append(errors.Finding("--to", problem))
     if not MIN_WITHIN_S <= within_s <= _MAX_WITHIN_S:
         text = f"{within_s:g} is not within {MIN_WITHIN_S:g} to"
         text += f" {_MAX_WITHIN_S:g} s."
--- a/merlintrestle/rollouts/records.py
+++ b/merlintrestle/rollouts/records.py
@@ -16,18 +16,18 @@
 _MAX_CLASSES = 100
 
 
-def find_fault(rollout: control_pb2.Rollout) -> str:
+def find_error(rollout: control_pb2.Rollout) -> str:
     """Returns an error message, or an empty string if the order is valid."""
     if not rollout.service or len(rollout.service) > _MAX_NAME_LENGTH:
         return f"service {rollout.service[:_MAX_NAME_LENGTH]!r} is not allowed."
-    if fault := find_version_fault(rollout.version):
-        return fault
+    if problem := find_version_error(rollout.version):
+        return problem
     if not rollout.number:
         return "it has no number."
     return "" if rollout.within_ms else "it has no time."
 
 
-def find_version_fault(version: str) -> str:
+def find_version_error(version: str) -> str:
     """Returns an error message, or an empty string if the version is valid."""
     if not version or len(version) > _MAX_NAME_LENGTH:
         return f"version {version[:_MAX_NAME_LENGTH]!r} is not allowed."
--- a/merlintrestle/rollouts/storage.py
+++ b/merlintrestle/rollouts/storage.py
@@ -148,8 +148,8 @@
             except errors.CorruptRecordError as error:
                 events.warn("order malformed", key=entry.key, error=str(error))
                 continue
-            if fault := records.find_fault(order):
-                events.warn("order refused", key=entry.key, error=fault)
+            if problem := records.find_error(order):
+                events.warn("order refused", key=entry.key, error=problem)
             else:
                 orders.append(order)
         return orders
--- a/merlintrestle/rollouts/tracker.py
+++ b/merlintrestle/rollouts/tracker.py
@@ -98,8 +98,10 @@
 
         An invalid order is logged and ignored.
         """
-        if fault := records.find_fault(received):
-            events.warn("order refused", service=received.service, error=fault)
+        if problem := records.find_error(received):
+            events.warn(
+                "order refused", service=received.service, error=problem
+            )
             return
         progress = self._progress_by_service.get(received.service)
         current = progress.rollout if progress is not None else None
--- a/tests/rollouts/test_records.py
+++ b/tests/rollouts/test_records.py
@@ -86,5 +86,5 @@
         ):
             with self.subTest(changes):
                 rollout = builders.build_rollout(**changes)
-                self.assertTrue(records.find_fault(rollout))
-        self.assertFalse(records.find_fault(builders.build_rollout()))
+                self.assertTrue(records.find_error(rollout))
+        self.assertFalse(records.find_error(builders.build_rollout()))
