--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -221,7 +221,7 @@
             newest = audit.attempts[0]
             self.assertEqual(newest.change_id, outcome.change_id)
             self.assertEqual(newest.outcome, expected)
-            self.store.release_late()
+            self.store.release_late_writes()
 
     async def test_audit_that_is_cut_off_is_still_right(self) -> None:
         """Somebody applies a bad file in a loop; the trail gets too long.
--- a/tests/operators/test_races.py
+++ b/tests/operators/test_races.py
@@ -108,7 +108,7 @@
         self.store.down = False
         self.store.lost_answers.clear()
         self.store.late_writes.clear()
-        self.store.release_late()
+        self.store.release_late_writes()
 
     async def _operate(self, proposals: list[changes.Proposal]) -> None:
         proposer = changes.Proposer(
@@ -125,7 +125,7 @@
         if fault in ("down", "up"):
             self.store.down = fault == "down"
         elif fault == "late ones arrive":
-            self.store.release_late()
+            self.store.release_late_writes()
         if method == "put" and key == records.HEAD_KEY:
             self._set_head_fault(next(self._head_faults, "none"))
         for _ in range(next(self._yields, 0)):
--- a/tests/roots/sessions.py
+++ b/tests/roots/sessions.py
@@ -106,7 +106,7 @@
     session.run("apply", _find("zaanoever"))
     session.run("audit")
     session.note("the write takes effect")
-    store.release_late()
+    store.release_late_writes()
     store.late_writes.clear()
     session.run("audit")
     session.run("apply", _find("zaanoever"))
--- a/tests/store/fakes.py
+++ b/tests/store/fakes.py
@@ -22,7 +22,8 @@
         lost_answers: By key, the number of writes that take effect and whose
             answer is then lost; each write decrements it.
         late_writes: By key, the number of writes that get no answer and take
-            effect only when `release_late` is called; each write decrements it.
+            effect only when `release_late_writes` is called; each write
+            decrements it.
         before_call: Awaited with method and key before each get and put.
         calls: Number of calls of each method.
     """
@@ -125,7 +126,7 @@
         for key in self._leases.pop(lease_id, set()):
             self.entries.pop(key, None)
 
-    def release_late(self) -> None:
+    def release_late_writes(self) -> None:
         """Applies the late writes in the order of their calls."""
         late_writes, self._pending_writes = self._pending_writes, []
         for key, value, expected_revision in late_writes:
--- a/tests/store/test_acceptance.py
+++ b/tests/store/test_acceptance.py
@@ -82,7 +82,7 @@
         self.store.late_writes[records.HEAD_KEY] = 1
         outcome = await self._swap(_propose(self.empty, "a"), 0)
         self.assertEqual(outcome, acceptance.Accepted(1))
-        self.store.release_late()
+        self.store.release_late_writes()
         head, _ = await records.read_head(self.store)
         self.assertEqual((head.version, list(head.earlier_change_ids)), (1, []))
 
@@ -95,7 +95,7 @@
         self.store.late_writes[records.HEAD_KEY] = 100
         outcome = await self._swap(_propose(self.empty, "a"), 0)
         self.assertIsInstance(outcome, acceptance.Undecided)
-        self.store.release_late()
+        self.store.release_late_writes()
         head, _ = await records.read_head(self.store)
         self.assertEqual(head.change_id, "a")
 
