--- a/merlintrestle/operators/fleet.py
+++ b/merlintrestle/operators/fleet.py
@@ -115,7 +115,7 @@
     """
     request = control_pb2.HoldRequest(
         offer=deltas.make_offer(snapshot),
-        snapshot=deltas.pack_snapshot(snapshot),
+        snapshot=deltas.make_snapshot_message(snapshot),
     )
     async with grpc.aio.insecure_channel(address) as channel:
         stub = control_pb2_grpc.ControlStub(channel)
--- a/merlintrestle/versions/archive.py
+++ b/merlintrestle/versions/archive.py
@@ -89,7 +89,7 @@
         if delta is not None:
             reply.delta.CopyFrom(delta)
         else:
-            reply.snapshot.CopyFrom(deltas.pack_snapshot(self.newest))
+            reply.snapshot.CopyFrom(deltas.make_snapshot_message(self.newest))
         return reply
 
     def _make_delta(
--- a/merlintrestle/versions/deltas.py
+++ b/merlintrestle/versions/deltas.py
@@ -61,7 +61,9 @@
     return loader.load_snapshot(delta.version, resources, base, delta.digest)
 
 
-def pack_snapshot(snapshot: snapshot_lib.Snapshot) -> document_pb2.Snapshot:
+def make_snapshot_message(
+    snapshot: snapshot_lib.Snapshot,
+) -> document_pb2.Snapshot:
     """Converts a snapshot to a message."""
     snapshot_message = document_pb2.Snapshot(version=snapshot.version)
     for name in sorted(snapshot.resources):
@@ -71,7 +73,7 @@
     return snapshot_message
 
 
-def unpack_snapshot(
+def load_snapshot_message(
     snapshot_message: document_pb2.Snapshot, digest: bytes
 ) -> snapshot_lib.Snapshot:
     """Converts a message to a snapshot.
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -121,7 +121,7 @@
         recovers.
         """
         try:
-            snapshot = deltas.unpack_snapshot(
+            snapshot = deltas.load_snapshot_message(
                 request.snapshot, request.offer.digest
             )
         except errors.SnapshotError as error:
--- a/merlintrestle/versions/fetcher.py
+++ b/merlintrestle/versions/fetcher.py
@@ -156,7 +156,9 @@
     def _handle_reply(self, reply: control_pb2.FetchReply) -> None:
         if reply.HasField("snapshot"):
             digest = reply.offer.digest
-            self._on_snapshot(deltas.unpack_snapshot(reply.snapshot, digest))
+            self._on_snapshot(
+                deltas.load_snapshot_message(reply.snapshot, digest)
+            )
         elif reply.HasField("delta"):
             base = self._archive.get(reply.delta.base_version)
             self._on_snapshot(deltas.apply_delta(base, reply.delta))
--- a/tests/versions/test_deltas.py
+++ b/tests/versions/test_deltas.py
@@ -75,12 +75,12 @@
             deltas.apply_delta(base, delta)
 
     def test_snapshot_that_does_not_match_its_offer_is_refused(self) -> None:
-        snapshot_message = deltas.pack_snapshot(
+        snapshot_message = deltas.make_snapshot_message(
             builders.build_snapshot(2, ["kassa"])
         )
         digest = builders.build_snapshot(2, ["balie"]).digest
         with self.assertRaises(errors.SnapshotError):
-            deltas.unpack_snapshot(snapshot_message, digest)
+            deltas.load_snapshot_message(snapshot_message, digest)
 
 
 class ArchiveTest(unittest.TestCase):
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -122,7 +122,7 @@
     figures = SnapshotFigures(
         services,
         memory_bytes,
-        deltas.pack_snapshot(base).ByteSize(),
+        deltas.make_snapshot_message(base).ByteSize(),
         delta.ByteSize(),
         compile_s * 1e3,
         apply_s * 1e3,
