--- a/merlintrestle/platform/configuration.py
+++ b/merlintrestle/platform/configuration.py
@@ -24,7 +24,8 @@
 _REPEATABILITY = {"idempotent": True, "download": True, "non_idempotent": False}
 # Importance of priority 0; it decreases by 1 with each further priority number.
 _MAX_IMPORTANCE = 5
-# Prefix of the operators' keys. Roll-out keys sort after the configuration key.
+# Prefix of the operators' keys. `read_after` the configuration key returns the
+# roll-out keys, which sort after it.
 _OPERATOR_PREFIX = "op/"
 _HEXADECIMAL_BASE = 16
 # Minimum wait of a watch, for a query of events that have already occurred.
@@ -39,7 +40,7 @@
         self._store = store
         self._newest_entry_by_version: dict[int, client.Entry] = {}
         self._head_revision = 0
-        self._orders: Sequence[client.Entry] = ()
+        self._other_entries: Sequence[client.Entry] = ()
         self._tracker = known_revision.KnownRevision()
         self._head = document_pb2.Head()
         self._compiled: snapshots.Snapshot | None = None
@@ -47,15 +48,15 @@
     async def read_head(self) -> document_pb2.Head:
         """Reads the head of the newest version; version 0 if there is none.
 
-        The value of some hundred KB takes half a second over a slow link. It is
-        read only if neither a watch nor the history explains a new revision.
+        The record of some hundred KB takes half a second over a slow link. It
+        is read only if neither a watch nor the history explains a new revision.
 
         Raises:
             errors.StoreError: The store did not answer.
             errors.SnapshotError: The configuration is malformed.
         """
         if self._tracker.revision:
-            self._orders, revision = await self._store.read_after(
+            self._other_entries, revision = await self._store.read_after(
                 _OPERATOR_PREFIX, stores.CONFIGURATION_KEY
             )
             if revision <= self._tracker.revision or (
@@ -63,12 +64,12 @@
             ):
                 return self._head
         previous_revision = self._head_revision
-        entries, revision = await self._store.read_all(_OPERATOR_PREFIX)
+        entries, revision = await self._store.read_first_page(_OPERATOR_PREFIX)
         head = self._head
         for entry in entries:
             if entry.key == stores.CONFIGURATION_KEY:
                 head = self._apply_entry(entry)
-        self._orders = [
+        self._other_entries = [
             entry for entry in entries if entry.key != stores.CONFIGURATION_KEY
         ]
         self._tracker.record_read(self._head_revision != previous_revision)
@@ -117,7 +118,7 @@
         """Returns roll-out orders, which `read_head` reads in the same call."""
         return [
             entry
-            for entry in self._orders
+            for entry in self._other_entries
             if entry.key.startswith(rollouts.PLATFORM_FORMAT.order_prefix)
         ]
 
@@ -135,16 +136,16 @@
         The history is queried from the last known revision, so the query fails,
         and misses no change, if the store has dropped the history since then.
         """
-        is_delivering = self._store.is_delivering
-        if is_delivering() or not self._tracker.may_query_history():
-            return await self._tracker.wait_for_watch(revision, is_delivering)
+        is_receiving = self._store.is_receiving
+        if is_receiving() or not self._tracker.may_query_history():
+            return await self._tracker.wait_for_watch(revision, is_receiving)
         try:
-            events, _ = await self._store.read_events(
+            entries, _ = await self._store.read_events(
                 stores.CONFIGURATION_KEY, self._tracker.revision, _MIN_WAIT_MS
             )
         except errors.StoreUnavailableError:
             return False
-        for entry in events[-1:]:
+        for entry in entries[-1:]:
             self._apply_entry(entry)
             self._tracker.record_read(head_changed=True)
             self._tracker.advance(entry.revision)
--- a/merlintrestle/platform/endpoints.py
+++ b/merlintrestle/platform/endpoints.py
@@ -24,9 +24,10 @@
 _READY_PATH = "/merlintrestle/ready"
 _HEARTBEAT_PATH = "/merlintrestle/Instances.Heartbeat/{instance_id}"
 _LEAVE_PATH = "/merlintrestle/Instances.Leave/{instance_id}"
-# Port of the Prometheus endpoint; deploy/system.toml states it too.
-METRICS_PORT = 9464
+METRICS_PORT = 9464  # Prometheus endpoint; deploy/system.toml states it too.
 _MAX_BODY_BYTES = 16 * 1024
+# Maximum wait for open requests when a port is closed.
+_SHUTDOWN_TIMEOUT_S = 0.1
 _STATES = {"ready": control_pb2.READY, "draining": control_pb2.DRAINING}
 
 
@@ -42,8 +43,8 @@
         self,
         settings: settings_lib.Settings,
         is_ready: Callable[[], bool],
-        handle_heartbeat: Callable[[heartbeats.Heartbeat], None],
-        handle_leave: Callable[[str, int], None],
+        on_heartbeat: Callable[[heartbeats.Heartbeat], None],
+        on_leave: Callable[[str, int], None],
         knows_service: Callable[[str], bool],
         render_metrics: Callable[[], bytes],
     ):
@@ -52,8 +53,8 @@
         Args:
             settings: Settings with the addresses to listen on.
             is_ready: Returns whether callers may use this daemon.
-            handle_heartbeat: Called with each heartbeat.
-            handle_leave: Called with the id of a process that accepts no new
+            on_heartbeat: Called with each heartbeat.
+            on_leave: Called with the id of a process that accepts no new
                 calls, and its start, in ms since 1970; 0 if not stated.
             knows_service: Returns whether a service is known.
             render_metrics: Returns the metrics in Prometheus text format.
@@ -62,11 +63,11 @@
         self.readiness = settings.readiness
         self.announcements = settings.announcements
         self._is_ready = is_ready
-        self._on_heartbeat = handle_heartbeat
-        self._on_leave = handle_leave
+        self._on_heartbeat = on_heartbeat
+        self._on_leave = on_leave
         self._knows_service = knows_service
         self._render_metrics = render_metrics
-        self._metrics = settings_lib.Address(
+        self._metrics_address = settings_lib.Address(
             settings.address, METRICS_PORT if settings.first_port else 0
         )
         self._runners: list[web.AppRunner] = []
@@ -76,8 +77,8 @@
         self.readiness = await self._serve(
             self.readiness, [web.get(_READY_PATH, self._handle_ready)]
         )
-        self._metrics = await self._serve(
-            self._metrics, [web.get("/metrics", self._handle_metrics)]
+        self._metrics_address = await self._serve(
+            self._metrics_address, [web.get("/metrics", self._handle_metrics)]
         )
         self.announcements = await self._serve(
             self.announcements,
@@ -150,9 +151,6 @@
             )
 
 
-_SHUTDOWN_TIMEOUT_S = 0.1
-
-
 def parse_heartbeat(instance_id: str, fields: Any) -> heartbeats.Heartbeat:
     """Parses the body of a heartbeat.
 
--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -138,8 +138,8 @@
     received = answer.headers
     if _ATTEMPT_ID in received:
         return received[_ATTEMPT_ID] == call.request_id
-    # A duplicate answer without an id belongs to an earlier request that was
-    # run. Only a refusal without an id is certain to belong to this request.
+    # An answer without an id may be a second one to an earlier request. That
+    # request was run, so a refusal is certain to be the answer to this one.
     return not call.request_id or _is_refusal(answer)
 
 
--- a/merlintrestle/platform/rollouts.py
+++ b/merlintrestle/platform/rollouts.py
@@ -21,8 +21,7 @@
 }
 _MS_PER_S = 1000
 _ERROR = errors.CorruptRecordError
-# One week.
-_MAX_DURATION_S = 604_800
+_MAX_DURATION_S = 604_800  # One week.
 
 
 class PlatformFormat:
@@ -31,7 +30,7 @@
     order_prefix = "op/rollout/"
 
     def decode_order(self, entry: client.Entry) -> control_pb2.Rollout:
-        """Returns the order in an entry of the store."""
+        """Returns the order in an entry, numbered by the entry's revision."""
         fields = rows.parse_object(entry.value, entry.key, _ERROR)
         row = rows.Row(entry.key, fields, _ERROR)
         service = row.get_text("service")
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -26,7 +26,7 @@
 # the process exits before the platform kills it.
 _CLEANUP_S = 0.8
 # Fraction of `expose_share` that a version on trial gets. The rest is for calls
-# in the seconds until a failure after the trial is detected.
+# that a version gets after its trial, in the seconds until it is found to fail.
 _TRIAL_FRACTION = 0.6
 
 
@@ -53,7 +53,8 @@
     def reload(self) -> None:
         """Reads the settings file again and logs the changes.
 
-        Bounds of retries apply at once, addresses and ports after a restart.
+        Bounds of retries and the service that heartbeats may name apply at
+        once, all others, such as addresses and ports, after a restart.
         """
         try:
             settings = settings_lib.read_settings(settings_lib.find_path())
@@ -73,7 +74,7 @@
         )
 
     async def start_endpoints(self) -> None:
-        """Opens the ports for the platform and the backend server."""
+        """Opens the ports and requests the status of the backend server."""
         await super().start_endpoints()
         self._endpoints = endpoints.Endpoints(
             self._platform_settings,
@@ -89,7 +90,7 @@
             self.handle_heartbeat(heartbeat)
 
     def _knows_service(self, name: str) -> bool:
-        """Returns whether the settings or the running version name it."""
+        """Returns whether the settings or running version name a service."""
         snapshot = self._active_version.running
         known = snapshot is not None and name in snapshot.services
         return known or name == self._platform_settings.service
--- a/merlintrestle/platform/settings.py
+++ b/merlintrestle/platform/settings.py
@@ -39,7 +39,7 @@
         readiness: Address at which the platform checks readiness.
         announcements: Address that gets heartbeats (setting `listen.control`).
         first_port: First port reserved for the daemon; 0 (in tests): any free.
-        last_port: Last of these ports.
+        last_port: Last of these ports; not used.
         store: Address of the platform's store.
         heartbeat_s: Interval of heartbeats, in seconds; not used.
         drain_s: Seconds until a leaving backend server gets no calls; not used.
--- a/merlintrestle/platform/store.py
+++ b/merlintrestle/platform/store.py
@@ -1,8 +1,4 @@
-"""HTTP client for the platform's store, with the interface of `StoreClient`.
-
-In responses, `revision` is the revision of an item's last change and `at` the
-store's current revision.
-"""
+"""HTTP client for the platform's store, with the interface of `StoreClient`."""
 
 from __future__ import annotations
 
@@ -29,10 +25,9 @@
 # Key of the newest configuration, written by operators.
 CONFIGURATION_KEY = "op/config"
 # Prefixes of the keys that operators write, and of the results that they read.
-_OPERATOR_PREFIXES = ("op/", "status/")
+_SHARED_PREFIXES = ("op/", "status/")
 _BASE_PATH = "/merlintrestle/kv-"
-# The store allows no longer wait.
-_MAX_WATCH_WAIT_MS = 30_000
+_MAX_WATCH_WAIT_MS = 30_000  # The store allows no longer wait.
 # Longest wait for a response, and longest pause within one. The store responds
 # within milliseconds, or within this time while it is slowed sixtyfold. A whole
 # response may take longer: a large value needs more time over a slow link, and
@@ -55,8 +50,10 @@
 class PlatformStore:
     """Client for the platform's store.
 
-    Failed reads and refused writes raise `errors.StoreUnavailableError`; writes
-    without a response raise `errors.StoreUnknownOutcomeError`.
+    Failed reads and refused writes raise `errors.StoreUnavailableError`, writes
+    without a response `errors.StoreUnknownOutcomeError`, and malformed
+    responses `errors.CorruptRecordError`. In responses, `revision` is that of
+    an item's last change and `at` the store's current one.
     """
 
     def __init__(self, address: str):
@@ -103,7 +100,7 @@
     async def read_after(
         self, prefix: str, key: str
     ) -> tuple[Sequence[client.Entry], int]:
-        """Reads the keys after a given key, and the store's revision.
+        """Reads the first page of keys after a key, and the store's revision.
 
         This avoids reading the value of that key, which may be large. While
         the revision is the same, nothing that was read before has changed.
@@ -115,11 +112,13 @@
 
     async def read_newest(self, key: str) -> client.ReadResult:
         """Reads one key and the store's revision at that time."""
-        entries, revision = await self.read_all(key)
+        entries, revision = await self.read_first_page(key)
         found = [entry for entry in entries if entry.key == key]
         return client.ReadResult(found[0] if found else None, revision)
 
-    async def read_all(self, prefix: str) -> tuple[Sequence[client.Entry], int]:
+    async def read_first_page(
+        self, prefix: str
+    ) -> tuple[Sequence[client.Entry], int]:
         """Reads the first page of keys with a prefix, and the store's revision.
 
         The revision is returned even if no key has the prefix.
@@ -136,7 +135,7 @@
         Entries that were replaced while an earlier one was transferred are
         left out. Otherwise, a link that transfers one entry in the time of
         three changes would fall further behind with each response. A revision
-        above 0 must be that of a read just made.
+        above 0 must come from a recent read.
 
         Raises:
             errors.StoreUnavailableError: The store closed or broke the watch.
@@ -146,7 +145,7 @@
         while True:
             if must_read:
                 entry, revision = await self.read_newest(key)
-                # The change may have been of another key.
+                # Reads again after a change of this key, but not of another.
                 must_read = entry is not None and entry.revision > last_yielded
                 if entry is not None and must_read:
                     last_yielded = entry.revision
@@ -158,7 +157,7 @@
                 last_yielded = entries[-1].revision
                 yield entries[-1]
 
-    def is_delivering(self) -> bool:
+    def is_receiving(self) -> bool:
         """Returns whether the response of a watch has begun to arrive."""
         return "watch" in self._arriving_paths
 
@@ -189,7 +188,7 @@
     async def put(
         self, key: str, value: bytes, expected_revision: int, lease_id: int = 0
     ) -> client.WriteReply:
-        """Writes a key if it has the expected revision; 0 means absent."""
+        """Writes a key if it has the expected revision; 0: does not exist."""
         text = base64.b64encode(value).decode()
         status, fields = await self._write(
             "txn",
@@ -260,6 +259,7 @@
         body: dict[str, Any] | None,
         timeout_s: float,
     ) -> tuple[int, dict[str, Any]]:
+        """Sends a request whose response must begin within a timeout."""
         assert self._session is not None
         url = yarl.URL(f"http://{self._address}{_BASE_PATH}{path}")
         async with (
@@ -281,7 +281,7 @@
 
 
 def _add_prefix(key: str) -> str:
-    return key if key.startswith(_OPERATOR_PREFIXES) else PRODUCT_PREFIX + key
+    return key if key.startswith(_SHARED_PREFIXES) else PRODUCT_PREFIX + key
 
 
 def _remove_prefix(name: str) -> str:
@@ -327,6 +327,7 @@
 
 
 def _parse_conflict(fields: dict[str, Any], key: str) -> client.Entry:
+    """Returns the entry of a key whose write was refused; revision 0: none."""
     for item in _get_field(fields, "items", list):
         if item.get("key") == _add_prefix(key) and item.get("revision"):
             return _parse_entry(item)
