--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -119,7 +119,7 @@
 
     Args:
         value: The configuration in the operators' record.
-        version: Number of the version.
+        version: Number of the version; the one within `value` is ignored.
         previous: The previous version, if any.
     """
     resources = configuration_lib.build_resources(json.loads(value))
@@ -129,7 +129,7 @@
 async def start_store(
     case: unittest.IsolatedAsyncioTestCase,
 ) -> tuple[platform_store.PlatformStoreStandin, stores.PlatformStore]:
-    """Starts a stand-in for the store and a client; the test closes both."""
+    """Starts a stand-in for the store and a client, closed after the test."""
     standin = platform_store.PlatformStoreStandin()
     await standin.start()
     case.addAsyncCleanup(standin.close)
--- a/tests/platform/fleets.py
+++ b/tests/platform/fleets.py
@@ -150,6 +150,8 @@
     ) -> tuple[int, dict[str, str], bytes]:
         """Sends a request of a caller to a daemon.
 
+        The ids of the attempts of a fleet are "a1", "a2" and so on.
+
         Args:
             index: Index of the daemon in `daemons`.
             path: Path of the request.
--- a/tests/platform/processes.py
+++ b/tests/platform/processes.py
@@ -53,15 +53,26 @@
     """
 
     def __init__(
-        self, service: str, address: str, store: str, folder: pathlib.Path
+        self,
+        service: str,
+        address: str,
+        store_address: str,
+        folder: pathlib.Path,
     ):
-        """Sets the addresses; `start` opens all resources."""
+        """Sets the addresses; `start` opens all resources.
+
+        Args:
+            service: Service of the backend server.
+            address: Loopback address of the daemon.
+            store_address: Address of the store, "ip:port".
+            folder: Folder for the settings file.
+        """
         self.backend = platform_backend.PlatformBackendStandin(service)
         self.lines: list[dict[str, Any]] = []
         self._address = address
         self._first_port = _choose_first_port()
-        self._store = store
-        self._path = folder / f"{address}.conf"
+        self._store_address = store_address
+        self._settings_path = folder / f"{address}.conf"
         self._process: asyncio.subprocess.Process | None = None
         self._output_reader: asyncio.Task[None] | None = None
 
@@ -90,7 +101,10 @@
             "-m",
             "merlintrestle.platform",
             cwd=_ROOT,
-            env={**os.environ, settings_lib.PATH_VARIABLE: str(self._path)},
+            env={
+                **os.environ,
+                settings_lib.PATH_VARIABLE: str(self._settings_path),
+            },
             stdout=asyncio.subprocess.PIPE,
         )
         self._output_reader = asyncio.create_task(
@@ -98,7 +112,11 @@
         )
 
     def write_settings(self, **changes: str) -> None:
-        """Writes the settings file."""
+        """Writes the settings file.
+
+        Args:
+            **changes: Settings that replace or extend the usual ones.
+        """
         ports = {"inbound": 8624, "outbound": 8629, "ready": 8625}
         ports["control"] = 8620
         listen = {
@@ -112,11 +130,11 @@
                 "service": self.backend.service,
                 "app": f"127.0.0.1:{self.backend.port}",
                 "internalPorts": f"{self._first_port},{self._first_port + 9}",
-                "platform.address": self._store,
+                "platform.address": self._store_address,
                 **changes,
             }
         )
-        self._path.write_text(text)
+        self._settings_path.write_text(text)
 
     def send_signal(self, signal_number: signal.Signals) -> None:
         """Sends a signal to the process."""
@@ -162,7 +180,7 @@
         super().__init__()
         self.store = platform_store.PlatformStoreStandin()
         self.daemons: list[DaemonProcess] = []
-        self._attempts = 0
+        self._attempt_count = 0
 
     async def start(self, *services: str) -> None:
         """Starts the store and one ready daemon for each of the services."""
@@ -186,16 +204,21 @@
             self.daemons.append(daemon)
             await daemon.start()
         for daemon in self.daemons:
-            await self.wait_until_ready(daemon)
+            await self.wait_for_readiness(daemon)
             assert (
                 await daemon.backend.send_heartbeat(daemon.heartbeat_address)
                 == 200
             )
 
-    async def wait_until_ready(
+    async def wait_for_readiness(
         self, daemon: DaemonProcess, status: int = 200
     ) -> None:
-        """Waits until the readiness endpoint of a daemon returns a status."""
+        """Waits until the readiness endpoint of a daemon returns a status.
+
+        Args:
+            daemon: The daemon.
+            status: 200 if callers may use the daemon, else 503.
+        """
         while await self._query_readiness(daemon) != status:
             await asyncio.sleep(0.05)
 
@@ -208,10 +231,10 @@
 
     async def send(self, index: int, path: str = "/tickets/1") -> int:
         """Sends a request to a daemon; returns the status, 0 on failure."""
-        self._attempts += 1
+        self._attempt_count += 1
         headers = {
             "Host": "desk.example",
-            "X-Attempt-Id": f"a{self._attempts}",
+            "X-Attempt-Id": f"a{self._attempt_count}",
             "X-Deadline-Ms": "5000",
         }
         url = self.daemons[index].url + path
--- a/tests/platform/soaking.py
+++ b/tests/platform/soaking.py
@@ -1,8 +1,7 @@
-"""Soak test with open caller connections during planned work on daemons.
+"""Soak test with open caller connections during planned work on daemons."""
 
-`python -m tests.platform.soaking --count 50` runs many seeds one after the
-other; CI runs a few.
-"""
+# `python -m tests.platform.soaking --count 50` runs many seeds one after the
+# other; CI runs a few.
 
 from __future__ import annotations
 
@@ -86,8 +85,9 @@
         self._random = random.Random(seed)
         self.result = SoakResult()
         self._fleet = processes.ProcessFleet()
+        # Number of the version that the fleet starts with.
         self._version = 5
-        self._attempts = 0
+        self._attempt_count = 0
         self._ended = asyncio.Event()
         self._stopping: set[int] = set()
         self._actions: dict[str, Callable[[], Awaitable[None]]] = {
@@ -125,7 +125,7 @@
         self, daemon: processes.DaemonProcess
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
         async def work(request: web.Request) -> web.StreamResponse:
-            """Works for the time in the path; some requests make a call."""
+            """Works for the time in the path; some requests nest a call."""
             await request.read()
             await asyncio.sleep(int(request.path.rsplit("/", 1)[1]) / 1000)
             if request.path.startswith("/nested/"):
@@ -198,6 +198,11 @@
     def _check_response(
         self, request: Request, response: aiohttp.ClientResponse
     ) -> None:
+        """Adds a violation if a response must not occur.
+
+        A success must be signed, and a refused POST request must not have run.
+        Other failures must not occur before the minimum timeout of a route.
+        """
         status = response.status
         self.result.response_counts[str(status)] += 1
         elapsed_ms = (time.monotonic() - request.started_s) * 1000
@@ -215,6 +220,7 @@
             )
 
     def _check_runs(self) -> None:
+        """Adds a violation for each POST request that ran repeatedly."""
         runs = collections.Counter(
             attempt
             for daemon in self._fleet.daemons
@@ -254,7 +260,7 @@
         if status:
             self.result.violations.append(f"daemon {index} ended by {status}")
         await daemon.start()
-        await self._fleet.wait_until_ready(daemon)
+        await self._fleet.wait_for_readiness(daemon)
         self._stopping.discard(index)
 
     async def _restart_twice(self) -> None:
@@ -285,6 +291,7 @@
         )
 
     async def _reload(self) -> None:
+        """Changes the settings of a daemon, which must keep serving."""
         index = self._random.randrange(len(_SERVICES))
         if index not in self._stopping:
             daemon = self._fleet.daemons[index]
@@ -294,6 +301,7 @@
             daemon.send_signal(signal.SIGHUP)
 
     async def _interrupt_store(self) -> None:
+        """Makes the store refuse all calls for a short time."""
         self._fleet.store.faults.status = 503
         await asyncio.sleep(self._random.uniform(0.2, 1.5))
         self._fleet.store.faults.status = 0
@@ -312,8 +320,10 @@
             await asyncio.sleep(_HEARTBEAT_S)
 
     def _create_request(self, method: str) -> Request:
-        self._attempts += 1
-        return Request(f"{method}{self._attempts}", method, time.monotonic())
+        self._attempt_count += 1
+        return Request(
+            f"{method}{self._attempt_count}", method, time.monotonic()
+        )
 
     def _has_run(self, request: Request) -> bool:
         return any(
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -57,7 +57,7 @@
                 self.assertEqual(plan.max_attempts, 2)
 
     def test_a_split_keeps_its_weights(self):
-        """Guards against a split that does not keep its weights."""
+        """Guards against requests that are divided by other weights."""
         parts = [
             {"service": "balie", "weight": 90},
             {"service": "kassa", "weight": 10},
@@ -147,6 +147,7 @@
         await self.standin.write(stores.CONFIGURATION_KEY, value)
 
     async def read(self) -> int:
+        """Reads the head; returns the number of its version."""
         async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
             return (await self.source.read_head()).version
 
@@ -241,7 +242,8 @@
         """Guards against a version that is missed among other writes.
 
         The previous reads found only changes of other keys, so this one
-        queries the history first, which contains the change.
+        queries the history first, which contains the change. The value must
+        not be read again after that.
         """
         await self.write(builders.build_large_configuration(5))
         await self.read()
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -48,7 +48,7 @@
 
 
 class HeartbeatTest(unittest.TestCase):
-    def test_a_valid_heartbeat(self) -> None:
+    def test_a_valid_heartbeat_is_parsed(self) -> None:
         """Guards against valid heartbeats that are refused."""
         heartbeat = endpoints.parse_heartbeat("i-1", _FIELDS)
         self.assertEqual(heartbeat.started_ms, 1_700_000_000_000)
@@ -67,7 +67,7 @@
     ) -> None:
         """Guards against invalid values that reach the routing."""
         if name == "service" and value in ("lost", "10.0.0.1", "1"):
-            return  # Valid names; only a later check needs known ones.
+            return  # Valid names; a later check refuses unknown services.
         with self.assertRaises(errors.InvalidInputError):
             endpoints.parse_heartbeat("i-1", {**_FIELDS, name: value})
 
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -59,7 +59,7 @@
         self.assertEqual(status, 200)
         self.assertEqual(self.fleet.backends[1].executed_attempts, ["a1"])
 
-    async def test_at_most_once(self):
+    async def test_a_call_with_a_lost_answer_is_not_repeated(self):
         """Guards against a payout that is booked twice after a lost answer.
 
         The backend server runs it and the connection ends without an answer.
@@ -224,7 +224,11 @@
                     self.assertEqual(body, b"unframed")
 
     async def _send_raw(self) -> tuple[bytes, bytes, bool]:
-        """Sends a request; returns head, body and whether it was reset."""
+        """Sends a request over a connection of its own.
+
+        Returns:
+            Head and body of the response, and whether the connection was reset.
+        """
         host, _, port = self.fleet.daemons[0].url[7:].partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(
@@ -246,7 +250,7 @@
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 0)
 
-    async def test_retry_delay_after_a_refusal_by_the_backend_server(
+    async def test_a_refusal_by_the_backend_server_has_a_short_retry_delay(
         self,
     ):
         """Guards against callers that retry too late after a refusal.
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -20,7 +20,7 @@
         self.balie_daemon, self.kassa_daemon = self.fleet.daemons
         await self.fleet.wait_until_served(1)
 
-    async def test_restart_after_a_kill(self) -> None:
+    async def test_calls_are_served_after_a_kill_and_a_restart(self) -> None:
         """Guards against calls that fail after a restart until a heartbeat.
 
         The daemon of balie is killed and restarted. Its backend server kept
@@ -44,7 +44,7 @@
         to move, it serves the other daemon's calls.
         """
         self.balie_daemon.send_signal(signal.SIGTERM)
-        await self.fleet.wait_until_ready(self.balie_daemon, 503)
+        await self.fleet.wait_for_readiness(self.balie_daemon, 503)
         self.assertEqual(await self.fleet.send(1), 200)
         self.assertEqual(await self.fleet.send(0), 200)
         self.assertEqual(await self.balie_daemon.wait(), 0)
@@ -54,7 +54,7 @@
         ]
         self.assertEqual(positions, sorted(positions))
 
-    async def test_reload_of_a_changed_settings_file(self) -> None:
+    async def test_sighup_reloads_the_settings_file(self) -> None:
         """Guards against a SIGHUP that ends the daemon instead of a reload.
 
         By default, SIGHUP ends a process. A malformed file changes nothing, and
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -82,7 +82,11 @@
         return fields["state"]
 
     async def test_a_good_version_is_completed(self):
-        """Guards against a good version that never replaces the old one."""
+        """Guards against a good version that never replaces the old one.
+
+        The servers of the new version answer all calls as the old ones do. In
+        the end they must get all calls, none of which may have failed.
+        """
         await self.start(duration_s=20)
         final_states = "complete rolled_back"
         self.assertEqual(await self.send_until(states=final_states), "complete")
@@ -92,7 +96,11 @@
         self.assertEqual(self.count_requests("v1"), count_before)
 
     async def test_a_bad_version_is_rolled_back(self):
-        """Guards against a bad version that continues to get calls."""
+        """Guards against a bad version that continues to get calls.
+
+        The servers of the new version answer most calls with status 500. They
+        must get few calls, and none after the roll-out has ended.
+        """
         await self.start()
         for backend in self.fleet.backends:
             if backend.version == "v2":
@@ -107,14 +115,21 @@
         self.assertEqual(self.count_requests("v2"), count_before)
 
     async def test_a_version_without_calls_is_rolled_back(self):
-        """Guards against a roll-out that never ends for lack of calls."""
+        """Guards against a roll-out that never ends for lack of calls.
+
+        No caller sends a call, so the time of the order elapses.
+        """
         await self.start(duration_s=2)
         async with asyncio.timeout(fleets.TEST_TIMEOUT_S):
             while await self.read_state() != "rolled_back":
                 await asyncio.sleep(0.1)
 
     async def test_an_ended_roll_out_does_not_restart(self):
-        """Guards against a new trial of a bad version after a fleet restart."""
+        """Guards against a new trial of a bad version after a fleet restart.
+
+        The order is still in the store, together with its final state. The
+        daemons that start know of it only from there.
+        """
         await self.fleet.store.start()
         self.fleet.push_async_callback(self.fleet.store.close)
         order = b'{"service":"balie","targetVersion":"v2","durationS":60}'
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -21,7 +21,7 @@
         self.assertEqual(parsed.retry_slack, 62.0)
 
     def test_findings_are_reported_together(self):
-        """Guards against an operator who finds one mistake per start."""
+        """Guards against starts that report only the first mistake."""
         text = builders.build_settings_text(
             **{"app": "nowhere", "zone": None, "internalPorts": "9,1"}
         )
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -11,7 +11,13 @@
 
 class SoakTest(unittest.IsolatedAsyncioTestCase):
     async def test_maintenance_does_not_affect_callers(self) -> None:
-        """Guards against maintenance that loses, refuses or repeats calls."""
+        """Guards against maintenance that loses or repeats callers' requests.
+
+        Daemons restart, the configuration and the settings change and the store
+        is unavailable while callers send requests over open connections. A
+        daemon may refuse a request, but not one that ran and must not be
+        repeated, nor a nested call while it stops.
+        """
         for seed in _SEEDS:
             with self.subTest(seed=seed):
                 result = await soaking.Soak(seed).run()
--- a/tests/platform/test_stops.py
+++ b/tests/platform/test_stops.py
@@ -42,7 +42,9 @@
             headers=self.fleet.backends[0].build_answer_headers(request),
         )
 
-    async def test_nested_call_while_the_daemon_drains(self) -> None:
+    async def test_a_nested_call_is_served_while_the_daemon_drains(
+        self,
+    ) -> None:
         """Guards against calls in flight that fail when their daemon stops.
 
         The backend server sends a nested call after the drain has begun. If the
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -161,9 +161,9 @@
     async def test_a_watch_after_a_read_does_not_read_again(self):
         """Guards against watchers of a starting fleet that read a value twice.
 
-        Meanwhile, other daemons write their records and increase the revision.
-        The watch continues from the read, and the history contains no change
-        of the key.
+        Between the read and the watch, other daemons write their records and
+        increase the revision. The watch continues from the read, and the
+        history contains no change of the key.
         """
         await self.store.put("head", b"1", 0)
         _, revision = await self.store.read_newest("head")
--- a/tests/requests/relays.py
+++ b/tests/requests/relays.py
@@ -46,7 +46,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Stops listening and resets all connections."""
+        """Stops listening and forwarding, and resets all connections."""
         self._server.close()
         for task in self._tasks:
             task.cancel()
