--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -99,7 +99,7 @@
 def build_daemon_settings(
     settings: settings_lib.Settings,
 ) -> settings_pb2.DaemonSettings:
-    """Translates the platform's settings into those of the daemon."""
+    """Translates the platform's settings to the daemon's; port 0 stays 0."""
     farewell_s = min(_MAX_FAREWELL_S, settings.grace_s / 2)
     return settings_pb2.DaemonSettings(
         address=settings.address,
