--- a/merlintrestle/operators/rollout_commands.py
+++ b/merlintrestle/operators/rollout_commands.py
@@ -193,7 +193,7 @@
 def _check_options(version: str, within_s: float) -> list[errors.Finding]:
     """Returns the findings for the options of the command `start`."""
     findings = []
-    if problem := rollout_records.find_version_fault(version):
+    if problem := rollout_records.find_version_error(version):
         findings.append(errors.Finding("--to", problem))
     if not _MIN_WITHIN_S <= within_s <= _MAX_WITHIN_S:
         text = f"{within_s:g} is not within {_MIN_WITHIN_S:g} to"
--- a/tests/operators/test_changes.py
+++ b/tests/operators/test_changes.py
@@ -262,7 +262,7 @@
             newest_attempt = audit.attempts[0]
             self.assertEqual(newest_attempt.change_id, outcome.change_id)
             self.assertEqual(newest_attempt.outcome, expected_outcome)
-            self.store.release_late()
+            self.store.release_late_writes()
 
     async def test_incomplete_audit_shows_right_outcomes(self) -> None:
         """Guards against accepted changes that are shown as lost races.
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -36,7 +36,7 @@
 }
 
 
-def build_text(**changes: str | None) -> str:
+def build_settings_text(**changes: str | None) -> str:
     """Builds the text of a settings file; a value of None omits the setting."""
     values = {**SETTINGS, **changes}
     return "".join(
@@ -48,7 +48,7 @@
 
 def build_settings(**changes: Any) -> settings_lib.Settings:
     """Builds settings with free ports."""
-    settings = settings_lib.parse_settings(build_text())
+    settings = settings_lib.parse_settings(build_settings_text())
     free_address = settings_lib.Address("127.0.0.1", 0)
     settings = settings._replace(
         callers=free_address,
@@ -119,7 +119,7 @@
 
     Args:
         value: The configuration in the operators' record.
-        version: Number of the version.
+        version: Number of the version; the one within `value` is ignored.
         previous: The previous version, if any.
     """
     resources = configuration_lib.build_resources(json.loads(value))
@@ -129,7 +129,7 @@
 async def start_store(
     case: unittest.IsolatedAsyncioTestCase,
 ) -> tuple[platform_store.PlatformStoreStandin, stores.PlatformStore]:
-    """Starts a stand-in for the store and a client; the test closes both."""
+    """Starts a stand-in for the store and a client, closed after the test."""
     standin = platform_store.PlatformStoreStandin()
     await standin.start()
     case.addAsyncCleanup(standin.close)
--- a/tests/roots/sessions.py
+++ b/tests/roots/sessions.py
@@ -123,7 +123,7 @@
     recorder.run("apply", _get_path("zaanoever"))
     recorder.run("audit")
     recorder.add_comment("the write takes effect")
-    store.release_late()
+    store.release_late_writes()
     store.late_writes.clear()
     recorder.run("audit")
     recorder.run("apply", _get_path("zaanoever"))
