--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -17,8 +17,9 @@
 # Timeout of a connection attempt, in seconds. A timeout does not change the
 # state, see `LocalBackend.check_reachable`.
 _CONNECT_TIMEOUT_S = 0.5
-# Duration of the slow start of an upstream, in seconds. During this time after
-# it became ready, its share of calls rises to the full value.
+# Duration of the warm-up of a backend server, in seconds, and of the slow start
+# of an upstream. In the slow start, which begins when the upstream becomes
+# ready, its share of calls rises to the full value.
 WARMUP_S = 10.0
 
 
--- a/merlintrestle/requests/calls/metadata.py
+++ b/merlintrestle/requests/calls/metadata.py
@@ -1,7 +1,8 @@
 """Encoding of call metadata for other daemons in a single header.
 
-Each further header would have to be written by one daemon, and parsed and
-checked for forwarding to the backend server by the other one.
+A header for each field would cost more: one daemon would have to write them
+all, and the other one to parse them all and to check of each whether it is
+forwarded to the backend server.
 """
 
 from __future__ import annotations
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -24,9 +24,9 @@
 
 # Weight of the latest call in the moving average of slot hold times.
 _HOLD_EWMA_WEIGHT = 0.1
-# Fraction of the mean hold time that must remain until a call must start or be
-# refused. Work times are skewed: at most a third of the calls end within half
-# of the mean.
+# A call is refused if less than this fraction of the mean hold time remains
+# until its `refuse_by`. Work times are skewed: at most a third of the calls end
+# within half of the mean.
 _MIN_HOLD_FRACTION = 0.5
 
 
--- a/merlintrestle/requests/load/budgets.py
+++ b/merlintrestle/requests/load/budgets.py
@@ -16,7 +16,8 @@
 _DEFAULT_WINDOW_S = 10.0
 # Fraction of the bounds of the fleet that the daemons use. Each daemon divides
 # the slack by the number of daemons that it knows. While daemons join and
-# leave, this number may be a quarter too small without exceeding the bounds.
+# leave, this number may be too small: up to a quarter too small, the daemons
+# together still keep within the bounds.
 _SAFETY_FACTOR = 0.75
 # Number of buckets into which a sliding window is divided.
 _BUCKET_COUNT = 20
--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -74,7 +74,8 @@
 
     def get_backlog_s(self) -> float:
         """Returns how long answers in time occupy the link, in seconds."""
-        # This order is after all answers in time and before all others.
+        # Counts the bytes ahead of an answer that would be sent after all
+        # answers in time and before all best-effort ones.
         return self.get_transfer_s(self._count_bytes_ahead((False, math.inf)))
 
     def get_transfer_s(self, size: float) -> float:
@@ -100,10 +101,12 @@
     ) -> reservations.Transfer | outcomes.NotRun:
         """Reserves link capacity for the answer of a call or refuses the call.
 
-        An answer that would not be sent in time only makes others late. Any
-        call is admitted while at most one large answer is in progress, not
-        counting those to slow receivers. If slow receivers have made the
-        measured rate too low, the answer of this call gives a new measurement.
+        An answer that would not be sent in time only makes others late, so its
+        call is refused. Calls of classes whose mean answer is small, and calls
+        that need a claim, are always admitted. So is any call while at most one
+        large answer is in progress, not counting those to slow receivers: if
+        slow receivers have made the measured rate too low, the answer of this
+        call gives a new measurement.
 
         Args:
             call: The call, which is not running yet.
--- a/merlintrestle/requests/load/observations.py
+++ b/merlintrestle/requests/load/observations.py
@@ -17,6 +17,8 @@
 
 # Consecutive failures after which an upstream is ejected.
 _MAX_FAILURES = 3
+# Durations of the first and of the longest ejection, in seconds. Each ejection
+# is twice as long as the one before.
 _FIRST_EJECTION_S = 1.0
 _MAX_EJECTION_S = 30.0
 # Time after a refusal in which the upstream is picked only if all others are
@@ -29,6 +31,8 @@
 # Greatest expected work time of a quick call, in seconds.
 _MAX_QUICK_WORK_S = 0.05
 _LATENCY_EWMA_WEIGHT = 0.2
+# Minimum work time by which a latency is divided, in seconds, as the expected
+# work time may be 0.
 _MIN_WORK_S = 0.001
 # Weight of the latest call in the success rate. About ten calls suffice to
 # distinguish an upstream that fails every third call from the others.
@@ -60,7 +64,7 @@
         latency_ratio: EWMA of the latency divided by the expected work time; 0:
             not known.
         success_rate: EWMA of the calls that it ran and answered successfully,
-            from 0 to 1.
+            from `_MIN_SUCCESS_RATE` to 1.
         last_answer_at: When it last answered or refused a call; 0: never.
         silent_since: Since when it has answered nothing although a quick call
             was waiting for its first byte.
--- a/merlintrestle/requests/load/queues.py
+++ b/merlintrestle/requests/load/queues.py
@@ -65,9 +65,10 @@
     """Calls of one class of work to the local backend server.
 
     Calls in time are served before late ones. Within each group, the call with
-    the earliest latency deadline is served first, which is a retry after a
-    refusal elsewhere. An answer is worth less to its caller if it is late, and
-    serving a late call first would make the next call late as well.
+    the earliest latency deadline is served first, so that a retry after a
+    refusal elsewhere is served before newer calls. An answer is worth less to
+    its caller if it is late, and serving a late call first would make the next
+    call late as well.
 
     Attributes:
         plan: The class of work.
--- a/merlintrestle/requests/load/refused_callers.py
+++ b/merlintrestle/requests/load/refused_callers.py
@@ -1,4 +1,4 @@
-"""Recognition of callers that retry after a refusal.
+"""Recognition of callers that retry after a refusal or another failure.
 
 A caller retries with a new request, which has the same route, path, query and
 deadline as the first one. The retry is recognised by these.
@@ -16,13 +16,13 @@
 # seconds. The stated timeout is rounded to milliseconds, and requests take time
 # to arrive.
 _DEADLINE_TOLERANCE_S = 0.02
-# Maximum number of refused callers that are stored. A daemon that receives 300
+# Maximum number of callers that are stored. A daemon that receives 300
 # calls per second and refuses every second one has about 300 of them.
 _MAX_CALLERS = 4096
 
 
 class _RefusedCaller(NamedTuple):
-    """A caller that was refused.
+    """A caller whose call was refused or failed.
 
     Attributes:
         request_key: Route of its request, and the path with the query.
@@ -36,7 +36,7 @@
 
 
 class RefusedCallers:
-    """Callers that this daemon refused and that still wait.
+    """Callers whose calls this daemon refused or failed, until their deadlines.
 
     Timeouts of callers of one route may differ. If the time since the first
     request were derived from the remaining time, a caller with a short timeout
@@ -60,7 +60,7 @@
         deadline: float,
         first_request_at: float,
     ) -> None:
-        """Adds a caller that was refused.
+        """Adds a caller whose call was refused or failed.
 
         Args:
             request_key: Route of its request, and the path with the query.
@@ -77,7 +77,8 @@
     ) -> float | None:
         """Removes a caller and returns when its first request arrived.
 
-        The caller is removed because each refusal accounts for one retry.
+        The caller is removed because each refusal or failure accounts for one
+        retry.
 
         Args:
             request_key: Route of its request, and the path with the query.
--- a/merlintrestle/requests/load/reservations.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -15,9 +15,9 @@
 CHUNK_BYTES = 16 * 1024
 # Weight of the latest answer in the moving averages of its class.
 _EWMA_WEIGHT = 0.1
-# Size of the send window, which are the bytes that may be in transit at once,
-# as the time in seconds in which the link carries them. A small answer waits
-# behind them. They keep the link busy between two checks of the connections.
+# The send window is the number of bytes that may be in transit at once. This is
+# the time in which the link carries them, in seconds. They keep the link busy
+# between two checks of the connections, but a small answer waits behind them.
 SEND_WINDOW_S = 0.06
 # If no byte of a transfer is sent for this time, in seconds, its receiver is
 # stalled. It is several send windows, as up to one send window of other bytes
--- a/merlintrestle/requests/load/round_trips.py
+++ b/merlintrestle/requests/load/round_trips.py
@@ -61,7 +61,7 @@
             remaining_s: Remaining time of the call, in seconds.
 
         Returns:
-            The time in seconds. Nothing is recorded.
+            The time in seconds. The mean does not change.
         """
         return min(self.get(), _MAX_RESERVED_FRACTION * max(0.0, remaining_s))
 
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -291,8 +291,8 @@
     async def _check_backend(self) -> None:
         while not self.should_stop:
             # A backend server with an instance id sends heartbeats and
-            # announces a restart by a new id. A check would only occupy one of
-            # its slots.
+            # announces a restart by a new id or start time. A check would only
+            # occupy one of its slots.
             reachable = (
                 bool(self.backend.instance_id)
                 or await self.backend.check_reachable()
--- a/merlintrestle/requests/serving/responses.py
+++ b/merlintrestle/requests/serving/responses.py
@@ -57,8 +57,9 @@
         dialect: The dialect of the sender of the request.
         progress: Counts the relayed bytes of a streamed answer.
         extra_headers: Headers to add to the answer.
-        send_body: Sends the body of a streamed answer; None: each chunk is sent
-            as it arrives.
+        send_body: Sends the body of a streamed answer, or of a buffered one
+            larger than `reservations.CHUNK_BYTES`; None: each chunk is sent as
+            it arrives.
     """
     if isinstance(outcome, outcomes.Answered):
         return await _relay(
--- a/merlintrestle/requests/serving/retry_state.py
+++ b/merlintrestle/requests/serving/retry_state.py
@@ -164,7 +164,11 @@
 
 
 def _is_overload_refusal(outcome: outcomes.Outcome) -> bool:
-    """Returns whether a daemon had no free slot and no place in its queue."""
+    """Returns whether a daemon refused the call for lack of capacity.
+
+    Refusals by polled upstreams, at which the call was not allowed to wait, and
+    refusals by backend servers are not included.
+    """
     return (
         isinstance(outcome, outcomes.NotRun)
         and outcome.overloaded
--- a/merlintrestle/requests/transport/bodies.py
+++ b/merlintrestle/requests/transport/bodies.py
@@ -16,7 +16,8 @@
 
 # Bodies up to this size are buffered, so that a retry can send them again.
 MAX_BUFFERED_BYTES = 64 * 1024
-# A sender or receiver that makes no progress for this time is disconnected.
+# A sender or receiver that makes no progress for this time, in seconds, is
+# disconnected.
 STALL_TIMEOUT_S = 20.0
 
 
--- a/merlintrestle/requests/transport/exchange_outcomes.py
+++ b/merlintrestle/requests/transport/exchange_outcomes.py
@@ -14,11 +14,13 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.requests.transport import answers
 
-# If a connection is reset after it was idle for less than this, the reset is
-# taken for a crash of the server: the idle timeouts of servers are longer.
+# If a connection is reset after it was idle for less than this, in seconds, the
+# reset is taken for a crash of the server: the idle timeouts of servers are
+# longer.
 _MIN_IDLE_S = 0.5
-# A server answers a call over a connection that it no longer has with a reset,
-# which arrives within this time, as both ends are on the same instance.
+# If a call is sent over a connection that the server has already closed, the
+# server replies with a reset. The reset arrives within this time, in seconds,
+# as both ends are on the same instance.
 _MAX_RESET_S = 0.05
 DEADLINE_EXCEEDED = outcomes.Unknown(
     "no answer before the deadline", outcomes.TIMEOUT_STATUS
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -28,9 +28,10 @@
 
 events = event_logs.EventLog("requests")
 
-# Regions are about 35 ms apart. A lost packet is retransmitted only after one
-# second; trying another upstream is faster than that. A much shorter timeout
-# would abandon calls to a backend server on a busy host that does accept them.
+# Timeout for opening a connection, in seconds. Regions are about 35 ms apart. A
+# lost packet is retransmitted only after one second; trying another upstream is
+# faster than that. With a much shorter timeout, calls to a backend server on a
+# busy host would be abandoned although it accepts connections.
 _CONNECT_TIMEOUT_S = 0.5
 _UNREACHABLE = outcomes.NotRun(
     "could not connect", elsewhere=True, unreachable=True
@@ -55,8 +56,8 @@
 # acknowledgements. If the operating system closed the connection for that, it
 # would look like a crash, and the call would be lost while the backend server
 # still runs it. Silent peers are detected by probes instead. The native dialect
-# checks nothing else in answers: the peer has already checked that they are
-# complete and belong to their calls.
+# does not check the answers of peers: the peer has already checked that they
+# are complete and belong to their calls.
 PEER = ConnectionOptions(dialects.NativeDialect(), 0)
 
 
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -54,8 +54,7 @@
         """Sets the dependencies.
 
         Args:
-            budgets: Retry budgets, which also limit resends to the local
-                backend server.
+            budgets: Budgets that limit resends to the local backend server.
             accepts_unframed: Accept answers whose end is marked only by the
                 close of the connection.
             traffics: Counters of the bytes of connections.
@@ -217,9 +216,9 @@
 
         A backend server cannot be probed about a call. If it accepts new
         connections, either the pooled connection is silent or the server is
-        slow. So the first send continues, and a retry budget limits resends,
-        which would otherwise add to the load of a slow server. A call that is
-        already a retry is not resent.
+        slow. So the first send continues, and a budget limits resends, which
+        would otherwise add to the load of a slow server. A call that is already
+        a retry is not resent.
         """
         if (
             await backend.check_reachable()
--- a/merlintrestle/requests/transport/pool.py
+++ b/merlintrestle/requests/transport/pool.py
@@ -12,8 +12,9 @@
 
     from merlintrestle.requests.reports import traffic as traffics
 
-# Shorter than the idle timeout of servers: if a server closed a connection just
-# as a call is sent over it, the outcome of the call would be unknown.
+# Maximum idle time of a connection that is reused, in seconds. It is shorter
+# than the idle timeout of servers: if a server closed a connection just as a
+# call is sent over it, the outcome of the call would be unknown.
 MAX_IDLE_S = 15.0
 # A connection is no longer used this long before its server closes it. The
 # idle time of the server starts when it writes its answer, and it announces
--- a/merlintrestle/requests/transport/probes.py
+++ b/merlintrestle/requests/transport/probes.py
@@ -26,16 +26,16 @@
     from merlintrestle.requests.transport import pool as pools
 
 PATH = "/-/calls/"
-# A daemon answers a probe within milliseconds, a busy daemon within tens of
-# milliseconds.
+# Timeout of a probe, in seconds. A daemon answers a probe within milliseconds,
+# and a busy daemon within tens of milliseconds.
 _TIMEOUT_S = 0.3
 _IN_FLIGHT_STATUS = 200
 _UNKNOWN_STATUS = 404
 _ENDED_STATUS = 410
 # Number of ended calls that a daemon remembers, which takes about 200 KB. It
-# covers the last 20 s if a daemon serves 50 calls per second, as do 6,300
-# daemons that serve 320,000 calls per second. The first probe of a call is sent
-# much sooner, after 0.25 s.
+# covers the last 20 s if a daemon serves 50 calls per second, which is the mean
+# if 6,300 daemons serve 320,000 calls per second. The first probe of a call is
+# sent much sooner, after 0.25 s.
 _MAX_ENDED = 1024
 
 
--- a/merlintrestle/requests/transport/resends.py
+++ b/merlintrestle/requests/transport/resends.py
@@ -1,7 +1,8 @@
-"""Resends of calls to the same address while the first send is in flight.
+"""Resends of calls to the same server.
 
-A resend goes to the same server, while the first send may still be answered. A
-retry is a further attempt after a failure.
+A call is resent while its first send may still be answered, or after the
+connection of the first send broke while it was idle. A retry is a further
+attempt after a failure.
 """
 
 from __future__ import annotations
--- a/merlintrestle/requests/transport/streams.py
+++ b/merlintrestle/requests/transport/streams.py
@@ -20,7 +20,8 @@
 if TYPE_CHECKING:
     from merlintrestle.requests.calls import outcomes
 
-# Values of l_onoff and l_linger; the first makes a close send a reset.
+# Values of the socket option SO_LINGER (l_onoff and l_linger). With
+# `_LINGER_RESET`, the close of a connection sends a reset.
 _LINGER_RESET = struct.pack("ii", 1, 0)
 _LINGER_DEFAULT = struct.pack("ii", 0, 0)
 # Interval at which the write buffer is checked after an answer whose end is
@@ -109,9 +110,10 @@
     Args:
         request: The caller's request.
         answered: Outcome of the call, with the answer.
-        progress: Counts the forwarded bytes of a long answer.
+        progress: Counts the forwarded bytes of a streamed answer.
         extra_headers: Headers to add.
-        send_body: Sends the body of a long answer; None: each chunk is sent as
+        send_body: Sends the body of a streamed answer, or of a buffered one
+            larger than `reservations.CHUNK_BYTES`; None: each chunk is sent as
             it arrives.
 
     Returns:
--- a/merlintrestle/requests/transport/transfers.py
+++ b/merlintrestle/requests/transport/transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of long answers to other daemons, paced by the outgoing link."""
+"""Transfers of large answers to other daemons, paced by the outgoing link."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class TransferSender:
-    """Sends long answers and tracks how much of them is unsent.
+    """Sends large answers and tracks how much of them is unsent.
 
     Data accepted by the operating system has not been sent yet: its buffer
     holds a hundred kilobytes and more for each connection. So the unsent bytes
@@ -141,8 +141,8 @@
         """Updates the unsent bytes of the transfer.
 
         For a closing connection it is unknown how much has been sent. If its
-        megabytes were counted as sent, the measured rate of the link would be
-        many times too high.
+        unsent bytes, which may be megabytes, were counted as sent, the measured
+        rate of the link would be many times too high.
         """
         if self.transport.is_closing():
             self.transfer.end()
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -42,7 +42,7 @@
 
 
 class Holder(NamedTuple):
-    """The local daemon as stated in its claims, whose holder it is.
+    """The holder of a claim: the daemon that made it, as stated in the claim.
 
     Attributes:
         member_id: Member id of the daemon.
