--- a/merlintrestle/requests/calls/routing.py
+++ b/merlintrestle/requests/calls/routing.py
@@ -56,7 +56,7 @@
     would be "/x/y", but the path forwarded would be "/y".
 
     Args:
-        running_snapshot: Snapshot of the running version.
+        running_snapshot: Snapshot of the active version.
         method: HTTP method.
         raw_path: Path and query as sent by the caller.
         organisation: Organisation of the caller; empty if not stated.
@@ -92,7 +92,7 @@
     so that the daemon and the backend server see the same path.
 
     Args:
-        running_snapshot: Snapshot of the running version.
+        running_snapshot: Snapshot of the active version.
         host: Value of the Host header; a port in it is ignored.
         raw_path: Path and query as sent by the caller.
     """
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -44,7 +44,7 @@
 
         Args:
             backend: The local backend server, with its number of slots.
-            holder: Holds the snapshot with the declared targets.
+            holder: The active version, with the declared targets.
             table: Lists the upstreams of each service.
             get_time: Returns the monotonic time in seconds.
         """
--- a/merlintrestle/requests/load/slots.py
+++ b/merlintrestle/requests/load/slots.py
@@ -46,11 +46,11 @@
 
         Args:
             backend: The local backend server, with its number of slots.
-            holder: Holds the snapshot with the declared targets.
+            holder: The active version, with the declared targets.
             table: Lists the upstreams of each service.
         """
         self._backend = backend
-        self._holder = holder
+        self._active_version = holder
         self._table = table
         self.count = 0
         self.in_flight = 0
@@ -74,9 +74,11 @@
 
     def update_shares(self) -> None:
         """Recomputes the shares if targets, upstreams or slots have changed."""
-        running = self._holder.running
+        active_snapshot = self._active_version.running
         service = self._backend.service
-        plan = running.services.get(service) if running else None
+        plan = (
+            active_snapshot.services.get(service) if active_snapshot else None
+        )
         upstreams = self._table.get_upstreams(service)
         count = self._backend.slots
         if (
@@ -228,8 +230,8 @@
         # Classes of routes by host are not in the service plan. They become
         # known with their first call, which adds their queue.
         classes = [queue.plan for queue in self._queues.values()]
-        service_count = sum(upstream.slots for upstream in self._upstreams)
-        computed = shares.compute_shares(classes, self.count, service_count)
+        service_slots = sum(upstream.slots for upstream in self._upstreams)
+        computed = shares.compute_shares(classes, self.count, service_slots)
         self._max_large_in_flight = computed.large_slots
         for key, queue in self._queues.items():
             queue.share = computed.classes[key]
--- a/merlintrestle/requests/serving/dispatch.py
+++ b/merlintrestle/requests/serving/dispatch.py
@@ -291,11 +291,11 @@
             round_trip_s, call.plan.latency_s
         ):
             observation = self._picker.get_observation(upstream.member_id)
-            load_known = len(upstreams) == 1 or observation.has_recent_load(
+            may_wait = len(upstreams) == 1 or observation.has_recent_load(
                 self._get_time()
             )
             wait = polls.choose_wait(
-                load_known, self._picker.is_zone_peer(upstream)
+                may_wait, self._picker.is_zone_peer(upstream)
             )
         return attempts_.Attempt(upstream, wait=wait)
 
--- a/merlintrestle/requests/serving/peers.py
+++ b/merlintrestle/requests/serving/peers.py
@@ -32,7 +32,7 @@
 # is released only after the answer is sent, so that further answers stay in the
 # backend server. This limits the memory for answers that wait for the link: the
 # smallest instances have some 200 MB.
-_MAX_READ_AHEAD_BYTES = 8 * 1024 * 1024
+_MAX_RESERVED_BYTES_FOR_EARLY_RELEASE = 8 * 1024 * 1024
 
 # Status codes of answers without a body, and of successful answers.
 _BODILESS_STATUSES = (204, 304)
@@ -167,11 +167,13 @@
     async def _run(
         self, call: calls.Call, transfer: reservations.Transfer, method: str
     ) -> outcomes.Outcome:
-        """Runs a call, and releases its slot once its answer is read.
+        """Runs a call, and releases its slot once a streamed answer is read.
 
         If the slot were occupied until the answer is sent, other calls would
         have to wait while the answer waits for the link, although the backend
-        server has finished the call.
+        server has finished the call. With more reserved bytes than
+        `_MAX_RESERVED_BYTES_FOR_EARLY_RELEASE`, the slot is nevertheless
+        released only after the answer is sent.
         """
         outcome = await responses.catch_body_error(self._local_runner.run(call))
         if not isinstance(outcome, outcomes.Answered):
@@ -180,7 +182,8 @@
         _record_answer_size(outcome, transfer, method)
         if (
             buffered_body is None
-            and self._link.reserved_bytes <= _MAX_READ_AHEAD_BYTES
+            and self._link.reserved_bytes
+            <= _MAX_RESERVED_BYTES_FOR_EARLY_RELEASE
         ):
             response.content.on_eof(
                 functools.partial(_schedule_release, outcome)
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -52,9 +52,9 @@
 _CHECK_INTERVAL_S = 1.0
 # Interval between checks of an unreachable backend server, in seconds.
 _DOWN_CHECK_INTERVAL_S = 0.2
-# Interval between samples of the send buffers and of the lag of the event loop,
-# in seconds. It is short enough to detect a full buffer, and long enough to
-# take hardly any processor time.
+# Interval between samples of the write buffers and of the lateness of the event
+# loop, in seconds. It is short enough to detect a full buffer, and long enough
+# to take hardly any processor time.
 _SAMPLE_INTERVAL_S = 0.5
 
 
@@ -65,8 +65,8 @@
         backend: The local backend server.
         outcome_counts: Counts the outcomes of the calls of each class.
         latencies: Records how long callers waited, and why they were refused.
-        traffic: Reports the bytes sent over the link, the bytes in the send
-            buffers and the lag of the event loop.
+        traffic: Reports the bytes sent over the link, the bytes in the write
+            buffers and the lateness of the event loop.
         caller_port: Bound port for callers, once open.
         peer_port: Bound port for other daemons, once started.
         defer_caller_port: If True, `start` does not open the port for callers;
@@ -94,7 +94,7 @@
 
         Args:
             settings: Settings of the daemon.
-            holder: Holds the active configuration.
+            holder: The active configuration version.
             table: The upstreams of each service.
             store: Stores claims.
             dialect: The dialect of callers and of the backend server.
@@ -204,15 +204,15 @@
         self._peer_handler = peers.PeerHandler(
             self._state, self._local_runner, self._admission, self._link
         )
-        traffics = self._byte_counters
+        byte_counters = self._byte_counters
         self._caller_server = server.Server(
-            caller_handler.handle, traffics.callers
+            caller_handler.handle, byte_counters.callers
         )
         self._peer_server = server.Server(
-            self._peer_handler.handle, traffics.peers
+            self._peer_handler.handle, byte_counters.peers
         )
         self.traffic = traffic.TrafficReport(
-            traffics, self._link, self._get_send_buffer_bytes, loop.time
+            byte_counters, self._link, self._get_write_buffer_bytes, loop.time
         )
         await self._peer_server.start(address, self._settings.peer_port)
         self.peer_port = self._peer_server.port
@@ -309,8 +309,8 @@
             await self.sleep(_SAMPLE_INTERVAL_S)
             self.traffic.update(max(0.0, loop.time() - expected_at))
 
-    def _get_send_buffer_bytes(self) -> int:
-        """Returns the bytes of answers in the send buffers of both ports."""
+    def _get_write_buffer_bytes(self) -> int:
+        """Returns the bytes of answers in the write buffers of both ports."""
         servers = (self._caller_server, self._peer_server)
         return sum(port_server.get_buffered_bytes() for port_server in servers)
 
--- a/merlintrestle/requests/serving/retry_state.py
+++ b/merlintrestle/requests/serving/retry_state.py
@@ -110,10 +110,10 @@
         Returns:
             False if the call must not be sent again.
         """
-        already_retried = (
+        retry_excluded = (
             self.call.attempt_number and not self._are_all_attempts_refused()
         )
-        if already_retried or not self.budget.try_spend():
+        if retry_excluded or not self.budget.try_spend():
             return False
         self.call.attempt_number += 1
         self.call.repeat = True
--- a/merlintrestle/requests/serving/serving_state.py
+++ b/merlintrestle/requests/serving/serving_state.py
@@ -28,13 +28,13 @@
         """Initializes the state.
 
         Args:
-            holder: Holds the active configuration.
+            holder: The active configuration version.
         """
         self.in_flight = 0
         self.caller_keep_alive_disabled = False
         self.peer_keep_alive_disabled = False
         self.draining = False
-        self._holder = holder
+        self._active_version = holder
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -50,10 +50,10 @@
         """
         if self.draining and not nested:
             return outcomes.NotRun("this daemon is stopping", elsewhere=True)
-        active_snapshot = self._holder.running
+        active_snapshot = self._active_version.running
         if active_snapshot is None:
             return outcomes.NotRun(
-                f"this daemon is closed: {self._holder.closed_reason}",
+                f"this daemon is closed: {self._active_version.closed_reason}",
                 elsewhere=True,
             )
         return active_snapshot
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -78,7 +78,7 @@
             accepts_unframed: See `forwarding.Forwarder`.
         """
         self._pool = pool
-        self._counters = counters
+        self._byte_counters = counters
         self._accepts_unframed = accepts_unframed
         self._loop = asyncio.get_running_loop()
 
@@ -89,11 +89,13 @@
         remaining_s = deadline - self._loop.time()
         try:
             async with timeouts.timeout(min(_CONNECT_TIMEOUT_S, remaining_s)):
-                counters = self._counters
+                byte_counters = self._byte_counters
                 connection = await self._pool.open(
                     address,
                     options.unacknowledged_timeout_ms,
-                    counters.peers if options is PEER else counters.backend,
+                    byte_counters.peers
+                    if options is PEER
+                    else byte_counters.backend,
                 )
         except TimeoutError:
             return (
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -59,8 +59,8 @@
                 close of the connection.
             traffics: Counters of the bytes of connections.
         """
-        self._traffics = traffics or traffics_.build_traffics()
-        self._budgets = budgets
+        self._byte_counters = traffics or traffics_.build_traffics()
+        self._resend_budgets = budgets
         self._accepts_unframed = accepts_unframed
         self._call_ids = watchdogs.CallIds()
 
@@ -69,7 +69,7 @@
         self._loop = asyncio.get_running_loop()
         self._pool = pools.Pool(self._loop)
         self._runner = exchanges.ExchangeRunner(
-            self._pool, self._traffics, self._accepts_unframed
+            self._pool, self._byte_counters, self._accepts_unframed
         )
 
     async def close(self) -> None:
@@ -140,7 +140,7 @@
         It is resent over a new connection if the pooled one may be silent or
         broke while it was idle.
         """
-        budget = self._budgets.get(call.service)
+        budget = self._resend_budgets.get(call.service)
         budget.record_call()
         resend = resends.Resend(
             pooled, lambda: self._resend(backend, call, options)
--- a/merlintrestle/requests/transport/server.py
+++ b/merlintrestle/requests/transport/server.py
@@ -147,7 +147,7 @@
         # a connection and its buffer forever: aiohttp's idle timeout applies
         # only after the first request.
         self._first_request_timer = self._loop.call_later(
-            FIRST_REQUEST_TIMEOUT_S, self._close_if_silent
+            FIRST_REQUEST_TIMEOUT_S, self._close_if_without_request
         )
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -208,7 +208,7 @@
     def _is_disconnected(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
-    def _close_if_silent(self) -> None:
+    def _close_if_without_request(self) -> None:
         if self._request_count == 0:
             self.force_close()
 
--- a/merlintrestle/requests/unrepeatable/claims.py
+++ b/merlintrestle/requests/unrepeatable/claims.py
@@ -1,4 +1,4 @@
-"""Claims in the store, which make a request run at most once."""
+"""Claims in the store, which make a call run at most once."""
 
 from __future__ import annotations
 
@@ -24,14 +24,16 @@
     from merlintrestle.requests.calls import call as calls
     from merlintrestle.store import client
 
-# Longest wait for the store before a request is refused with "not run".
+# Longest wait for the store, in seconds. After it, a call is refused with "not
+# run".
 STORE_TIMEOUT_S = 1.0
 _STORE_RETRY_AFTER_S = 2.0
 # A claim that was written longer ago is read again from the store before the
 # call is forwarded. Usually the claim is younger, which saves that read.
 _RECHECK_AGE_S = 5.0
 _RETRY_AFTER_S = 1.0
-# Time for which a holder may delay its reply until the request has ended.
+# Time for which a holder may delay its reply until the call has ended, in
+# seconds.
 _RECALL_WAIT_S = 1.0
 _NOT_ENDED = outcomes.Unknown(
     "an earlier sending has not ended", 504, _RETRY_AFTER_S
@@ -57,7 +59,7 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldClaim:
-    """A claim that this daemon made, so that no other one may run the request.
+    """A claim that this daemon made, so that no other one may run the call.
 
     Attributes:
         record: Record of the claim in the ledger.
@@ -113,7 +115,7 @@
             claim: The claim.
             claim_key: Key of the claim in the store.
             wait_s: Seconds for which the holder may delay its reply until the
-                request has ended.
+                call has ended.
         """
 
 
@@ -289,7 +291,7 @@
             wait_s = _RECALL_WAIT_S
 
     async def release(self, held: HeldClaim) -> None:
-        """Deletes the claim of a request that did not run.
+        """Deletes the claim of a call that did not run.
 
         If this fails, the claim remains in the store, and this daemon answers
         recalls of it with RELEASED. The outcome of a retry is "unknown" only if
@@ -308,7 +310,7 @@
 
         Args:
             claim_id: Id of the claim.
-            wait_s: Seconds to wait for the request to end.
+            wait_s: Seconds to wait for the call to end.
         """
         record = self.ledger.find(claim_id)
         if record is not None and wait_s > 0:
--- a/merlintrestle/requests/unrepeatable/ledger.py
+++ b/merlintrestle/requests/unrepeatable/ledger.py
@@ -91,7 +91,7 @@
     def find_answered(self, claim_key: str) -> Record | None:
         """Returns the record of a claim key in state ANSWERED.
 
-        Its request was run by the local backend server.
+        Its call was run by the local backend server.
 
         Returns:
             None if there is no such record or if it was evicted.
--- a/merlintrestle/requests/unrepeatable/recall.py
+++ b/merlintrestle/requests/unrepeatable/recall.py
@@ -22,7 +22,8 @@
 _REPLY_MARGIN_S = 0.7
 # Channels kept open; further ones are open only while they carry recalls.
 _MAX_CHANNELS = 32
-# Longest time for which a holder delays its reply until the request has ended.
+# Longest time for which a holder delays its reply until the call has ended, in
+# seconds.
 _MAX_WAIT_S = 60.0
 
 
@@ -101,7 +102,7 @@
             claim: The claim.
             claim_key: Key of the claim in the store.
             wait_s: Seconds for which the holder may delay its reply until the
-                request has ended.
+                call has ended.
             timeout_s: Seconds to wait for the reply; None to wait until the
                 connection breaks.
 
--- a/merlintrestle/requests/unrepeatable/recall_retries.py
+++ b/merlintrestle/requests/unrepeatable/recall_retries.py
@@ -45,7 +45,7 @@
             claim: The claim.
             claim_key: Key of the claim in the store.
             wait_s: Seconds for which the holder may delay each reply until the
-                request has ended.
+                call has ended.
         """
         recall_tasks: set[
             asyncio.Task[request_pb2.RecallReply | _HolderGone | None]
