--- a/merlintrestle/requests/serving/retry_state.py
+++ b/merlintrestle/requests/serving/retry_state.py
@@ -110,10 +110,10 @@
         Returns:
             False if the call must not be sent again.
         """
-        already_retried = (
+        retry_excluded = (
             self.call.attempt_number and not self._are_all_attempts_refused()
         )
-        if already_retried or not self.budget.try_spend():
+        if retry_excluded or not self.budget.try_spend():
             return False
         self.call.attempt_number += 1
         self.call.repeat = True
@@ -164,7 +164,11 @@
 
 
 def _is_overload_refusal(outcome: outcomes.Outcome) -> bool:
-    """Returns whether a daemon had no free slot and no place in its queue."""
+    """Returns whether a daemon refused the call for lack of capacity.
+
+    Refusals by polled upstreams, at which the call was not allowed to wait, and
+    refusals by backend servers are not included.
+    """
     return (
         isinstance(outcome, outcomes.NotRun)
         and outcome.overloaded
--- a/merlintrestle/requests/transport/exchanges.py
+++ b/merlintrestle/requests/transport/exchanges.py
@@ -28,9 +28,10 @@
 
 events = event_logs.EventLog("requests")
 
-# Regions are about 35 ms apart. A lost packet is retransmitted only after one
-# second; trying another upstream is faster than that. A much shorter timeout
-# would abandon calls to a backend server on a busy host that does accept them.
+# Timeout for opening a connection, in seconds. Regions are about 35 ms apart. A
+# lost packet is retransmitted only after one second; trying another upstream is
+# faster than that. With a much shorter timeout, calls to a backend server on a
+# busy host would be abandoned although it accepts connections.
 _CONNECT_TIMEOUT_S = 0.5
 _UNREACHABLE = outcomes.NotRun(
     "could not connect", elsewhere=True, unreachable=True
@@ -55,8 +56,8 @@
 # acknowledgements. If the operating system closed the connection for that, it
 # would look like a crash, and the call would be lost while the backend server
 # still runs it. Silent peers are detected by probes instead. The native dialect
-# checks nothing else in answers: the peer has already checked that they are
-# complete and belong to their calls.
+# does not check the answers of peers: the peer has already checked that they
+# are complete and belong to their calls.
 PEER = ConnectionOptions(dialects.NativeDialect(), 0)
 
 
@@ -77,7 +78,7 @@
             accepts_unframed: See `forwarding.Forwarder`.
         """
         self._pool = pool
-        self._counters = counters
+        self._byte_counters = counters
         self._accepts_unframed = accepts_unframed
         self._loop = asyncio.get_running_loop()
 
@@ -88,11 +89,13 @@
         remaining_s = deadline - self._loop.time()
         try:
             async with timeouts.timeout(min(_CONNECT_TIMEOUT_S, remaining_s)):
-                counters = self._counters
+                byte_counters = self._byte_counters
                 connection = await self._pool.open(
                     address,
                     options.unacknowledged_timeout_ms,
-                    counters.peers if options is PEER else counters.backend,
+                    byte_counters.peers
+                    if options is PEER
+                    else byte_counters.backend,
                 )
         except TimeoutError:
             return (
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -54,14 +54,13 @@
         """Sets the dependencies.
 
         Args:
-            budgets: Retry budgets, which also limit resends to the local
-                backend server.
+            budgets: Budgets that limit resends to the local backend server.
             accepts_unframed: Accept answers whose end is marked only by the
                 close of the connection.
             traffics: Counters of the bytes of connections.
         """
-        self._traffics = traffics or traffics_.build_traffics()
-        self._budgets = budgets
+        self._byte_counters = traffics or traffics_.build_traffics()
+        self._resend_budgets = budgets
         self._accepts_unframed = accepts_unframed
         self._call_ids = watchdogs.CallIds()
 
@@ -70,7 +69,7 @@
         self._loop = asyncio.get_running_loop()
         self._pool = pools.Pool(self._loop)
         self._runner = exchanges.ExchangeRunner(
-            self._pool, self._traffics, self._accepts_unframed
+            self._pool, self._byte_counters, self._accepts_unframed
         )
 
     async def close(self) -> None:
@@ -141,7 +140,7 @@
         It is resent over a new connection if the pooled one may be silent or
         broke while it was idle.
         """
-        budget = self._budgets.get(call.service)
+        budget = self._resend_budgets.get(call.service)
         budget.record_call()
         resend = resends.Resend(
             pooled, lambda: self._resend(backend, call, options)
@@ -217,9 +216,9 @@
 
         A backend server cannot be probed about a call. If it accepts new
         connections, either the pooled connection is silent or the server is
-        slow. So the first send continues, and a retry budget limits resends,
-        which would otherwise add to the load of a slow server. A call that is
-        already a retry is not resent.
+        slow. So the first send continues, and a budget limits resends, which
+        would otherwise add to the load of a slow server. A call that is already
+        a retry is not resent.
         """
         if (
             await backend.check_reachable()
