--- a/merlintrestle/application.py
+++ b/merlintrestle/application.py
@@ -118,6 +118,7 @@
     resume_gc()
     result = await program.wait(stop)
     await program.stop()
+    # `stopped` is True if the program ended before a stop signal.
     return EXIT_CRASHED if result.stopped else EXIT_OK
 
 
--- a/merlintrestle/documents/differences.py
+++ b/merlintrestle/documents/differences.py
@@ -18,8 +18,10 @@
 ) -> list[str]:
     """Returns a line for each key, service and class of work that differs.
 
-    An added ("+") or removed ("-") service or class is one line. A changed
-    service or class has a line ("~") for each key that differs.
+    An added ("+") or removed ("-") class is one line. An added or removed
+    service has a line of its own, a line for each of its classes, and a line
+    ("~") for each key that has a value. A changed service or class has a line
+    ("~") for each key that differs.
 
     Args:
         old: The old document, or None if the organisation had none.
--- a/merlintrestle/documents/fields.py
+++ b/merlintrestle/documents/fields.py
@@ -60,6 +60,9 @@
 class Table:
     """A TOML table that checks each key when it is read.
 
+    A missing key has the default of the method that reads it. Without a
+    default, the key is required.
+
     A method that finds a problem adds a finding and returns a placeholder (the
     default, or an empty or zero value), so that a single pass reports every
     finding. The values must not be used if there are findings.
--- a/merlintrestle/members/anti_entropy.py
+++ b/merlintrestle/members/anti_entropy.py
@@ -131,10 +131,14 @@
         return self._contacted.is_set()
 
     async def run_round(self) -> str | None:
-        """Compares the table with a peer's; returns its id if it is silent.
+        """Compares the table with that of a peer.
 
         Most rounds make no comparison while no difference is known and no
-        member is gone.
+        member is gone. While this daemon knows no other usable member, each
+        round also contacts the stored seeds.
+
+        Returns:
+            The id of the peer if it did not answer; otherwise None.
         """
         self._round += 1
         if self._is_alone():
@@ -240,7 +244,9 @@
             return None
 
     async def contact_unknown(self, member_ids: Sequence[str]) -> None:
-        """Contacts those of the given daemons that are not in the table.
+        """Contacts daemons that are not in the table until one answers.
+
+        Of the given daemons, those in the table are skipped.
 
         Two partitions of a fleet that started separately at the same time do
         not know each other, but each finds the other by its seed record.
@@ -253,7 +259,7 @@
         await self._contact_any(unknown_ids)
 
     async def contact_stored_seeds(self) -> None:
-        """Contacts the stored seeds that are not in the table."""
+        """Contacts stored seeds not in the table until one answers."""
         await self.contact_unknown(await self._read_stored_seeds() or [])
 
     def _is_alone(self) -> bool:
--- a/merlintrestle/members/failure_detection.py
+++ b/merlintrestle/members/failure_detection.py
@@ -113,9 +113,11 @@
         return self._links.has_sent(member_id, since)
 
     def _advance_state(self, member_id: str) -> None:
-        """Changes an unreachable member from alive to suspect, or else to dead.
+        """Changes the state of an unreachable member.
 
-        A suspect member becomes dead only after the suspicion timeout.
+        An alive member becomes suspect. A suspect member becomes dead, but only
+        after the suspicion timeout. A member in another state, such as a
+        leaving one, becomes dead at once.
         """
         member = self._table.get(member_id)
         if member is None:
--- a/merlintrestle/members/links.py
+++ b/merlintrestle/members/links.py
@@ -282,6 +282,7 @@
             message = link.outbox.pop_message()
             message.sender = sender
             message.members_digest = self._table.digest
+            # Only the first message contains the sender.
             sender = ""
             sent_version = self._add_offer(message, sent_version)
             accounting.count_sent(_KIND, message)
--- a/merlintrestle/members/membership.py
+++ b/merlintrestle/members/membership.py
@@ -118,11 +118,11 @@
         )
 
     async def contact_unknown(self, addresses: Sequence[str]) -> None:
-        """Contacts the daemons that are not in the table yet."""
+        """Contacts daemons that are not in the table until one answers."""
         await self.anti_entropy.contact_unknown(addresses)
 
     async def contact_stored_seeds(self) -> None:
-        """Contacts the seeds in the store that are not in the table."""
+        """Contacts stored seeds not in the table until one answers."""
         await self.anti_entropy.contact_stored_seeds()
 
     async def serve_link(self, stream: grpc.aio.ServicerContext) -> None:
@@ -161,6 +161,7 @@
                 return
             self._reselect_event.clear()
             self._update_neighbours()
+            # All changes during this time cause a single selection.
             await self.sleep(self.timing.flush_delay_s)
 
     @mode.Service.task
--- a/merlintrestle/members/selection.py
+++ b/merlintrestle/members/selection.py
@@ -75,8 +75,9 @@
 class MemberSelection:
     """The members of the highest rank for a key, updated as the table changes.
 
-    A changed record costs one hash. Only the loss of a selected member, or a
-    changed link speed if fast links are preferred, costs a pass over the table.
+    A changed record costs one hash and, if fast links are preferred, the
+    maximum of all link speeds. Only the loss of a selected member, or a changed
+    link speed if fast links are preferred, costs a pass over the table.
     Selecting at each use would take about 10 ms with 6,000 members, several
     times a second.
     """
--- a/merlintrestle/store/records.py
+++ b/merlintrestle/store/records.py
@@ -32,7 +32,7 @@
 
 
 class Store(Protocol):
-    """Methods of `client.StoreClient` that records use."""
+    """Methods of `client.StoreClient` to read and write records."""
 
     async def get(self, key: str) -> client.Entry | None:
         """Reads a key."""
--- a/merlintrestle/versions/archive.py
+++ b/merlintrestle/versions/archive.py
@@ -56,24 +56,24 @@
         return deltas.make_offer(self.newest) if self.newest else None
 
     def get_delta(
-        self, peer_newest: control_pb2.Offer | None
+        self, peer_offer: control_pb2.Offer | None
     ) -> document_pb2.Delta | None:
         """Returns the delta from a peer's version to the newest version.
 
         Args:
-            peer_newest: Version and digest of the peer's newest snapshot; None
-                if the peer has no snapshot.
+            peer_offer: Version and digest of the peer's newest snapshot; None
+                if they are unknown.
 
         Returns:
-            None if the peer has no snapshot or an equal or newer one, or if
-            the peer's snapshot is no longer kept here.
+            None if the peer's snapshot is unknown, equal or newer, or if it is
+            not kept here.
         """
-        if peer_newest is None or self.newest is None:
+        if peer_offer is None or self.newest is None:
             return None
-        if peer_newest.version >= self.newest.version:
+        if peer_offer.version >= self.newest.version:
             return None
         for base in self._snapshots:
-            if deltas.matches(base, peer_newest):
+            if deltas.matches(base, peer_offer):
                 return self._make_delta(base)
         return None
 
--- a/merlintrestle/versions/discovery.py
+++ b/merlintrestle/versions/discovery.py
@@ -42,6 +42,8 @@
     async def contact_peers(self) -> None:
         """Contacts peers that started at the same time, before watching.
 
+        Does nothing if this daemon already knows another member.
+
         When a whole fleet starts, each daemon finds the seed records empty
         and knows of no other watcher, so every daemon would read the head and
         then also watch it, which transfers the head again. With the seeds
@@ -69,13 +71,13 @@
         """
         seeds = self._selection.get()
         age_s = self._clock() - self._seeds_written_at
-        is_rewrite_due = (
+        is_change_due = (
             seeds != self._seeds
             and age_s >= self._timing.seeds_write_interval_s
         )
         if (
             self._seeds
-            and not is_rewrite_due
+            and not is_change_due
             and age_s < self._timing.seeds_check_interval_s
         ):
             await self._search_peers(age_s)
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -38,7 +38,7 @@
 
 
 class Distribution(mode.Service):
-    """Obtains every accepted version for this daemon and passes it on to peers.
+    """Obtains and activates new versions, and passes them on to peers.
 
     Attributes:
         active_version: The snapshot that the proxy uses.
@@ -227,12 +227,12 @@
         self._new_version.clear()
 
     def _choose_delta(
-        self, peer_newest: control_pb2.Offer | None
+        self, peer_offer: control_pb2.Offer | None
     ) -> document_pb2.Delta | None:
         """Returns the delta to push to a peer; None to push only the offer."""
         if self._spread == PUSH_OFFERS:
             return None
-        delta = self.archive.get_delta(peer_newest)
+        delta = self.archive.get_delta(peer_offer)
         if delta is None or delta.ByteSize() > _MAX_PUSH_BYTES:
             return None
         return delta
--- a/merlintrestle/versions/fetcher.py
+++ b/merlintrestle/versions/fetcher.py
@@ -117,7 +117,7 @@
         return highest > self._archive.version
 
     async def _fetch(self, peer_id: str) -> None:
-        """Fetches from a peer, first as a delta, then as the whole snapshot."""
+        """Fetches from a peer; after an invalid reply, the whole snapshot."""
         if not await self._try_fetch(peer_id, whole=False):
             await self._try_fetch(peer_id, whole=True)
 
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -25,9 +25,9 @@
 
 events = event_logs.EventLog("versions")
 
-# Watchers that may read at the full rate. A version that one of them reads
-# reaches the whole fleet within some tenths of a second, and the store counts
-# each call.
+# All watchers together read as often as this many watchers would at the full
+# rate. A version that one of them reads reaches the whole fleet within some
+# tenths of a second, and the store counts each call.
 _FULL_RATE_WATCHERS = 3
 
 
@@ -193,7 +193,7 @@
     async def add_head(
         self, reply: control_pb2.FloorReply, uptime_ms: int
     ) -> None:
-        """Adds the head to a reply if this daemon is a watcher.
+        """Adds the head's version and age to a reply if this is a watcher.
 
         One read serves all daemons that started before it, and successive
         reads are at least `flush_delay_s` apart, so a mass restart causes only
--- a/merlintrestle/versions/watcher_selection.py
+++ b/merlintrestle/versions/watcher_selection.py
@@ -60,7 +60,8 @@
     def get_rank(self) -> int | None:
         """Returns the index of this daemon among the watchers of all zones.
 
-        The watchers are sorted by id. Returns None if this daemon is not a
+        The watchers are sorted by id. A daemon that is a watcher only because
+        it is isolated has the last rank. Returns None if this daemon is not a
         watcher.
         """
         if not self.is_watcher():
@@ -76,6 +77,9 @@
     def is_watcher(self) -> bool:
         """Returns whether this daemon has been selected for a while.
 
+        An isolated daemon counts as selected, as it can get new versions only
+        from the store.
+
         In a mass restart each member table initially holds only the local
         daemon, which is therefore selected. If it became a watcher at once, all
         daemons would read the store.
