--- a/merlintrestle/members/anti_entropy.py
+++ b/merlintrestle/members/anti_entropy.py
@@ -263,14 +263,14 @@
         await self.contact_unknown(await self._read_stored_seeds() or [])
 
     def _is_alone(self) -> bool:
-        """Tells whether this daemon knows no other usable member.
+        """Returns whether this daemon knows no other usable member.
 
         This can happen when all daemons start at once.
         """
         return len(self._table.list_usable_ids()) <= 1
 
     def _is_in_sync(self) -> bool:
-        """Tells whether no difference is known and no member is gone."""
+        """Returns whether no difference is known and no member is gone."""
         return not self._differing_ids and not any(
             table_lib.is_gone(member) for member in self._table.list_members()
         )
@@ -339,7 +339,7 @@
 def _is_needed(
     member: control_pb2.Member, peer_record: control_pb2.Member | None
 ) -> bool:
-    """Tells whether a peer needs a record.
+    """Returns whether a peer needs a record.
 
     The record of a gone member is sent only to a peer that holds an older
     record of it. Otherwise daemons that have removed the member would receive
--- a/merlintrestle/members/failure_detection.py
+++ b/merlintrestle/members/failure_detection.py
@@ -99,7 +99,7 @@
             self._advance_state(member_id)
 
     def _has_sent(self, member_id: str, since: float) -> bool:
-        """Tells whether a member has sent a message on a link since a time.
+        """Returns whether a member has sent a message on a link since a time.
 
         A busy member may answer a probe too late although it is alive. A
         suspicion would add load to the whole fleet: the member refutes it, all
@@ -192,7 +192,7 @@
         return reply.reached
 
     async def _may_advance_state(self, member_id: str) -> bool:
-        """Tells whether this daemon may change the state of a member.
+        """Returns whether this daemon may change the state of a member.
 
         A daemon that was paused or that receives no messages gets no answer
         from any member and would declare the whole fleet dead. A refused
--- a/merlintrestle/members/links.py
+++ b/merlintrestle/members/links.py
@@ -86,7 +86,7 @@
         return [link for link in self._links if link.peer_id]
 
     def has_sent(self, peer_id: str, since: float) -> bool:
-        """Tells whether a peer has sent a message since the given time.
+        """Returns whether a peer has sent a message since the given time.
 
         Args:
             peer_id: The peer.
@@ -112,7 +112,7 @@
     def send_rollout(
         self, rollout: control_pb2.Rollout, exclude: Link | None = None
     ) -> None:
-        """Queues a roll-out on all links except `exclude`, its origin."""
+        """Queues a roll-out order on all links except `exclude`, its origin."""
         for link in self._links:
             if link is not exclude:
                 link.outbox.add_rollout(rollout)
@@ -120,7 +120,10 @@
     def send_trial(
         self, trial: control_pb2.Trial, exclude: Link | None = None
     ) -> None:
-        """Queues a trial record on all links except `exclude`, its origin."""
+        """Queues a roll-out report on all links except `exclude`, its origin.
+
+        Such a report is about one backend server; see `rollouts.observer`.
+        """
         for link in self._links:
             if link is not exclude:
                 link.outbox.add_trial(trial)
--- a/merlintrestle/members/membership.py
+++ b/merlintrestle/members/membership.py
@@ -81,9 +81,8 @@
         # Tasks that keep the links to the neighbours open, by member id.
         self._link_tasks: dict[str, asyncio.Task[None]] = {}
         self._reselect_event = asyncio.Event()
-        # Link on which the record that is being merged arrived. The record is
-        # not sent back on it.
-        self._receiving_link: links_lib.Link | None = None
+        # Link whose message is being merged. Records are not sent back over it.
+        self._source_link: links_lib.Link | None = None
         self.links.on_message.append(self._receive)
         self.links.on_open.append(self._send_initial_records)
         table.on_change.append(self._forward)
@@ -104,11 +103,11 @@
         return await self.anti_entropy.wait_for_contact(timeout_s)
 
     def is_isolated(self) -> bool:
-        """Tells whether no peer has sent a message for two heartbeat intervals.
+        """Returns whether all peers were silent for two heartbeat intervals.
 
         A daemon that is cut off from its peers can get new versions only from
-        the store, and so can one whose zone has just lost its watchers. Before
-        the first message from any peer, the result is False.
+        the store. The same holds for a daemon whose zone has just lost its
+        watchers. Before the first message from any peer, the result is False.
         """
         last_received_at = self.links.last_received_at
         silent_s = time.monotonic() - last_received_at
@@ -165,7 +164,7 @@
             await self.sleep(self.timing.flush_delay_s)
 
     @mode.Service.task
-    async def _watch_states(self) -> None:
+    async def _run_failure_detector(self) -> None:
         tick_s = self.timing.heartbeat_interval_s / 2
         while not self.should_stop:
             before = time.monotonic()
@@ -265,19 +264,19 @@
     def _receive(
         self, link: links_lib.Link, message: control_pb2.LinkMessage
     ) -> None:
-        self._receiving_link = link
+        self._source_link = link
         try:
             for member in message.members:
                 self.table.merge(member)
         finally:
-            self._receiving_link = None
+            self._source_link = None
         if message.members_digest != self.table.digest:
             self.anti_entropy.record_difference(link.peer_id)
 
     def _forward(self, member: control_pb2.Member) -> None:
         """Forwards a changed record and triggers a selection of neighbours."""
         exclude = (
-            None if member.id == self.table.local_id else self._receiving_link
+            None if member.id == self.table.local_id else self._source_link
         )
         self.links.send_member(member, exclude)
         self._reselect_event.set()
--- a/merlintrestle/members/outbox.py
+++ b/merlintrestle/members/outbox.py
@@ -63,17 +63,17 @@
         self._mark_urgent()
 
     def add_rollout(self, rollout: control_pb2.Rollout) -> None:
-        """Adds the newest record of a roll-out, which is sent at once.
+        """Adds the newest order of a roll-out, which is sent at once.
 
-        It replaces an older record of the same service.
+        It replaces an older order of the same service.
         """
         self._rollouts[rollout.service] = rollout
         self._mark_urgent()
 
     def add_trial(self, trial: control_pb2.Trial) -> None:
-        """Adds a trial record, replacing one of the same backend server.
+        """Adds a roll-out report, replacing one on the same backend server.
 
-        A record that marks the backend server as suspect is sent at once: until
+        A report that marks the backend server as suspect is sent at once: until
         all daemons have received it, callers get bad answers from that server.
         """
         self._trials[trial.service, trial.member_id] = trial
--- a/merlintrestle/members/peers.py
+++ b/merlintrestle/members/peers.py
@@ -92,7 +92,7 @@
 
 
 async def refuses_connection(address: str, timeout_s: float) -> bool:
-    """Tells whether a connection to a control address is refused.
+    """Returns whether a connection to a control address is refused.
 
     Args:
         address: The control address.
@@ -318,7 +318,7 @@
         await asyncio.gather(*self._closing, return_exceptions=True)
 
     async def refuses_connection(self, address: str, timeout_s: float) -> bool:
-        """Tells whether a peer's host refuses a connection.
+        """Returns whether a peer's host refuses a connection.
 
         Unlike silence, a refusal proves that the peer's process is gone and
         that the network path to its host works.
@@ -345,7 +345,7 @@
     def _has_received(
         self, address: str, channel: grpc.aio.Channel, since: float
     ) -> bool:
-        """Tells whether a channel's link has received a message since a time.
+        """Returns whether a channel's link has received a message since a time.
 
         If so, the connection works and the peer is only slow. Closing the
         channel would end the link and all other calls on it, which are being
--- a/merlintrestle/members/table.py
+++ b/merlintrestle/members/table.py
@@ -314,7 +314,7 @@
 def supersedes(
     record: control_pb2.Member, other_record: control_pb2.Member
 ) -> bool:
-    """Tells whether a record of a member supersedes another record of it.
+    """Returns whether a record of a member supersedes another record of it.
 
     Records have a total order (incarnation, then state, then bytes), so that
     the result does not depend on the order of arrival.
@@ -333,19 +333,19 @@
 
 
 def is_gone(member: control_pb2.Member) -> bool:
-    """Tells whether a member has left or died."""
+    """Returns whether a member has left or died."""
     return member.state in _GONE_STATES
 
 
 def is_dead(member: control_pb2.Member) -> bool:
-    """Tells whether a member is considered dead."""
+    """Returns whether a member is considered dead."""
     return member.state == control_pb2.DEAD
 
 
 def _changes_routing(
     record: control_pb2.Member, other_record: control_pb2.Member
 ) -> bool:
-    """Tells whether the difference of two records affects call routing."""
+    """Returns whether the difference of two records affects call routing."""
     return (
         record.state != other_record.state
         or record.backend.state != other_record.backend.state
--- a/merlintrestle/rollouts/observer.py
+++ b/merlintrestle/rollouts/observer.py
@@ -185,7 +185,8 @@
     ) -> bool:
         """Returns whether a call of the new version took too long.
 
-        No call counts as slow during a cold start, nor without a baseline.
+        No call counts as slow during the warm-up of the backend server, nor
+        without a baseline.
         """
         if self._get_time() < self._backend.warmup_ends_at:
             return False
--- a/merlintrestle/rollouts/records.py
+++ b/merlintrestle/rollouts/records.py
@@ -12,14 +12,17 @@
 # changed.
 FINAL_STATES = (control_pb2.COMPLETE, control_pb2.ROLLED_BACK)
 # Limits for records that another program may have written to the store.
-_MAX_NAME_LENGTH = 200
+_MAX_NAME_CHARACTERS = 200
 _MAX_CLASSES = 100
 
 
 def find_fault(rollout: control_pb2.Rollout) -> str:
     """Returns an error message, or an empty string if the order is valid."""
-    if not rollout.service or len(rollout.service) > _MAX_NAME_LENGTH:
-        return f"service {rollout.service[:_MAX_NAME_LENGTH]!r} is not allowed."
+    if not rollout.service or len(rollout.service) > _MAX_NAME_CHARACTERS:
+        return (
+            f"service {rollout.service[:_MAX_NAME_CHARACTERS]!r}"
+            " is not allowed."
+        )
     if fault := find_version_fault(rollout.version):
         return fault
     if not rollout.number:
@@ -29,8 +32,8 @@
 
 def find_version_fault(version: str) -> str:
     """Returns an error message, or an empty string if the version is valid."""
-    if not version or len(version) > _MAX_NAME_LENGTH:
-        return f"version {version[:_MAX_NAME_LENGTH]!r} is not allowed."
+    if not version or len(version) > _MAX_NAME_CHARACTERS:
+        return f"version {version[:_MAX_NAME_CHARACTERS]!r} is not allowed."
     return ""
 
 
--- a/merlintrestle/rollouts/subsets.py
+++ b/merlintrestle/rollouts/subsets.py
@@ -47,7 +47,9 @@
         progress: The roll-out.
         old_versions: The old versions that the roll-out replaces.
         upstreams: All upstreams, as given by the member table.
-        suspects: Member ids of the suspect backend servers.
+        suspects: Member ids of the backend servers of the new version that gave
+            too many bad answers. `Upstream.suspect` means something else: that
+            the daemon may have failed.
         old: Upstreams of an old version.
         unknown: Upstreams whose version is not known yet, because their daemon
             has just started. They may be of an old or the new version.
@@ -210,7 +212,7 @@
     )
     trial = new[: max(1, int(len(old) * share))]
     shared = new[: max(1, int(len(old) * _SHARED_PHASE_SHARE))]
-    not_replaced = tuple(
+    remaining = tuple(
         upstream
         for upstream in upstreams
         if upstream.version not in old_versions
@@ -225,5 +227,5 @@
         new,
         trial,
         shared,
-        not_replaced,
+        remaining,
     )
--- a/merlintrestle/rollouts/tracker.py
+++ b/merlintrestle/rollouts/tracker.py
@@ -26,7 +26,7 @@
 # Time after a rollback until a backend server that has not announced its
 # version is assumed to have none, in seconds. Backend servers that announce a
 # version do so within a few seconds after the start of their daemon.
-_VERSION_TIMEOUT_S = 10.0
+_UNKNOWN_VERSION_TIMEOUT_S = 10.0
 _MS_PER_S = 1000
 
 
@@ -174,7 +174,7 @@
             return False
         if progress.phase is analysis.Phase.NEW:
             return True
-        return self.get_phase_age(progress) >= _VERSION_TIMEOUT_S
+        return self.get_phase_age(progress) >= _UNKNOWN_VERSION_TIMEOUT_S
 
     def _choose_phase(self, progress: progress_lib.Progress) -> analysis.Phase:
         """Returns the phase that the final state or the evidence requires.
--- a/merlintrestle/versions/active_version.py
+++ b/merlintrestle/versions/active_version.py
@@ -28,7 +28,7 @@
 
 
 class ActiveVersion:
-    """Holder of the active snapshot, which the proxy reads for every request.
+    """The active snapshot, which the proxy reads for every request.
 
     Attributes:
         running: The active snapshot (not only its version); None before the
--- a/merlintrestle/versions/marks.py
+++ b/merlintrestle/versions/marks.py
@@ -128,7 +128,7 @@
             rendezvous.build_neighbours_key(table.local_id),
             _MAX_CANDIDATES,
         )
-        self._confirmed_versions: dict[tuple[str, int], int] = {}
+        self._recorded_versions: dict[tuple[str, int], int] = {}
         self._calls: dict[str, asyncio.Task[bool]] = {}
 
     async def close(self) -> None:
@@ -179,13 +179,13 @@
         Returns:
             False if all calls ended without a quorum.
         """
-        min_confirmed = min(QUORUM, len(witnesses))
+        min_recorded = min(QUORUM, len(witnesses))
         pending = {
             self._start_call(witness, version)
             for witness in witnesses
-            if not self._has_confirmed(witness, version)
+            if not self._has_recorded(witness, version)
         }
-        while self._count_confirmed(witnesses, version) < min_confirmed:
+        while self._count_recorded(witnesses, version) < min_recorded:
             if not pending:
                 return False
             _, pending = await asyncio.wait(
@@ -199,7 +199,7 @@
         unmarked = [
             witness
             for witness in witnesses
-            if not self._has_confirmed(witness, version)
+            if not self._has_recorded(witness, version)
         ]
         results = await asyncio.gather(
             *(
@@ -215,14 +215,14 @@
             if refuses
         }
 
-    def _count_confirmed(self, witnesses: list[str], version: int) -> int:
+    def _count_recorded(self, witnesses: list[str], version: int) -> int:
         return sum(
-            self._has_confirmed(witness, version) for witness in witnesses
+            self._has_recorded(witness, version) for witness in witnesses
         )
 
-    def _has_confirmed(self, witness: str, version: int) -> bool:
+    def _has_recorded(self, witness: str, version: int) -> bool:
         return (
-            self._confirmed_versions.get(self._get_process_key(witness), 0)
+            self._recorded_versions.get(self._get_process_key(witness), 0)
             >= version
         )
 
@@ -262,11 +262,11 @@
             events.note("not marked", witness=witness, error=str(error))
             return False
         if reply.recorded:
-            self._remove_confirmed(witness)
-            self._confirmed_versions[process_key] = version
+            self._remove_recorded(witness)
+            self._recorded_versions[process_key] = version
         return reply.recorded
 
-    def _remove_confirmed(self, witness: str) -> None:
-        for process_key in list(self._confirmed_versions):
+    def _remove_recorded(self, witness: str) -> None:
+        for process_key in list(self._recorded_versions):
             if process_key[0] == witness:
-                del self._confirmed_versions[process_key]
+                del self._recorded_versions[process_key]
