--- a/merlintrestle/daemon/validation.py
+++ b/merlintrestle/daemon/validation.py
@@ -8,7 +8,8 @@
 
 from merlintrestle import config
 
-# Unlike names in documents, it may contain capital letters, "." and "_".
+# Unlike a name in a document, the service name in a heartbeat may contain
+# capital letters, "." and "_".
 _SERVICE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 _MAX_SLOTS = 100_000
 _MAX_VERSION_CHARACTERS = 200
@@ -20,7 +21,7 @@
 
 
 def is_version(value: Any) -> bool:
-    """Returns whether a value is a software version, or None if absent."""
+    """Returns whether a value is a software version or None (absent)."""
     return value is None or (
         isinstance(value, str) and len(value) <= _MAX_VERSION_CHARACTERS
     )
@@ -44,5 +45,5 @@
 
 
 def is_start_time(value: Any) -> bool:
-    """Returns whether a value is a time in ms since 1970, or None."""
+    """Returns whether a value is a time in ms since 1970 or None (absent)."""
     return value is None or (type(value) is int and value > 0)
--- a/merlintrestle/documents/checks.py
+++ b/merlintrestle/documents/checks.py
@@ -81,6 +81,7 @@
 
 
 def _list_owners(documents: Documents) -> dict[str, list[str]]:
+    """Returns the organisations that own each service, one if consistent."""
     owners: dict[str, list[str]] = {}
     for organisation, service in _list_services(documents):
         if not service.owner:
--- a/merlintrestle/members/selection.py
+++ b/merlintrestle/members/selection.py
@@ -44,9 +44,9 @@
     two groups, members are ranked by weight. If all links have the same speed,
     or none is known, only the weight counts.
 
-    A member that works for many others fills its link: a watcher downloads
-    every configuration in full. A slow link would delay this download and the
-    calls to the backend server of the instance by seconds.
+    A member that works for many others can use all of its link's capacity: a
+    watcher downloads every configuration in full. A slow link would delay this
+    download and the calls to the backend server of the instance by seconds.
     """
     max_link_mbps = find_max_link_mbps(members)
     ranks = [compute_rank(key, member, max_link_mbps) for member in members]
--- a/merlintrestle/members/service.py
+++ b/merlintrestle/members/service.py
@@ -111,7 +111,7 @@
             yield part
 
     async def Hold(self, request: Any, context: Any) -> Any:  # noqa: N802
-        """Stores a version that was just accepted from an operator."""
+        """Stores a version that an operator sends after its acceptance."""
         del context
         held = self._distribution.hold_from_operator(request)
         return _count("Hold", request, control_pb2.HoldReply(held=held))
@@ -171,6 +171,7 @@
 
 
 def _count(kind: str, request: Any, reply: Any) -> Any:
+    """Counts the bytes of a request and its reply; returns the reply."""
     _count_received(kind, request)
     accounting.count_sent(kind, reply, accounting.CALL_OVERHEAD_BYTES)
     return reply
--- a/merlintrestle/members/validation.py
+++ b/merlintrestle/members/validation.py
@@ -7,8 +7,8 @@
 from merlintrestle import config
 from merlintrestle.schema import control_pb2
 
-# A member refutes its suspicion or death by an incarnation one above the one
-# that others hold. None is above the largest integer.
+# A member refutes a record that calls it suspect or dead by an incarnation one
+# above that of the record. It could not if that were the largest integer.
 _MAX_INCARNATION = 2**62
 _MAX_VERSION_CHARACTERS = 200
 
--- a/merlintrestle/rollouts/controller.py
+++ b/merlintrestle/rollouts/controller.py
@@ -24,8 +24,8 @@
 
 # Interval between two updates of the open roll-outs, in seconds.
 _UPDATE_INTERVAL_S = 0.25
-# Delay before a daemon writes a state, in seconds for each daemon of a lower
-# rank, so that usually only the first daemon writes.
+# A daemon writes a state after its rank times this delay, in seconds, so that
+# usually only the first daemon (rank 0) writes.
 _WRITE_DELAY_PER_RANK_S = 0.3
 # Maximum time to wait until the old version is drained, in seconds. Daemons
 # that are cut off from the others cannot report a drained backend server.
--- a/merlintrestle/rollouts/cusum.py
+++ b/merlintrestle/rollouts/cusum.py
@@ -1,4 +1,4 @@
-"""CUSUM detector of bad answers of one backend server."""
+"""CUSUM detector of a bad version from the answers of one backend server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class CusumDetector:
-    """Page's cumulative sum test (CUSUM) of bad against healthy answers.
+    """Page's cumulative sum test (CUSUM) of a bad against a healthy version.
 
     The score is the sum of the log-likelihood ratios, but never below 0. A
     version that turns bad after many good answers is therefore detected as
@@ -26,7 +26,7 @@
     the threshold allows.
 
     Attributes:
-        alarmed: True once the test has detected bad answers; never reset.
+        alarmed: True once the test has detected a bad version; never reset.
     """
 
     __slots__ = ("_score", "alarmed")
--- a/merlintrestle/rollouts/observer.py
+++ b/merlintrestle/rollouts/observer.py
@@ -33,9 +33,9 @@
 _REPORT_INTERVAL_S = 0.5
 # Maximum number of backend servers of the old version that report.
 _MAX_BASELINE_SERVERS = 6
-# Time in the phase in which the new version gets all calls after which backend
-# servers of the old version refuse calls, in seconds. By then the other daemons
-# have learned of the phase and send no more calls to them.
+# Time from the start of the phase `NEW`, in which the new version gets all
+# calls, until backend servers of the old version refuse calls, in seconds. By
+# then the other daemons have learned of the phase and send them no more calls.
 _REFUSAL_DELAY_S = 0.5
 _MS_PER_S = 1000
 _NO_BASELINE = progresses.Baseline()
--- a/merlintrestle/rollouts/tracker.py
+++ b/merlintrestle/rollouts/tracker.py
@@ -165,10 +165,11 @@
     def may_run_unknown_version(self, progress: progress_lib.Progress) -> bool:
         """Returns whether a backend server of unknown version may run calls.
 
+        It may not while the roll-out is open, and may after a completed one.
         After a rollback, its daemon may have just started, and its version may
-        be the one that was rolled back. It may run calls only after some time,
-        so that a backend server that never announces a version is not excluded
-        permanently.
+        be the one that was rolled back. It is therefore excluded, but not
+        permanently, as it may never announce a version: after some time, it may
+        run calls.
         """
         if not progress.ended:
             return False
--- a/merlintrestle/versions/known_revision.py
+++ b/merlintrestle/versions/known_revision.py
@@ -16,9 +16,10 @@
 _MAX_WATCH_WAIT_S = 0.3
 # Time after a read without a new head in which the store's history may be
 # queried instead of reading the head. A head of some hundred KB takes half a
-# second to read on a slow link, so such reads take at most a tenth of the time.
-# The period is limited because the history can omit changes for about a second
-# before the store drops it; only after that does a query fail.
+# second to read on a slow link; with one read in each period, reads take at
+# most a tenth of the time. The period is limited because the store, when it is
+# about to drop its history, can omit changes from it for about a second, and
+# queries fail only after it was dropped.
 _HISTORY_QUERY_PERIOD_S = 5.0
 
 
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -113,10 +113,10 @@
         """Reads the head until a version is known or a peer is linked.
 
         A store without a version answers at once, so a successful read is also
-        followed by a delay, and a long one: nothing can be served before there
-        is a version, and by then most daemons have contacted a peer and need
-        not read at all. With short delays, a fleet of hundreds that starts at
-        once would send most of its calls to the store in its first second.
+        followed by a delay. This delay is long: nothing can be served before
+        there is a version, and after it most daemons have contacted a peer and
+        need not read again. With short delays, a fleet of hundreds that starts
+        at once would send most of its calls to the store in its first second.
         """
         backoff = timing_lib.Backoff(
             self._timing.first_read_retry_delay_s,
@@ -139,7 +139,8 @@
 
         Watchers share the reads, so that the load on the store does not grow
         with the number of zones: if each watcher read every second, those of
-        three zones would make 300 of the 640 calls of a minute without changes.
+        three zones would make 300 of the 640 calls that the store gets in a
+        minute without changes.
         An isolated watcher reads at the full rate.
         """
         refresh_s = self._timing.head_refresh_interval_s
