--- a/merlintrestle/members/failure_detection.py
+++ b/merlintrestle/members/failure_detection.py
@@ -99,7 +99,7 @@
             self._advance_state(member_id)
 
     def _has_sent(self, member_id: str, since: float) -> bool:
-        """Tells whether a member has sent a message on a link since a time.
+        """Returns whether a member has sent a message on a link since a time.
 
         A busy member may answer a probe too late although it is alive. A
         suspicion would add load to the whole fleet: the member refutes it, all
@@ -113,9 +113,11 @@
         return self._links.has_sent(member_id, since)
 
     def _advance_state(self, member_id: str) -> None:
-        """Changes an unreachable member from alive to suspect, or else to dead.
+        """Changes the state of an unreachable member.
 
-        A suspect member becomes dead only after the suspicion timeout.
+        An alive member becomes suspect. A suspect member becomes dead, but only
+        after the suspicion timeout. A member in another state, such as a
+        leaving one, becomes dead at once.
         """
         member = self._table.get(member_id)
         if member is None:
@@ -190,7 +192,7 @@
         return reply.reached
 
     async def _may_advance_state(self, member_id: str) -> bool:
-        """Tells whether this daemon may change the state of a member.
+        """Returns whether this daemon may change the state of a member.
 
         A daemon that was paused or that receives no messages gets no answer
         from any member and would declare the whole fleet dead. A refused
--- a/merlintrestle/rollouts/tracker.py
+++ b/merlintrestle/rollouts/tracker.py
@@ -26,7 +26,7 @@
 # Time after a rollback until a backend server that has not announced its
 # version is assumed to have none, in seconds. Backend servers that announce a
 # version do so within a few seconds after the start of their daemon.
-_VERSION_TIMEOUT_S = 10.0
+_UNKNOWN_VERSION_TIMEOUT_S = 10.0
 _MS_PER_S = 1000
 
 
@@ -167,16 +167,17 @@
     def may_run_unknown_version(self, progress: progress_lib.Progress) -> bool:
         """Returns whether a backend server of unknown version may run calls.
 
+        It may not while the roll-out is open, and may after a completed one.
         After a rollback, its daemon may have just started, and its version may
-        be the one that was rolled back. It may run calls only after some time,
-        so that a backend server that never announces a version is not excluded
-        permanently.
+        be the one that was rolled back. It is therefore excluded, but not
+        permanently, as it may never announce a version: after some time, it may
+        run calls.
         """
         if not progress.ended:
             return False
         if progress.phase is analysis.Phase.NEW:
             return True
-        return self.get_phase_age(progress) >= _VERSION_TIMEOUT_S
+        return self.get_phase_age(progress) >= _UNKNOWN_VERSION_TIMEOUT_S
 
     def _choose_phase(self, progress: progress_lib.Progress) -> analysis.Phase:
         """Returns the phase that the final state or the evidence requires.
