--- a/tests/requests/load/test_admission.py
+++ b/tests/requests/load/test_admission.py
@@ -150,10 +150,10 @@
     async def test_no_slot_is_kept_free_for_a_class_without_rate(self) -> None:
         """A lookup gets the last free slot of a backend server.
 
-        A route by host may also send more important payouts to it and has sent
-        one. If the last slot were kept free for the next payout, it would stay
-        idle while lookups are refused: a twelfth of the capacity of a backend
-        server with a dozen slots.
+        A route by host has sent it one payout, which is more important, and may
+        send others. If the last slot were kept free for the next payout, it
+        would stay idle while lookups are refused: a twelfth of the capacity of
+        a backend server with a dozen slots.
         """
         admission = build_admission()
         lookup = builders.build_plan(
@@ -211,11 +211,11 @@
     async def test_one_slot_is_kept_free_for_more_important_calls(self) -> None:
         """Guards against checks that wait for borrowed slots."""
         admission = build_admission(_LOOKUP, _CHECK)
-        held = [self.request_slot(admission, _LOOKUP) for _ in range(_SLOTS)]
+        lookups = [self.request_slot(admission, _LOOKUP) for _ in range(_SLOTS)]
         await asyncio.sleep(0)
         self.assertEqual(admission.in_flight, _SLOTS - 1)
         await self.acquire(admission, _CHECK)
-        for task in held:
+        for task in lookups:
             task.cancel()
 
     async def test_too_long_wait_is_refused_at_once(self) -> None:
--- a/tests/requests/load/test_queues.py
+++ b/tests/requests/load/test_queues.py
@@ -33,18 +33,20 @@
         async def run() -> list[float]:
             simulation = simulations.Simulation(2)
             held = [await simulation.occupy(_LOOKUP, 0.4) for _ in range(2)]
-            turns: list[float] = []
+            granted: list[float] = []
             waiting = [
                 asyncio.create_task(
-                    simulation.wait_for_slot(_LOOKUP, deadline_s, turns)
+                    simulation.wait_for_slot(
+                        _LOOKUP, latency_deadline_s, granted
+                    )
                 )
-                for deadline_s in latency_deadlines_s
+                for latency_deadline_s in latency_deadlines_s
             ]
             await asyncio.sleep(0)
             for call in held:
                 simulation.release(call)
             await asyncio.gather(*waiting)
-            return turns
+            return granted
 
         with asyncio.Runner(loop_factory=model.SimulatedLoop) as runner:
             return runner.run(run())
@@ -75,10 +77,10 @@
         async def run() -> None:
             simulation = simulations.Simulation(1)
             await simulation.occupy(_LOOKUP, 0.4)
-            turns: list[float] = []
+            granted: list[float] = []
             in_time_calls = [
                 asyncio.create_task(
-                    simulation.wait_for_slot(_LOOKUP, 0.4, turns)
+                    simulation.wait_for_slot(_LOOKUP, 0.4, granted)
                 )
                 for _ in range(slots.MAX_WAITING_PER_SLOT * 2)
             ]
--- a/tests/requests/serving/test_concurrent_attempts.py
+++ b/tests/requests/serving/test_concurrent_attempts.py
@@ -10,7 +10,7 @@
 from tests.requests import builders
 from tests.requests import relays
 
-_LATENCY_S = 0.02
+_LATENCY_TARGET_S = 0.02
 
 
 class ConcurrentAttemptsTest(unittest.IsolatedAsyncioTestCase):
@@ -36,7 +36,11 @@
             return web.Response()
 
         active_snapshot = builders.build_snapshot(
-            {"/": builders.build_plan(latency_s=_LATENCY_S, work_s=0.001)}
+            {
+                "/": builders.build_plan(
+                    latency_s=_LATENCY_TARGET_S, work_s=0.001
+                )
+            }
         )
         async with relays.run_relayed_nodes(
             handle, count=3, running=active_snapshot
--- a/tests/requests/serving/test_deadlines.py
+++ b/tests/requests/serving/test_deadlines.py
@@ -67,7 +67,7 @@
         fields_by_event: dict[str, dict[str, Any]] = {}
 
         def record_event(
-            story: decision_logs.DecisionLog, event: str, **fields: Any
+            decision_log: decision_logs.DecisionLog, event: str, **fields: Any
         ) -> None:
             fields_by_event.setdefault(event, fields)
 
--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -128,7 +128,7 @@
                 await self.wait_for_probes(4)
                 self.may_answer.set()
                 self.assertEqual((await call).status, 200)
-        events = [node.args[1] for node in add.call_args_list]
+        events = [logged.args[1] for logged in add.call_args_list]
         self.assertEqual(events.count("in doubt"), 1)
 
     async def test_answer_to_a_hedge_cancels_the_first_attempt(
--- a/tests/requests/transport/test_connections.py
+++ b/tests/requests/transport/test_connections.py
@@ -71,9 +71,10 @@
         self.assertEqual(len(set(transports)), 1)
 
     async def test_unrepeatable_calls_get_new_connections(self) -> None:
-        """The server can't be closing the connection of an unrepeatable call.
+        """An unrepeatable call is not sent over a pooled connection.
 
-        Otherwise it would be unknown whether the call ran.
+        The server may be closing a pooled connection, and then it would be
+        unknown whether the call ran.
         """
         transports = []
 
@@ -194,10 +195,12 @@
             _run_raw_backend(reset) as node,
             builders.open_client() as client,
         ):
-            retry = {headers.ATTEMPT: "1"}
+            retry_headers = {headers.ATTEMPT: "1"}
             with mock.patch.object(exchange_outcomes, "_MIN_IDLE_S", 0.0):
                 for _ in range(2):
-                    answer = await client.get(node.url + "/x", headers=retry)
+                    answer = await client.get(
+                        node.url + "/x", headers=retry_headers
+                    )
                     self.assertEqual(answer.status, 200)
             self.assertFalse(node.proxy.crashes.strikes)
         self.assertEqual(served, 2)
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -302,9 +302,9 @@
         How much was sent before the abort is unknown. If all of it counted, the
         measured rate of the link would be far too high.
         """
-        with mock.patch.object(self.link, "record_sent") as note_sent:
+        with mock.patch.object(self.link, "record_sent") as record_sent:
             await self.send(200_000)
             self.transport.is_closing.return_value = True
             self.sender._update_transfers()
-        note_sent.assert_not_called()
+        record_sent.assert_not_called()
         self.assertEqual((self.link.reserved_bytes, self.link.unsent), (0, 0))
