--- a/tests/requests/calls/test_outcomes.py
+++ b/tests/requests/calls/test_outcomes.py
@@ -15,6 +15,7 @@
 
 
 def _build_answered(response: Any) -> outcomes.Answered:
+    """Builds an outcome with a release callback that refers to the outcome."""
     answered = outcomes.Answered(response, b"", [])
     answered.add_release_callback(lambda: setattr(answered, "truncated", False))
     return answered
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -57,7 +57,7 @@
 
     Attributes:
         calls: Number of calls that the backend server ran.
-        offered: Ids of the requests that it ran.
+        offered: Ids of the requests that the backend server received.
         admission: Admission control of the backend server.
     """
 
@@ -303,7 +303,8 @@
 
     Args:
         servers: The backend servers.
-        callers: The callers.
+        callers: The callers. Their `work_s` is not used, as each backend server
+            has its own.
         duration_s: How long callers begin new calls, in seconds.
         daemons: Number of daemons that callers call. Each daemon only knows its
             own calls.
--- a/tests/requests/load/slowlinks.py
+++ b/tests/requests/load/slowlinks.py
@@ -98,7 +98,7 @@
         self._link.send(self, len(data))
 
     async def wait_for(self, unsent: int) -> None:
-        """Waits until at most `unsent` bytes are in transit."""
+        """Waits until at most `unsent` bytes are not sent yet."""
         while self.unsent > unsent:
             self._progress.clear()
             await self._progress.wait()
@@ -173,6 +173,7 @@
                 -(_SIZE_SIGMA**2) / 2, _SIZE_SIGMA
             )
             size = round(mean_size * size_factor)
+        # The backend server needs 0.15 s on average.
         await asyncio.sleep(self._rng.uniform(0.5, 1.5) * 0.15)
         connection = Connection(self._slow_link)
         await self._send(connection, size, transfer)
@@ -225,6 +226,8 @@
     """
 
     async def run() -> LinkSimulation:
+        # Rate of the link in bytes per second, and mean size of the downloads
+        # in bytes. Calls arrive for 30 s, among them 25 checks per second.
         rate, size = 400_000.0, 90_000.0
         simulation = LinkSimulation(rate, seed, admission_control)
         await simulation.run(30.0, load * rate / size, size, 25.0)
--- a/tests/requests/load/test_budgets.py
+++ b/tests/requests/load/test_budgets.py
@@ -47,6 +47,7 @@
     def test_service_without_calls_has_its_share_of_the_slack(self) -> None:
         """Three quarters of 62 retries are divided among thirteen daemons."""
         self.assertEqual(self.retry(), 3)
+        # More than the window and the time of one of its buckets, 10.5 s.
         self.clock.now += 10.6
         self.assertEqual(self.retry(), 3)
 
--- a/tests/requests/load/test_picking.py
+++ b/tests/requests/load/test_picking.py
@@ -41,7 +41,11 @@
         )
 
     def pick(self, probe: bool = False) -> table.Upstream:
-        """Picks an upstream for a first attempt."""
+        """Picks an upstream for a first attempt.
+
+        Args:
+            probe: Whether the call may probe an ejected upstream.
+        """
         picked = self.picker.pick("kassa", self.upstreams, (), probe)
         assert picked is not None
         return picked
--- a/tests/requests/load/test_refused_callers.py
+++ b/tests/requests/load/test_refused_callers.py
@@ -9,11 +9,16 @@
 
 from merlintrestle.requests.load import refused_callers
 
+# Route and path of a request.
 _TICKETS = ("tickets", "/tickets/17")
 
 
 class RefusedCallersTest(unittest.TestCase):
-    """Callers are refused and retry, at times that the test sets."""
+    """Callers are refused and retry, at times that the test sets.
+
+    A caller is added with the deadline of its request and the arrival time of
+    its first request, both in seconds.
+    """
 
     def setUp(self) -> None:
         self.now = 100.0
--- a/tests/requests/load/test_slowlinks.py
+++ b/tests/requests/load/test_slowlinks.py
@@ -27,9 +27,10 @@
 # downloads waits longer than t.
 #
 # The latency target leaves 0.98 s for the wait, after the head (0.15 s) and the
-# body; 0.024 of the downloads wait longer. As the mean deviation of the sizes,
-# 0.1 s, is kept free as well, it is 0.033. The standard deviation for the 66
-# downloads of a simulation is 0.022; the bound allows for 1.6 times as much.
+# body; 0.024 of the downloads wait longer. The link also keeps the mean
+# deviation of the sizes, 0.1 s, free, which makes it 0.033 of the downloads.
+# The standard deviation for the 66 downloads of a simulation is 0.022; the
+# bound allows for 1.6 times as much.
 _MIN_DOWNLOADS_IN_TIME = 0.93
 
 
--- a/tests/requests/reports/test_traffic.py
+++ b/tests/requests/reports/test_traffic.py
@@ -37,9 +37,9 @@
         }
 
     def test_full_link(self) -> None:
-        """A line is logged if bytes are queued and the event loop is on time.
+        """A line is logged if bytes are buffered and the event loop is on time.
 
-        It also contains queued bytes of earlier updates in the interval, even
+        It contains the buffered bytes of earlier updates in the interval, even
         if the write buffers are empty when the line is written.
         """
         self.traffics.peers.sent += 2_000_000
@@ -55,7 +55,7 @@
         self.assertEqual(fields["loop_late_ms"], 0)
 
     def test_overloaded_processor(self) -> None:
-        """A line is logged if the event loop is late, without queued bytes."""
+        """A line is logged if the event loop is late and buffers are empty."""
         with self.assertLogs("merlintrestle.requests") as logs:
             self.update(5.0, lateness_s=0.3)
         fields = vars(logs.records[0])["fields"]
--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -19,11 +19,11 @@
 # action also has the number of a daemon, which some kinds do not use. The kinds
 # are, with their arguments:
 #   send: a caller sends a payout to the daemon; 1 or 0 for the key "a" or "b"
-#   release: a waiting step of the daemon continues; the index of the step
+#   release: a pending step of the daemon is resumed; the index of the step
 #   crash: the daemon is replaced by one without state
 #   freeze: the daemon is suspended, or resumed if it is suspended
-#   fault: a later store request fails; index in _FAULTS
-#   late: the store executes the writes that were delayed by `Fault.LATE`
+#   fault: a later store request has a fault; index in _FAULTS
+#   late: the store executes the writes that were delayed by `Fault.DELAYED`
 #   fate: result of a later request at a backend server; index in
 #       _BACKEND_RESULTS
 #   wait: time passes; seconds
@@ -39,8 +39,8 @@
 ]
 _ACTION = strategies.sampled_from(
     [
-        # Each kind has as many entries for each unit of its weight, regardless
-        # of the number of its arguments.
+        # Each kind has 12 entries for each unit of its weight, however many
+        # arguments it has.
         (kind, argument)
         for kind, weight, arguments in _ACTION_KINDS
         for _ in range(weight)
@@ -54,6 +54,7 @@
     )
 )
 _BACKEND_RESULTS = ("answered", "refused", "broken")
+# Index 1 is REQUEST_LOST, 2 is REPLY_LOST, 3 is DELAYED, and 4 is STALE_READ.
 _FAULTS = list(fakes.Fault)
 # Minimum time for which a claim is kept, in seconds.
 _MIN_CLAIM_LIFETIME_S = 23 * 3600
--- a/tests/requests/serving/test_path.py
+++ b/tests/requests/serving/test_path.py
@@ -233,7 +233,8 @@
     ) -> None:
         """Guards against calls served by rules that may be out of date.
 
-        The daemon has no active configuration, as it knows no minimum version.
+        The daemon has no active configuration, as it knows no floor: the lowest
+        version that it may run.
         """
         async with (
             builders.run_nodes(1) as (node,),
--- a/tests/requests/serving/test_remaining_time.py
+++ b/tests/requests/serving/test_remaining_time.py
@@ -27,10 +27,11 @@
     """Calls of classes of work with a short deadline."""
 
     async def test_backend_server_gets_all_of_the_remaining_time(self) -> None:
-        """Guards against work that ends early as its stated deadline is early.
+        """Guards against a deadline that is too early for the backend server.
 
-        The time reserved for the return trip of a refusal must not be
-        subtracted from the deadline that the backend server gets.
+        The backend server would end its work early. The time reserved for the
+        return trip of a refusal must not be subtracted from the deadline that
+        the backend server gets.
         """
         loop = asyncio.get_running_loop()
         deadlines: list[float] = []
@@ -60,7 +61,11 @@
     async def test_claimed_payout_may_run_until_the_deadline(
         self,
     ) -> None:
-        """Guards against claimed work reported "still running" too early."""
+        """Guards against a 504 before the deadline for a running payout.
+
+        A payout that still runs under its claim is reported as "still running"
+        at its deadline, and not earlier.
+        """
         loop = asyncio.get_running_loop()
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
--- a/tests/requests/serving/test_smuggling.py
+++ b/tests/requests/serving/test_smuggling.py
@@ -99,8 +99,8 @@
 
         Bytes that are not ASCII are lost between daemons. If keys with such
         bytes were accepted, two payouts whose keys differ only in them would be
-        treated as the same, and the second seller would get the answer to the
-        first one. The caller is refused as not run instead of as unknown.
+        treated as the same, and the caller of the second would get the answer
+        to the first. The caller is refused as not run instead of as unknown.
         """
         async with builders.run_nodes(1) as (node,):
             for key in (b"k\xe9", b"k\xc3\xa9"):
--- a/tests/requests/transport/test_uploads.py
+++ b/tests/requests/transport/test_uploads.py
@@ -15,9 +15,9 @@
     from collections.abc import AsyncIterator
 
 _ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
-# Twice `forwarding._UNACKNOWLEDGED_TIMEOUT_MS` (0.6 s), after which the
-# operating system closes a connection with unacknowledged data, plus the
-# interval to its next TCP window probe, at which it does so.
+# Twice `forwarding._UNACKNOWLEDGED_TIMEOUT_MS`, which is 0.6 s, plus the
+# interval to the next TCP window probe. After that timeout the operating system
+# closes a connection with unacknowledged data, but only at a window probe.
 _PAUSE_S = 1.5
 _PLAN = builders.build_plan(large=True, deadline_s=6 * builders.TEST_TIMEOUT_S)
 
@@ -27,7 +27,7 @@
 
     Attributes:
         port: Port on which it listens.
-        answers_early: True if it answers before it has read a body.
+        answers_early: Whether it answers before it has read a body.
         may_read: Set to make it read the body after such an answer.
     """
 
@@ -114,9 +114,11 @@
         await self.check_pause(4 * 1024 * 1024)
 
     async def test_largest_buffered_body(self) -> None:
-        """The caller gets its answer, although a timeout applies to its call.
+        """The caller gets its answer, although the server pauses.
 
-        The largest body that is buffered fits into the socket buffers.
+        The timeout for unacknowledged data applies to calls whose body is
+        buffered. The largest such body fits into the socket buffers, so it is
+        acknowledged before the server reads it.
         """
         await self.check_pause(bodies.MAX_BUFFERED_BYTES)
 
--- a/tests/requests/transport/test_watchdogs.py
+++ b/tests/requests/transport/test_watchdogs.py
@@ -28,11 +28,13 @@
     ) -> bool:
         """Probes until all results are used.
 
-        Returns whether the call is probed once more after that.
-
         Args:
             *results: Results of the probes.
-            receiving: Number of probes during which bytes of the answer arrive.
+            receiving: Number of probes, from the first one on, during which
+                bytes of the answer arrive.
+
+        Returns:
+            Whether the call is probed once more after that.
         """
         connection = connections.Connection(
             asyncio.get_running_loop(), _ADDRESS
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -150,6 +150,7 @@
         self.assertEqual(self.runs, 1)
 
     async def test_one_write_for_each_payout(self) -> None:
+        """Guards against more than one write to the store for each payout."""
         store = fakes.Store()
         self.may_answer.set()
         async with (
@@ -165,6 +166,11 @@
         self.assertEqual(store.writes, 10 + 1)
 
     async def test_key_of_another_request(self) -> None:
+        """Guards against a caller that gets the answer to another request.
+
+        Two requests have the same key and different bodies. The second one is
+        refused by both daemons; the first one, if repeated, gets its answer.
+        """
         self.may_answer.set()
         async with (
             builders.run_nodes(2, True, handler=self.pay) as (first, second),
--- a/tests/requests/unrepeatable/test_late_holder.py
+++ b/tests/requests/unrepeatable/test_late_holder.py
@@ -14,6 +14,8 @@
 from tests.requests import builders
 
 _KEY = {headers.IDEMPOTENCY_KEY: "ticket-7"}
+# Value of `recall._REPLY_MARGIN_S` in the test: the time within which a reply
+# must arrive after the wait that its recall allows.
 _REPLY_MARGIN_S = 0.2
 
 
--- a/tests/requests/unrepeatable/test_recall_retries.py
+++ b/tests/requests/unrepeatable/test_recall_retries.py
@@ -22,6 +22,8 @@
 
     from merlintrestle.schema import request_pb2
 
+# Value of `recall._REPLY_MARGIN_S` in the tests: the time within which a reply
+# must arrive after the wait that its recall allows.
 _REPLY_MARGIN_S = 0.1
 
 
