--- a/tests/versions/delays.py
+++ b/tests/versions/delays.py
@@ -15,15 +15,16 @@
 class DelayedLoop(asyncio.SelectorEventLoop):
     """Delays some callbacks, chosen by a seeded random generator.
 
-    The more callbacks there are, the more of them are late, as when other
-    processes use most of the processor: useless work slows down the rest.
+    The more callbacks run, the more of them are delayed, and each delays all
+    that follow. So useless work slows down the rest, as when other processes
+    use most of the processor.
 
     Attributes:
         delays: Number of delayed callbacks.
     """
 
     # One callback in 200 is delayed, by 0.15 s on average. Eight daemons that
-    # start have thousands of callbacks per second, so most time is lost.
+    # start have thousands of callbacks per second, so most of the time is lost.
     DELAYED_FRACTION = 0.005
     MIN_DELAY_S = 0.1
     MAX_DELAY_S = 0.2
--- a/tests/versions/test_fleet.py
+++ b/tests/versions/test_fleet.py
@@ -146,6 +146,10 @@
                     self.assertEqual(daemon.active_version.closed_reason, "")
 
     async def test_watches_do_not_grow_with_the_fleet(self) -> None:
+        """Guards against a watch of the store by every daemon.
+
+        All daemons are in one zone, and each zone has two watchers.
+        """
         await self.configuration.accept(1, ["balie"])
         await self.start_daemons(8)
         await self.wait_for_version(1)
--- a/tests/versions/test_known_revision.py
+++ b/tests/versions/test_known_revision.py
@@ -15,8 +15,9 @@
     def test_history_is_queried_for_a_while_after_an_unchanged_read(self):
         """A change that the history omits takes effect after a limited time.
 
-        Other writers write continuously, so each read finds a new revision.
-        The value is read again once the last read is old.
+        Other writers write continuously, so the revision is always new, and the
+        history could be queried each time. Once the last read of the head is
+        too old, the head itself is read again.
         """
         self.assertFalse(self.known_revision.may_query_history())
         self.known_revision.record_read(head_changed=False)
--- a/tests/versions/test_no_downgrade.py
+++ b/tests/versions/test_no_downgrade.py
@@ -21,7 +21,9 @@
 
 SIZE = 5
 numbers = strategies.integers(1, SIZE)
-# "work" only steps the daemon. "offer" occurs twice to be more frequent.
+# Kind, daemon and peer of each action; only "offer" uses the peer. After each
+# action the daemon takes a step, and "work" is this step alone. "offer" occurs
+# twice to be more frequent.
 steps = strategies.lists(
     strategies.one_of(
         strategies.tuples(strategies.just("work"), numbers, numbers),
@@ -179,6 +181,8 @@
             reads = sum(
                 daemon.floor_resolver._may_read_head(100) for _ in range(rounds)
             )
+        # The reads that the fleet may make per second, times the shortest delay
+        # between two rounds, divided by the number of daemons.
         expected = (
             rounds * 0.1 * simulations.TIMING.max_floor_retry_delay_s / 2 / 3
         )
--- a/tests/versions/test_sessions.py
+++ b/tests/versions/test_sessions.py
@@ -22,6 +22,7 @@
         self.addAsyncCleanup(self.recorder.close)
 
     async def test_change_from_head_to_last_mark(self) -> None:
+        """Guards against a version that runs before its witnesses record it."""
         recorder = self.recorder
         await self.configuration.accept(1, ["balie"])
         await recorder.start()
@@ -37,6 +38,10 @@
         self.assertEqual(recorder.lines, sessions.read_golden_file("change"))
 
     async def test_mass_restart(self) -> None:
+        """Guards against daemons that open while none of them knows a floor.
+
+        All daemons restart while the store is down.
+        """
         recorder = self.recorder
         await self.configuration.accept(1, ["balie"])
         await recorder.start()
--- a/tests/versions/test_watcher.py
+++ b/tests/versions/test_watcher.py
@@ -171,7 +171,7 @@
         await builders.wait_until(lambda: self.daemon.archive.version == 2)
 
     async def test_reads_do_not_grow_with_the_zones(self) -> None:
-        """Sixteen zones call the store no more often than two.
+        """Seventeen zones call the store no more often than two.
 
         The store counts each call, and its rate limit grows more slowly than
         the fleet. A watcher that is isolated reads at the full rate.
@@ -181,6 +181,8 @@
             self.daemon.table.merge(
                 member_builders.build_member(number + 10, zone=f"z{number}")
             )
+        # The zones of this daemon and of the 16 other members. Each has two
+        # watchers, and all of them read as often as three at the full rate.
         zones = 17
         self.assertAlmostEqual(
             self.watcher.get_refresh_interval_s() / base_s, zones * 2 / 3
