--- a/tests/documents/builders.py
+++ b/tests/documents/builders.py
@@ -73,6 +73,8 @@
     return st.builds(
         _build_drawn_service,
         st.sampled_from(SERVICES),
+        # An empty owner is the organisation of the document. It is drawn as
+        # often as the named ones together.
         st.sampled_from(["", "", "", *ORGANISATIONS]),
         st.booleans(),
         st.sets(st.sampled_from(SERVICES), max_size=2),
--- a/tests/members/test_peers.py
+++ b/tests/members/test_peers.py
@@ -184,7 +184,10 @@
         self.assertTrue((await long_call).reached)
 
     async def test_call_outlives_the_link_of_its_channel(self) -> None:
-        """Guards against calls (of marks) that fail when a silent link ends."""
+        """Guards against calls that fail when a silent link ends.
+
+        Marks are recorded by such calls.
+        """
         self.daemon.membership.probe = self.answer_slowly  # type: ignore[method-assign]
         request = control_pb2.ProbeRequest(member_id="127.0.0.1:1")
         channel = peers_lib.open_channel(self.daemon.id)
--- a/tests/members/test_table.py
+++ b/tests/members/test_table.py
@@ -263,7 +263,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    """All orders of the states of an incarnation, without sampling."""
+    """Every order of the records of one incarnation, not only samples."""
 
     def test_all_orders_end_in_the_same_state(self) -> None:
         record_list = [builders.build_member(2, 1, state) for state in STATES]
--- a/tests/rollouts/builders.py
+++ b/tests/rollouts/builders.py
@@ -54,7 +54,7 @@
 
 
 def build_upstream(member_id: str, version: str = "v1") -> tables.Upstream:
-    """Builds an upstream of a version; empty if the version is not known."""
+    """Builds an upstream; `version` is empty if it is not known."""
     return tables.Upstream(
         member_id, "127.0.0.1", 8624, "noord", "west", 6, 0, False, version
     )
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -142,6 +142,7 @@
         """Guards against calls to a server whose version may be a bad one."""
         observer = self.start_with_unknown_version()
         self.assertFalse(observer.may_serve())
+        # The roll-out is rolled back if it is undecided after 0.8 of its 10 s.
         self.fixture.clock.now += 7.9
         self.assertFalse(observer.may_serve())
         self.fixture.clock.now += 0.2
@@ -175,6 +176,7 @@
         """Guards against excluding servers that never announce a version."""
         observer = self.start_with_unknown_version()
         self.end_rollout(control_pb2.ROLLED_BACK)
+        # Before and after `tracker._VERSION_TIMEOUT_S`, 10 s.
         self.fixture.clock.now += 5.0
         self.assertFalse(observer.may_serve())
         self.fixture.clock.now += 10.0
--- a/tests/rollouts/test_subsets.py
+++ b/tests/rollouts/test_subsets.py
@@ -13,6 +13,7 @@
 class SubsetSelectorTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fixture = builders.ServiceFixture(old=20, new=20)
+        # With a share of 0.06, the first call to the new version is the 17th.
         self.selector = subsets.SubsetSelector(self.fixture.tracker, 0.06)
 
     def count_by_version(self, calls: int) -> collections.Counter[str]:
@@ -68,6 +69,7 @@
             self.fixture.upstreams[20].member_id, 200, 2, watched_ms=3500
         )
         self.fixture.tracker.merge_report(report)
+        # The shared phase: 0.3 of the upstreams and 0.3 of the calls.
         self.assertEqual(self.count_new_upstreams(), 6)
         counts = self.count_by_version(10_000)
         self.assertAlmostEqual(counts["v2"], 3000, delta=2)
@@ -157,6 +159,7 @@
         rollout = builders.build_rollout(state=control_pb2.ROLLED_BACK)
         self.fixture.tracker.merge_rollout(rollout)
         self.assertEqual(self.choose(), ())
+        # More than `tracker._VERSION_TIMEOUT_S`, 10 s.
         self.fixture.clock.now += 15.0
         self.assertEqual(self.choose(), (unknown,))
         known = self.fixture.upstreams[0]._replace(version="v1")
@@ -169,6 +172,7 @@
         self.fixture.upstreams = (*self.fixture.upstreams[:20], unknown)
         rollout = builders.build_rollout(state=control_pb2.ROLLED_BACK)
         self.fixture.tracker.merge_rollout(rollout)
+        # More than `tracker._VERSION_TIMEOUT_S`, 10 s.
         self.fixture.clock.now += 15.0
         self.assertEqual(self.count_by_version(100), {"v1": 100})
 
--- a/tests/store/test_acceptance.py
+++ b/tests/store/test_acceptance.py
@@ -42,8 +42,9 @@
     async def test_answer_lost_after_the_write(self) -> None:
         """The store accepts a change and its answer is lost.
 
-        Otherwise the operator would see a failure, retry the change, and get a
-        conflict with a faster change, although that is the first attempt.
+        If this were reported as a failure, the operator would retry the change.
+        The retry would conflict with the first attempt, as if that were the
+        faster change of another operator.
         """
         self.store.lost_answers[records.HEAD_KEY] = 1
         outcome = await self._swap(_propose(self.empty, "a"), 0)
@@ -75,9 +76,9 @@
     async def test_write_takes_effect_late(self) -> None:
         """A write gets no answer and takes effect after the next one.
 
-        If a new head were proposed instead, both could be accepted and the
-        change would be on the chain twice. The same write with the same
-        expected revision takes effect only once.
+        The next one is the same write with the same expected revision, so only
+        one of the two takes effect. If the next one proposed a new head, both
+        could be accepted and the change would be on the chain twice.
         """
         self.store.late_writes[records.HEAD_KEY] = 1
         outcome = await self._swap(_propose(self.empty, "a"), 0)
