--- a/merlintrestle/daemon/admin.py
+++ b/merlintrestle/daemon/admin.py
@@ -123,7 +123,7 @@
     async def _handle_health(self, request: web.Request) -> web.Response:
         del request
         reason = self._active_version.closed_reason
-        running = self._active_version.running
+        running = self._active_version.active_snapshot
         health = {
             "closed_reason": reason,
             "version": running.version if running else 0,
--- a/merlintrestle/members/service.py
+++ b/merlintrestle/members/service.py
@@ -158,9 +158,9 @@
             store_reachable=self._distribution.store_reachable,
         )
         reply.self.CopyFrom(self._membership.table.local_member)
-        if active_version.running is not None:
-            reply.running.version = active_version.running.version
-            reply.running.digest = active_version.running.digest
+        if active_version.active_snapshot is not None:
+            reply.running.version = active_version.active_snapshot.version
+            reply.running.digest = active_version.active_snapshot.digest
         if request.members:
             reply.members.extend(self._membership.table.list_members())
         return reply
--- a/merlintrestle/members/table.py
+++ b/merlintrestle/members/table.py
@@ -125,7 +125,7 @@
             if member.state in _USABLE_STATES
         ]
 
-    def count_usable(self) -> int:
+    def count_daemons(self) -> int:
         """Returns the number of usable members."""
         return self._usable_count
 
--- a/merlintrestle/platform/requests.py
+++ b/merlintrestle/platform/requests.py
@@ -59,11 +59,11 @@
 @dialects.match_caller_request.register(PlatformDialect)
 def _match_caller_request(
     dialect: PlatformDialect,
-    running_snapshot: snapshot.Snapshot,
+    active_snapshot: snapshot.Snapshot,
     request: web.BaseRequest,
 ) -> routing.Match | outcomes.NotRun:
     return routing.match_host(
-        running_snapshot, request.headers.get(hdrs.HOST, ""), request.raw_path
+        active_snapshot, request.headers.get(hdrs.HOST, ""), request.raw_path
     )
 
 
--- a/merlintrestle/platform/service.py
+++ b/merlintrestle/platform/service.py
@@ -91,7 +91,7 @@
 
     def _knows_service(self, name: str) -> bool:
         """Returns whether the settings or running version name a service."""
-        snapshot = self._active_version.running
+        snapshot = self._active_version.active_snapshot
         known = snapshot is not None and name in snapshot.services
         return known or name == self._platform_settings.service
 
--- a/merlintrestle/requests/backend.py
+++ b/merlintrestle/requests/backend.py
@@ -73,7 +73,7 @@
         slots: int,
         state: control_pb2.BackendState = control_pb2.READY,
         instance_id: str = "",
-        cold_s: float = WARMUP_S,
+        remaining_warmup_s: float = WARMUP_S,
         started_ms: int = 0,
         version: str = "",
     ) -> None:
@@ -85,15 +85,15 @@
             slots: Number of calls it runs at once.
             state: Whether it accepts new calls.
             instance_id: Id of its process; empty if not announced.
-            cold_s: Remaining warm-up time of its process, in seconds. Without
-                it, a restarted daemon would assume that a warm backend server
-                has just started.
+            remaining_warmup_s: Remaining warm-up time of its process, in
+                seconds. Without it, a restarted daemon would assume that a warm
+                backend server has just started.
             started_ms: Start time of its process, in ms since 1970; 0 if not
                 announced.
             version: Version of its software; empty if not announced.
         """
         previous_record = self.build_record()
-        self._remaining_warmup_s = min(cold_s, WARMUP_S)
+        self._remaining_warmup_s = min(remaining_warmup_s, WARMUP_S)
         self.warmup_ends_at = time.monotonic() + self._remaining_warmup_s
         if self._is_new_process(instance_id, started_ms):
             # The state and the open connections belong to the previous process.
--- a/merlintrestle/requests/calls/dialect.py
+++ b/merlintrestle/requests/calls/dialect.py
@@ -36,7 +36,7 @@
 @functools.singledispatch
 def match_caller_request(
     dialect: object,
-    running_snapshot: snapshot.Snapshot,
+    active_snapshot: snapshot.Snapshot,
     request: web.BaseRequest,
 ) -> routing.Match | outcomes.NotRun:
     """Returns the destination of a caller's request, or a refusal."""
@@ -130,10 +130,10 @@
 @match_caller_request.register(NativeDialect)
 def _match_caller_request(
     dialect: NativeDialect,
-    running_snapshot: snapshot.Snapshot,
+    active_snapshot: snapshot.Snapshot,
     request: web.BaseRequest,
 ) -> routing.Match | outcomes.NotRun:
-    return parsing.match_caller_request(running_snapshot, request)
+    return parsing.match_caller_request(active_snapshot, request)
 
 
 @read_metadata.register(NativeDialect)
--- a/merlintrestle/requests/calls/parsing.py
+++ b/merlintrestle/requests/calls/parsing.py
@@ -23,7 +23,7 @@
 
 
 def match_caller_request(
-    running_snapshot: snapshot.Snapshot, request: web.BaseRequest
+    active_snapshot: snapshot.Snapshot, request: web.BaseRequest
 ) -> routing.Match | outcomes.NotRun:
     """Returns the destination of a caller's request, or a refusal.
 
@@ -31,7 +31,7 @@
     """
     organisation = request.headers.get(headers.ORGANISATION, "")
     match = routing.match_service(
-        running_snapshot, request.method, request.raw_path, organisation
+        active_snapshot, request.method, request.raw_path, organisation
     )
     if isinstance(match, outcomes.NotRun):
         return match
--- a/merlintrestle/requests/calls/routing.py
+++ b/merlintrestle/requests/calls/routing.py
@@ -36,7 +36,7 @@
 
 
 def match_service(
-    running_snapshot: snapshot.Snapshot,
+    active_snapshot: snapshot.Snapshot,
     method: str,
     raw_path: str,
     organisation: str,
@@ -56,7 +56,7 @@
     would be "/x/y", but the path forwarded would be "/y".
 
     Args:
-        running_snapshot: Snapshot of the active version.
+        active_snapshot: Snapshot of the active version.
         method: HTTP method.
         raw_path: Path and query as sent by the caller.
         organisation: Organisation of the caller; empty if not stated.
@@ -64,7 +64,7 @@
     if not raw_path.startswith("/") or "#" in raw_path:
         return _refuse("the request target must be a path", 400)
     name, slash, rest = raw_path[1:].partition("/")
-    service = running_snapshot.services.get(name)
+    service = active_snapshot.services.get(name)
     if service is None:
         return _refuse(f"no service {name[:80]!r}", 404)
     if not slash:
@@ -84,7 +84,7 @@
 
 
 def match_host(
-    running_snapshot: snapshot.Snapshot, host: str, raw_path: str
+    active_snapshot: snapshot.Snapshot, host: str, raw_path: str
 ) -> Match | outcomes.NotRun:
     """Returns the destination of a request by its host, or a refusal.
 
@@ -92,12 +92,12 @@
     so that the daemon and the backend server see the same path.
 
     Args:
-        running_snapshot: Snapshot of the active version.
+        active_snapshot: Snapshot of the active version.
         host: Value of the Host header; a port in it is ignored.
         raw_path: Path and query as sent by the caller.
     """
     host_name = host.partition(":")[0].lower()
-    route = running_snapshot.find_host_route(
+    route = active_snapshot.find_host_route(
         host_name, raw_path.partition("?")[0]
     )
     if route is None:
--- a/merlintrestle/requests/interfaces.py
+++ b/merlintrestle/requests/interfaces.py
@@ -15,13 +15,13 @@
     """The active configuration version, which the daemon applies to requests.
 
     Attributes:
-        running: Snapshot of the active version. It is None while the daemon is
-            closed, that is, while it refuses all calls because it has no
-            version to apply.
+        active_snapshot: Snapshot of the active version. It is None while the
+            daemon is closed, that is, while it refuses all calls because it has
+            no version to apply.
         closed_reason: Why the daemon is closed; refusals contain it.
     """
 
-    running: snapshot.Snapshot | None
+    active_snapshot: snapshot.Snapshot | None
     closed_reason: str
 
 
@@ -34,7 +34,7 @@
         Until these change, each call returns the same tuple object.
         """
 
-    def count_usable(self) -> int:
+    def count_daemons(self) -> int:
         """Returns the number of daemons that are still members."""
 
 
--- a/merlintrestle/requests/load/admission.py
+++ b/merlintrestle/requests/load/admission.py
@@ -36,7 +36,7 @@
     def __init__(
         self,
         backend: backends.LocalBackend,
-        holder: interfaces.ActiveVersion,
+        active_version: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
         get_time: Callable[[], float] = time.monotonic,
     ):
@@ -44,14 +44,14 @@
 
         Args:
             backend: The local backend server, with its number of slots.
-            holder: The active version, with the declared targets.
+            active_version: The active version, with the declared targets.
             table: Lists the upstreams of each service.
             get_time: Returns the monotonic time in seconds.
         """
         self._get_time = get_time
         self._backend = backend
         self._acceptance = acceptance.AcceptanceRate(get_time)
-        self._slots = slots_lib.Slots(backend, holder, table)
+        self._slots = slots_lib.Slots(backend, active_version, table)
         self._queue_admission = queue_admission.QueueAdmission(
             self._slots, self._acceptance
         )
--- a/merlintrestle/requests/load/budgets.py
+++ b/merlintrestle/requests/load/budgets.py
@@ -170,7 +170,7 @@
         self._retries += 1
         return True
 
-    def charge(self, fraction: float) -> None:
+    def charge(self, probability: float) -> None:
         """Counts a call as a retry with the probability that it is a repeat.
 
         A call that the backend server makes while it runs a repeat is a repeat
@@ -183,11 +183,11 @@
         bucket if necessary.
 
         Args:
-            fraction: Probability that the call is a repeat, from 0 to 1.
+            probability: Probability that the call is a repeat, from 0 to 1.
         """
-        if fraction:
-            self._buckets[-1][1] += fraction
-            self._retries += fraction
+        if probability:
+            self._buckets[-1][1] += probability
+            self._retries += probability
 
     def _advance(self) -> None:
         """Begins a new bucket if the time of the current one is over."""
--- a/merlintrestle/requests/load/links.py
+++ b/merlintrestle/requests/load/links.py
@@ -223,7 +223,7 @@
         """Returns the maximum wait of a transfer for its turn, in seconds."""
         min_rate = self._measured_rate.get_lower_bound()
         return max(
-            reservations.STALL_TIMEOUT_S,
+            reservations.RESERVATION_STALL_TIMEOUT_S,
             self.reserved_bytes / min_rate if min_rate else 0.0,
         )
 
--- a/merlintrestle/requests/load/picking.py
+++ b/merlintrestle/requests/load/picking.py
@@ -25,7 +25,7 @@
 _MAX_PAIR_DRAWS = 3
 
 
-class Pool:
+class UpstreamPool:
     """The upstreams of a service, prepared once for each set of upstreams.
 
     Attributes:
@@ -81,7 +81,7 @@
         self._get_time = get_time
         self._rng = rng or random.Random()
         self._observations = ranking.UpstreamObservations()
-        self._pools: dict[str, Pool] = {}
+        self._pools: dict[str, UpstreamPool] = {}
 
     def get_observation(self, member_id: str) -> observations.Observation:
         """Returns the observation of an upstream."""
@@ -155,10 +155,10 @@
 
     def _prepare(
         self, service: str, upstreams: tuple[tables.Upstream, ...]
-    ) -> Pool:
+    ) -> UpstreamPool:
         """Builds the pool of a service and updates the observations."""
         previous = self._pools.get(service)
-        pool = Pool(upstreams, self._zone, self._get_local_id())
+        pool = UpstreamPool(upstreams, self._zone, self._get_local_id())
         self._pools[service] = pool
         now = self._get_time()
         for upstream in upstreams:
@@ -176,7 +176,7 @@
         return pool
 
     def _find_probe(
-        self, pool: Pool, tried: Collection[str], now: float
+        self, pool: UpstreamPool, tried: Collection[str], now: float
     ) -> tables.Upstream | None:
         """Draws a random upstream and returns it if it may be probed."""
         index = int(self._rng.random() * len(pool.upstreams))
--- a/merlintrestle/requests/load/reservations.py
+++ b/merlintrestle/requests/load/reservations.py
@@ -22,7 +22,7 @@
 # If no byte of a transfer is sent for this time, in seconds, its receiver is
 # stalled. It is several send windows, as up to one send window of other bytes
 # may be sent before those of the transfer.
-STALL_TIMEOUT_S = 5 * SEND_WINDOW_S
+RESERVATION_STALL_TIMEOUT_S = 5 * SEND_WINDOW_S
 
 
 class TransferLink(Protocol):
@@ -241,7 +241,10 @@
             self._set_unsent(unsent)
             self._set_remaining(max(unsent, self.remaining - sent))
             self._update_slow(now, sent)
-        elif self.unsent and now - self._progress_at > STALL_TIMEOUT_S:
+        elif (
+            self.unsent
+            and now - self._progress_at > RESERVATION_STALL_TIMEOUT_S
+        ):
             # The transfer is also marked as slow, so that it writes no more
             # chunks. Its bytes no longer occupy the send window.
             self.slow = True
--- a/merlintrestle/requests/load/slots.py
+++ b/merlintrestle/requests/load/slots.py
@@ -39,18 +39,18 @@
     def __init__(
         self,
         backend: backends.LocalBackend,
-        holder: interfaces.ActiveVersion,
+        active_version: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
     ):
         """Initializes the slots.
 
         Args:
             backend: The local backend server, with its number of slots.
-            holder: The active version, with the declared targets.
+            active_version: The active version, with the declared targets.
             table: Lists the upstreams of each service.
         """
         self._backend = backend
-        self._active_version = holder
+        self._active_version = active_version
         self._table = table
         self.count = 0
         self.in_flight = 0
@@ -74,7 +74,7 @@
 
     def update_shares(self) -> None:
         """Recomputes the shares if targets, upstreams or slots have changed."""
-        active_snapshot = self._active_version.running
+        active_snapshot = self._active_version.active_snapshot
         service = self._backend.service
         plan = (
             active_snapshot.services.get(service) if active_snapshot else None
--- a/merlintrestle/requests/serving/proxy.py
+++ b/merlintrestle/requests/serving/proxy.py
@@ -84,7 +84,7 @@
     def __init__(
         self,
         settings: settings_pb2.DaemonSettings,
-        holder: interfaces.ActiveVersion,
+        active_version: interfaces.ActiveVersion,
         table: interfaces.MemberTable,
         store: interfaces.Store,
         dialect: object = _NATIVE_DIALECT,
@@ -94,7 +94,7 @@
 
         Args:
             settings: Settings of the daemon.
-            holder: The active configuration version.
+            active_version: The active configuration version.
             table: The upstreams of each service.
             store: Stores claims.
             dialect: The dialect of callers and of the backend server.
@@ -109,9 +109,9 @@
         self.latencies = latencies.Latencies()
         self.defer_caller_port = False
         self._settings = settings
-        self._state = serving_states.ServingState(holder)
-        self._budgets = budgets.Budgets(table.count_usable)
-        self._resend_budgets = budgets.Budgets(table.count_usable)
+        self._state = serving_states.ServingState(active_version)
+        self._budgets = budgets.Budgets(table.count_daemons)
+        self._resend_budgets = budgets.Budgets(table.count_daemons)
         self.set_retry_bounds(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_s
         )
@@ -134,7 +134,7 @@
         )
         self.recall_servicer = recall.RecallServicer(claims)
         self._admission = admission = admissions.Admission(
-            self.backend, holder, table
+            self.backend, active_version, table
         )
         self.crashes = crashes.CrashTracker(self.backend)
         self.observer = observers.Observer(
--- a/merlintrestle/requests/serving/serving_state.py
+++ b/merlintrestle/requests/serving/serving_state.py
@@ -24,17 +24,17 @@
         draining: True once new work is refused.
     """
 
-    def __init__(self, holder: interfaces.ActiveVersion):
+    def __init__(self, active_version: interfaces.ActiveVersion):
         """Initializes the state.
 
         Args:
-            holder: The active configuration version.
+            active_version: The active configuration version.
         """
         self.in_flight = 0
         self.caller_keep_alive_disabled = False
         self.peer_keep_alive_disabled = False
         self.draining = False
-        self._active_version = holder
+        self._active_version = active_version
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -50,7 +50,7 @@
         """
         if self.draining and not nested:
             return outcomes.NotRun("this daemon is stopping", elsewhere=True)
-        active_snapshot = self._active_version.running
+        active_snapshot = self._active_version.active_snapshot
         if active_snapshot is None:
             return outcomes.NotRun(
                 f"this daemon is closed: {self._active_version.closed_reason}",
--- a/merlintrestle/requests/transport/forwarding.py
+++ b/merlintrestle/requests/transport/forwarding.py
@@ -47,20 +47,21 @@
 
     def __init__(
         self,
-        budgets: budgets_.Budgets,
+        resend_budgets: budgets_.Budgets,
         accepts_unframed: bool = False,
         traffics: traffics_.Traffics | None = None,
     ) -> None:
         """Sets the dependencies.
 
         Args:
-            budgets: Budgets that limit resends to the local backend server.
+            resend_budgets: Budgets that limit resends to the local backend
+                server.
             accepts_unframed: Accept answers whose end is marked only by the
                 close of the connection.
             traffics: Counters of the bytes of connections.
         """
         self._byte_counters = traffics or traffics_.build_traffics()
-        self._resend_budgets = budgets
+        self._resend_budgets = resend_budgets
         self._accepts_unframed = accepts_unframed
         self._call_ids = watchdogs.CallIds()
 
--- a/merlintrestle/versions/active_version.py
+++ b/merlintrestle/versions/active_version.py
@@ -31,15 +31,15 @@
     """The active snapshot, which the proxy reads for every request.
 
     Attributes:
-        running: The active snapshot (not only its version); None before the
-            first activation.
+        active_snapshot: The active snapshot (not only its version); None before
+            the first activation.
         closed_reason: Why the daemon refuses requests as not run; empty while
             it is open, that is, accepts requests.
         history: The latest activations, oldest first.
     """
 
     def __init__(self) -> None:
-        self.running: snapshot_lib.Snapshot | None = None
+        self.active_snapshot: snapshot_lib.Snapshot | None = None
         self.closed_reason = NO_FLOOR
         self.history: collections.deque[Activation] = collections.deque(
             maxlen=_MAX_ACTIVATIONS
@@ -47,8 +47,12 @@
 
     @property
     def version(self) -> int:
-        """The version of `running`; 0 before the first activation."""
-        return self.running.version if self.running is not None else 0
+        """The version of `active_snapshot`; 0 before the first activation."""
+        return (
+            self.active_snapshot.version
+            if self.active_snapshot is not None
+            else 0
+        )
 
     def activate(self, snapshot: snapshot_lib.Snapshot) -> bool:
         """Activates a snapshot; returns False if it is not newer.
@@ -59,7 +63,7 @@
         """
         if snapshot.version <= self.version:
             return False
-        self.running = snapshot
+        self.active_snapshot = snapshot
         self.history.append(
             Activation(snapshot.version, time.time_ns() // 10**6)
         )
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -194,7 +194,7 @@
 
     def _update_closed_reason(self, floor: int) -> None:
         """Sets why the daemon is closed, unless a version is active."""
-        if self.active_version.running is not None:
+        if self.active_version.active_snapshot is not None:
             return
         if floor == 0:
             self.active_version.closed_reason = active_version_lib.NO_VERSION
--- a/tests/daemon/test_heartbeats.py
+++ b/tests/daemon/test_heartbeats.py
@@ -105,7 +105,7 @@
             "127.0.0.1:1",
             12,
             instance_id=instance_id,
-            cold_s=remaining_warmup_s,
+            remaining_warmup_s=remaining_warmup_s,
             started_ms=started_ms,
         )
 
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -32,13 +32,13 @@
     """A fake `interfaces.ActiveVersion` whose version is set by the test.
 
     Attributes:
-        running: Snapshot of the active version; None while the daemon is
-            closed, that is, while it refuses all calls.
+        active_snapshot: Snapshot of the active version; None while the daemon
+            is closed, that is, while it refuses all calls.
         closed_reason: Why the daemon is closed; refusals contain it.
     """
 
-    def __init__(self, running: snapshot.Snapshot | None):
-        self.running = running
+    def __init__(self, active_snapshot: snapshot.Snapshot | None):
+        self.active_snapshot = active_snapshot
         self.closed_reason = "no floor is known"
 
 
@@ -56,7 +56,7 @@
         """Returns the upstreams of a service."""
         return self.upstreams.get(service, ())
 
-    def count_usable(self) -> int:
+    def count_daemons(self) -> int:
         """Returns the number of daemons."""
         return 1
 
--- a/tests/versions/test_deltas.py
+++ b/tests/versions/test_deltas.py
@@ -137,9 +137,9 @@
                 continue
             archive.add(snapshot)
             active_version.activate(snapshot)
-            assert active_version.running is not None
+            assert active_version.active_snapshot is not None
             expected = accepted[active_version.version].digest
-            self.assertEqual(active_version.running.digest, expected)
+            self.assertEqual(active_version.active_snapshot.digest, expected)
         versions = [activation.version for activation in active_version.history]
         self.assertEqual(versions, sorted(set(versions)))
 
--- a/tests/versions/test_fleet.py
+++ b/tests/versions/test_fleet.py
@@ -186,7 +186,7 @@
         await self.configuration.accept(2, ["balie", "kassa"])
         await self.wait_for_version(2)
         digests = {
-            daemon.active_version.running.digest  # type: ignore[union-attr]
+            daemon.active_version.active_snapshot.digest  # type: ignore[union-attr]
             for daemon in self.daemons
         }
         self.assertEqual(len(digests), 1)
@@ -352,7 +352,7 @@
             self.assertEqual(
                 daemon.active_version.closed_reason, active_version_lib.NO_FLOOR
             )
-            self.assertIsNone(daemon.active_version.running)
+            self.assertIsNone(daemon.active_version.active_snapshot)
         self.configuration.down = False
         await self.wait_for_version(1)
         await builders.wait_until(
--- a/tools/model.py
+++ b/tools/model.py
@@ -199,7 +199,7 @@
             )
         return self._upstreams_by_service[service]
 
-    def count_usable(self) -> int:
+    def count_daemons(self) -> int:
         """Returns the number of daemons, also of removed upstreams."""
         return len(self._services_by_number)
 
@@ -215,7 +215,7 @@
     Admission learns the classes of work from their calls alone.
     """
 
-    running = snapshots.Snapshot(1, {}, {})
+    active_snapshot = snapshots.Snapshot(1, {}, {})
     closed_reason = ""
 
 
@@ -256,7 +256,7 @@
         self.refused_callers = refused_callers.RefusedCallers(loop.time)
         self.repeats = repeats.Repeats()
         retry_budgets = budgets.Budgets(
-            simulation.table.count_usable, loop.time
+            simulation.table.count_daemons, loop.time
         )
         retry_budgets.set_bounds(RETRY_RATIO, _RETRY_SLACK, _RETRY_WINDOW_S)
         member_id = _get_member_id(number)
