--- a/merlintrestle/events.py
+++ b/merlintrestle/events.py
@@ -30,13 +30,13 @@
     """Token bucket that limits the lines of one event.
 
     Attributes:
-        left_out: Number of lines omitted since the last written line.
+        omitted: Number of lines omitted since the last written line.
     """
 
-    __slots__ = ("_burst", "_rate", "_tokens", "_updated_at", "left_out")
+    __slots__ = ("_burst", "_rate", "_tokens", "_updated_at", "omitted")
 
     def __init__(self, now: float, rate: float, burst: float = MAX_BURST_LINES):
-        self.left_out = 0
+        self.omitted = 0
         self._updated_at = now
         self._rate = rate
         self._burst = burst
@@ -52,7 +52,7 @@
         self._tokens = min(self._burst, self._tokens + refill)
         self._updated_at = now
         if self._tokens < 1:
-            self.left_out += 1
+            self.omitted += 1
             return False
         self._tokens -= 1
         return True
@@ -112,9 +112,9 @@
         if not bucket.try_take(now):
             _omitted_lines_counter.labels(event).inc()
             return False
-        if bucket.left_out:
-            fields = {**fields, "left_out": bucket.left_out}
-            bucket.left_out = 0
+        if bucket.omitted:
+            fields = {**fields, "left_out": bucket.omitted}
+            bucket.omitted = 0
         self.write_unbounded(level, event, fields, at, exception)
         return True
 
--- a/merlintrestle/members/links.py
+++ b/merlintrestle/members/links.py
@@ -109,15 +109,15 @@
         """Sends a strike to the fleet; each daemon forwards it once."""
         self._forward_strike(strike, None)
 
-    def send_rollout(
+    def send_order(
         self, rollout: control_pb2.Rollout, exclude: Link | None = None
     ) -> None:
         """Queues a roll-out order on all links except `exclude`, its origin."""
         for link in self._links:
             if link is not exclude:
-                link.outbox.add_rollout(rollout)
+                link.outbox.add_order(rollout)
 
-    def send_trial(
+    def send_report(
         self, trial: control_pb2.Trial, exclude: Link | None = None
     ) -> None:
         """Queues a roll-out report on all links except `exclude`, its origin.
@@ -126,7 +126,7 @@
         """
         for link in self._links:
             if link is not exclude:
-                link.outbox.add_trial(trial)
+                link.outbox.add_report(trial)
 
     def send_offer(
         self,
--- a/merlintrestle/members/outbox.py
+++ b/merlintrestle/members/outbox.py
@@ -62,7 +62,7 @@
             self._strikes[key] = strike
         self._mark_urgent()
 
-    def add_rollout(self, rollout: control_pb2.Rollout) -> None:
+    def add_order(self, rollout: control_pb2.Rollout) -> None:
         """Adds the newest order of a roll-out, which is sent at once.
 
         It replaces an older order of the same service.
@@ -70,7 +70,7 @@
         self._rollouts[rollout.service] = rollout
         self._mark_urgent()
 
-    def add_trial(self, trial: control_pb2.Trial) -> None:
+    def add_report(self, trial: control_pb2.Trial) -> None:
         """Adds a roll-out report, replacing one on the same backend server.
 
         A report that marks the backend server as suspect is sent at once: until
--- a/merlintrestle/members/selection.py
+++ b/merlintrestle/members/selection.py
@@ -20,7 +20,7 @@
 _MIN_FAST_LINK_FRACTION = 0.5
 
 
-class _Rank(NamedTuple):
+class Rank(NamedTuple):
     """Sort key of a member; the members with the highest ranks are selected.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 def compute_rank(
     key: str, member: control_pb2.Member, max_link_mbps: float
-) -> _Rank:
+) -> Rank:
     """Returns the rank of a member.
 
     Args:
@@ -69,7 +69,7 @@
         max_link_mbps: Speed of the fastest link in Mbit/s.
     """
     fast_link = member.link_mbps >= _MIN_FAST_LINK_FRACTION * max_link_mbps
-    return _Rank(fast_link, rendezvous.weigh(key, member.id), member.id)
+    return Rank(fast_link, rendezvous.weigh(key, member.id), member.id)
 
 
 class MemberSelection:
@@ -113,7 +113,7 @@
         self._prefer_fast_links = prefer_fast_links
         self._max_link_mbps = 0.0
         self._link_mbps: dict[str, float] = {}
-        self._selected: dict[str, _Rank] = {}
+        self._selected: dict[str, Rank] = {}
         self._stale = True
         table.on_change.append(self._update)
 
--- a/merlintrestle/members/table.py
+++ b/merlintrestle/members/table.py
@@ -70,7 +70,7 @@
     def __init__(
         self,
         local_member: control_pb2.Member,
-        clock: Callable[[], float] = time.monotonic,
+        get_time: Callable[[], float] = time.monotonic,
     ):
         """Initializes the table with this daemon as the only member.
 
@@ -78,13 +78,13 @@
             local_member: Record of this daemon. If it has no incarnation, the
                 time in ms is used, which is above the incarnation of any
                 earlier process at the same address.
-            clock: Returns the monotonic time in seconds.
+            get_time: Returns the monotonic time in seconds.
         """
         self.local_id = local_member.id
         self.digest = 0
         self.bucket_digests = [0] * BUCKETS
         self.on_change: list[Callable[[control_pb2.Member], None]] = []
-        self._clock = clock
+        self._get_time = get_time
         self._members: dict[str, control_pb2.Member] = {}
         self._usable_count = 0
         self._suspects: set[str] = set()
@@ -145,7 +145,7 @@
 
     def get_record_age(self, member_id: str) -> float:
         """Returns the time since the record of a member changed, in seconds."""
-        return self._clock() - self._changed_at[member_id]
+        return self._get_time() - self._changed_at[member_id]
 
     def shift_record_times(self, pause_s: float) -> None:
         """Excludes a pause of this daemon from the ages of all records.
@@ -189,7 +189,7 @@
         held = self._members.get(member.id)
         if held is not None and not supersedes(member, held):
             return False
-        if problem := validation.find_problem(member):
+        if problem := validation.find_error(member):
             events.warn("record refused", member=member.id, error=problem)
             return False
         if member.id == self.local_id:
@@ -269,7 +269,7 @@
         self._suspects.discard(member.id)
         if member.state == control_pb2.SUSPECT:
             self._suspects.add(member.id)
-        self._changed_at[member.id] = self._clock()
+        self._changed_at[member.id] = self._get_time()
         self._toggle_digest(member)
         self._add_upstream(member)
         for callback in self.on_change:
--- a/merlintrestle/members/validation.py
+++ b/merlintrestle/members/validation.py
@@ -13,7 +13,7 @@
 _MAX_VERSION_CHARACTERS = 200
 
 
-def find_problem(member: control_pb2.Member) -> str:
+def find_error(member: control_pb2.Member) -> str:
     """Returns why a record is invalid, or an empty string if it is valid.
 
     Each record is forwarded to every daemon. Using a record with an invalid
--- a/merlintrestle/operators/changes.py
+++ b/merlintrestle/operators/changes.py
@@ -157,7 +157,7 @@
             await records.write_document(self._store, proposal.document)
         await records.write_change(self._store, change)
         compiled = compiler.compile_snapshot(head.version + 1, documents)
-        new_head = acceptance.make_head(
+        new_head = acceptance.build_head(
             head,
             change.change_id,
             {
--- a/merlintrestle/operators/fleet.py
+++ b/merlintrestle/operators/fleet.py
@@ -124,8 +124,8 @@
         snapshot: The accepted version.
     """
     request = control_pb2.HoldRequest(
-        offer=deltas.make_offer(snapshot),
-        snapshot=deltas.make_snapshot_message(snapshot),
+        offer=deltas.build_offer(snapshot),
+        snapshot=deltas.build_snapshot_message(snapshot),
     )
     async with grpc.aio.insecure_channel(address) as channel:
         stub = control_pb2_grpc.ControlStub(channel)
--- a/merlintrestle/platform/store.py
+++ b/merlintrestle/platform/store.py
@@ -226,7 +226,7 @@
         _, fields = await self._write("lease", {"ttlMs": seconds * 1000})
         return _get_field(fields, "lease", int)
 
-    async def keep_lease(self, lease_id: int) -> int:
+    async def renew_lease(self, lease_id: int) -> int:
         """Renews a lease; returns its duration in seconds, 0 if it ended."""
         status, fields = await self._write(f"keep/{lease_id}", {})
         if status == _NOT_FOUND:
--- a/merlintrestle/requests/reports/decision_logs.py
+++ b/merlintrestle/requests/reports/decision_logs.py
@@ -110,9 +110,9 @@
                     else fields_or_builder
                 )
                 self._write_line(event, decision_fields, decided_at)
-        if bucket.left_out:
-            fields["left_out"] = bucket.left_out
-            bucket.left_out = 0
+        if bucket.omitted:
+            fields["left_out"] = bucket.omitted
+            bucket.omitted = 0
         self._write_line(end, fields, None)
 
     def _write_line(
--- a/merlintrestle/rollouts/gossip.py
+++ b/merlintrestle/rollouts/gossip.py
@@ -56,9 +56,9 @@
 
     def _send_all(self, link: links_lib.Link) -> None:
         for rollout in self._tracker.list_rollouts():
-            link.outbox.add_rollout(rollout)
+            link.outbox.add_order(rollout)
         for report in self._tracker.list_reports():
-            link.outbox.add_trial(report)
+            link.outbox.add_report(report)
 
     def _extend_reply(self, reply: control_pb2.MembersReply) -> None:
         reply.rollouts.extend(self._tracker.list_rollouts())
@@ -68,7 +68,7 @@
         self._tracker.merge(reply.rollouts, reply.trials)
 
     def _send_rollout(self, rollout: control_pb2.Rollout) -> None:
-        self._links.send_rollout(rollout, self._source_link)
+        self._links.send_order(rollout, self._source_link)
 
     def _send_report(self, report: control_pb2.Trial) -> None:
-        self._links.send_trial(report, self._source_link)
+        self._links.send_report(report, self._source_link)
--- a/merlintrestle/store/acceptance.py
+++ b/merlintrestle/store/acceptance.py
@@ -57,7 +57,7 @@
 Outcome = Accepted | Conflict | Undecided
 
 
-def make_head(
+def build_head(
     base_head: document_pb2.Head,
     change_id: str,
     documents: Mapping[str, bytes],
@@ -99,7 +99,7 @@
 
     Args:
         store: The store.
-        head: The head that `make_head` returned.
+        head: The head that `build_head` returned.
         expected_revision: Revision of the head that the change is based on.
         retry_delay_s: Delay between two attempts, in seconds.
     """
--- a/merlintrestle/store/client.py
+++ b/merlintrestle/store/client.py
@@ -169,7 +169,7 @@
         )
         return reply.lease_id
 
-    async def keep_lease(self, lease_id: int) -> int:
+    async def renew_lease(self, lease_id: int) -> int:
         """Extends a lease; returns its duration in seconds, 0 if it ended."""
         reply = await self._write(
             self._stub.KeepLease, store_pb2.KeepLeaseRequest(lease_id=lease_id)
--- a/merlintrestle/versions/archive.py
+++ b/merlintrestle/versions/archive.py
@@ -53,7 +53,7 @@
 
     def get_offer(self) -> control_pb2.Offer | None:
         """Returns the offer of the newest version; None if there is none."""
-        return deltas.make_offer(self.newest) if self.newest else None
+        return deltas.build_offer(self.newest) if self.newest else None
 
     def get_delta(
         self, peer_offer: control_pb2.Offer | None
@@ -84,12 +84,12 @@
         reply = control_pb2.FetchReply()
         if self.newest is None:
             return reply
-        reply.offer.CopyFrom(deltas.make_offer(self.newest))
+        reply.offer.CopyFrom(deltas.build_offer(self.newest))
         delta = None if request.whole else self.get_delta(request.held)
         if delta is not None:
             reply.delta.CopyFrom(delta)
         else:
-            reply.snapshot.CopyFrom(deltas.make_snapshot_message(self.newest))
+            reply.snapshot.CopyFrom(deltas.build_snapshot_message(self.newest))
         return reply
 
     def _make_delta(
@@ -97,6 +97,6 @@
     ) -> document_pb2.Delta | None:
         delta = self._deltas.get(base.version)
         if delta is None and self.newest is not None:
-            delta = deltas.make_delta(base, self.newest)
+            delta = deltas.build_delta(base, self.newest)
             self._deltas[base.version] = delta
         return delta
--- a/merlintrestle/versions/deltas.py
+++ b/merlintrestle/versions/deltas.py
@@ -9,7 +9,7 @@
 from merlintrestle.schema import document_pb2
 
 
-def make_offer(snapshot: snapshot_lib.Snapshot) -> control_pb2.Offer:
+def build_offer(snapshot: snapshot_lib.Snapshot) -> control_pb2.Offer:
     """Returns the version and digest of a snapshot, as sent to peers."""
     return control_pb2.Offer(version=snapshot.version, digest=snapshot.digest)
 
@@ -20,7 +20,7 @@
     return same_version and snapshot.digest == offer.digest
 
 
-def make_delta(
+def build_delta(
     base: snapshot_lib.Snapshot, target: snapshot_lib.Snapshot
 ) -> document_pb2.Delta:
     """Returns the delta from a base snapshot to a target snapshot."""
@@ -61,7 +61,7 @@
     return loader.load_snapshot(delta.version, resources, base, delta.digest)
 
 
-def make_snapshot_message(
+def build_snapshot_message(
     snapshot: snapshot_lib.Snapshot,
 ) -> document_pb2.Snapshot:
     """Converts a snapshot to a message."""
--- a/merlintrestle/versions/discovery.py
+++ b/merlintrestle/versions/discovery.py
@@ -25,13 +25,13 @@
         self,
         membership: membership_lib.Membership,
         source: source_lib.ConfigurationSource,
-        clock: Callable[[], float],
+        get_time: Callable[[], float],
     ):
-        """Connects members and store; `clock` returns the time in seconds."""
+        """Connects members and store; `get_time` returns time in seconds."""
         self._membership = membership
         self._timing = membership.timing
         self._source = source
-        self._clock = clock
+        self._get_time = get_time
         self._seeds: list[str] = []
         self._seeds_written_at = 0.0
         self._next_search_age_s = self._timing.seeds_write_interval_s
@@ -70,7 +70,7 @@
             errors.MerlintrestleError: The store did not answer.
         """
         seeds = self._selection.get()
-        age_s = self._clock() - self._seeds_written_at
+        age_s = self._get_time() - self._seeds_written_at
         is_change_due = (
             seeds != self._seeds
             and age_s >= self._timing.seeds_write_interval_s
@@ -85,7 +85,7 @@
         zone = self._membership.table.local_member.zone
         previous_seeds = await self._source.write_seeds(zone, seeds)
         self._seeds = seeds
-        self._seeds_written_at = self._clock()
+        self._seeds_written_at = self._get_time()
         await self._membership.contact_unknown(previous_seeds)
 
     async def _search_peers(self, age_s: float) -> None:
--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -108,7 +108,7 @@
             return
         events.note("version held", version=snapshot.version)
         self._membership.links.send_offer(
-            deltas.make_offer(snapshot), self._choose_delta
+            deltas.build_offer(snapshot), self._choose_delta
         )
         self._new_version.set()
 
--- a/merlintrestle/versions/floor.py
+++ b/merlintrestle/versions/floor.py
@@ -47,15 +47,15 @@
         membership: membership_lib.Membership,
         marker: marks_lib.Marker,
         watcher: watcher_lib.Watcher,
-        clock: Callable[[], float] = time.monotonic,
+        get_time: Callable[[], float] = time.monotonic,
     ):
         self.floor: int | None = None
         self._membership = membership
         self._timing = membership.timing
         self._marker = marker
         self._watcher = watcher
-        self._clock = clock
-        self._started_at = clock()
+        self._get_time = get_time
+        self._started_at = get_time()
         self._replies: dict[str, control_pb2.FloorReply] = {}
 
     async def resolve(self) -> None:
@@ -230,7 +230,7 @@
             return None
 
     def _get_uptime_ms(self) -> int:
-        return int(1000 * (self._clock() - self._started_at))
+        return int(1000 * (self._get_time() - self._started_at))
 
 
 def _count_replies(
--- a/merlintrestle/versions/known_revision.py
+++ b/merlintrestle/versions/known_revision.py
@@ -34,11 +34,11 @@
         open_watches: Number of open watches of the head.
     """
 
-    def __init__(self, clock: Callable[[], float] = time.monotonic):
-        """Starts at revision 0; the clock is monotonic, in seconds."""
+    def __init__(self, get_time: Callable[[], float] = time.monotonic):
+        """Starts at revision 0; `get_time` is monotonic, in seconds."""
         self.revision = 0
         self.open_watches = 0
-        self._clock = clock
+        self._get_time = get_time
         self._advanced = asyncio.Event()
         self._unchanged_read_at: float | None = None
 
@@ -53,7 +53,7 @@
         Args:
             head_changed: Whether the read returned a new head.
         """
-        self._unchanged_read_at = None if head_changed else self._clock()
+        self._unchanged_read_at = None if head_changed else self._get_time()
 
     def may_query_history(self) -> bool:
         """Returns whether the store's history may be queried for the head.
@@ -65,7 +65,9 @@
         """
         if self._unchanged_read_at is None:
             return False
-        return self._clock() - self._unchanged_read_at < _HISTORY_QUERY_PERIOD_S
+        return (
+            self._get_time() - self._unchanged_read_at < _HISTORY_QUERY_PERIOD_S
+        )
 
     async def wait_for_watch(
         self, revision: int, is_receiving: Callable[[], bool]
--- a/merlintrestle/versions/marks.py
+++ b/merlintrestle/versions/marks.py
@@ -44,10 +44,10 @@
     def __init__(
         self,
         table: table_lib.MemberTable,
-        clock: Callable[[], float] = time.monotonic,
+        get_time: Callable[[], float] = time.monotonic,
     ):
         self._table = table
-        self._clock = clock
+        self._get_time = get_time
         self._versions_by_member: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
@@ -59,7 +59,7 @@
         Its uptime as a witness starts with the first call.
         """
         if self._open_since is None:
-            self._open_since = self._clock()
+            self._open_since = self._get_time()
 
     def record(self, request: control_pb2.MarkRequest) -> control_pb2.MarkReply:
         """Records the version of a daemon; a lower one has no effect."""
@@ -91,7 +91,7 @@
         )
         if self._open_since is not None:
             reply.open = True
-            reply.memory_ms = int(1000 * (self._clock() - self._open_since))
+            reply.memory_ms = int(1000 * (self._get_time() - self._open_since))
         return reply
 
     def _list_witnesses(self, member_id: str) -> list[str]:
--- a/merlintrestle/versions/watcher.py
+++ b/merlintrestle/versions/watcher.py
@@ -50,7 +50,7 @@
         membership: membership_lib.Membership,
         source: source_lib.ConfigurationSource,
         on_snapshot: Callable[[snapshot_lib.Snapshot], None],
-        clock: Callable[[], float] = time.monotonic,
+        get_time: Callable[[], float] = time.monotonic,
         read_before_contact: bool = False,
     ):
         """Connects the components.
@@ -59,7 +59,7 @@
             membership: Members, links, peers and intervals.
             source: The configuration in the store.
             on_snapshot: Called with each snapshot that was compiled.
-            clock: Monotonic time in seconds.
+            get_time: Monotonic time in seconds.
             read_before_contact: Whether to read the head before the first
                 contact with a peer.
         """
@@ -73,15 +73,17 @@
         self._timing = membership.timing
         self._source = source
         self._on_snapshot = on_snapshot
-        self._clock = clock
+        self._get_time = get_time
         self._handled_version = 0
         self._head_version = 0
         self._head_read_at: float | None = None
         self._read_lock = asyncio.Lock()
         self.selection = watcher_selection_lib.WatcherSelection(
-            membership, clock
+            membership, get_time
+        )
+        self._discovery = discovery_lib.PeerDiscovery(
+            membership, source, get_time
         )
-        self._discovery = discovery_lib.PeerDiscovery(membership, source, clock)
 
     async def run(self) -> None:
         """Watches while this daemon is a watcher, until cancelled."""
@@ -96,14 +98,14 @@
                     timing_lib.jitter(self._timing.watcher_settling_time_s)
                 )
                 continue
-            started_at = self._clock()
+            started_at = self._get_time()
             try:
                 await self._watch()
             except errors.MerlintrestleError as error:
                 self._record_store_call(False)
                 events.warn("store lost", error=str(error))
                 if (
-                    self._clock() - started_at
+                    self._get_time() - started_at
                     > self._timing.head_refresh_interval_s
                 ):
                     backoff.reset()
@@ -166,7 +168,7 @@
         Raises:
             errors.MerlintrestleError: The store did not answer.
         """
-        started_at = self._clock()
+        started_at = self._get_time()
         try:
             head = await self._source.read_head()
         except errors.StoreError:
@@ -215,13 +217,13 @@
         if self._head_read_at is not None:
             reply.head_read = True
             reply.head_version = self._head_version
-            age_s = self._clock() - self._head_read_at
+            age_s = self._get_time() - self._head_read_at
             # Rounded up, so that the head never seems newer than it is.
             reply.head_age_ms = int(1000 * age_s) + 1
 
     async def _read_if_older(self, age_s: float) -> None:
         """Reads the head if the last read began more than `age_s` ago."""
-        called_at = self._clock()
+        called_at = self._get_time()
         async with self._read_lock:
             if (
                 self._head_read_at is None
@@ -237,7 +239,7 @@
         member updates are batched.
         """
         if self._head_read_at is not None:
-            age_s = self._clock() - self._head_read_at
+            age_s = self._get_time() - self._head_read_at
             await asyncio.sleep(max(0.0, self._timing.flush_delay_s - age_s))
 
     async def _watch(self) -> None:
@@ -251,19 +253,19 @@
         """
         await self.read_and_compile_head()
         watch = asyncio.create_task(self._follow_head())
-        refresh_at = self._clock() + timing_lib.jitter(
+        refresh_at = self._get_time() + timing_lib.jitter(
             self.get_refresh_interval_s()
         )
         try:
             await self._discovery.update_seeds()
             while self.selection.is_watcher():
-                if self._clock() >= refresh_at:
+                if self._get_time() >= refresh_at:
                     await self.read_and_compile_head()
                     await self._discovery.update_seeds()
-                    refresh_at = self._clock() + timing_lib.jitter(
+                    refresh_at = self._get_time() + timing_lib.jitter(
                         self.get_refresh_interval_s()
                     )
-                remaining_s = refresh_at - self._clock()
+                remaining_s = refresh_at - self._get_time()
                 done, _ = await asyncio.wait(
                     (watch,),
                     timeout=max(
@@ -286,12 +288,12 @@
         if reachable and not self.store_reachable:
             lost_s = None
             if self._store_lost_at is not None:
-                lost_s = round(self._clock() - self._store_lost_at, 1)
+                lost_s = round(self._get_time() - self._store_lost_at, 1)
             events.note("store reached", lost_s=lost_s)
         if not reachable and (
             self.store_reachable or self._store_lost_at is None
         ):
-            self._store_lost_at = self._clock()
+            self._store_lost_at = self._get_time()
         self.store_reachable = reachable
 
     async def _compile(self, head: document_pb2.Head) -> None:
--- a/merlintrestle/versions/watcher_selection.py
+++ b/merlintrestle/versions/watcher_selection.py
@@ -22,12 +22,12 @@
     def __init__(
         self,
         membership: membership_lib.Membership,
-        clock: Callable[[], float],
+        get_time: Callable[[], float],
     ):
-        """Selects from the members; `clock` returns the time in seconds."""
+        """Selects from the members; `get_time` returns the time in seconds."""
         self._membership = membership
         self._settling_time_s = membership.timing.watcher_settling_time_s
-        self._clock = clock
+        self._get_time = get_time
         self._selected_at: float | None = None
         self._watchers = selection_lib.choose_in_local_zone(
             membership.table, "watch", WATCHERS_PER_ZONE
@@ -84,7 +84,7 @@
         daemon, which is therefore selected. If it became a watcher at once, all
         daemons would read the store.
         """
-        now = self._clock()
+        now = self._get_time()
         local_id = self._membership.table.local_id
         if (
             local_id not in self.get_local_zone_watchers()
--- a/tests/daemon/builders.py
+++ b/tests/daemon/builders.py
@@ -168,7 +168,7 @@
             snapshot = compiler.compile_snapshot(
                 version, {document.organisation: document}
             )
-            new_head = acceptance.make_head(
+            new_head = acceptance.build_head(
                 head, str(version), documents, snapshot.digest
             )
             await acceptance.swap_head(store, new_head, revision)
--- a/tests/members/test_failure_detection.py
+++ b/tests/members/test_failure_detection.py
@@ -23,7 +23,7 @@
         self.now = 0.0
         self.network = builders.FakeNetwork()
         self.table = table_lib.MemberTable(
-            builders.build_member(1), clock=lambda: self.now
+            builders.build_member(1), get_time=lambda: self.now
         )
         self.other_members = [builders.build_member(i) for i in range(2, 7)]
         for member in self.other_members:
--- a/tests/members/test_table.py
+++ b/tests/members/test_table.py
@@ -126,7 +126,7 @@
     def test_gone_members_are_removed_after_the_retention(self) -> None:
         now = [0.0]
         table = table_lib.MemberTable(
-            builders.build_member(1), clock=lambda: now[0]
+            builders.build_member(1), get_time=lambda: now[0]
         )
         dead = builders.build_member(2, 1, control_pb2.DEAD)
         table.merge(dead)
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -117,7 +117,7 @@
             2,
             previous,
         )
-        delta = deltas.make_delta(previous, after)
+        delta = deltas.build_delta(previous, after)
         self.assertEqual(
             [resource.name for resource in delta.changed], ["route/b"]
         )
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -52,8 +52,8 @@
         """Guards against a writer that relies on a lease that has ended."""
         lease = await self.store.grant_lease(1)
         await self.store.put("a", b"1", 0, lease)
-        self.assertEqual(await self.store.keep_lease(lease), 1)
-        self.assertEqual(await self.store.keep_lease(lease + 1), 0)
+        self.assertEqual(await self.store.renew_lease(lease), 1)
+        self.assertEqual(await self.store.renew_lease(lease + 1), 0)
 
     async def test_the_outcome_of_a_write_without_response_is_unknown(self):
         """Guards against a writer that mistakes its record for another's.
--- a/tests/store/fakes.py
+++ b/tests/store/fakes.py
@@ -116,7 +116,7 @@
         self._leases[lease_id] = set()
         return lease_id
 
-    async def keep_lease(self, lease_id: int) -> int:
+    async def renew_lease(self, lease_id: int) -> int:
         """Returns 1 while the lease is open, then 0."""
         self._check_write("keep_lease")
         return int(lease_id in self._leases)
--- a/tests/store/test_acceptance.py
+++ b/tests/store/test_acceptance.py
@@ -12,7 +12,7 @@
 
 
 def _propose(base_head: document_pb2.Head, change_id: str) -> document_pb2.Head:
-    return acceptance.make_head(base_head, change_id, {}, b"digest")
+    return acceptance.build_head(base_head, change_id, {}, b"digest")
 
 
 class SwapHeadTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -26,7 +26,7 @@
         it.
         """
         await self.standin.set_faults(faults.StoreFaults(lose_answers=1))
-        head = acceptance.make_head(document_pb2.Head(), "a", {}, b"")
+        head = acceptance.build_head(document_pb2.Head(), "a", {}, b"")
         outcome = await acceptance.swap_head(self.store, head, 0, 0)
         self.assertEqual(outcome, acceptance.Accepted(1))
         stored_head, revision = await records.read_head(self.store)
--- a/tests/versions/test_deltas.py
+++ b/tests/versions/test_deltas.py
@@ -30,7 +30,7 @@
     ) -> None:
         base = builders.build_snapshot(1, before)
         target = builders.build_snapshot(2, after)
-        result = deltas.apply_delta(base, deltas.make_delta(base, target))
+        result = deltas.apply_delta(base, deltas.build_delta(base, target))
         self.assertEqual(result.digest, target.digest)
         self.assertEqual(result.resources, target.resources)
         self.assertEqual(set(result.services), set(after))
@@ -46,7 +46,7 @@
     ) -> None:
         base = builders.build_snapshot(1, before)
         target = builders.build_snapshot(2, after)
-        data = bytearray(deltas.make_delta(base, target).SerializeToString())
+        data = bytearray(deltas.build_delta(base, target).SerializeToString())
         data[position % len(data)] ^= mask
         try:
             corrupted = document_pb2.Delta.FromString(bytes(data))
@@ -69,13 +69,13 @@
         """
         base = builders.build_snapshot(1, ["balie"])
         target = builders.build_snapshot(2, ["balie", "kassa"])
-        delta = deltas.make_delta(base, target)
+        delta = deltas.build_delta(base, target)
         del delta.changed[0]
         with self.assertRaises(errors.SnapshotError):
             deltas.apply_delta(base, delta)
 
     def test_snapshot_that_does_not_match_its_offer_is_refused(self) -> None:
-        snapshot_message = deltas.make_snapshot_message(
+        snapshot_message = deltas.build_snapshot_message(
             builders.build_snapshot(2, ["kassa"])
         )
         digest = builders.build_snapshot(2, ["balie"]).digest
@@ -92,7 +92,7 @@
             self.archive.add(builders.build_snapshot(version, SERVICES))
 
     def test_answers_with_a_delta_for_a_held_base(self) -> None:
-        held = deltas.make_offer(builders.build_snapshot(1, SERVICES))
+        held = deltas.build_offer(builders.build_snapshot(1, SERVICES))
         reply = self.archive.answer_fetch(control_pb2.FetchRequest(held=held))
         self.assertTrue(reply.HasField("delta"))
         self.assertLess(
@@ -126,7 +126,7 @@
         )
         for version, whole in arrivals:
             base = accepted[max(1, version - 1)]
-            delta = deltas.make_delta(base, accepted[version])
+            delta = deltas.build_delta(base, accepted[version])
             try:
                 snapshot = (
                     accepted[version]
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -130,7 +130,7 @@
     base = compiler.compile_snapshot(1, documents)
     compile_s = _time_best(lambda: compiler.compile_snapshot(1, documents))
     documents["organisation-0"].services[0].classes[0].latency_ms += 1
-    delta = deltas.make_delta(base, compiler.compile_snapshot(2, documents))
+    delta = deltas.build_delta(base, compiler.compile_snapshot(2, documents))
     apply_s = _time_best(lambda: deltas.apply_delta(base, delta))
     _, memory_bytes = _trace_memory(
         lambda: loader.load_snapshot(1, dict(base.resources))
@@ -138,7 +138,7 @@
     figures = SnapshotFigures(
         services,
         memory_bytes,
-        deltas.make_snapshot_message(base).ByteSize(),
+        deltas.build_snapshot_message(base).ByteSize(),
         delta.ByteSize(),
         compile_s * 1e3,
         apply_s * 1e3,
