--- a/tests/requests/builders.py
+++ b/tests/requests/builders.py
@@ -141,7 +141,7 @@
 
     Attributes:
         proxy: The proxy.
-        holder: Its fake `interfaces.ActiveVersion`.
+        active_version: Its fake `interfaces.ActiveVersion`.
         table: Its fake member table.
         settings: Its settings.
         store: Its fake store.
@@ -169,18 +169,20 @@
             store: The store; by default a new fake store.
         """
         super().__init__()
-        self.holder = fakes.FakeActiveVersion(running or build_snapshot())
+        self.active_version = fakes.FakeActiveVersion(
+            running or build_snapshot()
+        )
         self.served: list[tuple[str, str]] = []
-        self.table = fakes.Table()
+        self.table = fakes.FakeMemberTable()
         self._handler = handler or _answer_ok
         self._slots = slots
         self.settings = settings_pb2.DaemonSettings(
             address="127.0.0.1", zone="noord", claims="claims/"
         )
-        self.store = store or fakes.Store()
+        self.store = store or fakes.FakeStore()
         self.proxy = proxies.Proxy(
             self.settings,
-            self.holder,
+            self.active_version,
             self.table,
             self.store,
         )
@@ -367,7 +369,7 @@
     Yields:
         The nodes.
     """
-    options.setdefault("store", fakes.Store())
+    options.setdefault("store", fakes.FakeStore())
     async with contextlib.AsyncExitStack() as stack:
         nodes = []
         for _ in range(count):
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -13,7 +13,7 @@
     from merlintrestle.members import table
 
 
-class Clock:
+class FakeClock:
     """A clock that is set by the test.
 
     Attributes:
@@ -42,7 +42,7 @@
         self.closed_reason = "no floor is known"
 
 
-class Table:
+class FakeMemberTable:
     """A fake `interfaces.MemberTable` whose upstreams are set by the test.
 
     Attributes:
@@ -75,7 +75,7 @@
     STALE_READ = enum.auto()
 
 
-class Store:
+class FakeStore:
     """A fake `interfaces.Store` in memory, with the faults of `Fault`.
 
     Attributes:
--- a/tests/requests/interleaving.py
+++ b/tests/requests/interleaving.py
@@ -56,7 +56,7 @@
         runner: Runs each payout at most once.
     """
 
-    def __init__(self, simulation: World, number: int):
+    def __init__(self, simulation: Simulation, number: int):
         """Initializes a daemon.
 
         Args:
@@ -128,7 +128,7 @@
         return self.simulation.store.now
 
 
-class World:
+class Simulation:
     """Simulation of three daemons, their store, and callers that send payouts.
 
     Attributes:
@@ -142,7 +142,7 @@
     """
 
     def __init__(self) -> None:
-        self.store = fakes.Store()
+        self.store = fakes.FakeStore()
         self.runs: list[Run] = []
         self.backend_results: list[str] = []
         self.results: dict[int, tuple[str, outcomes.Outcome]] = {}
--- a/tests/requests/load/fleets.py
+++ b/tests/requests/load/fleets.py
@@ -62,7 +62,7 @@
     """
 
     def __init__(
-        self, server: Server, slots: int, table: fakes.Table, rng: Any
+        self, server: Server, slots: int, table: fakes.FakeMemberTable, rng: Any
     ):
         self._server = server
         self._rng = rng
@@ -188,7 +188,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
         self._rng = random.Random(1)
         self._loop = asyncio.get_running_loop()
-        table = fakes.Table()
+        table = fakes.FakeMemberTable()
         upstreams = [
             builders.build_upstream(number, slots=slots)
             for number in range(len(servers))
@@ -220,7 +220,9 @@
                 await asyncio.sleep(self._rng.expovariate(callers.rate))
                 group.create_task(self._make_call(callers))
 
-    def _build_daemon(self, table: fakes.Table) -> dispatch.Dispatcher:
+    def _build_daemon(
+        self, table: fakes.FakeMemberTable
+    ) -> dispatch.Dispatcher:
         network: Any = _Network(self._upstream_daemons, self._round_trip_s)
         runner: Any = _NoLocalRunner()
         # Budgets of a fleet of 11 daemons, also if another number is simulated.
--- a/tests/requests/load/simulations.py
+++ b/tests/requests/load/simulations.py
@@ -66,7 +66,7 @@
         self._admission = admission.Admission(
             backend,
             fakes.FakeActiveVersion(builders.build_snapshot({})),
-            fakes.Table(),
+            fakes.FakeMemberTable(),
             self._loop.time,
         )
 
--- a/tests/requests/load/test_acceptance.py
+++ b/tests/requests/load/test_acceptance.py
@@ -19,7 +19,7 @@
     """The acceptance rate of a backend server, with a simulated clock."""
 
     def setUp(self) -> None:
-        self.clock = fakes.Clock()
+        self.clock = fakes.FakeClock()
         self.acceptance = acceptance.AcceptanceRate(self.clock.get_time)
 
     def test_every_second_call_is_rejected(self) -> None:
@@ -55,8 +55,8 @@
         self.admission = admission.Admission(
             backend,
             fakes.FakeActiveVersion(builders.build_snapshot()),
-            fakes.Table(),
-            fakes.Clock().get_time,
+            fakes.FakeMemberTable(),
+            fakes.FakeClock().get_time,
         )
         for number in range(20):
             self.admission.record_acceptance(number % 2 == 0)
--- a/tests/requests/load/test_admission.py
+++ b/tests/requests/load/test_admission.py
@@ -44,7 +44,7 @@
     return admissions.Admission(
         backend,
         fakes.FakeActiveVersion(builders.build_snapshot(named)),
-        fakes.Table(),
+        fakes.FakeMemberTable(),
     )
 
 
--- a/tests/requests/load/test_budgets.py
+++ b/tests/requests/load/test_budgets.py
@@ -16,7 +16,7 @@
     """The budget of one of thirteen daemons."""
 
     def setUp(self) -> None:
-        self.clock = fakes.Clock()
+        self.clock = fakes.FakeClock()
         self.budgets = budgets.Budgets(lambda: 13, self.clock.get_time)
         self.budgets.set_bounds(0.2, 62.0, 10.0)
 
@@ -73,7 +73,7 @@
     def test_no_window_exceeds_the_bound(self, seed: int) -> None:
         """No ten seconds contain more retries than the bounds allow."""
         rng = random.Random(seed)
-        clock = fakes.Clock()
+        clock = fakes.FakeClock()
         budget = budgets.Budget(budgets.Bounds(0.1, 2.0, 10.0), clock.get_time)
         called, retried = [], []
         for _ in range(300):
--- a/tests/requests/load/test_links.py
+++ b/tests/requests/load/test_links.py
@@ -76,7 +76,7 @@
     """A link with a rate of 400 kB/s and answers of 100 kB."""
 
     async def asyncSetUp(self) -> None:
-        self.clock = fakes.Clock()
+        self.clock = fakes.FakeClock()
         self.link = links.OutgoingLink(self.clock.get_time)
 
     def request_transfer(
--- a/tests/requests/load/test_picking.py
+++ b/tests/requests/load/test_picking.py
@@ -313,7 +313,7 @@
 
     async def test_no_call_fails_when_a_daemon_is_killed(self) -> None:
         async with (
-            builders.run_nodes(3, store=fakes.Store()) as nodes,
+            builders.run_nodes(3, store=fakes.FakeStore()) as nodes,
             builders.open_client() as client,
         ):
             nodes[0].proxy.backend.slots = 0
--- a/tests/requests/load/test_polls.py
+++ b/tests/requests/load/test_polls.py
@@ -29,7 +29,7 @@
         self.assertFalse(observation.has_recent_load(12.0))
         self.assertIs(polls.choose_wait(True, False), calls.Wait.NORMAL)
 
-    def test_call_waits_shortly_in_the_local_zone(self) -> None:
+    def test_call_waits_briefly_in_the_local_zone(self) -> None:
         self.assertIs(polls.choose_wait(False, True), calls.Wait.SHORT)
         self.assertIs(polls.choose_wait(False, False), calls.Wait.NONE)
 
--- a/tests/requests/load/test_retries.py
+++ b/tests/requests/load/test_retries.py
@@ -53,8 +53,8 @@
             builders.open_client() as client,
         ):
             for node in nodes[:2]:
-                node.holder.active_snapshot = None
-            nodes[0].holder.active_snapshot = builders.build_snapshot()
+                node.active_version.active_snapshot = None
+            nodes[0].active_version.active_snapshot = builders.build_snapshot()
             nodes[0].proxy.backend.slots = 0
             for _ in range(8):
                 answer = await client.get(nodes[0].url + "/x")
--- a/tests/requests/load/test_round_trips.py
+++ b/tests/requests/load/test_round_trips.py
@@ -27,7 +27,7 @@
     """Samples and their age, with a simulated clock."""
 
     def setUp(self) -> None:
-        self.clock = fakes.Clock()
+        self.clock = fakes.FakeClock()
         self.round_trip = round_trips.RoundTripTime(self.clock.get_time)
 
     def test_nothing_is_reserved_without_samples(self) -> None:
--- a/tests/requests/load/test_startup.py
+++ b/tests/requests/load/test_startup.py
@@ -14,8 +14,8 @@
     """A daemon that has started and knows no upstream yet."""
 
     def setUp(self) -> None:
-        self.clock = fakes.Clock()
-        self.table = fakes.Table()
+        self.clock = fakes.FakeClock()
+        self.table = fakes.FakeMemberTable()
         self.startup_wait = startup.StartupWait(self.table, self.clock.get_time)
 
     def wait(self) -> asyncio.Task[bool]:
--- a/tests/requests/reports/test_traffic.py
+++ b/tests/requests/reports/test_traffic.py
@@ -12,7 +12,7 @@
 
 class TrafficReportTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock = fakes.Clock()
+        self.clock = fakes.FakeClock()
         self.traffics = traffic.build_traffics()
         self.buffered_bytes = 0
         self.report = traffic.TrafficReport(
--- a/tests/requests/serving/test_doubt.py
+++ b/tests/requests/serving/test_doubt.py
@@ -202,7 +202,7 @@
             slow, refusing = nodes[0].table.upstreams["kassa"]
             refusing = refusing._replace(suspect=True)
             nodes[0].table.upstreams["kassa"] = (slow, refusing)
-            nodes[2].holder.active_snapshot = None
+            nodes[2].active_version.active_snapshot = None
             call = asyncio.create_task(client.get(nodes[0].url + "/x"))
             await self.started.acquire()
             while (
--- a/tests/requests/serving/test_interleaving.py
+++ b/tests/requests/serving/test_interleaving.py
@@ -62,7 +62,7 @@
 
 async def simulate(
     actions: list[tuple[str, int, int]],
-) -> interleaving.World:
+) -> interleaving.Simulation:
     """Simulates actions on three daemons, then lets all calls end.
 
     Args:
@@ -71,7 +71,7 @@
     Returns:
         The final state of the simulation.
     """
-    world = interleaving.World()
+    world = interleaving.Simulation()
     for kind, number, argument in actions:
         if kind == "send":
             world.send_payout(number, "a" if argument else "b")
@@ -172,7 +172,7 @@
         self.assertIsInstance(world.results[0][1], outcomes.NotRun)
         self.assertEqual([run.call_number for run in world.runs], [1])
 
-    def test_claim_owner_is_frozen_or_replaced(self) -> None:
+    def test_claim_holder_is_frozen_or_replaced(self) -> None:
         """Guards against a second run of a payout whose outcome is lost.
 
         The first daemon is suspended or replaced while its backend server runs
@@ -198,7 +198,7 @@
     """
 
     async def asyncSetUp(self) -> None:
-        self.world = interleaving.World()
+        self.world = interleaving.Simulation()
         self.claims = self.world.daemons[0].claims
         self.call = builders.build_call(deadline=float("inf"))
         acquiring = asyncio.create_task(
--- a/tests/requests/serving/test_path.py
+++ b/tests/requests/serving/test_path.py
@@ -240,7 +240,7 @@
             builders.run_nodes(1) as (node,),
             builders.open_client() as client,
         ):
-            node.holder.active_snapshot = None
+            node.active_version.active_snapshot = None
             answer = await client.get(node.url + "/x")
             fields = await answer.json()
             self.assertEqual(answer.status, 503)
--- a/tests/requests/serving/test_refusals_in_time.py
+++ b/tests/requests/serving/test_refusals_in_time.py
@@ -18,7 +18,7 @@
 _SHORT_DEADLINES = builders.build_snapshot(builders.build_short_plans())
 
 
-class _SlowStore(fakes.Store):
+class _SlowStore(fakes.FakeStore):
     """Store that delays the answer to each write beyond any deadline."""
 
     async def put(self, *arguments: Any) -> Any:
--- a/tests/requests/serving/test_retry_state.py
+++ b/tests/requests/serving/test_retry_state.py
@@ -24,10 +24,10 @@
 
     def setUp(self) -> None:
         self.budget = budgets.Budget(
-            budgets.Bounds(0.0, 5.0, 10.0), fakes.Clock().get_time
+            budgets.Bounds(0.0, 5.0, 10.0), fakes.FakeClock().get_time
         )
         self.call = builders.build_call(plan=builders.build_plan())
-        self.round_trip = round_trips.RoundTripTime(fakes.Clock().get_time)
+        self.round_trip = round_trips.RoundTripTime(fakes.FakeClock().get_time)
         self.state = retry_states.RetryState(
             self.call, self.budget, attempts_.Attempts(), self.round_trip
         )
--- a/tests/requests/transport/test_silence.py
+++ b/tests/requests/transport/test_silence.py
@@ -90,7 +90,7 @@
         async def run(request: web.BaseRequest) -> web.StreamResponse:
             if len(nodes[1].served) > 1:
                 relay.silence()
-                nodes[1].holder.active_snapshot = None
+                nodes[1].active_version.active_snapshot = None
             return web.Response()
 
         async with relays.run_relayed_nodes(run) as (nodes, relay, client):
--- a/tests/requests/transport/test_transfers.py
+++ b/tests/requests/transport/test_transfers.py
@@ -253,7 +253,7 @@
     """Transfers over a connection with a mock transport."""
 
     async def asyncSetUp(self) -> None:
-        self.clock = fakes.Clock()
+        self.clock = fakes.FakeClock()
         self.link = links.OutgoingLink(self.clock.get_time)
         self.sender = transfers.TransferSender(self.link)
         self.addCleanup(self.sender.close)
--- a/tests/requests/unrepeatable/test_at_most_once.py
+++ b/tests/requests/unrepeatable/test_at_most_once.py
@@ -82,7 +82,7 @@
 
     async def test_store_is_down(self) -> None:
         """The caller gets "not run" with Retry-After at once."""
-        store = fakes.Store()
+        store = fakes.FakeStore()
         async with (
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
             builders.open_client() as client,
@@ -102,7 +102,7 @@
 
         The store writes the claim, but its reply is lost.
         """
-        store = fakes.Store()
+        store = fakes.FakeStore()
         store.faults = [fakes.Fault.NONE, fakes.Fault.REPLY_LOST]
         self.may_answer.set()
         async with (
@@ -151,7 +151,7 @@
 
     async def test_one_write_for_each_payout(self) -> None:
         """Guards against more than one write to the store for each payout."""
-        store = fakes.Store()
+        store = fakes.FakeStore()
         self.may_answer.set()
         async with (
             builders.run_nodes(1, handler=self.pay, store=store) as (node,),
--- a/tests/rollouts/builders.py
+++ b/tests/rollouts/builders.py
@@ -78,7 +78,7 @@
     return control_pb2.Rollout.FromString(rollout.SerializeToString())
 
 
-class Clock:
+class FakeClock:
     """Clock that the test sets.
 
     Attributes:
@@ -110,7 +110,7 @@
             new: Number of upstreams of v2.
         """
         self.upstreams = build_upstreams(old, new)
-        self.clock = Clock()
+        self.clock = FakeClock()
         self.tracker = trackers.RolloutTracker(
             lambda service: self.upstreams, self.clock
         )
@@ -128,13 +128,13 @@
 
     Attributes:
         entries: The entries, by key.
-        lost_replies: Number of further writes that are applied but whose reply
+        lost_answers: Number of further writes that are applied but whose reply
             is lost.
     """
 
     def __init__(self) -> None:
         self.entries: dict[str, client.Entry] = {}
-        self.lost_replies = 0
+        self.lost_answers = 0
         self._revision = 10
 
     def write(self, key: str, value: bytes) -> int:
@@ -164,7 +164,7 @@
         if current.revision != expected_revision:
             return client.WriteReply(False, current)
         self.write(key, value)
-        if self.lost_replies:
-            self.lost_replies -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise errors.StoreUnknownOutcomeError("the reply was lost")
         return client.WriteReply(True, self.entries[key])
--- a/tests/rollouts/test_states.py
+++ b/tests/rollouts/test_states.py
@@ -31,7 +31,7 @@
 class _Daemon:
     """Daemon that tracks roll-outs and writes their states."""
 
-    def __init__(self, store: builders.FakeStore, clock: builders.Clock):
+    def __init__(self, store: builders.FakeStore, clock: builders.FakeClock):
         upstreams = builders.build_upstreams(2, 2)
         self.tracker = trackers.RolloutTracker(lambda service: upstreams, clock)
         self.storage = storages.RolloutStorage(store, _FORMAT)
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.store = builders.FakeStore()
-        self.clock = builders.Clock()
+        self.clock = builders.FakeClock()
         self.daemons = [
             _Daemon(self.store, self.clock) for _ in range(_DAEMONS)
         ]
@@ -127,9 +127,9 @@
             for progress in writer.tracker.list_open():
                 await writer.controller.write_state(progress)
 
-        self.store.lost_replies = int(lost)
+        self.store.lost_answers = int(lost)
         asyncio.run(run())
-        self.store.lost_replies = 0
+        self.store.lost_answers = 0
 
     @stateful.rule(duration_s=strategies.sampled_from([0.5, 4.0, 10.0]))
     def wait(self, duration_s: float) -> None:
--- a/tests/rollouts/test_storage.py
+++ b/tests/rollouts/test_storage.py
@@ -57,7 +57,7 @@
             store = builders.FakeStore()
             storage = storages.RolloutStorage(store, record_format)
             rollout = builders.build_rollout()
-            store.lost_replies = 1
+            store.lost_answers = 1
             with self.assertRaises(errors.StoreUnknownOutcomeError):
                 await storage.write_state(rollout, control_pb2.COMPLETE)
             state = await storage.write_state(rollout, control_pb2.ROLLED_BACK)
