--- a/merlintrestle/versions/distribution.py
+++ b/merlintrestle/versions/distribution.py
@@ -108,7 +108,7 @@
             return
         events.note("version held", version=snapshot.version)
         self._membership.links.send_offer(
-            deltas.make_offer(snapshot), self._choose_delta
+            deltas.build_offer(snapshot), self._choose_delta
         )
         self._new_version.set()
 
@@ -194,7 +194,7 @@
 
     def _update_closed_reason(self, floor: int) -> None:
         """Sets why the daemon is closed, unless a version is active."""
-        if self.active_version.running is not None:
+        if self.active_version.active_snapshot is not None:
             return
         if floor == 0:
             self.active_version.closed_reason = active_version_lib.NO_VERSION
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -13,7 +13,7 @@
     from merlintrestle.members import table
 
 
-class Clock:
+class FakeClock:
     """A clock that is set by the test.
 
     Attributes:
@@ -32,17 +32,17 @@
     """A fake `interfaces.ActiveVersion` whose version is set by the test.
 
     Attributes:
-        running: Snapshot of the active version; None while the daemon is
-            closed, that is, while it refuses all calls.
+        active_snapshot: Snapshot of the active version; None while the daemon
+            is closed, that is, while it refuses all calls.
         closed_reason: Why the daemon is closed; refusals contain it.
     """
 
-    def __init__(self, running: snapshot.Snapshot | None):
-        self.running = running
+    def __init__(self, active_snapshot: snapshot.Snapshot | None):
+        self.active_snapshot = active_snapshot
         self.closed_reason = "no floor is known"
 
 
-class Table:
+class FakeMemberTable:
     """A fake `interfaces.MemberTable` whose upstreams are set by the test.
 
     Attributes:
@@ -56,7 +56,7 @@
         """Returns the upstreams of a service."""
         return self.upstreams.get(service, ())
 
-    def count_usable(self) -> int:
+    def count_daemons(self) -> int:
         """Returns the number of daemons."""
         return 1
 
@@ -75,7 +75,7 @@
     STALE_READ = enum.auto()
 
 
-class Store:
+class FakeStore:
     """A fake `interfaces.Store` in memory, with the faults of `Fault`.
 
     Attributes:
